--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -8,7 +8,7 @@
 import lineward.mysql.MysqlServer;
 import lineward.mysql.Query;
 import lineward.operations.Metrics;
-import lineward.scheduling.SpeculativeScheduler;
+import lineward.scheduling.execution.SpeculativeScheduler;
 import lineward.spool.Spool;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -5,7 +5,7 @@
 import lineward.discovery.EndpointList;
 import lineward.engine.EngineCluster;
 import lineward.engine.EngineWarmup;
-import lineward.scheduling.SpeculativeScheduler;
+import lineward.scheduling.execution.SpeculativeScheduler;
 import lineward.thrift.Call;
 import lineward.thrift.ProtocolWarmup;
 import lineward.thrift.ThriftServer;
--- a/src/main/java/lineward/frontend/ClientRegistry.java
+++ b/src/main/java/lineward/frontend/ClientRegistry.java
@@ -7,6 +7,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import lineward.scheduling.decision.ClientEvictionPolicy;
 
 /**
  * The connections of a protocol's clients, by state: silent (has never sent a request), awaiting a response,
@@ -16,13 +17,6 @@
  * @param <C> a connection
  */
 public final class ClientRegistry<C> {
-    /** Silent connections beyond this fraction of the capacity evict their own kind: a flood hits itself. */
-    private static final int SILENT_DIVISOR = 4;
-    /**
-     * Connections closing gracefully to make room, as a fraction: they hold descriptors beyond the capacity.
-     */
-    private static final int CLOSING_DIVISOR = 16;
-
     private final int capacity;
     private final LongSupplier nanoClock;
     private final Consumer<C> closer;
@@ -60,12 +54,10 @@
     }
 
     private void evictOne() {
-        if (silent.size() > capacity / SILENT_DIVISOR || idle.isEmpty()) {
-            close(oldest(silent));
-        } else if (closing.size() < capacity / CLOSING_DIVISOR) {
-            closeGracefully(oldest(idle));
-        } else {
-            close(oldest(idle));
+        switch (ClientEvictionPolicy.evict(capacity, silent.size(), idle.size(), closing.size())) {
+            case CLOSE_OLDEST_SILENT -> close(oldest(silent));
+            case CLOSE_OLDEST_IDLE_GRACEFULLY -> closeGracefully(oldest(idle));
+            case CLOSE_OLDEST_IDLE -> close(oldest(idle));
         }
     }
 
--- a/src/main/java/lineward/frontend/ProtocolServer.java
+++ b/src/main/java/lineward/frontend/ProtocolServer.java
@@ -3,19 +3,10 @@
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoopGroup;
 import lineward.core.Coordinator;
+import lineward.scheduling.decision.ServerAdmissionPolicy;
 
 /** A client protocol as the program steers it. All but {@link #listen} runs on the event loop. */
 public interface ProtocolServer {
-    /** How a server meets its clients. */
-    enum Admission {
-        /** It serves all requests and welcomes new clients. */
-        OPEN,
-        /** It serves all requests, but asks clients to go elsewhere. */
-        DRAINING,
-        /** It rejects new requests and completes those admitted. */
-        REJECTING
-    }
-
     /** Starts to listen. */
     ChannelFuture listen(EventLoopGroup loop);
 
@@ -23,7 +14,7 @@
     void tick();
 
     /** Sets how clients are met from now on. */
-    void setAdmission(Admission admission);
+    void setAdmission(ServerAdmissionPolicy.Phase phase);
 
     /** Bounds the time of requests that arrive from now on, whatever deadline their clients set. */
     void setShutdownDeadline(int deadlineMs);
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import lineward.frontend.ProtocolServer;
-import lineward.frontend.ProtocolServer.Admission;
 import lineward.operations.AdminOperations;
 import lineward.operations.Metrics;
+import lineward.scheduling.decision.ServerAdmissionPolicy;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -106,7 +106,7 @@
             LOG.info("drain started");
             state = next;
             drainStartNanos = System.nanoTime();
-            setAdmission(Admission.DRAINING);
+            setAdmission(ServerAdmissionPolicy.Phase.DRAINING);
         }
     }
 
@@ -116,12 +116,12 @@
         if (next != state) {
             LOG.info("drain stopped");
             state = next;
-            setAdmission(Admission.OPEN);
+            setAdmission(ServerAdmissionPolicy.Phase.OPEN);
         }
         return !state.isTerminating();
     }
 
-    private void setAdmission(Admission admission) {
+    private void setAdmission(ServerAdmissionPolicy.Phase admission) {
         servers.forEach(server -> server.setAdmission(admission));
     }
 
@@ -136,7 +136,7 @@
     private void closeDrainedConnections(DrainSchedule schedule) {
         double elapsedMs = (System.nanoTime() - drainStartNanos) / NANOS_PER_MS;
         if (schedule.rejectsRequests(elapsedMs)) {
-            setAdmission(Admission.REJECTING);
+            setAdmission(ServerAdmissionPolicy.Phase.REJECTING);
         }
         if (schedule.closesConnections(elapsedMs)) {
             double probability = schedule.closeProbability(elapsedMs, Ticker.TICK_MS);
@@ -167,7 +167,7 @@
         if (shutdown.inherited()) {
             servers.forEach(ProtocolServer::stopListening);
         } else {
-            setAdmission(Admission.DRAINING);
+            setAdmission(ServerAdmissionPolicy.Phase.DRAINING);
         }
         schedule(
                 () -> ticker.every(Ticker.TICK_MS, this::completeShutdown),
@@ -191,7 +191,7 @@
                 .mapToInt(server -> server.coordinator().openRequests())
                 .sum();
         LOG.info("shutdown deadline passed: failedRequests={}", openRequests);
-        setAdmission(Admission.REJECTING);
+        setAdmission(ServerAdmissionPolicy.Phase.REJECTING);
         servers.forEach(ProtocolServer::failOpenRequests);
     }
 
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -18,6 +18,7 @@
 import lineward.frontend.Listener;
 import lineward.frontend.ProtocolServer;
 import lineward.operations.Metrics;
+import lineward.scheduling.decision.ServerAdmissionPolicy;
 import lineward.spool.Spool;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -50,7 +51,7 @@
     private final AttemptReporter.Targets reportTargets;
     private final ConnectedClients clients;
     private final ByteBudget statementTexts = new ByteBudget(MAX_STATEMENT_TEXT_BYTES);
-    private Admission admission = Admission.OPEN;
+    private final ServerAdmissionPolicy admission = new ServerAdmissionPolicy(Long.MAX_VALUE);
     private long shutdownStartedNanos;
 
     /**
@@ -120,11 +121,11 @@
 
     /** The protocol has no message that asks clients to stay away; their requests can be rejected. */
     @Override
-    public void setAdmission(Admission next) {
-        if (admission == Admission.OPEN && next != Admission.OPEN) {
+    public void setAdmission(ServerAdmissionPolicy.Phase next) {
+        if (admission.welcomesClients() && next != ServerAdmissionPolicy.Phase.OPEN) {
             shutdownStartedNanos = System.nanoTime();
         }
-        admission = next;
+        admission.enter(next);
     }
 
     /** Ignored: the statements of a MySQL front end run to their own deadlines. */
@@ -227,7 +228,7 @@
 
     /** Admits the query; returns false where there is no room for it, and it must be rejected. */
     boolean admit(Query query) {
-        boolean admitted = admission != Admission.REJECTING && tryAdmit(query);
+        boolean admitted = admission.admitsRequests() && tryAdmit(query);
         if (!admitted) {
             metrics.countEnded(className(query), Metrics.RequestStatus.REJECTED);
         }
--- a/src/main/java/lineward/scheduling/EndpointState.java
+++ b/src/main/java/lineward/scheduling/EndpointState.java
@@ -4,7 +4,7 @@
 public enum EndpointState {
     /** It takes requests. */
     READY,
-    /** It completes what it has and takes nothing new. */
+    /** It completes its open requests and accepts no new ones. */
     DRAINING,
     /** Its process has ended. */
     GONE
--- a/src/main/java/lineward/scheduling/LoadReportField.java
+++ b/src/main/java/lineward/scheduling/LoadReportField.java
@@ -1,6 +1,6 @@
 package lineward.scheduling;
 
-/** What a value in an engine's load report stands for. */
+/** The meaning of a value in an engine's load report. */
 public enum LoadReportField {
     /** Requests in progress. */
     IN_FLIGHT(1),
@@ -18,7 +18,7 @@
     MEMORY(100),
     /** Ratio of the disks in use. */
     DISKS(100),
-    /** A field that this version does not know. */
+    /** A field without a meaning to this version. */
     OTHER(1);
 
     private final double gossipScale;
@@ -28,7 +28,7 @@
     }
 
     /** Returns the factor by which gossip encodes it: ratios as hundredths, counts as they are. */
-    double gossipScale() {
+    public double gossipScale() {
         return gossipScale;
     }
 }
--- a/src/main/java/lineward/scheduling/ProgressKind.java
+++ b/src/main/java/lineward/scheduling/ProgressKind.java
@@ -11,7 +11,7 @@
     /** It is queued behind a load of its table group. */
     WAITING_FOR_LOAD;
 
-    /** Returns whether the attempt stands still at the engine. */
+    /** Returns whether the attempt waits at the engine and does not run. */
     public boolean isWaiting() {
         return this == WAITING_FOR_MEMORY || this == WAITING_FOR_LOAD;
     }
--- a/src/main/java/lineward/scheduling/RequestClass.java
+++ b/src/main/java/lineward/scheduling/RequestClass.java
@@ -14,13 +14,13 @@
         Workload workload /* how it runs there */) {
 
     /**
-     * When an answer is wanted and what it is worth.
+     * The latency objective of a request and the value of its answer.
      *
-     * @param latencyMs wanted within this, and within
-     * @param latencyPerWork so many times its work over its threads more
-     * @param deadlineMs clients wait no longer
-     * @param priorityWeight what an answer in time is worth
-     * @param overdueValueRatio the ratio of it that a late answer is worth
+     * @param latencyMs constant part of the objective
+     * @param latencyPerWork part of the objective for each millisecond of its run time
+     * @param deadlineMs how long clients wait
+     * @param priorityWeight value of an answer within the objective
+     * @param overdueValueRatio fraction of that value of a late answer
      */
     public record Objective(
             double latencyMs,
@@ -58,7 +58,7 @@
         }
 
         /** Returns whether a repeat is harmless at whatever engine, for a time at least. */
-        boolean isRepeatableAnywhere() {
+        public boolean isRepeatableAnywhere() {
             return idempotence == Idempotence.IDEMPOTENT
                     || (idempotence == Idempotence.BY_KEY && scope == DeduplicationScope.ALL);
         }
@@ -95,7 +95,7 @@
         }
 
         /** Returns whether the two delay each other on one engine if they use one table group. */
-        boolean conflictsWith(Workload other) {
+        public boolean conflictsWith(Workload other) {
             return (load && (other.waitsForLoads || other.load)) || (other.load && waitsForLoads);
         }
     }
--- a/src/main/java/lineward/scheduling/Scheduler.java
+++ b/src/main/java/lineward/scheduling/Scheduler.java
@@ -12,9 +12,9 @@
     /**
      * Decides on what has just happened.
      *
-     * @param nowMs the clock, which never goes back
-     * @param events what has happened since the last call, in order of arrival; those that name an unknown
-     *     request, attempt or engine are ignored
+     * @param nowMs the clock, which is monotonic
+     * @param events what has happened since the last call, in order of arrival; an event for an unknown
+     *     request, attempt or engine is ignored
      * @return what to do now, in order
      */
     List<SchedulerAction> decide(double nowMs, List<? extends SchedulerEvent> events);
--- a/src/main/java/lineward/scheduling/SchedulerAction.java
+++ b/src/main/java/lineward/scheduling/SchedulerAction.java
@@ -43,13 +43,17 @@
      * Starts an attempt. The attempts of a request are numbered 0, 1, 2 in the order of these actions.
      *
      * @param timeoutMs how long it may take at most; 0: no bound of its own
-     * @param startWithinMs later than this it must not reach the engine any more, as it might run twice
+     * @param startWithinMs later than this it must not reach the engine any more, as it might run twice;
+     *     {@link #ANY_TIME}: no limit
      */
     record StartAttempt(long request, long engine, double timeoutMs /* 0: none */, double startWithinMs)
             implements SchedulerAction {
+        /** Value of {@link #startWithinMs} for an attempt that may start at any time. */
+        public static final double ANY_TIME = Double.POSITIVE_INFINITY;
+
         /** Creates an attempt that may start at any time. */
         public StartAttempt(long request, long engine, double timeoutMs) {
-            this(request, engine, timeoutMs, Double.POSITIVE_INFINITY);
+            this(request, engine, timeoutMs, ANY_TIME);
         }
 
         @Override
--- a/src/main/java/lineward/scheduling/SchedulerEvent.java
+++ b/src/main/java/lineward/scheduling/SchedulerEvent.java
@@ -167,7 +167,7 @@
         }
     }
 
-    /** The client of a request has gone; no answer is owed any more. */
+    /** The client of a request has gone, so it needs no answer. */
     record RequestCancelled(long request) implements SchedulerEvent {
         @Override
         public void dispatchTo(Handler handler) {
--- a/src/main/java/lineward/scheduling/SchedulerSettings.java
+++ b/src/main/java/lineward/scheduling/SchedulerSettings.java
@@ -6,7 +6,7 @@
 
 import java.util.List;
 
-/** All that a scheduler is told at its start. */
+/** The settings of a scheduler, fixed at its start. */
 public record SchedulerSettings(
         List<RequestClass> classes,
         List<EngineKind> kinds,
@@ -36,20 +36,23 @@
         require(within, key, indices, "names that the settings list");
     }
 
-    Capabilities capabilities() {
+    /** Returns what the deployment permits. */
+    public Capabilities capabilities() {
         return limits.capabilities();
     }
 
-    AttemptLimits attempts() {
+    /** Returns the bounds on attempts. */
+    public AttemptLimits attempts() {
         return limits.attempts();
     }
 
-    MemoryLimits memory() {
+    /** Returns how engines grant memory. */
+    public MemoryLimits memory() {
         return limits.memory();
     }
 
     /** Returns the kind of a listed engine; an index out of range counts as the last one. */
-    EngineKind kindOf(Endpoint endpoint) {
+    public EngineKind kindOf(Endpoint endpoint) {
         return kinds.get(Math.min(endpoint.kind(), kinds.size() - 1));
     }
 
@@ -110,8 +113,7 @@
     /**
      * How engines grant memory.
      *
-     * @param maxGrantRatio the ratio of an engine's memory that one request gets at most, more than 0 and up
-     *     to 1
+     * @param maxGrantRatio largest fraction of an engine's memory for one request, more than 0 and up to 1
      */
     public record MemoryLimits(double maxGrantRatio, MemoryShortage shortage) {
         /** Checks the ranges. */
@@ -157,6 +159,11 @@
             requireNotNegative("rules: overload factor", overloadFactor);
             requireNotNegative("rules: overload window", windowMs);
         }
+
+        /** Returns whether an engine that warms up survives only so much work. */
+        public boolean limitsWork() {
+            return overloadFactor > 0;
+        }
     }
 
     /**
@@ -171,6 +178,11 @@
             requireNotNegative("rules: attempt budget", base);
             requireNotNegative("rules: attempt budget for each request", perRequest);
         }
+
+        /** Returns whether there is a budget at all. */
+        public boolean isLimited() {
+            return windowMs > 0;
+        }
     }
 
     /**
@@ -189,7 +201,7 @@
     /**
      * How endpoints become known.
      *
-     * @param subscribe whether they come only to those that ask for them
+     * @param subscribe whether the list comes only to subscribers
      * @param pollWithinMs how often to ask; 0: not said
      * @param weightsAreMeaningful whether the weights in the list mean something
      */
@@ -199,7 +211,7 @@
      * What messages cost, in points of the result for one a request.
      *
      * @param healthCheck a health check
-     * @param gossip gossip of {@link GossipCodec#MAX_PAYLOAD} bytes delivered to one front end
+     * @param gossip gossip of the largest payload delivered to one front end
      */
     public record Costs(double healthCheck, double gossip) {
         /** Checks the ranges. */
--- /dev/null
+++ b/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
@@ -0,0 +1,61 @@
+package lineward.scheduling.decision;
+
+import lineward.scheduling.RequestClass;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/** Orders queued requests and decides which of them can no longer be answered in time. */
+public final class AdmissionPolicy {
+    /** Time before the deadline at which a queued request gets its final answer. */
+    private static final double ANSWER_MARGIN_MS = 60;
+    /** Fraction of the expected run time that must fit before the objective, as estimates scatter. */
+    private static final double MIN_FIT_RATIO = 0.8;
+    /** Upper bound on the slowdown in that estimate. */
+    private static final double MAX_FIT_SLOWDOWN = 2;
+    /** Increase of the dispatch priority from its admission to its objective. */
+    private static final double URGENCY = 2;
+
+    private static final double RELAUNCH_FACTOR = 2;
+    private static final double MIN_WORK_MS = 1;
+
+    private final SchedulerContext context;
+
+    /** Creates a policy for the requests of that scheduler. */
+    public AdmissionPolicy(SchedulerContext context) {
+        this.context = context;
+    }
+
+    /**
+     * Returns the dispatch priority of a queued request: its value per work, which rises until its objective.
+     */
+    public double dispatchPriority(TrackedRequest request) {
+        RequestClass.Objective objective = request.type().settings().objective();
+        double slowedRunMs = request.expectedRunMs() * request.type().model().slowdown();
+        boolean overdue = request.objectiveAtMs() - context.nowMs() - slowedRunMs < 0;
+        double value = objective.priorityWeight() * (overdue ? objective.overdueValueRatio() : 1);
+        double urgency = overdue ? 1 : urgency(request);
+        double relaunch = request.isRelaunched() ? RELAUNCH_FACTOR : 1;
+        return value * urgency * relaunch / Math.max(MIN_WORK_MS, request.expectedWorkMs());
+    }
+
+    private double urgency(TrackedRequest request) {
+        double waitedMs = context.nowMs() - request.admittedAtMs();
+        return 1 + URGENCY * waitedMs / Math.max(1, request.objectiveAtMs() - request.admittedAtMs());
+    }
+
+    /** Returns whether a queued request can't be answered while its answer has a value. */
+    public boolean cannotBeInTime(TrackedRequest request) {
+        if (context.nowMs() > request.deadlineMs() - ANSWER_MARGIN_MS) {
+            return true;
+        }
+        double slowdown = Math.min(request.type().model().slowdown(), MAX_FIT_SLOWDOWN);
+        double endMs = context.nowMs() + minRunMs(request) * slowdown;
+        boolean hasOverdueValue = request.type().settings().objective().overdueValueRatio() > 0;
+        return endMs > (hasOverdueValue ? request.deadlineMs() : request.objectiveAtMs());
+    }
+
+    /** Returns the part of the expected run time that must fit before the objective. */
+    static double minRunMs(TrackedRequest request) {
+        return MIN_FIT_RATIO * request.expectedRunMs();
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -0,0 +1,163 @@
+package lineward.scheduling.decision;
+
+import java.util.OptionalDouble;
+import java.util.function.Predicate;
+import lineward.scheduling.state.ClassState;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.EngineCapacity;
+import lineward.scheduling.state.LoadReports;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/** Limits the threads that this front end runs on each engine, and on all engines together. */
+public final class ConcurrencyLimits {
+    /** Threads per core, over all front ends, past which an engine completes less work. */
+    private static final double SATURATION_THREADS_PER_CORE = 1.5;
+    /** Number of front ends up to which a front end estimates the fleet's load from its own counts. */
+    static final double SMALL_FLEET = 4;
+    /** Least quota, as a multiple of an even one. */
+    private static final double MIN_EVEN_QUOTAS = 1.3;
+    /**
+     * Time after which a front end with queued requests has the quota of the whole fleet, while it is calm.
+     */
+    private static final double FULL_QUOTA_AFTER_MS = 10_000;
+    /** Slowdown of every class below which the fleet is calm. */
+    private static final double CALM_SLOWDOWN = 1.3;
+    /** Factor by which the quota grows and shrinks where load reports show the load of the fleet. */
+    private static final double REPORTED_GROWTH = 1.3;
+    /** Divisor by which an unused quota shrinks while the fleet is calm. */
+    private static final double UNUSED_SHRINK = 1.05;
+    /** Factor by which granted memory may exceed the quota. */
+    private static final double MEMORY_QUOTA_FACTOR = 1.2;
+
+    private static final double FULL_QUOTA = 1;
+    private static final double FULL_SPEED = 1;
+
+    private final SchedulerContext context;
+    private final EngineCapacity capacity;
+    private final LoadReports reports;
+    private final ResourceLimits grants;
+    private final int frontEnds;
+    private double quota;
+
+    /** Creates limits with an even quota. */
+    public ConcurrencyLimits(
+            SchedulerContext context, EngineCapacity capacity, LoadReports reports, ResourceLimits grants) {
+        this.context = context;
+        this.capacity = capacity;
+        this.reports = reports;
+        this.grants = grants;
+        this.frontEnds = context.settings().position().frontEnds();
+        this.quota = evenQuota();
+    }
+
+    private double evenQuota() {
+        return Math.min(FULL_QUOTA, MIN_EVEN_QUOTAS / frontEnds);
+    }
+
+    /** Returns the fraction of all engines' threads that this front end may use now. */
+    public double quota() {
+        return quota;
+    }
+
+    /** Returns the fraction of an engine's load that other front ends cause, unseen by this one. */
+    public double unseenLoadRatio() {
+        return Math.max(0, 1 - SMALL_FLEET / frontEnds);
+    }
+
+    /**
+     * Adapts the quota: it grows while requests are queued and the fleet is calm, and shrinks when it is not.
+     */
+    public void adaptQuota(boolean requestsBlocked, double intervalMs) {
+        boolean calm = isCalm();
+        double growth = reports.areShared() ? REPORTED_GROWTH : Math.pow(frontEnds, intervalMs / FULL_QUOTA_AFTER_MS);
+        quota = requestsBlocked && calm
+                ? Math.min(FULL_QUOTA, quota * growth)
+                : Math.max(evenQuota(), quota / (calm ? UNUSED_SHRINK : growth));
+    }
+
+    private boolean isCalm() {
+        return reports.areShared()
+                ? reports.threadsPerCore() < SATURATION_THREADS_PER_CORE * LoadReports.MIN_LIMIT_JITTER
+                : context.classes().stream().allMatch(type -> type.model().slowdown() < CALM_SLOWDOWN);
+    }
+
+    /**
+     * Returns whether the engine is below its limit, by its load report if there is one, else by own counts.
+     */
+    public boolean hasCapacity(Engine engine, TrackedRequest request) {
+        if (reports.areFresh(engine)) {
+            double limit = SATURATION_THREADS_PER_CORE
+                    * engine.cores()
+                    * Math.min(FULL_SPEED, capacity.speed(engine))
+                    * engine.load().limitJitter();
+            return reports.threadsAt(engine) + request.threads() <= limit;
+        }
+        return engine.threadsInFlight() < Math.max(1, threadLimit(engine)) && hasMemory(engine, request);
+    }
+
+    private double threadLimit(Engine engine) {
+        return SATURATION_THREADS_PER_CORE * engine.cores() * quota * Math.min(FULL_SPEED, capacity.speed(engine));
+    }
+
+    private boolean hasMemory(Engine engine, TrackedRequest request) {
+        if (engine.memoryMb() <= 0 || engine.attempts().isEmpty()) {
+            return true;
+        }
+        double grantedMb = engine.grantedMb() + grants.grantMb(request, engine);
+        return grantedMb <= engine.memoryMb() * Math.min(1, quota * MEMORY_QUOTA_FACTOR);
+    }
+
+    /**
+     * Returns whether a request fits into this front end's quota of all usable engines. It matters where the
+     * quota of each engine is less than one request; past the quota each class gets its fraction of the
+     * value.
+     */
+    public boolean withinFleetQuota(TrackedRequest request, Predicate<Engine> isUsable) {
+        if (reports.areShared() && frontEnds <= SMALL_FLEET) {
+            return true;
+        }
+        double threads = request.threads();
+        double limit = 0;
+        double inFlight = 0;
+        double ofClass = 0;
+        for (Engine engine : context.engines()) {
+            if (engine.isReady() && isUsable.test(engine)) {
+                double engineLimit = threadLimit(engine);
+                if (engineLimit >= threads) {
+                    return true;
+                }
+                limit += engineLimit;
+                inFlight += engine.threadsInFlight();
+                ofClass += threadsOf(request.type(), engine);
+            }
+        }
+        if (inFlight == 0 || inFlight + threads <= limit) {
+            return true;
+        }
+        return withinClassQuota(
+                request, ofClass, limit * request.type().demand().valueRatio());
+    }
+
+    /** A class with nothing in flight may exceed its quota at intervals that keep its mean within it. */
+    private boolean withinClassQuota(TrackedRequest request, double inFlight, double classLimit) {
+        if (inFlight > 0) {
+            return inFlight + request.threads() <= classLimit;
+        }
+        return request.threads() <= classLimit || hasWaitedForQuota(request, classLimit);
+    }
+
+    private boolean hasWaitedForQuota(TrackedRequest request, double classLimit) {
+        OptionalDouble lastStartedMs = request.type().lastStartedMs();
+        return lastStartedMs.isEmpty()
+                || context.nowMs() - lastStartedMs.getAsDouble()
+                        >= request.expectedRunMs() * request.threads() / classLimit;
+    }
+
+    private static double threadsOf(ClassState type, Engine engine) {
+        long attempts = engine.attempts().stream()
+                .filter(attempt -> attempt.request().type() == type)
+                .count();
+        return attempts * (double) type.settings().workload().threads();
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/decision/EngineEligibility.java
@@ -0,0 +1,46 @@
+package lineward.scheduling.decision;
+
+import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/** Decides whether an engine can take a request now, for a first attempt, a retry or a relaunch. */
+public final class EngineEligibility {
+    private final SchedulerContext context;
+    private final ConcurrencyLimits limits;
+    private final SlowStart slowStart;
+
+    /** Creates a policy for the engines of that scheduler. */
+    public EngineEligibility(SchedulerContext context, ConcurrencyLimits limits, SlowStart slowStart) {
+        this.context = context;
+        this.limits = limits;
+        this.slowStart = slowStart;
+    }
+
+    /** Returns whether the engine is ready and the request's class is placed there. */
+    public static boolean mayRunOn(TrackedRequest request, Engine engine) {
+        return engine.isReady() && request.type().settings().placement().allows(engine.endpoint());
+    }
+
+    /** Returns whether the engine is ready, placed, below its limits and within its slow-start budget. */
+    public boolean hasCapacityNow(TrackedRequest request, Engine engine) {
+        return mayRunOn(request, engine) && limits.hasCapacity(engine, request) && slowStart.allows(request, engine);
+    }
+
+    /**
+     * Returns whether a healthy engine that the request has not tried could take it now. Unlike a new
+     * attempt, a relaunch is never planned for an ejected or a tried engine; an overdue health check does not
+     * matter.
+     */
+    public boolean hasTargetForRelaunch(Attempt attempt) {
+        TrackedRequest request = attempt.request();
+        for (Engine engine : context.engines()) {
+            boolean other = engine != attempt.engine() && !engine.health().isEjected();
+            if (other && !request.hasTried(engine) && hasCapacityNow(request, engine)) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -0,0 +1,139 @@
+package lineward.scheduling.decision;
+
+import lineward.scheduling.RequestClass;
+import lineward.scheduling.state.ClassState;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.EngineCapacity;
+import lineward.scheduling.state.LoadReports;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/** Scores engines for a request by their load, in multiples of their capacity; lower is better. */
+public final class EngineLoadScore {
+    /** Spread of scores where other front ends cause all load, unseen here: what chance alone makes. */
+    private static final double UNSEEN_SPREAD = 0.3;
+    /** Spread of scores where all load is seen. */
+    private static final double TIE_SPREAD = 0.01;
+    /** Least fraction of an engine's cores that counts as free for a class. */
+    private static final double MIN_FREE_RATIO = 0.05;
+    /** Load of a conflict between a load and another use of its table group. */
+    private static final double GROUP_CONFLICT_LOAD = 1.5;
+    /** Load of an attempt besides its threads, as a fraction of the cores. */
+    private static final double BASE_LOAD_RATIO = 0.3;
+
+    private static final double MEMORY_BASE_LOAD = 0.3;
+    private static final double MEMORY_WEIGHT = 1.2;
+    private static final double OTHER_ZONE_LOAD = 0.02;
+    private static final double NO_LOAD = 0;
+    private static final double MEMORY_UNKNOWN = Double.NEGATIVE_INFINITY;
+    /** Keeps random draws away from 0 and 1, where the noise is infinite. */
+    private static final double DRAW_RANGE = 0.999999;
+
+    private static final double DRAW_OFFSET = 5e-7;
+
+    private final SchedulerContext context;
+    private final ConcurrencyLimits limits;
+    private final SlowStart slowStart;
+    private final ResourceLimits resources;
+    private final LoadReports reports;
+    private final EngineCapacity capacity;
+
+    /** Creates a policy for the engines of that scheduler. */
+    public EngineLoadScore(
+            SchedulerContext context,
+            ConcurrencyLimits limits,
+            SlowStart slowStart,
+            ResourceLimits resources,
+            LoadReports reports,
+            EngineCapacity capacity) {
+        this.context = context;
+        this.limits = limits;
+        this.slowStart = slowStart;
+        this.resources = resources;
+        this.reports = reports;
+        this.capacity = capacity;
+    }
+
+    /**
+     * Draws by how much an engine's score is lowered: Gumbel noise, so that many front ends that see the same
+     * load spread over the engines in proportion to their free cores.
+     */
+    public double drawSpread(ClassState type, Engine engine) {
+        double draw = 1 - context.drawRandom() * DRAW_RANGE - DRAW_OFFSET;
+        double noise = -Math.log(-Math.log(draw));
+        double scale = TIE_SPREAD + UNSEEN_SPREAD * limits.unseenLoadRatio();
+        return scale * (Math.log(freeCores(type, engine)) + noise);
+    }
+
+    /** Returns the cores that are left by classes with fewer engines to run on. */
+    private double freeCores(ClassState type, Engine engine) {
+        double boundRatio = 0;
+        for (ClassState other : context.classes()) {
+            boolean moreBound = other.demand().reachableCores() < type.demand().reachableCores();
+            if (moreBound && other.settings().placement().allows(engine.endpoint())) {
+                boundRatio += other.demand().workRatio()
+                        * context.demand().readyCores()
+                        / other.demand().reachableCores();
+            }
+        }
+        return engine.cores() * Math.max(MIN_FREE_RATIO, 1 - boundRatio);
+    }
+
+    /**
+     * Returns the expected load of the engine with the request, relative to its speed, with its conflicts.
+     */
+    public double score(TrackedRequest request, Engine engine) {
+        if (isFastEnoughWhileWarmingUp(request, engine)) {
+            return NO_LOAD;
+        }
+        double load = Math.max(threadLoad(request, engine), memoryLoad(request, engine));
+        if (hasGroupConflict(request, engine)) {
+            load += GROUP_CONFLICT_LOAD;
+        }
+        boolean sameZone =
+                engine.endpoint().zone() == context.settings().position().zone();
+        return load + (sameZone ? 0 : OTHER_ZONE_LOAD);
+    }
+
+    /**
+     * In a large fleet a front end's slot at a warming engine comes rarely, so it is used if that is in time.
+     */
+    private boolean isFastEnoughWhileWarmingUp(TrackedRequest request, Engine engine) {
+        double runMs = capacity.runMsWhenCold(request);
+        boolean inTime = context.nowMs() + runMs < request.objectiveAtMs();
+        return capacity.isWarmingUp(engine) && slowStart.usesSlots() && inTime;
+    }
+
+    private double threadLoad(TrackedRequest request, Engine engine) {
+        double threads = expectedThreads(engine) + request.threads() + BASE_LOAD_RATIO * engine.cores();
+        return threads / (engine.cores() * capacity.speed(engine));
+    }
+
+    private double expectedThreads(Engine engine) {
+        if (reports.areFresh(engine)) {
+            return reports.threadsAt(engine);
+        }
+        double unseen = reports.threadsPerCore() * limits.unseenLoadRatio() * engine.cores();
+        return engine.threadsInFlight() + unseen;
+    }
+
+    private double memoryLoad(TrackedRequest request, Engine engine) {
+        if (reports.areFresh(engine) && reports.includeMemory()) {
+            return reports.memoryInUse(engine) + MEMORY_BASE_LOAD;
+        }
+        if (engine.memoryMb() <= 0) {
+            return MEMORY_UNKNOWN;
+        }
+        double grantedMb = engine.grantedMb() + resources.grantMb(request, engine);
+        double ownRatio = Math.max(limits.quota(), 1 / ConcurrencyLimits.SMALL_FLEET);
+        return MEMORY_WEIGHT * grantedMb / (engine.memoryMb() * ownRatio);
+    }
+
+    private static boolean hasGroupConflict(TrackedRequest request, Engine engine) {
+        RequestClass.Workload workload = request.type().settings().workload();
+        return engine.attempts().stream()
+                .map(attempt -> attempt.request())
+                .filter(other -> other.tableGroup() == request.tableGroup())
+                .anyMatch(other -> other.type().settings().workload().conflictsWith(workload));
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -0,0 +1,116 @@
+package lineward.scheduling.decision;
+
+import java.util.Optional;
+import java.util.OptionalDouble;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/** Selects the engine of an attempt: the eligible one with the least load score. */
+public final class EngineSelector {
+    /** A health check in flight for longer keeps requests away from its engine. */
+    private static final double MAX_HEALTH_CHECK_MS = 25;
+    /** Score of an engine that must be used, below any other. */
+    private static final double SELECT_FIRST = Double.NEGATIVE_INFINITY;
+
+    /** The ready engines where a class is placed. */
+    private record Placement(int engines, boolean useEjected) {}
+
+    private final SchedulerContext context;
+    private final ConcurrencyLimits limits;
+    private final RetryPolicy retries;
+    private final OutlierDetector outliers;
+    private final EngineEligibility eligibility;
+    private final EngineLoadScore loadScore;
+
+    /** Creates a policy for the engines of that scheduler. */
+    public EngineSelector(
+            SchedulerContext context,
+            ConcurrencyLimits limits,
+            RetryPolicy retries,
+            OutlierDetector outliers,
+            EngineEligibility eligibility,
+            EngineLoadScore loadScore) {
+        this.context = context;
+        this.limits = limits;
+        this.retries = retries;
+        this.outliers = outliers;
+        this.eligibility = eligibility;
+        this.loadScore = loadScore;
+    }
+
+    /**
+     * Returns the engine for the request's next attempt; empty if none may take it now. Past this front end's
+     * quota of the fleet it pauses the request's class until the next decision.
+     */
+    public Optional<Engine> selectEngine(TrackedRequest request) {
+        Placement placement = placement(request);
+        boolean withinQuota = limits.withinFleetQuota(
+                request, engine -> placement.useEjected() || !engine.health().isEjected());
+        request.type().setDispatchPaused(!withinQuota);
+        return withinQuota ? leastLoaded(request, placement) : Optional.empty();
+    }
+
+    private Placement placement(TrackedRequest request) {
+        int allowed = 0;
+        int healthy = 0;
+        for (Engine engine : context.engines()) {
+            if (EngineEligibility.mayRunOn(request, engine)) {
+                allowed++;
+                healthy += engine.health().isEjected() ? 0 : 1;
+            }
+        }
+        return new Placement(allowed, outliers.mustUseEjected(healthy, allowed));
+    }
+
+    private Optional<Engine> leastLoaded(TrackedRequest request, Placement placement) {
+        Engine best = null;
+        double bestScore = Double.POSITIVE_INFINITY;
+        for (Engine engine : context.engines()) {
+            boolean probe = outliers.mayProbe(engine, request);
+            if (isCandidate(engine, request, probe, placement)) {
+                double spread = loadScore.drawSpread(request.type(), engine);
+                boolean mustBeUsed = isNeededForRecovery(engine, probe && !placement.useEjected());
+                double score = mustBeUsed ? SELECT_FIRST : loadScore.score(request, engine) - spread;
+                if (score < bestScore) {
+                    bestScore = score;
+                    best = engine;
+                }
+            }
+        }
+        return Optional.ofNullable(best);
+    }
+
+    /**
+     * Returns whether the next attempt may go to the engine. Unlike a planned relaunch, it may probe an
+     * ejected engine, return to a tried one once all were tried, and avoids an engine with an overdue health
+     * check.
+     */
+    private boolean isCandidate(Engine engine, TrackedRequest request, boolean probe, Placement placement) {
+        return isUsable(engine, probe, placement)
+                && !isHealthCheckOverdue(engine)
+                && !isTriedAndOthersLeft(engine, request, placement)
+                && eligibility.hasCapacityNow(request, engine)
+                && retries.mayAttempt(request, engine);
+    }
+
+    private boolean isUsable(Engine engine, boolean probe, Placement placement) {
+        boolean usedWhileEjected = placement.useEjected() && outliers.isDueForProbe(engine);
+        return !engine.health().isEjected() || probe || usedWhileEjected;
+    }
+
+    private static boolean isTriedAndOthersLeft(Engine engine, TrackedRequest request, Placement placement) {
+        return request.hasTried(engine) && placement.engines() > request.triedEngineCount();
+    }
+
+    private boolean isHealthCheckOverdue(Engine engine) {
+        OptionalDouble startedMs = engine.load().healthCheckStartedMs();
+        return startedMs.isPresent() && context.nowMs() - startedMs.getAsDouble() >= MAX_HEALTH_CHECK_MS;
+    }
+
+    /** Without this an engine that warms up would never look best, and never show that it has recovered. */
+    private static boolean isNeededForRecovery(Engine engine, boolean probe) {
+        boolean awaited = engine.isAwaitingFirstAnswer() && engine.attempts().isEmpty();
+        return probe || awaited;
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
@@ -0,0 +1,42 @@
+package lineward.scheduling.decision;
+
+import lineward.scheduling.SchedulerAction;
+import lineward.scheduling.SchedulerSettings;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/** Decides the final answer of a request that is given up. */
+public final class FinalAnswerPolicy {
+    /** Advised Retry-After as a fraction of the objective, so that a retry may still meet it. */
+    private static final double RETRY_AFTER_RATIO = 0.25;
+
+    private static final double NO_RETRY_AFTER = 0;
+
+    private final SchedulerContext context;
+    private final RetryPolicy retries;
+
+    /** Creates a policy for the requests of that scheduler. */
+    public FinalAnswerPolicy(SchedulerContext context, RetryPolicy retries) {
+        this.context = context;
+        this.retries = retries;
+    }
+
+    /**
+     * Returns a rejection, which invites a retry, where nothing ran or a repeat is harmless; else a failure.
+     */
+    public SchedulerAction finalAnswer(TrackedRequest request) {
+        boolean neverRan = request.firstUnansweredRun() == null && !request.hasAttemptInFlight();
+        return neverRan || retries.mayRunTwice(request)
+                ? new SchedulerAction.Reject(request.id(), retryAfterMs(request))
+                : new SchedulerAction.Fail(request.id());
+    }
+
+    private double retryAfterMs(TrackedRequest request) {
+        SchedulerSettings settings = context.settings();
+        if (!settings.capabilities().retryAfter()) {
+            return NO_RETRY_AFTER;
+        }
+        double advisedMs = request.type().settings().objective().latencyMs() * RETRY_AFTER_RATIO;
+        return Math.min(settings.attempts().maxRetryAfterMs(), advisedMs);
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
@@ -0,0 +1,110 @@
+package lineward.scheduling.decision;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.OptionalDouble;
+import lineward.scheduling.AttemptOutcome;
+import lineward.scheduling.SchedulerAction;
+import lineward.scheduling.SchedulerEvent;
+import lineward.scheduling.SchedulerSettings;
+import lineward.scheduling.state.EjectionCause;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.LoadReports;
+import lineward.scheduling.state.SchedulerContext;
+
+/** Decides which engines are polled for their load and how often; front ends share the reports by gossip. */
+public final class LoadReportPolling {
+    /** Token of the timer for the next poll. */
+    public static final int TIMER = 1;
+    /** Price of polling for each request, in points of the result. */
+    private static final double COST_BUDGET = 0.01;
+
+    private static final double MIN_INTERVAL_MS = 250;
+    private static final double MAX_DELAY_MS = 10_000;
+    private static final int ENGINES_PER_POLL = 4;
+    private static final double MIN_TRAFFIC_PERIOD_MS = 1_000;
+    private static final double MIN_JITTER = 0.5;
+    /** Sorts an engine that has never reported before all others. */
+    private static final double NEVER_REPORTED = Double.NEGATIVE_INFINITY;
+
+    private record Candidate(Engine engine, double lastReportMs) {}
+
+    private final SchedulerContext context;
+    private final LoadReports reports;
+    private final OutlierDetector outliers;
+    private double requestsSeen;
+
+    /** Creates a policy for the engines of that scheduler. */
+    public LoadReportPolling(SchedulerContext context, LoadReports reports, OutlierDetector outliers) {
+        this.context = context;
+        this.reports = reports;
+        this.outliers = outliers;
+    }
+
+    /** Sets the first timer, where engines report their load. */
+    public void start() {
+        if (reports.areShared()) {
+            scheduleTimer(context.drawRandom() * MIN_INTERVAL_MS);
+        }
+    }
+
+    /** Counts an admitted request: polling may cost more where there is more traffic. */
+    public void countRequest() {
+        requestsSeen++;
+    }
+
+    /** Polls the engines without a report for longest, and sets the next timer. */
+    public void poll() {
+        List<Candidate> candidates = new ArrayList<>();
+        for (Engine engine : context.engines()) {
+            if (engine.isReady() && engine.load().healthCheckStartedMs().isEmpty()) {
+                candidates.add(new Candidate(engine, jitteredReportMs(engine)));
+            }
+        }
+        candidates.sort(Comparator.comparingDouble(Candidate::lastReportMs));
+        candidates.stream().limit(ENGINES_PER_POLL).forEach(candidate -> check(candidate.engine()));
+        double delayMs = Math.min(MAX_DELAY_MS, ENGINES_PER_POLL * intervalMs(candidates.size()));
+        scheduleTimer(delayMs * (MIN_JITTER + context.drawRandom()));
+    }
+
+    /** The jitter keeps front ends, which share their reports, from polling the same engine. */
+    private double jitteredReportMs(Engine engine) {
+        double jitterMs = context.drawRandom() * MIN_INTERVAL_MS;
+        OptionalDouble reportedAtMs = engine.load().reportedAtMs();
+        return reportedAtMs.isPresent() ? reportedAtMs.getAsDouble() - jitterMs : NEVER_REPORTED;
+    }
+
+    /**
+     * Returns the time between two polls that keeps within the price and spreads polls over the front ends.
+     */
+    private double intervalMs(int engines) {
+        SchedulerSettings.Costs costs = context.settings().costs();
+        int frontEnds = context.settings().position().frontEnds();
+        double gossipCost = costs.gossip() * reports.gossipMessageRatio() * (frontEnds - 1);
+        double seenForMs = Math.max(MIN_TRAFFIC_PERIOD_MS, context.nowMs() - context.startedMs());
+        double requestsPerMs = Math.max(1, requestsSeen) / seenForMs;
+        double evenMs = MIN_INTERVAL_MS * frontEnds / (engines + 1);
+        return Math.max(evenMs, (costs.healthCheck() + gossipCost) / COST_BUDGET / requestsPerMs);
+    }
+
+    private void scheduleTimer(double delayMs) {
+        context.emit(new SchedulerAction.ScheduleTimer(delayMs, TIMER));
+    }
+
+    private void check(Engine engine) {
+        engine.load().startHealthCheck(context.nowMs());
+        context.emit(new SchedulerAction.StartHealthCheck(engine.id()));
+    }
+
+    /** Applies the end of a health check: a failure ejects the engine, a rejection says nothing. */
+    public void complete(SchedulerEvent.HealthCheckCompleted check, Engine engine) {
+        engine.load().endHealthCheck();
+        if (check.outcome() == AttemptOutcome.OK) {
+            reports.apply(engine, check.loadReport());
+            reports.collectGossip(engine);
+        } else if (check.outcome() != AttemptOutcome.REJECTED) {
+            outliers.eject(engine, EjectionCause.HEALTH_CHECK);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
@@ -0,0 +1,51 @@
+package lineward.scheduling.decision;
+
+import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/** Decides which attempts that wait at a full engine are queued at another one. */
+public final class MigrationPolicy {
+    /** Migrations of one request; after two full engines another one is unlikely to be free. */
+    private static final int MAX_MIGRATIONS = 2;
+
+    private final SchedulerContext context;
+    private final CancellationPolicy cancellation;
+    private final RetryPolicy retries;
+    private final EngineEligibility eligibility;
+
+    /** Creates a policy for the attempts of that scheduler. */
+    public MigrationPolicy(
+            SchedulerContext context,
+            CancellationPolicy cancellation,
+            RetryPolicy retries,
+            EngineEligibility eligibility) {
+        this.context = context;
+        this.cancellation = cancellation;
+        this.retries = retries;
+        this.eligibility = eligibility;
+    }
+
+    /**
+     * Returns whether an attempt that waits and has not begun is migrated now: its request is idempotent,
+     * keeps an attempt for a relaunch, and can be in time on another engine that can take it.
+     */
+    public boolean shouldMigrate(Attempt attempt) {
+        TrackedRequest request = attempt.request();
+        return cancellation.mayCancel(attempt)
+                && cancellation.isUnanswered(request)
+                && attempt.isWaiting()
+                && !attempt.hasProgress()
+                && request.isIdempotent()
+                && hasMigrationsLeft(request)
+                && context.nowMs() + request.expectedRunMs() < request.objectiveAtMs()
+                && retries.mayRelaunch(request)
+                && eligibility.hasTargetForRelaunch(attempt);
+    }
+
+    private boolean hasMigrationsLeft(TrackedRequest request) {
+        int attempts = request.attempts().size();
+        int maxAttempts = context.settings().attempts().maxPerRequest();
+        return attempts <= MAX_MIGRATIONS && attempts < maxAttempts - 1;
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -0,0 +1,95 @@
+package lineward.scheduling.decision;
+
+import java.util.Optional;
+import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.SchedulerAction;
+import lineward.scheduling.SchedulerSettings;
+import lineward.scheduling.state.ClassState;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/** Decides the memory grant and the priority of a request's attempts. */
+public final class ResourceLimits {
+    private static final double MAX_GRANT_FACTOR = 3;
+    /** Quantile of the requests' needs towards which the grant factor moves. */
+    private static final double NEED_QUANTILE = 0.98;
+
+    private static final double NEED_STEP = 0.03;
+    private static final double SPILL_STEP = 1.02;
+    /** Fraction of the largest class's mean work below which work is short. */
+    private static final double SHORT_WORK_RATIO = 0.3;
+
+    private static final double NO_GRANT = 0;
+
+    private static final int OVERDUE_PRIORITY = 0;
+    private static final int LONG_PRIORITY = 1;
+    private static final int LOAD_PRIORITY = 2;
+    private static final int SHORT_PRIORITY = 3;
+
+    private final SchedulerContext context;
+
+    /** Creates a policy for the requests of that scheduler. */
+    public ResourceLimits(SchedulerContext context) {
+        this.context = context;
+    }
+
+    /** Returns the limits of the request's next attempt; empty where engines heed none. */
+    public Optional<SchedulerAction> limitsFor(TrackedRequest request, Engine engine) {
+        SchedulerSettings.Capabilities may = context.settings().capabilities();
+        if (!may.grants() && !may.priorities()) {
+            return Optional.empty();
+        }
+        double grantMb = may.grants() ? requestedGrantMb(request, engine) : NO_GRANT;
+        return Optional.of(new SchedulerAction.SetResourceLimits(request.id(), grantMb, priority(request)));
+    }
+
+    /** An engine that pages counts the memory in use up to the need, so the largest grant costs nothing. */
+    private double requestedGrantMb(TrackedRequest request, Engine engine) {
+        SchedulerSettings.MemoryLimits memory = context.settings().memory();
+        return memory.shortage() == MemoryShortage.PAGE
+                ? engine.memoryMb() * memory.maxGrantRatio()
+                : grantMb(request, engine);
+    }
+
+    /** Returns the memory that a request is expected to need on an engine, which other decisions count. */
+    public double grantMb(TrackedRequest request, Engine engine) {
+        SchedulerSettings settings = context.settings();
+        double correction = request.type().model().memoryCorrection();
+        boolean learned = settings.capabilities().grants();
+        double factor = learned ? request.type().grantFactor() : ClassState.INITIAL_GRANT_FACTOR;
+        double needMb = request.estimatedMemoryMb() * correction * factor;
+        return engine.memoryMb() > 0
+                ? Math.min(needMb, engine.memoryMb() * settings.memory().maxGrantRatio())
+                : needMb;
+    }
+
+    /** Short work first, then loads and relaunches, then long work; what is already late comes last. */
+    private int priority(TrackedRequest request) {
+        double nowMs = context.nowMs();
+        if (nowMs + request.expectedRunMs() > request.objectiveAtMs()) {
+            return OVERDUE_PRIORITY;
+        }
+        double largestMs = context.classes().stream()
+                .mapToDouble(type -> type.model().meanWorkMs(nowMs))
+                .max()
+                .orElse(0);
+        if (request.expectedWorkMs() < largestMs * SHORT_WORK_RATIO) {
+            return SHORT_PRIORITY;
+        }
+        boolean load = request.type().settings().workload().load();
+        return load || request.isRelaunched() ? LOAD_PRIORITY : LONG_PRIORITY;
+    }
+
+    /** Learns from the memory that a request needed, as a multiple of its estimate. */
+    public void recordNeed(ClassState type, double factor) {
+        boolean tooSmall = factor > type.grantFactor();
+        double change = tooSmall ? 1 + NEED_STEP * NEED_QUANTILE : 1 - NEED_STEP * (1 - NEED_QUANTILE);
+        type.setGrantFactor(type.grantFactor() * change);
+    }
+
+    /** Learns from a request that spilled to disk. */
+    public void recordSpill(ClassState type) {
+        type.setGrantFactor(Math.min(MAX_GRANT_FACTOR, type.grantFactor() * SPILL_STEP));
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -0,0 +1,128 @@
+package lineward.scheduling.decision;
+
+import java.util.OptionalDouble;
+import lineward.scheduling.estimation.ServiceTimeModel;
+import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/** Decides which attempts are cancelled because they are slow, so that they are relaunched elsewhere. */
+public final class SpeculativeCancellation {
+    /** Fraction of the requests that are never cancelled, so that the curve has a tail. */
+    private static final double EXEMPT_RATIO = 0.02;
+
+    private static final double PROGRESS_FRESH_INTERVALS = 2.5;
+    /** Relaunch times left by the predicted progress from which an attempt is cancelled before tau. */
+    private static final double EARLY_CANCEL_RELAUNCHES = 2;
+    /** Relaunch times left by the predicted progress from which a relaunch counts as standing still. */
+    private static final double STANDSTILL_RELAUNCHES = 4;
+    /** Multiple of its expected time that a recovery probe may take, besides a margin. */
+    private static final double RECOVERY_PROBE_FACTOR = 2;
+
+    private static final double RECOVERY_PROBE_MARGIN_MS = 300;
+
+    private final SchedulerContext context;
+    private final CancellationPolicy cancellation;
+    private final RetryPolicy retries;
+    private final EngineEligibility eligibility;
+
+    /** Creates a policy for the attempts of that scheduler. */
+    public SpeculativeCancellation(
+            SchedulerContext context,
+            CancellationPolicy cancellation,
+            RetryPolicy retries,
+            EngineEligibility eligibility) {
+        this.context = context;
+        this.cancellation = cancellation;
+        this.retries = retries;
+        this.eligibility = eligibility;
+    }
+
+    /** Draws whether a request is never cancelled because it is slow. */
+    public boolean drawExempt() {
+        return context.drawRandom() < EXEMPT_RATIO;
+    }
+
+    /**
+     * Returns whether the attempt is to be cancelled now: its request may run again, it is past tau or its
+     * engine does no work, and another engine can take the relaunch.
+     */
+    public boolean shouldCancel(Attempt attempt) {
+        return cancellation.mayCancel(attempt)
+                && cancellation.isUnanswered(attempt.request())
+                && retries.mayRunTwice(attempt.request())
+                && retries.hasAttemptsLeft(attempt.request())
+                && isDue(attempt)
+                && retries.mayRelaunch(attempt.request())
+                && eligibility.hasTargetForRelaunch(attempt);
+    }
+
+    private boolean isDue(Attempt attempt) {
+        double relaunchMs = expectedRelaunchMs(attempt.request());
+        if (attempt.request().deadlineMs() - context.nowMs() < relaunchMs) {
+            return false;
+        }
+        return isOnEjectedEngine(attempt) || isStandingStill(attempt, relaunchMs) || isPastTau(attempt, relaunchMs);
+    }
+
+    /** Returns the run time of a relaunch, slowed down as its class is now on all engines. */
+    private double expectedRelaunchMs(TrackedRequest request) {
+        ServiceTimeModel model = request.type().model();
+        return model.relaunchRatio(context.nowMs()) * request.workUnitMs() * model.slowdown();
+    }
+
+    private boolean isOnEjectedEngine(Attempt attempt) {
+        return attempt.engine().health().isEjected() && !isRecoveryProbeInTime(attempt);
+    }
+
+    private boolean isRecoveryProbeInTime(Attempt attempt) {
+        double allowedMs = RECOVERY_PROBE_FACTOR * attempt.request().expectedRunMs() + RECOVERY_PROBE_MARGIN_MS;
+        return attempt.isRecoveryProbe() && context.nowMs() - attempt.startedAtMs() <= allowedMs;
+    }
+
+    /** A relaunch runs to its end, unless its progress shows that its engine does no work. */
+    private boolean isStandingStill(Attempt attempt, double relaunchMs) {
+        return attempt.request().isRelaunched()
+                && !attempt.isWaiting()
+                && hasFreshProgress(attempt)
+                && attempt.predictedRemainingMs() > STANDSTILL_RELAUNCHES * relaunchMs;
+    }
+
+    private boolean isSubjectToTau(Attempt attempt) {
+        TrackedRequest request = attempt.request();
+        if (request.isRelaunched() || request.isExemptFromCancellation() || attempt.isWaiting()) {
+            return false;
+        }
+        boolean nothingSaved =
+                request.type().model().hasCurve() && request.type().tauRatio().isEmpty();
+        boolean enoughRuns = context.serviceTimes().completedRuns() >= ServiceTimeModel.MIN_COMPLETED_RUNS;
+        return enoughRuns && !nothingSaved;
+    }
+
+    /**
+     * Applies tau to the attempt. With fresh progress, one nearly done is spared, and one with far more than
+     * a relaunch left is due before tau.
+     */
+    private boolean isPastTau(Attempt attempt, double relaunchMs) {
+        if (!isSubjectToTau(attempt)) {
+            return false;
+        }
+        TrackedRequest request = attempt.request();
+        double runMs =
+                attempt.runTimeMs(context.nowMs()) / request.type().model().slowdown();
+        OptionalDouble tauRatio = request.type().tauRatio();
+        boolean past = tauRatio.isPresent() && runMs / request.workUnitMs() >= tauRatio.getAsDouble();
+        if (!hasFreshProgress(attempt)) {
+            return past;
+        }
+        double remainingMs = attempt.predictedRemainingMs();
+        boolean early = !past && remainingMs > EARLY_CANCEL_RELAUNCHES * relaunchMs;
+        attempt.recordPrediction(early ? OptionalDouble.of(runMs + remainingMs) : OptionalDouble.empty());
+        return early || (past && remainingMs >= relaunchMs);
+    }
+
+    private boolean hasFreshProgress(Attempt attempt) {
+        double intervalMs = context.settings().attempts().progressIntervalMs();
+        return attempt.hasProgressWithin(PROGRESS_FRESH_INTERVALS * intervalMs, context.nowMs());
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/estimation/ClassDemand.java
@@ -0,0 +1,61 @@
+package lineward.scheduling.estimation;
+
+/** How much work of one class arrives, its ratio of all classes, and the cores that it can reach. */
+public final class ClassDemand {
+    private double workMs;
+    private double requests;
+    private double decayedAtMs;
+    private double workRatio;
+    private double valueRatio;
+    private double reachableCores;
+
+    /** Adds an admitted request with its expected work. */
+    public void add(double requestWorkMs) {
+        workMs += requestWorkMs;
+        requests++;
+    }
+
+    /** Lets earlier requests fade with the half-life of {@link ServiceTimeModel}. */
+    public void decay(double nowMs) {
+        double kept = ServiceTimeModel.ratioKept(nowMs - decayedAtMs);
+        decayedAtMs = nowMs;
+        workMs *= kept;
+        requests *= kept;
+    }
+
+    /** Returns the decayed sum of expected work. */
+    public double workMs() {
+        return workMs;
+    }
+
+    /** Returns the decayed number of requests. */
+    public double requests() {
+        return requests;
+    }
+
+    /** Returns the class's ratio of the work of all classes, in [0, 1]. */
+    public double workRatio() {
+        return workRatio;
+    }
+
+    /** Returns the class's ratio of the value of all classes, in [0, 1]. */
+    public double valueRatio() {
+        return valueRatio;
+    }
+
+    /** Returns the cores of the ready engines that the class may run on. */
+    public double reachableCores() {
+        return reachableCores;
+    }
+
+    /** Sets the class's ratios of all classes' work and value. */
+    public void setRatios(double ofWork, double ofValue) {
+        workRatio = ofWork;
+        valueRatio = ofValue;
+    }
+
+    /** Sets the cores of the ready engines that the class may run on. */
+    public void setReachableCores(double cores) {
+        reachableCores = cores;
+    }
+}
--- a/src/main/java/lineward/scheduling/DecayingMean.java
+++ b/src/main/java/lineward/scheduling/estimation/DecayingMean.java
@@ -1,30 +1,32 @@
-package lineward.scheduling;
+package lineward.scheduling.estimation;
 
 /** A mean of values whose weights halve with time. */
-final class DecayingMean {
+public final class DecayingMean {
     private final double halfLifeMs;
     private double sum;
     private double count;
     private double decayedAtMs;
 
-    DecayingMean(double halfLifeMs) {
+    /** Creates an empty mean. */
+    public DecayingMean(double halfLifeMs) {
         this.halfLifeMs = halfLifeMs;
     }
 
-    void add(double nowMs, double value) {
+    /** Adds a value with weight 1. */
+    public void add(double nowMs, double value) {
         decay(nowMs);
         sum += value;
         count++;
     }
 
     /** Returns the number of values, each with the weight that it still has. */
-    double count(double nowMs) {
+    public double count(double nowMs) {
         decay(nowMs);
         return count;
     }
 
     /** Returns the mean, with so many prior values of a given size beside those added. */
-    double mean(double nowMs, double priorCount, double priorValue) {
+    public double mean(double nowMs, double priorCount, double priorValue) {
         decay(nowMs);
         return (sum + priorCount * priorValue) / (count + priorCount);
     }
--- a/src/main/java/lineward/scheduling/RobustMean.java
+++ b/src/main/java/lineward/scheduling/estimation/RobustMean.java
@@ -1,7 +1,7 @@
-package lineward.scheduling;
+package lineward.scheduling.estimation;
 
-/** A running mean whose outliers are cut off; it moves fast at first, then slowly. */
-final class RobustMean {
+/** A running mean that limits the weight of outliers; it moves fast at first, then slowly. */
+public final class RobustMean {
     private final double maxDeviation;
     private final double minStep;
     private double value;
@@ -13,13 +13,13 @@
      * @param maxDeviation a value counts as no further than this from the mean
      * @param minStep the least ratio of its deviation by which a value moves the mean
      */
-    RobustMean(double maxDeviation, double minStep) {
+    public RobustMean(double maxDeviation, double minStep) {
         this.maxDeviation = maxDeviation;
         this.minStep = minStep;
     }
 
     /** Adds a value and returns its deviation from the mean so far, cut off. */
-    double add(double added) {
+    public double add(double added) {
         if (count == 0) {
             value = added;
         }
@@ -29,11 +29,13 @@
         return deviation;
     }
 
-    double value() {
+    /** Returns the mean; 0 before the first value. */
+    public double value() {
         return value;
     }
 
-    int count() {
+    /** Returns the number of values added. */
+    public int count() {
         return count;
     }
 }
--- /dev/null
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -0,0 +1,195 @@
+package lineward.scheduling.estimation;
+
+import java.util.List;
+import lineward.scheduling.RequestClass;
+
+/**
+ * Run times of one class, in units of the estimate: the survival curve of first runs, the mean of relaunches,
+ * the present slowdown against the usual run time, and the bias of the estimates.
+ */
+public final class ServiceTimeModel {
+    /** Completed first runs from which the curve is used. */
+    public static final double MIN_COMPLETED_RUNS = 20;
+    /** Runs from which the class's own mean is used. */
+    public static final double MIN_RUNS = 5;
+    /** Logarithm of the ratio to the usual run time from which a run is a straggler. */
+    public static final double STRAGGLER_LOG_RATIO = 1.5;
+    /** Prior answers at the usual run time, so that a few slow answers do not count as a slowdown. */
+    public static final double PRIOR_ANSWERS = 5;
+
+    /** Least weight of one outcome in the usual run time. */
+    private static final double MIN_USUAL_STEP = 0.02;
+    /** Half-life of the measurements: longer than a fault, shorter than a change of traffic. */
+    private static final double HALF_LIFE_MS = 60_000;
+    /** Bins of the curve, from a sixteenth of the estimate upwards. */
+    private static final int BINS = 130;
+
+    private static final double LOWEST_BIN_LOG2 = -4;
+    private static final double BINS_PER_DOUBLING = 5;
+    /** Work assumed before the first outcome, as a ratio of the deadline; it weighs as one outcome. */
+    private static final double FIRST_GUESS_RATIO = 0.125;
+
+    private static final double FIRST_GUESS_WEIGHT = 1;
+    /** Prior weight that avoids a division by 0 and does not change the mean. */
+    private static final double NEGLIGIBLE_WEIGHT = 1e-9;
+
+    private static final double MIN_RUN_RATIO = 1e-9;
+
+    private final RobustMean workBias = robustMean();
+    private final RobustMean memoryBias = robustMean();
+    private final RequestClass settings;
+    private final FleetServiceTimes fleet;
+    private final SurvivalCurve firstRuns = new SurvivalCurve(BINS, LOWEST_BIN_LOG2, BINS_PER_DOUBLING);
+    private final DecayingMean relaunches = new DecayingMean(HALF_LIFE_MS);
+    private final DecayingMean work = new DecayingMean(HALF_LIFE_MS);
+    private final SlidingMedian recentLogSlowdown = new SlidingMedian(FleetServiceTimes.RECENT_MS);
+    private final RobustMean typicalLogRatio = robustMean();
+    private double completedRuns;
+    private double meanRatio;
+    private double slowdown = 1;
+    private double decayedAtMs;
+
+    /** Creates a model without measurements. */
+    public ServiceTimeModel(RequestClass settings, FleetServiceTimes fleet) {
+        this.settings = settings;
+        this.fleet = fleet;
+    }
+
+    /** Creates a mean of logarithms of run-time ratios. */
+    static RobustMean robustMean() {
+        return new RobustMean(STRAGGLER_LOG_RATIO, MIN_USUAL_STEP);
+    }
+
+    /** Returns the weight of a measurement of that age. */
+    public static double ratioKept(double agoMs) {
+        return Math.pow(0.5, agoMs / HALF_LIFE_MS);
+    }
+
+    /** Returns the usual run time of a first run, of all classes if the class has too few runs. */
+    public double typicalRatio() {
+        return Math.exp(hasTypicalRatio() ? typicalLogRatio.value() : fleet.typicalLogRatio());
+    }
+
+    /** Returns whether the class has a usual run time of its own. */
+    public boolean hasTypicalRatio() {
+        return typicalLogRatio.count() >= MIN_RUNS;
+    }
+
+    /** Returns whether the curve rests on enough completed first runs. */
+    public boolean hasCurve() {
+        return completedRuns >= MIN_COMPLETED_RUNS;
+    }
+
+    /** Returns the mean work of a request; before the first outcome, a fraction of the deadline. */
+    public double usualWorkMs(double nowMs) {
+        double guess = settings.objective().deadlineMs() * FIRST_GUESS_RATIO;
+        return work.mean(nowMs, FIRST_GUESS_WEIGHT, guess * settings.workload().threads());
+    }
+
+    /** Returns the mean work of the requests so far; 0 before the first one. */
+    public double meanWorkMs(double nowMs) {
+        return work.mean(nowMs, NEGLIGIBLE_WEIGHT, 0);
+    }
+
+    /** Returns the mean run time of a relaunch, that of first runs if there were too few relaunches. */
+    public double relaunchRatio(double nowMs) {
+        if (relaunches.count(nowMs) >= MIN_RUNS) {
+            return relaunches.mean(nowMs, 0, 0);
+        }
+        return hasCurve() ? meanRatio : typicalRatio();
+    }
+
+    /** Returns the factor by which the class now runs slower than usual, at least 1. */
+    public double slowdown() {
+        return slowdown;
+    }
+
+    /** Returns the mean run time of first runs by the curve. */
+    public double meanRatio() {
+        return meanRatio;
+    }
+
+    /** Returns the curve of first runs. */
+    public SurvivalCurve firstRuns() {
+        return firstRuns;
+    }
+
+    /** Adds the work of a request. */
+    public void addWork(double workMs, double nowMs) {
+        work.add(nowMs, workMs);
+    }
+
+    /** Adds the run time of a completed relaunch. */
+    public void addRelaunch(double ratio, double nowMs) {
+        relaunches.add(nowMs, ratio);
+    }
+
+    /** Adds a first run; one that did not complete is censored. */
+    public void addFirstRun(double ratio, boolean completed) {
+        firstRuns.add(ratio, completed);
+        completedRuns += completed ? 1 : 0;
+    }
+
+    /**
+     * Adds to the usual run time.
+     *
+     * @return logarithm of its ratio to the usual run time, bounded by {@link #STRAGGLER_LOG_RATIO}
+     */
+    public double addToUsual(double ratio) {
+        return typicalLogRatio.add(Math.log(Math.max(MIN_RUN_RATIO, ratio)));
+    }
+
+    /** Adds how much slower than usual a run was, as a logarithm. */
+    public void addSlowdown(double logRatio, double nowMs) {
+        recentLogSlowdown.add(nowMs, logRatio);
+    }
+
+    /**
+     * Lets earlier measurements fade and recomputes the slowdown and the curve.
+     *
+     * @param inFlight run times so far of the first runs in flight; without them a class whose runs all slow
+     *     down would show no slowdown until they complete
+     */
+    public void recompute(double nowMs, List<Double> inFlight) {
+        double kept = ratioKept(nowMs - decayedAtMs);
+        decayedAtMs = nowMs;
+        firstRuns.decay(kept);
+        completedRuns *= kept;
+        double logSlowdown = recentLogSlowdown.median(nowMs, PRIOR_ANSWERS, slowInFlight(inFlight));
+        slowdown = Math.max(1, Math.exp(logSlowdown));
+        meanRatio = firstRuns.recompute(
+                inFlight.stream().map(ratio -> ratio / slowdown).toList());
+    }
+
+    /** Returns the factor by which reported work exceeds its estimate. */
+    public double workCorrection() {
+        return Math.exp(workBias.value());
+    }
+
+    /** Adds the logarithm of reported work over its estimate. */
+    public void addWorkDeviation(double logRatio) {
+        workBias.add(logRatio);
+    }
+
+    /** Returns the factor by which reported memory exceeds its estimate. */
+    public double memoryCorrection() {
+        return Math.exp(memoryBias.value());
+    }
+
+    /**
+     * Adds the logarithm of reported memory over its estimate.
+     *
+     * @return its deviation from the mean so far, bounded by {@link #STRAGGLER_LOG_RATIO}
+     */
+    public double addMemoryDeviation(double logRatio) {
+        return memoryBias.add(logRatio);
+    }
+
+    private List<Double> slowInFlight(List<Double> ratios) {
+        double typical = typicalRatio();
+        return ratios.stream()
+                .map(ratio -> Math.min(STRAGGLER_LOG_RATIO, Math.log(ratio / typical)))
+                .filter(logRatio -> logRatio > 0)
+                .toList();
+    }
+}
--- a/src/main/java/lineward/scheduling/SlidingMedian.java
+++ b/src/main/java/lineward/scheduling/estimation/SlidingMedian.java
@@ -1,35 +1,38 @@
-package lineward.scheduling;
+package lineward.scheduling.estimation;
 
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.stream.DoubleStream;
 
 /** The median of the values added within a sliding window of time. */
-final class SlidingMedian {
+public final class SlidingMedian {
     private record Entry(double addedAtMs, double value) {}
 
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
     private final double windowMs;
 
-    SlidingMedian(double windowMs) {
+    /** Creates an empty window. */
+    public SlidingMedian(double windowMs) {
         this.windowMs = windowMs;
     }
 
-    void add(double nowMs, double value) {
+    /** Adds a value at the present time. */
+    public void add(double nowMs, double value) {
         entries.add(new Entry(nowMs, value));
     }
 
-    /** Returns the median, drawn towards 0 as so many values of 0 beside those added would draw a mean. */
-    double median(double nowMs, double zeros) {
+    /** Returns {@link #median(double, double, List)} without other values. */
+    public double median(double nowMs, double zeros) {
         return median(nowMs, zeros, List.of());
     }
 
     /**
-     * Returns the median, drawn towards 0 as so many values of 0 beside those added would draw a mean.
+     * Returns the median, shrunk towards 0; 0 if the window is empty.
      *
-     * @param others values that count this once like those added
+     * @param zeros number of prior values of 0 by which the median is shrunk
+     * @param others values that count for this call only
      */
-    double median(double nowMs, double zeros, List<Double> others) {
+    public double median(double nowMs, double zeros, List<Double> others) {
         while (!entries.isEmpty() && nowMs - entries.peek().addedAtMs() > windowMs) {
             entries.poll();
         }
--- a/src/main/java/lineward/scheduling/SlidingWindowCounter.java
+++ b/src/main/java/lineward/scheduling/estimation/SlidingWindowCounter.java
@@ -1,27 +1,29 @@
-package lineward.scheduling;
+package lineward.scheduling.estimation;
 
 import java.util.ArrayDeque;
 
 /** The sum of the amounts added within a sliding window of time. */
-final class SlidingWindowCounter {
+public final class SlidingWindowCounter {
     private record Entry(double addedAtMs, double amount) {}
 
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
     private final double windowMs;
     private double sum;
 
-    SlidingWindowCounter(double windowMs) {
+    /** Creates an empty window. */
+    public SlidingWindowCounter(double windowMs) {
         this.windowMs = windowMs;
     }
 
-    void add(double nowMs, double amount) {
+    /** Adds an amount at the present time. */
+    public void add(double nowMs, double amount) {
         evictExpired(nowMs);
         entries.add(new Entry(nowMs, amount));
         sum += amount;
     }
 
-    /** Returns the sum of what was added no longer than the window ago. */
-    double sum(double nowMs) {
+    /** Returns the sum of the amounts within the window. */
+    public double sum(double nowMs) {
         evictExpired(nowMs);
         return sum;
     }
--- a/src/main/java/lineward/scheduling/SurvivalCurve.java
+++ b/src/main/java/lineward/scheduling/estimation/SurvivalCurve.java
@@ -1,14 +1,14 @@
-package lineward.scheduling;
+package lineward.scheduling.estimation;
 
 import java.util.Arrays;
 import java.util.List;
 
 /**
- * A bounded, decaying histogram of run times, some of them censored, with its Kaplan-Meier curve. How fine
- * and how long it is, and what follows from it, is the caller's to say.
+ * A bounded, decaying histogram of run times, some of them censored, with its Kaplan-Meier curve.
  */
-final class SurvivalCurve {
-    private static final double NOTHING = 1e-9;
+public final class SurvivalCurve {
+    /** Counts and run times below this are rounding errors. */
+    private static final double EPSILON = 1e-9;
 
     private final double lowestLog2;
     private final double binsPerDoubling;
@@ -18,7 +18,7 @@
     private final double[] survival;
 
     /** Creates an empty curve with bins from 2^lowestLog2 upwards. */
-    SurvivalCurve(int bins, double lowestLog2, double binsPerDoubling) {
+    public SurvivalCurve(int bins, double lowestLog2, double binsPerDoubling) {
         this.lowestLog2 = lowestLog2;
         this.binsPerDoubling = binsPerDoubling;
         completed = new double[bins];
@@ -27,12 +27,13 @@
         survival = new double[bins];
     }
 
-    void add(double runTime, boolean ranToItsEnd) {
-        (ranToItsEnd ? completed : censored)[binOf(runTime)] += 1;
+    /** Adds a run time; one that did not complete is censored. */
+    public void add(double runTime, boolean runCompleted) {
+        (runCompleted ? completed : censored)[binOf(runTime)] += 1;
     }
 
-    /** Multiplies all counts. */
-    void decay(double ratioKept) {
+    /** Multiplies all counts by this ratio. */
+    public void decay(double ratioKept) {
         for (int i = 0; i < completed.length; i++) {
             completed[i] *= ratioKept;
             censored[i] *= ratioKept;
@@ -40,13 +41,12 @@
     }
 
     /**
-     * Recomputes the curve. A censored run tells only that it took longer, so it leaves the set at risk where
-     * it was cancelled; dropping it would hide the tail, completing it would invent an end. Runs in flight
-     * count likewise.
+     * Recomputes the curve. A censored run leaves the set at risk at its run time: without it the curve would
+     * lose its tail. Runs in flight count as censored.
      *
-     * @return the area under the curve, as far as anything was seen
+     * @return the area under the curve up to the longest run
      */
-    double recompute(List<Double> inFlight) {
+    public double recompute(List<Double> inFlight) {
         double[] left = censored.clone();
         for (double runTime : inFlight) {
             left[binOf(runTime)] += 1;
@@ -57,14 +57,14 @@
         }
         double surviving = 1;
         double area = 0;
-        for (int i = 0; i < completed.length && atRisk > NOTHING; i++) {
+        for (int i = 0; i < completed.length && atRisk > EPSILON; i++) {
             double after = surviving * Math.max(0, 1 - completed[i] / atRisk);
             area += binWidth(i) * (surviving + after) / 2;
             surviving = after;
             areas[i] = area;
             survival[i] = surviving;
             atRisk -= completed[i] + left[i];
-            if (atRisk <= NOTHING) {
+            if (atRisk <= EPSILON) {
                 Arrays.fill(areas, i + 1, areas.length, area);
                 Arrays.fill(survival, i + 1, survival.length, 0);
             }
@@ -72,22 +72,23 @@
         return area;
     }
 
-    int bins() {
+    /** Returns the number of bins. */
+    public int bins() {
         return completed.length;
     }
 
     /** Returns the upper edge of a bin. */
-    double upperEdge(int bin) {
+    public double upperEdge(int bin) {
         return Math.pow(2, lowestLog2 + (bin + 1) / binsPerDoubling);
     }
 
     /** Returns the area under the curve up to the bin's upper edge. */
-    double areaUpTo(int bin) {
+    public double areaUpTo(int bin) {
         return areas[bin];
     }
 
     /** Returns the ratio of the runs that take longer than the bin's upper edge. */
-    double survivalPast(int bin) {
+    public double survivalPast(int bin) {
         return survival[bin];
     }
 
@@ -96,7 +97,7 @@
     }
 
     private int binOf(double runTime) {
-        double position = (Math.log(Math.max(NOTHING, runTime)) / Math.log(2) - lowestLog2) * binsPerDoubling;
+        double position = (Math.log(Math.max(EPSILON, runTime)) / Math.log(2) - lowestLog2) * binsPerDoubling;
         return (int) Math.max(0, Math.min(completed.length - 1, position));
     }
 }
--- /dev/null
+++ b/src/main/java/lineward/scheduling/execution/Mechanisms.java
@@ -0,0 +1,65 @@
+package lineward.scheduling.execution;
+
+import lineward.scheduling.decision.AdmissionPolicy;
+import lineward.scheduling.decision.CancellationPolicy;
+import lineward.scheduling.decision.ConcurrencyLimits;
+import lineward.scheduling.decision.EngineEligibility;
+import lineward.scheduling.decision.EngineLoadScore;
+import lineward.scheduling.decision.EngineSelector;
+import lineward.scheduling.decision.FinalAnswerPolicy;
+import lineward.scheduling.decision.KeyOrder;
+import lineward.scheduling.decision.LoadReportPolling;
+import lineward.scheduling.decision.MigrationPolicy;
+import lineward.scheduling.decision.OutlierDetector;
+import lineward.scheduling.decision.ResourceLimits;
+import lineward.scheduling.decision.RetryPolicy;
+import lineward.scheduling.decision.SlowStart;
+import lineward.scheduling.decision.SpeculativeCancellation;
+import lineward.scheduling.state.EngineCapacity;
+import lineward.scheduling.state.LoadReports;
+import lineward.scheduling.state.RetryBudgetTracker;
+import lineward.scheduling.state.SchedulerContext;
+
+/** Creates the policies of one scheduler and the classes that carry out what they decide. */
+final class Mechanisms {
+    final RetryBudgetTracker budget;
+    final LoadReports reports;
+    final SlowStart slowStart;
+    final ResourceLimits resources;
+    final OutlierDetector outliers;
+    final KeyOrder keyOrder;
+    final LoadReportPolling polling;
+    final SpeculativeCancellation speculation;
+    final RequestLifecycle lifecycle;
+    final AdmissionQueue queue;
+    final AttemptOutcomes outcomes;
+    final Sweep sweep;
+    final PeriodicRecomputation recomputation;
+
+    Mechanisms(SchedulerContext context) {
+        EngineCapacity capacity = new EngineCapacity(context);
+        budget = new RetryBudgetTracker(context);
+        reports = new LoadReports(context);
+        slowStart = new SlowStart(context, capacity);
+        resources = new ResourceLimits(context);
+        outliers = new OutlierDetector(context);
+        keyOrder = new KeyOrder(context);
+        polling = new LoadReportPolling(context, reports, outliers);
+        ConcurrencyLimits limits = new ConcurrencyLimits(context, capacity, reports, resources);
+        RetryPolicy retries = new RetryPolicy(context, keyOrder, budget);
+        EngineEligibility eligibility = new EngineEligibility(context, limits, slowStart);
+        CancellationPolicy cancellation = new CancellationPolicy(context);
+        speculation = new SpeculativeCancellation(context, cancellation, retries, eligibility);
+        FinalAnswerPolicy finalAnswers = new FinalAnswerPolicy(context, retries);
+        lifecycle = new RequestLifecycle(context, cancellation, finalAnswers, keyOrder);
+        EngineLoadScore loadScore = new EngineLoadScore(context, limits, slowStart, resources, reports, capacity);
+        EngineSelector selector = new EngineSelector(context, limits, retries, outliers, eligibility, loadScore);
+        AttemptStarter starter = new AttemptStarter(context, retries, budget, outliers, resources);
+        queue = new AdmissionQueue(context, new AdmissionPolicy(context), selector, keyOrder, lifecycle, starter);
+        OutcomeLearning learning = new OutcomeLearning(context, outliers, resources);
+        outcomes = new AttemptOutcomes(context, learning, retries, keyOrder, lifecycle, queue);
+        MigrationPolicy migration = new MigrationPolicy(context, cancellation, retries, eligibility);
+        sweep = new Sweep(context, outliers, speculation, cancellation, migration, lifecycle, keyOrder);
+        recomputation = new PeriodicRecomputation(context, limits);
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
@@ -0,0 +1,103 @@
+package lineward.scheduling.execution;
+
+import java.util.OptionalDouble;
+import lineward.scheduling.SchedulerEvent;
+import lineward.scheduling.decision.OutlierDetector;
+import lineward.scheduling.decision.ResourceLimits;
+import lineward.scheduling.estimation.ServiceTimeModel;
+import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/** Passes the end of an attempt to the estimators and to the outlier detector. */
+final class OutcomeLearning {
+    private final SchedulerContext context;
+    private final OutlierDetector outliers;
+    private final ResourceLimits resources;
+
+    OutcomeLearning(SchedulerContext context, OutlierDetector outliers, ResourceLimits resources) {
+        this.context = context;
+        this.outliers = outliers;
+        this.resources = resources;
+    }
+
+    void learn(Attempt attempt, SchedulerEvent.AttemptEnded end) {
+        switch (end.outcome()) {
+            case OK -> {
+                outliers.recordSuccess(attempt.engine());
+                learnRunTime(attempt);
+                learnNeeds(attempt.request(), end);
+            }
+            case CANCELLED, TIMEOUT -> learnCensoredRun(attempt);
+            case RESET -> {
+                learnCensoredRun(attempt);
+                outliers.recordReset(attempt.engine());
+            }
+            case CONNECT_FAILED -> outliers.recordConnectFailure(attempt.engine());
+            case ERROR -> outliers.attributeError(attempt.request(), attempt.engine());
+            case REJECTED, NOT_STARTED -> {
+                // Nothing ran, and the engine is not at fault.
+            }
+        }
+    }
+
+    private void learnRunTime(Attempt attempt) {
+        double nowMs = context.nowMs();
+        TrackedRequest request = attempt.request();
+        ServiceTimeModel model = request.type().model();
+        double runMs = attempt.runTimeMs(nowMs);
+        double ratio = runMs / model.slowdown() / request.workUnitMs();
+        if (attempt.isFirstRun()) {
+            learnFirstRun(attempt, runMs, ratio);
+        } else if (request.isRelaunched()) {
+            model.addRelaunch(ratio, nowMs);
+        }
+    }
+
+    private void learnFirstRun(Attempt attempt, double runMs, double ratio) {
+        double nowMs = context.nowMs();
+        TrackedRequest request = attempt.request();
+        ServiceTimeModel model = request.type().model();
+        model.addFirstRun(ratio, true);
+        if (!request.hasWorkEstimate()) {
+            model.addWork(runMs * request.threads(), nowMs);
+        }
+        context.serviceTimes().add(ratio);
+        double logSlowdown = model.addToUsual(runMs / request.workUnitMs());
+        attempt.engine().recordSlowdown(logSlowdown, nowMs);
+        model.addSlowdown(logSlowdown, nowMs);
+        context.serviceTimes().addSlowdown(logSlowdown, nowMs);
+    }
+
+    private void learnNeeds(TrackedRequest request, SchedulerEvent.AttemptEnded end) {
+        ServiceTimeModel model = request.type().model();
+        if (end.memoryMb() > 0 && request.estimatedMemoryMb() > 0) {
+            double logRatio = Math.log(end.memoryMb() / request.estimatedMemoryMb());
+            double deviation = model.addMemoryDeviation(logRatio);
+            resources.recordNeed(request.type(), Math.exp(deviation));
+        }
+        if (end.workMs() > 0 && request.hasWorkEstimate()) {
+            model.addWorkDeviation(Math.log(end.workMs() / request.estimatedWorkMs()));
+        }
+    }
+
+    /** A first run cancelled before tau counts as one up to tau; else the curve would lose its tail. */
+    private void learnCensoredRun(Attempt attempt) {
+        if (!attempt.isFirstRun() || attempt.isMigrated()) {
+            return;
+        }
+        TrackedRequest request = attempt.request();
+        ServiceTimeModel model = request.type().model();
+        double ratio = attempt.runTimeMs(context.nowMs()) / model.slowdown() / request.workUnitMs();
+        model.addFirstRun(Math.max(ratio, leastCensoredRatio(attempt)), false);
+    }
+
+    private static double leastCensoredRatio(Attempt attempt) {
+        OptionalDouble predictedMs = attempt.slowRunPredictedMs();
+        if (predictedMs.isEmpty()) {
+            return 0;
+        }
+        double predicted = predictedMs.getAsDouble() / attempt.request().workUnitMs();
+        return Math.min(attempt.request().type().tauRatio().orElse(predicted), predicted);
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
@@ -0,0 +1,66 @@
+package lineward.scheduling.execution;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import lineward.scheduling.decision.ConcurrencyLimits;
+import lineward.scheduling.decision.SpeculativeTimeout;
+import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.ClassState;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/** Recomputes the estimates, tau, the demand and the quota, twice a second. */
+final class PeriodicRecomputation {
+    private static final double INTERVAL_MS = 500;
+
+    private final SchedulerContext context;
+    private final ConcurrencyLimits limits;
+    private double nextMs;
+
+    PeriodicRecomputation(SchedulerContext context, ConcurrencyLimits limits) {
+        this.context = context;
+        this.limits = limits;
+    }
+
+    void runIfDue(boolean requestsBlocked) {
+        if (context.nowMs() < nextMs) {
+            return;
+        }
+        nextMs = context.nowMs() + INTERVAL_MS;
+        recomputeServiceTimes();
+        for (ClassState type : context.classes()) {
+            type.setTauRatio(SpeculativeTimeout.tauRatio(type, context.nowMs()));
+        }
+        context.recomputeDemand();
+        limits.adaptQuota(requestsBlocked, INTERVAL_MS);
+    }
+
+    private void recomputeServiceTimes() {
+        double nowMs = context.nowMs();
+        Map<ClassState, List<Double>> inFlight = firstRunsInFlight();
+        context.serviceTimes().recomputeSlowdown(nowMs);
+        for (ClassState type : context.classes()) {
+            type.model().recompute(nowMs, inFlight.get(type));
+            type.demand().decay(nowMs);
+        }
+        context.serviceTimes().decay(nowMs);
+    }
+
+    private Map<ClassState, List<Double>> firstRunsInFlight() {
+        Map<ClassState, List<Double>> ratios = new LinkedHashMap<>();
+        context.classes().forEach(type -> ratios.put(type, new ArrayList<>()));
+        for (Engine engine : context.engines()) {
+            for (Attempt attempt : engine.attempts()) {
+                if (attempt.isFirstRun() && attempt.isRunning()) {
+                    TrackedRequest request = attempt.request();
+                    double ratio = attempt.runTimeMs(context.nowMs()) / request.workUnitMs();
+                    ratios.get(request.type()).add(ratio);
+                }
+            }
+        }
+        return ratios;
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -0,0 +1,206 @@
+package lineward.scheduling.execution;
+
+import java.util.List;
+import lineward.scheduling.Endpoint;
+import lineward.scheduling.Scheduler;
+import lineward.scheduling.SchedulerAction;
+import lineward.scheduling.SchedulerEvent;
+import lineward.scheduling.SchedulerSettings;
+import lineward.scheduling.decision.LoadReportPolling;
+import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.ClassState;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/**
+ * The scheduler of one pool of engines: passes each event to the mechanism that it concerns, sweeps over the
+ * attempts in flight every {@value #SWEEP_INTERVAL_MS} ms, and dispatches the queue. Time comes from events,
+ * random draws from the seed, and all loops run in a fixed order, so that equal events give equal actions.
+ */
+public final class SpeculativeScheduler implements Scheduler, SchedulerEvent.Handler {
+    /** Time between sweeps: short against any objective, long against the duration of a sweep. */
+    private static final double SWEEP_INTERVAL_MS = 25;
+
+    private static final int SWEEP_TIMER = 0;
+
+    private final SchedulerContext context;
+    private final Mechanisms mechanisms;
+    private boolean pollingStarted;
+    private boolean subscribePending;
+    private boolean sweepScheduled;
+
+    /**
+     * Creates a scheduler without engines.
+     *
+     * @param settings what the deployment permits and asks for
+     * @param seed of its random draws
+     */
+    public SpeculativeScheduler(SchedulerSettings settings, long seed) {
+        context = new SchedulerContext(settings, seed);
+        mechanisms = new Mechanisms(context);
+        subscribePending = settings.discovery().subscribe();
+    }
+
+    @Override
+    public List<SchedulerAction> decide(double nowMs, List<? extends SchedulerEvent> events) {
+        context.beginDecision(nowMs);
+        startSubscriptions();
+        events.forEach(event -> event.dispatchTo(this));
+        // Sweeps after all events: when the process was stalled, answers may come after the timer in one
+        // batch.
+        if (events.stream().anyMatch(SchedulerEvent.TimerFired.class::isInstance)) {
+            sweep();
+        }
+        mechanisms.sweep.migrateWaiting();
+        // Gossip comes far more often than requests, so the queue waits for the next sweep.
+        if (!events.stream().allMatch(SchedulerEvent.GossipReceived.class::isInstance)) {
+            mechanisms.queue.dispatch();
+        }
+        mechanisms.reports.publishGossip(SWEEP_INTERVAL_MS);
+        scheduleSweep();
+        return context.endDecision();
+    }
+
+    private void startSubscriptions() {
+        if (subscribePending) {
+            subscribePending = false;
+            context.emit(new SchedulerAction.WatchEndpoints());
+        }
+        if (!pollingStarted) {
+            pollingStarted = true;
+            mechanisms.polling.start();
+        }
+    }
+
+    private void sweep() {
+        mechanisms.recomputation.runIfDue(mechanisms.queue.isBlocked());
+        mechanisms.sweep.detectSilentEngines();
+        mechanisms.sweep.cancelAttempts();
+        mechanisms.queue.giveUpOverdue();
+        mechanisms.sweep.forgetSettled();
+    }
+
+    private void scheduleSweep() {
+        if (!sweepScheduled && !context.hasNoRequests()) {
+            sweepScheduled = true;
+            context.emit(new SchedulerAction.ScheduleTimer(SWEEP_INTERVAL_MS, SWEEP_TIMER));
+        }
+    }
+
+    @Override
+    public int excludedEngines() {
+        return (int) context.engines().stream()
+                .filter(engine -> engine.state().isExcluded())
+                .count();
+    }
+
+    @Override
+    public void requestArrived(SchedulerEvent.RequestArrived arrival) {
+        TrackedRequest request = context.admit(arrival, mechanisms.speculation.drawExempt());
+        ClassState type = request.type();
+        if (request.hasWorkEstimate()) {
+            type.model().addWork(request.expectedWorkMs(), context.nowMs());
+        }
+        mechanisms.budget.recordAdmission();
+        mechanisms.polling.countRequest();
+        mechanisms.outliers.earnRecoveryProbe();
+        type.demand().add(request.expectedWorkMs());
+        mechanisms.keyOrder.add(request);
+        mechanisms.queue.add(request);
+    }
+
+    @Override
+    public void attemptProgressed(SchedulerEvent.AttemptProgress report) {
+        Attempt attempt = context.findUnendedAttempt(report.request(), report.attempt());
+        if (attempt == null) {
+            return;
+        }
+        attempt.engine().health().recordResponse(context.nowMs());
+        attempt.setWaiting(report.kind().isWaiting(), context.nowMs());
+        switch (report.kind()) {
+            case RATIO_DONE -> attempt.recordProgress(report.amount(), context.nowMs());
+            case SPILLING -> mechanisms.resources.recordSpill(attempt.request().type());
+            case WAITING_FOR_MEMORY, WAITING_FOR_LOAD -> mechanisms.sweep.recordWaiting(attempt);
+        }
+    }
+
+    @Override
+    public void attemptEnded(SchedulerEvent.AttemptEnded end) {
+        mechanisms.outcomes.end(end);
+    }
+
+    @Override
+    public void responseStarted(SchedulerEvent.ResponseStarted response) {
+        TrackedRequest request = context.findRequest(response.request());
+        if (request != null) {
+            request.startResponse();
+        }
+    }
+
+    @Override
+    public void requestCancelled(SchedulerEvent.RequestCancelled cancelled) {
+        TrackedRequest request = context.findRequest(cancelled.request());
+        if (request != null) {
+            mechanisms.lifecycle.complete(request);
+        }
+    }
+
+    @Override
+    public void timerFired(SchedulerEvent.TimerFired timer) {
+        if (timer.token() == LoadReportPolling.TIMER) {
+            mechanisms.polling.poll();
+        } else {
+            sweepScheduled = false;
+        }
+    }
+
+    @Override
+    public void healthCheckCompleted(SchedulerEvent.HealthCheckCompleted check) {
+        Engine engine = context.findEngine(check.engine());
+        if (engine != null) {
+            mechanisms.polling.complete(check, engine);
+        }
+    }
+
+    @Override
+    public void gossipReceived(SchedulerEvent.GossipReceived gossip) {
+        mechanisms.reports.applyGossip(gossip.payload());
+    }
+
+    @Override
+    public void quotaChanged(SchedulerEvent.QuotaChanged change) {
+        mechanisms.slowStart.changeQuota(change.ratio());
+    }
+
+    @Override
+    public void discoveryFailed(SchedulerEvent.DiscoveryFailed failure) {
+        subscribePending = context.settings().discovery().subscribe();
+    }
+
+    @Override
+    public void endpointsChanged(SchedulerEvent.EndpointsChanged change) {
+        if (change.fullSnapshot()) {
+            context.unlistEngines();
+        }
+        for (Endpoint endpoint : change.endpoints()) {
+            boolean restarted = context.updateEngine(endpoint);
+            if (restarted) {
+                mechanisms.outliers.forgetFailures(context.engine(endpoint.engine()));
+            }
+        }
+        context.countReadyCores();
+    }
+
+    /** No endpoint update ends maintenance. */
+    @Override
+    public void maintenanceChanged(SchedulerEvent.MaintenanceChanged change) {
+        Engine engine = context.engine(change.engine());
+        if (change.underMaintenance()) {
+            engine.beginMaintenance();
+        } else {
+            engine.release(change.sinceMs());
+        }
+        context.countReadyCores();
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/execution/Sweep.java
@@ -0,0 +1,87 @@
+package lineward.scheduling.execution;
+
+import java.util.ArrayList;
+import java.util.List;
+import lineward.scheduling.decision.CancellationPolicy;
+import lineward.scheduling.decision.KeyOrder;
+import lineward.scheduling.decision.MigrationPolicy;
+import lineward.scheduling.decision.OutlierDetector;
+import lineward.scheduling.decision.SpeculativeCancellation;
+import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.CancelCause;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.SchedulerContext;
+
+/** Applies the rules that depend on time to all attempts in flight, and migrates attempts that wait. */
+final class Sweep {
+    private final SchedulerContext context;
+    private final OutlierDetector outliers;
+    private final SpeculativeCancellation speculation;
+    private final CancellationPolicy cancellation;
+    private final MigrationPolicy migration;
+    private final RequestLifecycle lifecycle;
+    private final KeyOrder keyOrder;
+    private final List<Attempt> waitingAttempts = new ArrayList<>();
+
+    Sweep(
+            SchedulerContext context,
+            OutlierDetector outliers,
+            SpeculativeCancellation speculation,
+            CancellationPolicy cancellation,
+            MigrationPolicy migration,
+            RequestLifecycle lifecycle,
+            KeyOrder keyOrder) {
+        this.context = context;
+        this.outliers = outliers;
+        this.speculation = speculation;
+        this.cancellation = cancellation;
+        this.migration = migration;
+        this.lifecycle = lifecycle;
+        this.keyOrder = keyOrder;
+    }
+
+    void detectSilentEngines() {
+        context.engines().forEach(outliers::detectSilence);
+    }
+
+    /** Cancels attempts that are slow, and gives up requests whose answer has no value any more. */
+    void cancelAttempts() {
+        for (Engine engine : context.engines()) {
+            for (Attempt attempt : new ArrayList<>(engine.attempts())) {
+                if (speculation.shouldCancel(attempt)) {
+                    lifecycle.cancel(attempt, CancelCause.SLOW);
+                } else if (cancellation.hasNoValue(attempt)) {
+                    lifecycle.giveUp(attempt.request());
+                }
+            }
+        }
+    }
+
+    /** Forgets keys that may be used again, and engines that are gone and leave nothing to count. */
+    void forgetSettled() {
+        keyOrder.forgetSettledKeys();
+        context.removeEngines(this::isForgettable);
+    }
+
+    private boolean isForgettable(Engine engine) {
+        return engine.isGone()
+                && !engine.isUnderMaintenance()
+                && engine.attempts().isEmpty()
+                && engine.sentWorkMs(context.nowMs()) == 0;
+    }
+
+    /** Records an attempt that waits at its engine, to be judged at the end of the decision. */
+    void recordWaiting(Attempt attempt) {
+        waitingAttempts.add(attempt);
+    }
+
+    /** Migrates the recorded attempts where another engine can take them. */
+    void migrateWaiting() {
+        for (Attempt attempt : waitingAttempts) {
+            if (migration.shouldMigrate(attempt)) {
+                lifecycle.cancel(attempt, CancelCause.MIGRATION);
+            }
+        }
+        waitingAttempts.clear();
+    }
+}
--- a/src/main/java/lineward/scheduling/simulator/BatchReader.java
+++ b/src/main/java/lineward/scheduling/simulator/BatchReader.java
@@ -148,7 +148,7 @@
         return new SchedulerEvent.GossipReceived(entry.signedInt(1), payload);
     }
 
-    /** Progress of a kind that this version does not know is ignored. */
+    /** Progress of an unknown kind is ignored. */
     private static void readProgress(EventRecord entry, Sink sink) {
         double amount = entry.singleFloat(14);
         ProgressKind kind = switch (entry.signedByte(13)) {
--- a/src/main/java/lineward/scheduling/simulator/SchedulerInstances.java
+++ b/src/main/java/lineward/scheduling/simulator/SchedulerInstances.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import lineward.scheduling.Scheduler;
 import lineward.scheduling.SchedulerEvent;
-import lineward.scheduling.SpeculativeScheduler;
+import lineward.scheduling.execution.SpeculativeScheduler;
 
 /** Hosts the simulator's schedulers and hands each its own events. They share nothing. */
 final class SchedulerInstances implements BatchReader.Sink {
--- a/src/main/java/lineward/scheduling/EjectionCause.java
+++ b/src/main/java/lineward/scheduling/state/EjectionCause.java
@@ -1,9 +1,9 @@
-package lineward.scheduling;
+package lineward.scheduling.state;
 
 import java.util.Locale;
 
 /** Why an engine is ejected. */
-enum EjectionCause {
+public enum EjectionCause {
     /** It has work overdue and reports nothing. */
     SILENCE,
     /** It answers with errors. */
--- /dev/null
+++ b/src/main/java/lineward/scheduling/state/EngineCapacity.java
@@ -0,0 +1,62 @@
+package lineward.scheduling.state;
+
+import java.util.OptionalDouble;
+import lineward.scheduling.SchedulerSettings;
+
+/** Estimates the capacity that an engine has now, from its warm-up and its recent speed. */
+public final class EngineCapacity {
+    /** Fraction of the warm-up that is counted on, as engines may warm up late or unevenly. */
+    private static final double CERTAIN_WARMUP_RATIO = 0.75;
+
+    private static final double MIN_SPEED = 0.1;
+    private static final double MAX_SPEED = 1.3;
+
+    private final SchedulerContext context;
+    private final SchedulerSettings.SlowStartRule rule;
+
+    /** Creates an estimator over the engines of that scheduler. */
+    public EngineCapacity(SchedulerContext context) {
+        this.context = context;
+        this.rule = context.settings().rules().slowStart();
+    }
+
+    /** Returns whether the engine may still be warming up. */
+    public boolean isWarmingUp(Engine engine) {
+        OptionalDouble startMs = engine.warmupStartMs();
+        return startMs.isPresent() && context.nowMs() - startMs.getAsDouble() < rule.durationMs();
+    }
+
+    /** Returns the fraction of its full capacity that the engine has at the time, by the settings. */
+    private double ratioAt(Engine engine, double atMs) {
+        if (!isWarmingUp(engine)) {
+            return 1;
+        }
+        double ageMs = Math.max(0, atMs - engine.warmupStartMs().getAsDouble());
+        return rule.initialRatio() + (1 - rule.initialRatio()) * (ageMs / rule.durationMs());
+    }
+
+    /**
+     * Returns the fraction of its full capacity that the engine has at least. A start that was not announced
+     * may be later than the lost connection that is its only sign, so such an engine counts as just started.
+     */
+    public double certainRatio(Engine engine) {
+        if (engine.isStartUnannounced()) {
+            return rule.initialRatio();
+        }
+        double warmedUp = ratioAt(engine, context.nowMs() - rule.windowMs()) - rule.initialRatio();
+        return rule.initialRatio() + CERTAIN_WARMUP_RATIO * warmedUp;
+    }
+
+    /** Returns the run time of a request on an engine that has just started. */
+    public double runMsWhenCold(TrackedRequest request) {
+        return request.expectedRunMs() / rule.initialRatio();
+    }
+
+    /** Returns the engine's speed relative to the fleet, reduced by its errors and its warm-up. */
+    public double speed(Engine engine) {
+        double nowMs = context.nowMs();
+        double relative = Math.min(MAX_SPEED, context.serviceTimes().slowdown() / engine.slowdown(nowMs));
+        double useful = Math.max(MIN_SPEED, relative * (1 - engine.health().errorRatio(nowMs)));
+        return useful * ratioAt(engine, nowMs);
+    }
+}
--- a/src/main/java/lineward/scheduling/GossipCodec.java
+++ b/src/main/java/lineward/scheduling/state/GossipCodec.java
@@ -1,22 +1,23 @@
-package lineward.scheduling;
+package lineward.scheduling.state;
 
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
 import java.util.List;
+import lineward.scheduling.LoadReportField;
 
 /**
- * The bytes of gossip: load reports of engines, each an engine's id folded to two bytes and its values in a
- * byte each. Reports are collected until they are sent.
+ * Encodes and decodes gossip: load reports, each with the engine's id folded to two bytes and one byte a
+ * value. Reports are collected until the message is sent.
  */
 final class GossipCodec {
-    /** Bytes of the longest message that the platform takes. */
-    static final int MAX_PAYLOAD = 256;
+    /** Bytes of the longest message that the platform accepts. */
+    static final int MAX_PAYLOAD_BYTES = 256;
 
     private static final int ID_BYTES = 2;
     private static final int MAX_BYTE = 255;
 
     /** One engine's load report; the values are those of the report. */
-    @SuppressWarnings("ArrayRecordComponent") // handed on once, never compared
+    @SuppressWarnings("ArrayRecordComponent") // never compared
     record EngineReport(int gossipId, double[] values) {}
 
     private final double[] scales;
@@ -31,14 +32,14 @@
         return ID_BYTES + scales.length;
     }
 
-    /** Returns whether something was collected. */
+    /** Returns whether the message contains a report. */
     boolean hasPending() {
         return pending.size() > 0;
     }
 
     /** Returns whether one more report fits into the message. */
     boolean hasCapacity() {
-        return pending.size() < MAX_PAYLOAD - reportBytes();
+        return pending.size() < MAX_PAYLOAD_BYTES - reportBytes();
     }
 
     void collect(EngineReport report) {
--- /dev/null
+++ b/src/main/java/lineward/scheduling/state/RequestState.java
@@ -0,0 +1,37 @@
+package lineward.scheduling.state;
+
+/** The lifecycle of an admitted request. */
+public enum RequestState {
+    /** It waits for an engine with capacity, and has no attempt in flight. */
+    QUEUED,
+    /** An attempt was started, and no response has begun. */
+    IN_FLIGHT,
+    /** An attempt was started, and its response has begun to reach the client. */
+    STREAMING,
+    /** It has its final answer, or its client has gone; an attempt may still be in flight. */
+    COMPLETED;
+
+    /** Returns whether the request has its final answer, or needs none. */
+    public boolean isCompleted() {
+        return this == COMPLETED;
+    }
+
+    RequestState attemptStarted(boolean responseStarted) {
+        if (this != QUEUED) {
+            return this;
+        }
+        return responseStarted ? STREAMING : IN_FLIGHT;
+    }
+
+    RequestState responseStarted() {
+        return this == IN_FLIGHT ? STREAMING : this;
+    }
+
+    RequestState requeued() {
+        return this == COMPLETED ? COMPLETED : QUEUED;
+    }
+
+    RequestState completed() {
+        return COMPLETED;
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -0,0 +1,194 @@
+package lineward.scheduling.state;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.OptionalDouble;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.function.Predicate;
+import lineward.scheduling.Endpoint;
+import lineward.scheduling.SchedulerAction;
+import lineward.scheduling.SchedulerEvent;
+import lineward.scheduling.SchedulerSettings;
+import lineward.scheduling.estimation.FleetServiceTimes;
+
+/**
+ * What the mechanisms of one scheduler share: settings, engines, requests and classes, the time of the
+ * present decision and the actions decided in it. Engines are walked by number, requests in order of
+ * admission, so that a seed decides the same again.
+ */
+public final class SchedulerContext {
+    private static final double LOG_INTERVAL_MS = 1_000;
+
+    private final SchedulerSettings settings;
+    private final SplittableRandom random;
+    private final TreeMap<Long, Engine> engines = new TreeMap<>();
+    private final Collection<Engine> enginesView = Collections.unmodifiableCollection(engines.values());
+    private final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
+    private final List<ClassState> classes;
+    private final FleetServiceTimes serviceTimes = new FleetServiceTimes();
+    private final FleetDemand demand = new FleetDemand();
+
+    private List<SchedulerAction> actions = new ArrayList<>();
+    private double nowMs;
+    private OptionalDouble startedMs = OptionalDouble.empty();
+    private OptionalDouble lastLogMs = OptionalDouble.empty();
+
+    /**
+     * Creates the state of a scheduler without engines and requests.
+     *
+     * @param seed of its random draws
+     */
+    public SchedulerContext(SchedulerSettings settings, long seed) {
+        this.settings = settings;
+        this.random = new SplittableRandom(seed);
+        this.classes = settings.classes().stream()
+                .map(requestClass -> new ClassState(requestClass, serviceTimes))
+                .toList();
+    }
+
+    /** Starts a decision at that time. */
+    public void beginDecision(double now) {
+        nowMs = now;
+        if (startedMs.isEmpty()) {
+            startedMs = OptionalDouble.of(now);
+        }
+        actions = new ArrayList<>();
+    }
+
+    /** Returns the actions of the decision, in order. */
+    public List<SchedulerAction> endDecision() {
+        return actions;
+    }
+
+    /** Returns the time of the present decision. */
+    public double nowMs() {
+        return nowMs;
+    }
+
+    /** Returns the time of the first decision. */
+    public double startedMs() {
+        return startedMs.orElse(nowMs);
+    }
+
+    /** Returns the settings. */
+    public SchedulerSettings settings() {
+        return settings;
+    }
+
+    /** Draws a number in [0, 1). */
+    public double drawRandom() {
+        return random.nextDouble();
+    }
+
+    /** Adds an action to the present decision. */
+    public void emit(SchedulerAction action) {
+        actions.add(action);
+    }
+
+    /** Asks for a log line, unless another was asked for within a second. */
+    public void log(String text) {
+        if (lastLogMs.isEmpty() || nowMs - lastLogMs.getAsDouble() >= LOG_INTERVAL_MS) {
+            lastLogMs = OptionalDouble.of(nowMs);
+            emit(new SchedulerAction.LogMessage(text));
+        }
+    }
+
+    /** Returns the classes in the order of the settings. */
+    public List<ClassState> classes() {
+        return classes;
+    }
+
+    /** Returns the class of that index; an index out of range counts as the last one. */
+    public ClassState requestClass(int index) {
+        return classes.get(Math.min(index, classes.size() - 1));
+    }
+
+    /** Returns the run times of all classes together. */
+    public FleetServiceTimes serviceTimes() {
+        return serviceTimes;
+    }
+
+    /** Returns the demand against the fleet. */
+    public FleetDemand demand() {
+        return demand;
+    }
+
+    /** Returns all known engines by number, including gone ones with attempts in flight. */
+    public Collection<Engine> engines() {
+        return enginesView;
+    }
+
+    /** Returns the engine of that number; null if it is unknown. */
+    public Engine findEngine(long id) {
+        return engines.get(id);
+    }
+
+    /** Returns the engine of that number, which is created if it is unknown. */
+    public Engine engine(long id) {
+        double overloadWindowMs = settings.rules().slowStart().windowMs();
+        return engines.computeIfAbsent(id, number -> new Engine(number, overloadWindowMs));
+    }
+
+    /** Marks all engines as gone, before a full snapshot updates the listed ones. */
+    public void unlistEngines() {
+        engines.values().forEach(Engine::unlist);
+    }
+
+    /** Applies an endpoint to its engine and returns whether its process has restarted since the last one. */
+    public boolean updateEngine(Endpoint endpoint) {
+        return engine(endpoint.engine()).update(endpoint, settings.kindOf(endpoint));
+    }
+
+    /** Forgets engines. */
+    public void removeEngines(Predicate<Engine> forgettable) {
+        engines.values().removeIf(forgettable);
+    }
+
+    /** Counts the cores of the ready engines, after a change of their listing or maintenance. */
+    public void countReadyCores() {
+        demand.countReadyCores(engines.values());
+    }
+
+    /** Recomputes the demand of all classes. */
+    public void recomputeDemand() {
+        demand.recompute(classes, engines.values());
+    }
+
+    /** Returns whether no request is open. */
+    public boolean hasNoRequests() {
+        return requests.isEmpty();
+    }
+
+    /** Returns the open request of that number; null if there is none. */
+    public TrackedRequest findRequest(long id) {
+        return requests.get(id);
+    }
+
+    /** Adds a request that has just been admitted. */
+    public TrackedRequest admit(SchedulerEvent.RequestArrived arrival, boolean exempt) {
+        ClassState type = requestClass(arrival.requestClass());
+        TrackedRequest request = new TrackedRequest(arrival, type, exempt, nowMs);
+        requests.put(request.id(), request);
+        return request;
+    }
+
+    /** Forgets a request. */
+    public void release(TrackedRequest request) {
+        requests.remove(request.id());
+    }
+
+    /** Returns the attempt if it has not ended, else null. */
+    public Attempt findUnendedAttempt(long requestId, int attempt) {
+        TrackedRequest request = requests.get(requestId);
+        if (request == null || attempt >= request.attempts().size()) {
+            return null;
+        }
+        Attempt found = request.attempts().get(attempt);
+        return found.state() == AttemptState.ENDED ? null : found;
+    }
+}
--- a/src/main/java/lineward/thrift/OpenCalls.java
+++ b/src/main/java/lineward/thrift/OpenCalls.java
@@ -1,22 +1,20 @@
 package lineward.thrift;
 
 import java.util.function.DoubleSupplier;
-import lineward.core.ByteBudget;
 import lineward.core.Coordinator;
 import lineward.core.GenerationalTable;
-import lineward.frontend.ProtocolServer.Admission;
 import lineward.operations.Metrics;
+import lineward.scheduling.decision.ServerAdmissionPolicy;
 
 /** Admits calls to the coordinator, and holds their statements and ids until they are complete. */
 final class OpenCalls {
     private final ThriftServer.Names names;
-    private final ByteBudget statementBytes;
+    private final ServerAdmissionPolicy admission;
     private final Coordinator<Call> coordinator;
     private final DoubleSupplier clock;
     private final Runnable wakeUp;
     private final Metrics metrics;
     private final CallIds ids = new CallIds();
-    private Admission admission = Admission.OPEN;
 
     /**
      * @param maxStatementBytes bytes of statements held at once; calls beyond are rejected
@@ -32,20 +30,20 @@
             Runnable wakeUp,
             Metrics metrics) {
         this.names = names;
-        this.statementBytes = new ByteBudget(maxStatementBytes);
+        this.admission = new ServerAdmissionPolicy(maxStatementBytes);
         this.coordinator = coordinator;
         this.clock = clock;
         this.wakeUp = wakeUp;
         this.metrics = metrics;
     }
 
-    void setAdmission(Admission next) {
-        admission = next;
+    void setAdmission(ServerAdmissionPolicy.Phase next) {
+        admission.enter(next);
     }
 
     /** Returns whether clients that have a choice of front ends are welcome here. */
     boolean acceptsClients() {
-        return admission == Admission.OPEN;
+        return admission.welcomesClients();
     }
 
     /** Returns the fields of an invocation that can be served. */
@@ -77,14 +75,14 @@
 
     private boolean tryAdmit(Call call) {
         int bytes = call.statement().readableBytes();
-        if (admission == Admission.REJECTING || !statementBytes.reserve(bytes)) {
+        if (!admission.mayAdmit(bytes)) {
             return false;
         }
         long requestId = coordinator.admit(clock.getAsDouble(), call.fields().attributes(), call);
         if (requestId == GenerationalTable.FULL) {
-            statementBytes.release(bytes);
             return false;
         }
+        admission.recordAdmitted(bytes);
         call.admitted(requestId);
         return true;
     }
@@ -103,7 +101,7 @@
      */
     void complete(Call call) {
         if (call.complete()) {
-            statementBytes.release(call.statement().readableBytes());
+            admission.recordCompleted(call.statement().readableBytes());
             call.statement().release();
             ids.ended(call.id(), System.nanoTime());
         }
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -19,6 +19,7 @@
 import lineward.frontend.Listener;
 import lineward.frontend.ProtocolServer;
 import lineward.operations.Metrics;
+import lineward.scheduling.decision.ServerAdmissionPolicy;
 
 /** The platform's front end: listens for clients that speak Thrift, and ends their connections. */
 public final class ThriftServer implements ProtocolServer {
@@ -145,7 +146,7 @@
     }
 
     @Override
-    public void setAdmission(Admission admission) {
+    public void setAdmission(ServerAdmissionPolicy.Phase admission) {
         calls.setAdmission(admission);
     }
 
--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -13,6 +13,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.TreeMap;
+import lineward.scheduling.execution.SpeculativeScheduler;
 
 /**
  * A day of a whole fleet in simulated time: modules that can't talk, engines whose runs share their cores, a
--- a/src/test/java/lineward/LayersTest.java
+++ b/src/test/java/lineward/LayersTest.java
@@ -1,11 +1,15 @@
 package lineward;
 
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.fields;
+
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.library.Architectures;
 import com.tngtech.archunit.library.Architectures.LayeredArchitecture;
 import java.util.List;
+import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** A layer may use itself and the layers below it, never one above. */
@@ -26,42 +30,95 @@
             new Layer("core", "lineward.core..", "lineward.frontend.."),
             new Layer("scheduling", "lineward.scheduling.."));
 
+    /** The parts of the scheduling module, from the top down. */
+    private static final List<Layer> SCHEDULING_LAYERS = List.of(
+            new Layer("simulator", "lineward.scheduling.simulator"),
+            new Layer("execution", "lineward.scheduling.execution"),
+            new Layer("decision", "lineward.scheduling.decision"),
+            new Layer("state", "lineward.scheduling.state"),
+            new Layer("estimation", "lineward.scheduling.estimation"),
+            new Layer("events, actions and settings", "lineward.scheduling"));
+
+    private static JavaClasses productionClasses(String root) {
+        return new ClassFileImporter()
+                .withImportOption(new ImportOption.DoNotIncludeTests())
+                .importPackages(root);
+    }
+
     @Test
     public void noLayerUsesOneAboveIt() {
-        JavaClasses classes = new ClassFileImporter()
-                .withImportOption(new ImportOption.DoNotIncludeTests())
-                .importPackages("lineward");
+        layered(LAYERS).check(productionClasses("lineward"));
+    }
+
+    @Test
+    public void noPartOfTheSchedulingModuleUsesOneAboveIt() {
+        layered(SCHEDULING_LAYERS).check(productionClasses("lineward.scheduling"));
+    }
+
+    /** Returns the rule for layers from the top down. */
+    private static LayeredArchitecture layered(List<Layer> layers) {
         LayeredArchitecture architecture = Architectures.layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .ensureAllClassesAreContainedInArchitecture();
-        for (Layer layer : LAYERS) {
+        for (Layer layer : layers) {
             architecture =
                     architecture.layer(layer.name()).definedBy(layer.packages().toArray(String[]::new));
         }
-        for (int i = 0; i < LAYERS.size(); i++) {
-            String[] above = LAYERS.subList(0, i).stream().map(Layer::name).toArray(String[]::new);
+        for (int i = 0; i < layers.size(); i++) {
+            String[] above = layers.subList(0, i).stream().map(Layer::name).toArray(String[]::new);
             LayeredArchitecture.LayerDependencySpecification layer =
-                    architecture.whereLayer(LAYERS.get(i).name());
+                    architecture.whereLayer(layers.get(i).name());
             if (above.length == 0) {
                 architecture = layer.mayNotBeAccessedByAnyLayer();
             } else {
                 architecture = layer.mayOnlyBeAccessedByLayers(above);
             }
         }
-        architecture.check(classes);
+        return architecture;
+    }
+
+    @DataProvider
+    public Object[][] plantedFaults() {
+        return new Object[][] {
+            {"lineward.core..", "lineward.mysql.."}, {"lineward.scheduling.state", "lineward.scheduling.decision"}
+        };
     }
 
-    @Test(expectedExceptions = AssertionError.class)
-    public void aLayerThatUsesOneAboveItIsFound() {
+    @Test(dataProvider = "plantedFaults", expectedExceptions = AssertionError.class)
+    public void aLayerThatUsesOneAboveItIsFound(String lower, String upper) {
         JavaClasses classes = new ClassFileImporter().importPackages("lineward");
         Architectures.layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
-                .layer("core")
-                .definedBy("lineward.core..")
-                .layer("mysql")
-                .definedBy("lineward.mysql..")
-                .whereLayer("core")
+                .layer("lower")
+                .definedBy(lower)
+                .layer("upper")
+                .definedBy(upper)
+                .whereLayer("lower")
                 .mayNotBeAccessedByAnyLayer()
                 .check(classes);
     }
+
+    /** Other classes change the state by its methods only. */
+    @Test
+    public void fieldsOfSchedulingStateArePrivate() {
+        fields().that()
+                .areDeclaredInClassesThat()
+                .resideInAnyPackage("lineward.scheduling.state", "lineward.scheduling.estimation")
+                .and()
+                .areNotStatic()
+                .should()
+                .bePrivate()
+                .check(productionClasses("lineward.scheduling"));
+    }
+
+    @Test
+    public void decisionsUseNoLibraryAndNoInputOrOutput() {
+        classes()
+                .that()
+                .resideInAPackage("lineward.scheduling.decision")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideInAnyPackage("lineward.scheduling..", "java.lang..", "java.util..")
+                .check(productionClasses("lineward.scheduling"));
+    }
 }
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -29,7 +29,7 @@
 import lineward.scheduling.MemoryShortage;
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerSettings;
-import lineward.scheduling.SpeculativeScheduler;
+import lineward.scheduling.execution.SpeculativeScheduler;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
--- a/src/test/java/lineward/scheduling/ColdFleetTest.java
+++ b/src/test/java/lineward/scheduling/ColdFleetTest.java
@@ -13,6 +13,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
+import lineward.scheduling.execution.SpeculativeScheduler;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
--- a/src/test/java/lineward/scheduling/HostExampleTest.java
+++ b/src/test/java/lineward/scheduling/HostExampleTest.java
@@ -10,6 +10,7 @@
 import lineward.scheduling.SchedulerEvent.EndpointsChanged;
 import lineward.scheduling.SchedulerEvent.RequestArrived;
 import lineward.scheduling.SchedulerEvent.TimerFired;
+import lineward.scheduling.execution.SpeculativeScheduler;
 import org.testng.annotations.Test;
 
 /** The README host program, with pretended engines that answer after 150 ms. */
--- a/src/test/java/lineward/scheduling/RandomDaysTest.java
+++ b/src/test/java/lineward/scheduling/RandomDaysTest.java
@@ -20,6 +20,7 @@
 import lineward.scheduling.SchedulerEvent.EndpointsChanged;
 import lineward.scheduling.SchedulerEvent.RequestArrived;
 import lineward.scheduling.SchedulerEvent.TimerFired;
+import lineward.scheduling.execution.SpeculativeScheduler;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
--- a/src/test/java/lineward/scheduling/Scene.java
+++ b/src/test/java/lineward/scheduling/Scene.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import lineward.scheduling.SchedulerSettings.Limits;
 import lineward.scheduling.SchedulerSettings.Rules;
+import lineward.scheduling.execution.SpeculativeScheduler;
 
 /** A small stage for the module: settings to vary, a clock to move, and what it answered. */
 final class Scene {
--- a/src/test/java/lineward/scheduling/SeededDay.java
+++ b/src/test/java/lineward/scheduling/SeededDay.java
@@ -27,6 +27,7 @@
 import lineward.scheduling.SchedulerEvent.RequestCancelled;
 import lineward.scheduling.SchedulerEvent.ResponseStarted;
 import lineward.scheduling.SchedulerEvent.TimerFired;
+import lineward.scheduling.execution.SpeculativeScheduler;
 
 /**
  * A day of random but legal events for one decision module. Engines serve, straggle, fail, fall silent,
--- a/src/test/java/lineward/scheduling/SpeculationTest.java
+++ b/src/test/java/lineward/scheduling/SpeculationTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
+import lineward.scheduling.estimation.SurvivalCurve;
 import org.assertj.core.api.Assertions;
 import org.testng.annotations.Test;
 
--- a/src/test/java/lineward/scheduling/StyleTest.java
+++ b/src/test/java/lineward/scheduling/StyleTest.java
@@ -1,5 +1,6 @@
 package lineward.scheduling;
 
+import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -7,24 +8,39 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** The limits on the size of the decision policies and on the length of lines. */
+/** Which files hold decisions, how large they are, and how long lines are. */
 public class StyleTest {
-    private static final int MAX_POLICY_LINES = 1070;
+    private static final int MAX_DECISION_LINES = 300;
     private static final int MAX_LINE_LENGTH = 110;
 
     @Test
-    public void theDecisionPoliciesAreShortEnoughToRead() throws IOException {
+    public void theDeployFileListsEveryDecisionClassAndNoOther() throws IOException {
         JsonNode deploy = new TomlMapper().readTree(Files.readString(Path.of("deploy/balancer.toml")));
-        long lines = 0;
-        for (JsonNode file : deploy.path("policy")) {
-            List<String> text = Files.readAllLines(Path.of(file.asText()));
-            lines += text.stream().filter(line -> !line.isBlank()).count();
+        Set<String> listed = new TreeSet<>();
+        deploy.path("policy").forEach(file -> listed.add(file.asText()));
+        assertEquals(listed, decisionFiles());
+    }
+
+    private static Set<String> decisionFiles() throws IOException {
+        try (Stream<Path> files = Files.list(Path.of("src/main/java/lineward/scheduling/decision"))) {
+            return files.map(Path::toString)
+                    .filter(file -> file.endsWith(".java") && !file.endsWith("package-info.java"))
+                    .collect(Collectors.toCollection(TreeSet::new));
+        }
+    }
+
+    @Test
+    public void aDecisionClassIsShortEnoughToReadInOneSitting() throws IOException {
+        for (String file : decisionFiles()) {
+            int lines = Files.readAllLines(Path.of(file)).size();
+            assertTrue(lines <= MAX_DECISION_LINES, file + ": " + lines + " lines");
         }
-        assertTrue(lines > 0 && lines <= MAX_POLICY_LINES, lines + " lines");
     }
 
     @Test
--- /dev/null
+++ b/src/test/java/lineward/scheduling/state/AttemptStateTest.java
@@ -0,0 +1,29 @@
+package lineward.scheduling.state;
+
+import static lineward.scheduling.state.AttemptState.CANCELLING;
+import static lineward.scheduling.state.AttemptState.ENDED;
+import static lineward.scheduling.state.AttemptState.IN_FLIGHT;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** The transition table of an attempt. */
+public class AttemptStateTest {
+
+    /** State, then the state after: cancelled, ended. */
+    @DataProvider
+    public Object[][] transitions() {
+        return new Object[][] {
+            {IN_FLIGHT, CANCELLING, ENDED},
+            {CANCELLING, CANCELLING, ENDED},
+            {ENDED, ENDED, ENDED},
+        };
+    }
+
+    @Test(dataProvider = "transitions")
+    public void eachEventLeadsToTheStateOfTheTable(AttemptState state, AttemptState cancelled, AttemptState ended) {
+        assertThat(state.cancel()).isEqualTo(cancelled);
+        assertThat(state.end()).isEqualTo(ended);
+    }
+}
