--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -70,12 +70,18 @@
      */
     public void adaptQuota(boolean requestsBlocked, double intervalMs) {
         boolean calm = isCalm();
-        double growth = reports.areShared() ? REPORTED_GROWTH : Math.pow(frontEnds, intervalMs / FULL_QUOTA_AFTER_MS);
+        double growth = growth(intervalMs);
         quota = requestsBlocked && calm
                 ? Math.min(FULL_QUOTA, quota * growth)
                 : Math.max(evenQuota(), quota / (calm ? UNUSED_SHRINK : growth));
     }
 
+    private double growth(double intervalMs) {
+        return reports.areShared()
+                ? REPORTED_GROWTH
+                : Math.pow(frontEnds, intervalMs / FULL_QUOTA_AFTER_MS);
+    }
+
     private boolean isCalm() {
         return reports.areShared()
                 ? reports.threadsPerCore() < SATURATION_THREADS_PER_CORE * LoadReports.MIN_LIMIT_JITTER
@@ -97,7 +103,8 @@
     }
 
     private double threadLimit(Engine engine) {
-        return SATURATION_THREADS_PER_CORE * engine.cores() * quota * Math.min(FULL_SPEED, capacity.speed(engine));
+        double speed = Math.min(FULL_SPEED, capacity.speed(engine));
+        return SATURATION_THREADS_PER_CORE * engine.cores() * quota * speed;
     }
 
     private boolean hasMemory(Engine engine, TrackedRequest request) {
--- a/src/main/java/lineward/scheduling/decision/EngineEligibility.java
+++ b/src/main/java/lineward/scheduling/decision/EngineEligibility.java
@@ -25,7 +25,8 @@
 
     /** Returns whether the engine is ready, placed, below its limits and within its slow-start budget. */
     public boolean hasCapacityNow(TrackedRequest request, Engine engine) {
-        return mayRunOn(request, engine) && limits.hasCapacity(engine, request) && slowStart.allows(request, engine);
+        boolean hasCapacity = mayRunOn(request, engine) && limits.hasCapacity(engine, request);
+        return hasCapacity && slowStart.allows(request, engine);
     }
 
     /**
--- a/src/main/java/lineward/scheduling/decision/SlowStart.java
+++ b/src/main/java/lineward/scheduling/decision/SlowStart.java
@@ -93,8 +93,13 @@
 
     /** What another process sent counts for one window more, so a larger quota applies only after it. */
     private double effectiveQuotaRatio() {
-        boolean justChanged =
-                quotaChangedMs.isPresent() && context.nowMs() - quotaChangedMs.getAsDouble() < rule.windowMs();
-        return justChanged ? Math.min(quotaRatio, previousQuotaRatio) : quotaRatio;
+        return isQuotaJustChanged() ? Math.min(quotaRatio, previousQuotaRatio) : quotaRatio;
+    }
+
+    private boolean isQuotaJustChanged() {
+        if (quotaChangedMs.isEmpty()) {
+            return false;
+        }
+        return context.nowMs() - quotaChangedMs.getAsDouble() < rule.windowMs();
     }
 }
--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -62,7 +62,8 @@
         if (attempt.request().deadlineMs() - context.nowMs() < relaunchMs) {
             return false;
         }
-        return isOnEjectedEngine(attempt) || isStandingStill(attempt, relaunchMs) || isPastTau(attempt, relaunchMs);
+        boolean engineFails = isOnEjectedEngine(attempt) || isStandingStill(attempt, relaunchMs);
+        return engineFails || isPastTau(attempt, relaunchMs);
     }
 
     /** Returns the run time of a relaunch, slowed down as its class is now on all engines. */
@@ -76,7 +77,8 @@
     }
 
     private boolean isRecoveryProbeInTime(Attempt attempt) {
-        double allowedMs = RECOVERY_PROBE_FACTOR * attempt.request().expectedRunMs() + RECOVERY_PROBE_MARGIN_MS;
+        double expectedMs = attempt.request().expectedRunMs();
+        double allowedMs = RECOVERY_PROBE_FACTOR * expectedMs + RECOVERY_PROBE_MARGIN_MS;
         return attempt.isRecoveryProbe() && context.nowMs() - attempt.startedAtMs() <= allowedMs;
     }
 
--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -22,7 +22,10 @@
             return OptionalDouble.empty();
         }
         OptionalDouble leastLoad = leastLoadRatio(model, nowMs);
-        return model.hasCurve() ? leastLoad : OptionalDouble.of(withinStragglerBounds(leastLoad, model.typicalRatio()));
+        if (model.hasCurve()) {
+            return leastLoad;
+        }
+        return OptionalDouble.of(withinStragglerBounds(leastLoad, model.typicalRatio()));
     }
 
     private static OptionalDouble leastLoadRatio(ServiceTimeModel model, double nowMs) {
--- a/src/main/java/lineward/scheduling/execution/AdmissionQueue.java
+++ b/src/main/java/lineward/scheduling/execution/AdmissionQueue.java
@@ -86,7 +86,8 @@
         if (!keyOrder.isNext(request)) {
             return false;
         }
-        Optional<Engine> engine = request.type().isDispatchPaused() ? Optional.empty() : selector.selectEngine(request);
+        boolean paused = request.type().isDispatchPaused();
+        Optional<Engine> engine = paused ? Optional.empty() : selector.selectEngine(request);
         engine.ifPresent(selected -> starter.start(request, selected));
         blocked |= engine.isEmpty();
         return engine.isPresent();
--- a/src/main/java/lineward/scheduling/execution/Mechanisms.java
+++ b/src/main/java/lineward/scheduling/execution/Mechanisms.java
@@ -52,10 +52,11 @@
         speculation = new SpeculativeCancellation(context, cancellation, retries, eligibility);
         FinalAnswerPolicy finalAnswers = new FinalAnswerPolicy(context, retries);
         lifecycle = new RequestLifecycle(context, cancellation, finalAnswers, keyOrder);
-        EngineLoadScore loadScore = new EngineLoadScore(context, limits, slowStart, resources, reports, capacity);
-        EngineSelector selector = new EngineSelector(context, limits, retries, outliers, eligibility, loadScore);
+        EngineLoadScore score = new EngineLoadScore(context, limits, slowStart, resources, reports, capacity);
+        EngineSelector selector = new EngineSelector(context, limits, retries, outliers, eligibility, score);
         AttemptStarter starter = new AttemptStarter(context, retries, budget, outliers, resources);
-        queue = new AdmissionQueue(context, new AdmissionPolicy(context), selector, keyOrder, lifecycle, starter);
+        AdmissionPolicy admission = new AdmissionPolicy(context);
+        queue = new AdmissionQueue(context, admission, selector, keyOrder, lifecycle, starter);
         OutcomeLearning learning = new OutcomeLearning(context, outliers, resources);
         outcomes = new AttemptOutcomes(context, learning, retries, keyOrder, lifecycle, queue);
         MigrationPolicy migration = new MigrationPolicy(context, cancellation, retries, eligibility);
--- a/src/main/java/lineward/scheduling/state/LoadReports.java
+++ b/src/main/java/lineward/scheduling/state/LoadReports.java
@@ -54,7 +54,10 @@
     /** Returns whether the engine's last report is recent enough to use. */
     public boolean areFresh(Engine engine) {
         OptionalDouble reportedAtMs = engine.load().reportedAtMs();
-        return includeLoad() && reportedAtMs.isPresent() && context.nowMs() - reportedAtMs.getAsDouble() < FRESH_FOR_MS;
+        if (!includeLoad() || reportedAtMs.isEmpty()) {
+            return false;
+        }
+        return context.nowMs() - reportedAtMs.getAsDouble() < FRESH_FOR_MS;
     }
 
     /** Returns the threads at an engine by its last report and the attempts started since. */
--- a/src/test/java/lineward/LayersTest.java
+++ b/src/test/java/lineward/LayersTest.java
@@ -80,7 +80,8 @@
     @DataProvider
     public Object[][] plantedFaults() {
         return new Object[][] {
-            {"lineward.core..", "lineward.mysql.."}, {"lineward.scheduling.state", "lineward.scheduling.decision"}
+            {"lineward.core..", "lineward.mysql.."},
+            {"lineward.scheduling.state", "lineward.scheduling.decision"} // used by the policies
         };
     }
 
