--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -77,9 +77,7 @@
     }
 
     private double growth(double intervalMs) {
-        return reports.areShared()
-                ? REPORTED_GROWTH
-                : Math.pow(frontEnds, intervalMs / FULL_QUOTA_AFTER_MS);
+        return reports.areShared() ? REPORTED_GROWTH : Math.pow(frontEnds, intervalMs / FULL_QUOTA_AFTER_MS);
     }
 
     private boolean isCalm() {
--- a/src/test/java/lineward/DocumentationTest.java
+++ b/src/test/java/lineward/DocumentationTest.java
@@ -21,9 +21,11 @@
 /** The pages name files, classes and members that exist. */
 public class DocumentationTest {
     private static final Pattern LINK = Pattern.compile("\\]\\(([^)#\\s]+)(?:#[^)]*)?\\)");
-    /** A class, perhaps with packages before it and a member behind it, for example `core.Coordinator.admit`. */
-    private static final Pattern CLASS_NAME = Pattern.compile(
-            "`(?:[a-z]+\\.)*((?:[A-Z]+[a-z]\\w*)(?:\\.[A-Z]\\w*)*)(?:\\.([a-zA-Z]\\w*))?(?:\\(\\))?`");
+    private static final String PACKAGES = "(?:[a-z]+\\.)*";
+    private static final String TYPES = "((?:[A-Z]+[a-z]\\w*)(?:\\.[A-Z]\\w*)*)";
+    private static final String MEMBER = "(?:\\.([a-zA-Z]\\w*))?(?:\\(\\))?";
+    /** A class, perhaps with packages before it and a member behind it: `core.Coordinator.admit`. */
+    private static final Pattern CLASS_NAME = Pattern.compile("`" + PACKAGES + TYPES + MEMBER + "`");
 
     private static final Pattern DECLARATION = Pattern.compile("\\b(?:class|interface|record|enum) (\\w+)");
 
@@ -87,7 +89,9 @@
     }
 
     private static boolean contains(String source, String word) {
-        return Pattern.compile("\\b" + Pattern.quote(word) + "\\b").matcher(source).find();
+        return Pattern.compile("\\b" + Pattern.quote(word) + "\\b")
+                .matcher(source)
+                .find();
     }
 
     private static MatchResult name(String text) {
