--- a/src/main/java/lineward/app/MysqlConfigReader.java
+++ b/src/main/java/lineward/app/MysqlConfigReader.java
@@ -11,6 +11,7 @@
 import java.util.regex.Pattern;
 import java.util.regex.PatternSyntaxException;
 import lineward.mysql.MysqlConfig;
+import lineward.mysql.engine.EngineConfig;
 import lineward.scheduling.EndpointState;
 import lineward.spool.SpoolLimits;
 
@@ -57,7 +58,7 @@
         InetSocketAddress address = listen.isPresent() ? listen.address() : null;
         MysqlConfig.Bounds bounds = bounds(root.member("limits"));
         Map<String, String> users = users(root.member("user"));
-        List<MysqlConfig.Engine> engines = engines(root.member("engine"));
+        List<EngineConfig> engines = engines(root.member("engine"));
         List<MysqlConfig.QueryClass> classes = classes(root.member("class"));
         boolean canServe = !users.isEmpty() && !engines.isEmpty() && !classes.isEmpty();
         if (address != null && !canServe) {
@@ -86,15 +87,15 @@
         return passwords;
     }
 
-    private static List<MysqlConfig.Engine> engines(ConfigNode list) {
-        List<MysqlConfig.Engine> engines = new ArrayList<>();
+    private static List<EngineConfig> engines(ConfigNode list) {
+        List<EngineConfig> engines = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (ConfigNode engine : list.elements()) {
             ConfigNode name = engine.member("name");
             if (!names.add(name.requiredText())) {
                 throw name.invalid("is the name of two engines", "a name for each engine");
             }
-            engines.add(new MysqlConfig.Engine(
+            engines.add(new EngineConfig(
                     name.requiredText(),
                     engine.member("address").address(),
                     engine.member("user").requiredText(),
--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSettings.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import lineward.mysql.MysqlConfig;
+import lineward.mysql.engine.EngineConfig;
 import lineward.scheduling.DeduplicationScope;
 import lineward.scheduling.EngineKind;
 import lineward.scheduling.Idempotence;
@@ -32,10 +33,8 @@
      * may write are not.
      */
     static SchedulerSettings of(MysqlConfig config) {
-        int cores = config.engines().stream()
-                .mapToInt(MysqlConfig.Engine::cores)
-                .min()
-                .orElse(1);
+        int cores =
+                config.engines().stream().mapToInt(EngineConfig::cores).min().orElse(1);
         return new SchedulerSettings(
                 classes(config.classes()),
                 List.of(new EngineKind(cores, 0)),
--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -6,7 +6,8 @@
 import lineward.core.Coordinator;
 import lineward.mysql.MysqlConfig;
 import lineward.mysql.MysqlServer;
-import lineward.mysql.Query;
+import lineward.mysql.client.Query;
+import lineward.mysql.engine.EngineConfig;
 import lineward.operations.Metrics;
 import lineward.scheduling.execution.SpeculativeScheduler;
 import lineward.spool.Spool;
@@ -54,7 +55,7 @@
         context.startActions().add(() -> context.ticker().every(RELOAD_INTERVAL_MS, reload));
     }
 
-    private void reload(Consumer<List<MysqlConfig.Engine>> engines) {
+    private void reload(Consumer<List<EngineConfig>> engines) {
         if (!file.hasChanged()) {
             return;
         }
--- a/src/main/java/lineward/mysql/MysqlConfig.java
+++ b/src/main/java/lineward/mysql/MysqlConfig.java
@@ -5,41 +5,40 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
-import lineward.scheduling.EndpointState;
+import lineward.mysql.engine.EngineConfig;
 import lineward.spool.SpoolLimits;
 
 /**
  * The configuration of the MySQL front end.
  *
- * @param listen address on which clients connect; null: the front end is off
- * @param users passwords by name
- * @param spool where results are spooled
+ * @param listen address for clients; null: the front end is disabled
+ * @param users passwords by user name
  */
 public record MysqlConfig(
         InetSocketAddress listen,
         Bounds bounds,
         Map<String, String> users,
-        List<Engine> engines,
+        List<EngineConfig> engines,
         List<QueryClass> classes,
         Spooling spool) {
 
     /**
-     * Where results are spooled.
+     * The spool for results.
      *
-     * @param folder null: memory alone
+     * @param folder null: results are spooled in memory only
      */
     public record Spooling(SpoolLimits limits, Path folder) {}
 
     /**
      * Limits of connections, statements and packets.
      *
-     * @param maxClients client connections; one more is told that there are too many
+     * @param maxClients largest number of client connections; further ones are rejected with an error
      * @param maxPacket largest payload of a client's packet, in bytes
-     * @param maxStatements prepared statements of one client
-     * @param connectionsPerEngine connections to one engine
-     * @param connectTimeoutMs how long a connection to an engine may take to open
-     * @param idleMs how long a connection to an engine may stay unused before it is closed
-     * @param maxAttempts attempts for one statement that may be retried
+     * @param maxStatements largest number of prepared statements of one client
+     * @param connectionsPerEngine largest number of connections to one engine
+     * @param connectTimeoutMs largest time for opening a connection to an engine, and for its login
+     * @param idleMs time without use after which a connection to an engine is closed
+     * @param maxAttempts largest number of attempts for a statement that may be retried
      */
     public record Bounds(
             int maxClients,
@@ -50,40 +49,25 @@
             int idleMs,
             int maxAttempts) {}
 
-    /**
-     * One engine.
-     *
-     * @param name unique among the engines
-     * @param user that this server logs in as
-     * @param state whether it takes new statements
-     */
-    public record Engine(
-            String name,
-            InetSocketAddress address,
-            String user,
-            String password,
-            int cores, // by which its concurrency limit is set
-            EndpointState state) {}
-
     /**
      * A class of statements.
      *
-     * @param match finds the statements of this class; the first class that matches counts
+     * @param match matches the statements of this class; the first class that matches applies
      * @param latencyObjectiveMs latency objective
-     * @param deadlineMs time behind which a statement is answered with an error
-     * @param priorityWeight priority weight against other classes
-     * @param threads of an engine that a statement occupies
+     * @param deadlineMs time after which a statement is answered with an error
+     * @param priorityWeight priority weight relative to other classes
+     * @param threads threads of an engine that a statement uses
      */
     public record QueryClass(
             String name,
             Pattern match,
-            double latencyObjectiveMs, // the key in the deploy file has this name
+            double latencyObjectiveMs,
             double deadlineMs,
             double priorityWeight,
             int threads) {}
 
-    /** Returns the index of the class of a statement; the last class takes what no other matches. */
-    int classOf(String text) {
+    /** Returns the index of a statement's class; the last class has the statements that no other matches. */
+    int classIndexOf(String text) {
         for (int i = 0; i < classes.size() - 1; i++) {
             if (classes.get(i).match().matcher(text).find()) {
                 return i;
--- /dev/null
+++ b/src/main/java/lineward/mysql/client/AttemptReporter.java
@@ -0,0 +1,59 @@
+package lineward.mysql.client;
+
+import io.netty.buffer.ByteBuf;
+import lineward.core.Coordinator;
+import lineward.mysql.engine.AttemptListener;
+import lineward.operations.Metrics;
+import lineward.scheduling.AttemptOutcome;
+import lineward.spool.Spool;
+import lineward.spool.SpooledResult;
+
+/** Reports the progress of one attempt to the coordinator and to the query's client. */
+public final class AttemptReporter implements AttemptListener {
+    /**
+     * The recipients of the reports of all attempts.
+     *
+     * @param wakeUp is called when the coordinator has events to decide on
+     */
+    public record Targets(Coordinator<Query> coordinator, Metrics metrics, Spool spool, Runnable wakeUp) {}
+
+    private final Targets targets;
+    private final Query query;
+    private final int attempt;
+
+    /** @param attempt the coordinator's number of the attempt */
+    public AttemptReporter(Targets targets, Query query, int attempt) {
+        this.targets = targets;
+        this.query = query;
+        this.attempt = attempt;
+    }
+
+    @Override
+    public void commandWritten() {
+        targets.metrics().countForwarded();
+    }
+
+    @Override
+    public SpooledResult openSpool() {
+        return query.openSpool(targets.spool());
+    }
+
+    @Override
+    public boolean alwaysSpools() {
+        return query.spooling().isRequired();
+    }
+
+    @Override
+    public boolean responseStarted() {
+        boolean accepted = targets.coordinator().responseStarted(query.requestId(), attempt);
+        query.startResponse(accepted);
+        return accepted;
+    }
+
+    @Override
+    public void ended(AttemptOutcome outcome, ByteBuf reply) {
+        boolean served = targets.coordinator().attemptEnded(query.requestId(), attempt, outcome);
+        query.attemptEnded(served, reply);
+        targets.wakeUp().run();
+    }
+}
--- a/src/main/java/lineward/mysql/ClientAcceptor.java
+++ b/src/main/java/lineward/mysql/client/ClientAcceptor.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.client;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -7,22 +7,25 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import lineward.frontend.Listener;
+import lineward.mysql.wire.PacketDecoder;
 
-/** Accepts the connections of clients and gives each a session and a number. */
-final class ClientAcceptor {
-    private final MysqlServer server;
+/** Accepts the connections of clients; each gets a session and a number. */
+public final class ClientAcceptor {
+    private final ClientContext context;
     private final Listener listener;
-    /** Null until it listens. */
+    /** Null before {@link #listen}. */
     private Channel channel;
 
     private int lastClientNumber;
 
-    ClientAcceptor(MysqlServer server, Listener listener) {
-        this.server = server;
+    /** Creates an acceptor that does not listen yet. */
+    public ClientAcceptor(ClientContext context, Listener listener) {
+        this.context = context;
         this.listener = listener;
     }
 
-    ChannelFuture listen(EventLoopGroup loop) {
+    /** Starts listening. */
+    public ChannelFuture listen(EventLoopGroup loop) {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -30,8 +33,9 @@
                     @Override
                     protected void initChannel(Channel accepted) {
                         lastClientNumber++;
-                        ClientSession client = new ClientSession(server, lastClientNumber);
-                        accepted.pipeline().addLast(new PacketDecoder(server.maxPacket()), client);
+                        ClientSession client = new ClientSession(context, lastClientNumber);
+                        PacketDecoder decoder = new PacketDecoder(context.maxPacketBytes());
+                        accepted.pipeline().addLast(decoder, client);
                     }
                 });
         ChannelFuture binding = listener.bind(bootstrap, loop);
@@ -39,8 +43,8 @@
         return binding;
     }
 
-    /** Stops accepting; does nothing if it does not listen yet. */
-    void stop() {
+    /** Stops accepting; has no effect before {@link #listen}. */
+    public void stop() {
         if (channel != null) {
             listener.stopAccepting(channel);
         }
--- a/src/main/java/lineward/mysql/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -1,20 +1,33 @@
-package lineward.mysql;
+package lineward.mysql.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.DecoderException;
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
-
-/** Carries out the commands of one authenticated client: answers them here or hands them on to an engine. */
+import java.util.function.Supplier;
+import lineward.mysql.session.ClientStatement;
+import lineward.mysql.session.PreparedStatements;
+import lineward.mysql.session.SessionSettings;
+import lineward.mysql.session.SpoolHint;
+import lineward.mysql.session.StatementKind;
+import lineward.mysql.session.UnsupportedSettingException;
+import lineward.mysql.session.Work;
+import lineward.mysql.wire.Commands;
+import lineward.mysql.wire.Failure;
+import lineward.mysql.wire.LocalResult;
+import lineward.mysql.wire.Packets;
+import lineward.mysql.wire.Texts;
+
+/** Executes the commands of one authenticated client: answers them here, or forwards them to an engine. */
 final class ClientCommands {
     private static final int MAX_LONG_DATA_BYTES = 1 << 20;
     private static final int STATEMENT_ID_BYTES = 4;
     private static final int PARAMETER_NUMBER_BYTES = 2;
-    /** What stands for the id of a statement in a packet too short to hold one. */
+    /** The statement id of a packet that is too short for one; no statement has it. */
     private static final long NO_STATEMENT_ID = -1;
 
     private final ClientSession session;
-    private final MysqlServer server;
+    private final Supplier<String> statistics;
     private final ReplyWriter replies;
     private final SessionSettings settings;
     private final PreparedStatements statements;
@@ -23,14 +36,14 @@
 
     ClientCommands(
             ClientSession session,
-            MysqlServer server,
+            Supplier<String> statistics,
             ReplyWriter replies,
             SessionSettings settings,
             PreparedStatements statements,
             SpoolStream stream,
             QueryRunner queries) {
         this.session = session;
-        this.server = server;
+        this.statistics = statistics;
         this.replies = replies;
         this.settings = settings;
         this.statements = statements;
@@ -39,7 +52,7 @@
     }
 
     /**
-     * Carries out one command.
+     * Executes one command.
      *
      * @param payload the command's number and its arguments
      * @throws DecoderException if the payload is empty
@@ -67,7 +80,7 @@
 
     private void sendStatistics() {
         ByteBuf packet = Packets.begin(replies.alloc(), replies.nextSequence());
-        packet.writeCharSequence(server.statistics(), StandardCharsets.UTF_8);
+        packet.writeCharSequence(statistics.get(), StandardCharsets.UTF_8);
         replies.send(Packets.done(packet));
     }
 
@@ -113,8 +126,8 @@
         }
         SpoolHint hint = SpoolHint.of(payload.toString(StandardCharsets.ISO_8859_1));
         Work.Query work = new Work.Query(queries.schema(), hint.statement());
-        if (writes || hint.key().isEmpty()) {
-            queries.run(work, text, writes, Query.Spooling.PLAIN);
+        if (writes || !hint.hasKey()) {
+            queries.run(work, text, writes, Query.Spooling.IF_LONG);
         } else if (!stream.answer(hint, work.digest(), null)) {
             queries.run(work, text, false, new Query.Spooling(hint.key(), work.digest(), null));
         }
@@ -130,9 +143,9 @@
         } else if (!statements.reserve(payload.readableBytes())) {
             replies.sendError(Failure.tooMany("prepared statements"));
         } else {
-            // To prepare changes nothing, whatever the statement does when it is executed.
+            // The preparation of a write changes nothing, so that it may be retried like a read.
             String latin1 = payload.toString(StandardCharsets.ISO_8859_1);
-            queries.run(new Work.Prepare(queries.schema(), latin1), text, false, Query.Spooling.PLAIN);
+            queries.run(new Work.Prepare(queries.schema(), latin1), text, false, Query.Spooling.IF_LONG);
         }
     }
 
@@ -141,7 +154,7 @@
         if (statement == null) {
             return;
         }
-        boolean opensCursor = ClientStatement.wantsCursor(payload);
+        boolean requestsCursor = ClientStatement.requestsCursor(payload);
         statement.closeCursor();
         Work.Execute work;
         try {
@@ -150,20 +163,17 @@
             replies.sendError(Failure.wrongArguments(e.getMessage()));
             return;
         }
-        String text = Texts.utf8(statement.text);
+        String text = Texts.utf8(statement.text());
         boolean writes = StatementKind.of(text) instanceof StatementKind.Write;
-        ClientStatement cursor = opensCursor && !writes ? statement : null;
-        String key = writes ? "" : statement.hint.key();
+        ClientStatement cursor = requestsCursor && !writes ? statement : null;
+        String key = writes ? "" : statement.hint().key();
         String digest = key.isEmpty() ? "" : work.digest();
-        if (key.isEmpty() || !stream.answer(statement.hint, digest, cursor)) {
+        if (key.isEmpty() || !stream.answer(statement.hint(), digest, cursor)) {
             queries.run(work, text, writes, new Query.Spooling(key, digest, cursor));
         }
     }
 
-    /**
-     * This command has no reply; too much data closes the connection, as the execution would miss a part of
-     * it.
-     */
+    /** COM_STMT_SEND_LONG_DATA has no reply; the only way to report excessive data is to close the connection. */
     private void addLongData(ByteBuf payload) {
         if (payload.readableBytes() < STATEMENT_ID_BYTES + PARAMETER_NUMBER_BYTES) {
             return;
@@ -173,7 +183,7 @@
             return;
         }
         int parameter = payload.readUnsignedShortLE();
-        if (statement.longBytes() + payload.readableBytes() > MAX_LONG_DATA_BYTES) {
+        if (statement.longDataBytes() + payload.readableBytes() > MAX_LONG_DATA_BYTES) {
             session.closeWith(Failure.tooLarge(MAX_LONG_DATA_BYTES));
             return;
         }
@@ -182,7 +192,7 @@
         statement.add(new Work.LongData(parameter, bytes));
     }
 
-    /** This command has no reply. */
+    /** COM_STMT_CLOSE has no reply. */
     private void closeStatement(ByteBuf payload) {
         statements.close(readStatementId(payload));
     }
@@ -208,7 +218,7 @@
         if (statement == null) {
             return;
         }
-        if (!statement.hasCursor() || payload.readableBytes() < Integer.BYTES) {
+        if (!statement.hasOpenCursor() || payload.readableBytes() < Integer.BYTES) {
             replies.sendError(Failure.noCursor(id));
             return;
         }
@@ -223,7 +233,7 @@
         return payload.readableBytes() < STATEMENT_ID_BYTES ? NO_STATEMENT_ID : payload.readUnsignedIntLE();
     }
 
-    /** Returns the statement; null if there is none, which the client has been told then. */
+    /** Returns the statement; null if there is none, after an error to the client. */
     private ClientStatement findStatement(long id) {
         ClientStatement statement = statements.get(id);
         if (statement == null) {
--- a/src/main/java/lineward/mysql/ClientLogin.java
+++ b/src/main/java/lineward/mysql/client/ClientLogin.java
@@ -1,36 +1,43 @@
-package lineward.mysql;
+package lineward.mysql.client;
 
 import io.netty.buffer.ByteBuf;
+import java.util.Map;
+import lineward.mysql.wire.Auth;
+import lineward.mysql.wire.Dialect;
+import lineward.mysql.wire.Handshake;
 
-/** The login of one client: reads its packets and verifies that it knows its user's password. Does no I/O. */
+/** The login of one client: reads its packets and verifies the password. Does no I/O. */
 final class ClientLogin {
-    /** What a packet of the login has led to. */
+    /** The result of one packet of the login. */
     enum Outcome {
-        /** The client is to prove its password by {@link Auth#NATIVE}. */
+        /** The client must authenticate by {@link Auth#NATIVE}. */
         SWITCH_REQUIRED,
         DENIED,
         ACCEPTED
     }
 
-    private final MysqlServer server;
-    private final byte[] nonce = Auth.nonce();
+    private final Map<String, String> passwords;
+    private final byte[] nonce = Auth.newNonce();
+    /** Null before the login packet. */
     private Handshake.Login login;
+
     private boolean awaitsFastAuthConfirmation;
 
-    ClientLogin(MysqlServer server) {
-        this.server = server;
+    /** @param passwords passwords by user name */
+    ClientLogin(Map<String, String> passwords) {
+        this.passwords = passwords;
     }
 
     byte[] nonce() {
         return nonce;
     }
 
-    /** Returns the name that the client gave; only behind its first packet. */
+    /** Returns the user name; only after the login packet. */
     String user() {
         return login.user();
     }
 
-    /** Returns the schema that the client asked for; empty if none. */
+    /** Returns the schema that the client selects; empty if none. */
     String schema() {
         return login.schema();
     }
@@ -39,13 +46,13 @@
         return Dialect.of(login.capabilities());
     }
 
-    /** Returns whether the client must hear that its proof was enough before it can take an OK. */
+    /** Returns whether the client expects a confirmation of fast authentication before the OK packet. */
     boolean awaitsFastAuthConfirmation() {
         return awaitsFastAuthConfirmation;
     }
 
     /**
-     * Takes the payload of the login packet, or of the one that answers a switch of the plugin.
+     * Receives the payload of the login packet, or of the answer to a request for another plugin.
      *
      * @throws io.netty.handler.codec.DecoderException if the login packet is malformed
      */
@@ -61,7 +68,7 @@
     }
 
     private Outcome verify(String plugin, byte[] proof) {
-        String password = server.password(login.user());
+        String password = passwords.get(login.user());
         if (password == null || !Auth.proves(plugin, password, nonce, proof)) {
             return Outcome.DENIED;
         }
--- a/src/main/java/lineward/mysql/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -8,22 +8,28 @@
 import io.netty.handler.codec.TooLongFrameException;
 import java.util.ArrayDeque;
 import java.util.Deque;
+import lineward.mysql.session.PreparedStatements;
+import lineward.mysql.session.SessionSettings;
+import lineward.mysql.wire.Auth;
+import lineward.mysql.wire.Failure;
+import lineward.mysql.wire.Handshake;
+import lineward.mysql.wire.Packets;
+import lineward.mysql.wire.Texts;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The session of one client: its connection, its state, and the packets that wait while a command is
- * carried out. The commands themselves are the work of {@link ClientCommands} and {@link QueryRunner}.
- * Confined to the event loop.
+ * The session of one client: its connection, its state, and the packets that are queued during a command.
+ * {@link ClientCommands} and {@link QueryRunner} execute the commands. Confined to the event loop.
  */
 final class ClientSession extends SimpleChannelInboundHandler<ByteBuf> {
     private static final Logger LOG = LoggerFactory.getLogger(ClientSession.class);
-    /** Packets that may wait behind the command that is carried out; past them the connection is not read. */
+    /** Packets that are queued during a command; reading pauses when the queue is full. */
     private static final int MAX_PENDING_PACKETS = 8;
-    /** Tells a client of caching_sha2_password that its proof was enough: more data, fast authentication. */
+    /** The payload that confirms fast authentication by caching_sha2_password. */
     private static final byte[] FAST_AUTH_SUCCESS = {1, 3};
 
-    private final MysqlServer server;
+    private final ClientContext context;
     private final int number;
     private final long connectedAtNanos = System.nanoTime();
     private final Deque<ByteBuf> pendingPackets = new ArrayDeque<>();
@@ -36,26 +42,26 @@
     private ClientCommands commands;
 
     /**
-     * @param number by which this server tells its clients apart, also sent to the client as its thread id
+     * @param number the client's number, which is also its thread id in the protocol
      */
-    ClientSession(MysqlServer server, int number) {
+    ClientSession(ClientContext context, int number) {
         super(false);
-        this.server = server;
+        this.context = context;
         this.number = number;
-        login = new ClientLogin(server);
-        statements = new PreparedStatements(server);
+        login = new ClientLogin(context.passwords());
+        statements = new PreparedStatements(context.statementLimits());
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
         SessionSettings settings = new SessionSettings();
         replies = new ReplyWriter(ctx.channel());
-        stream = new SpoolStream(this, server, replies);
-        queries = new QueryRunner(this, server, replies, settings, statements, stream);
-        commands = new ClientCommands(this, server, replies, settings, statements, stream, queries);
+        stream = new SpoolStream(this, context.spool(), replies);
+        queries = new QueryRunner(this, context, replies, settings, statements, stream);
+        commands = new ClientCommands(this, context.statistics(), replies, settings, statements, stream, queries);
     }
 
-    /** Returns the user's name; only once the client has sent its login. */
+    /** Returns the user name; only after the login packet. */
     String user() {
         return login.user();
     }
@@ -68,7 +74,7 @@
         return replies.channel();
     }
 
-    /** Returns whether the client waits for nothing: no command, no reply under way and no open cursor. */
+    /** Returns whether there is no command, no unflushed reply and no open cursor. */
     boolean isIdle() {
         return isBetweenCommands() && !statements.hasOpenCursor();
     }
@@ -77,26 +83,26 @@
         return state.acceptsPackets() && pendingPackets.isEmpty() && replies.isFlushed();
     }
 
-    /** The process shuts down and cursors have had their time: a client between commands is disconnected. */
+    /** Disconnects a client between commands, even with open cursors. */
     void closeForShutdown() {
         if (isBetweenCommands()) {
-            replies.answerUnprompted();
-            closeWith(Failure.goingDown());
+            replies.beginUnsolicited();
+            closeWith(Failure.shuttingDown());
         }
     }
 
-    /** Returns whether the client connected before that time and has not been authenticated. */
+    /** Returns whether the client is not authenticated and connected before that {@link System#nanoTime}. */
     boolean isUnauthenticatedSince(long nanoTime) {
         return state.isUnauthenticated() && connectedAtNanos - nanoTime < 0;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        if (server.addClient(this)) {
-            replies.send(Handshake.greeting(ctx.alloc(), MysqlServer.VERSION, number, login.nonce()));
+        if (context.clients().add(this)) {
+            replies.send(Handshake.greeting(ctx.alloc(), number, login.nonce()));
         } else {
-            replies.answerUnprompted();
-            closeWith(Failure.full());
+            replies.beginUnsolicited();
+            closeWith(Failure.tooManyConnections());
         }
     }
 
@@ -131,14 +137,14 @@
     private void authenticate(ByteBuf payload) {
         switch (login.receive(payload)) {
             case SWITCH_REQUIRED -> requestAuthSwitch();
-            case DENIED -> closeWith(Failure.denied(login.user()));
+            case DENIED -> closeWith(Failure.accessDenied(login.user()));
             case ACCEPTED -> authenticated();
         }
     }
 
     private void requestAuthSwitch() {
         enter(SessionState.Event.AUTH_SWITCH_REQUESTED);
-        replies.send(Handshake.switchTo(replies.alloc(), replies.nextSequence(), Auth.NATIVE, login.nonce()));
+        replies.send(Handshake.authSwitchRequest(replies.alloc(), replies.nextSequence(), Auth.NATIVE, login.nonce()));
     }
 
     private void authenticated() {
@@ -146,7 +152,7 @@
         replies.setDialect(login.dialect());
         if (login.awaitsFastAuthConfirmation()) {
             int sequence = replies.nextSequence();
-            replies.send(Handshake.bytes(replies.alloc(), sequence, FAST_AUTH_SUCCESS));
+            replies.send(Handshake.authData(replies.alloc(), sequence, FAST_AUTH_SUCCESS));
             replies.answerTo(sequence);
         }
         if (login.schema().isEmpty()) {
@@ -156,50 +162,25 @@
         }
     }
 
-    /** Takes the session where the event leads it. */
+    /** Applies an event to the state. */
     void enter(SessionState.Event event) {
         state = state.after(event);
     }
 
     /**
-     * The query or the stream of the present command has ended; packets that wait are taken up if both have.
+     * The query or the stream of the current command has ended. Processes queued packets if both have ended.
      */
     void commandStepEnded(SessionState.Event event) {
         enter(event);
         channel().eventLoop().execute(this::processPending);
     }
 
-    /** Sends a last error and closes the connection behind it. */
+    /** Sends an error, then closes the connection. */
     void closeWith(Failure failure) {
         enter(SessionState.Event.CLOSE_REQUESTED);
         replies.sendLast(failure);
     }
 
-    /** The coordinator has rejected the query; see {@link QueryRunner#reject}. */
-    void reject(Query query, long retryAfterMs) {
-        queries.reject(query, retryAfterMs);
-    }
-
-    /** The query may have run and has no complete answer; see {@link QueryRunner#fail}. */
-    void fail(Query query) {
-        queries.fail(query);
-    }
-
-    /** The complete reply has come; see {@link QueryRunner#replyReceived}. */
-    void replyReceived(Query query, ByteBuf reply) {
-        queries.replyReceived(query, reply);
-    }
-
-    /** The response goes out from now on; see {@link QueryRunner#responseStarted}. */
-    void responseStarted(Query query) {
-        queries.responseStarted(query);
-    }
-
-    /** The attempt whose response goes out has ended; see {@link QueryRunner#attemptEnded}. */
-    void attemptEnded(Query query) {
-        queries.attemptEnded(query);
-    }
-
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         stream.resume();
@@ -207,10 +188,10 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        LOG.info("client connection failed client={} cause={}", number, cause.toString());
+        LOG.info("client connection failed: client={} cause={}", number, cause.toString());
         if (cause instanceof TooLongFrameException || cause.getCause() instanceof TooLongFrameException) {
             replies.answerTo(0);
-            closeWith(Failure.tooLarge(server.maxPacket()));
+            closeWith(Failure.tooLarge(context.maxPacketBytes()));
         } else if (state == SessionState.AWAITING_LOGIN && cause instanceof DecoderException) {
             replies.answerTo(1);
             closeWith(Failure.malformedHandshake());
@@ -219,11 +200,10 @@
         }
     }
 
-    /** Nothing of a client that has gone is carried on. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         enter(SessionState.Event.DISCONNECTED);
-        server.removeClient(this);
+        context.clients().remove(this);
         pendingPackets.forEach(ByteBuf::release);
         pendingPackets.clear();
         queries.abort();
--- a/src/main/java/lineward/mysql/ConnectedClients.java
+++ b/src/main/java/lineward/mysql/client/ConnectedClients.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.client;
 
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -6,21 +6,23 @@
 import java.util.concurrent.TimeUnit;
 import lineward.frontend.ClientRegistry;
 import lineward.frontend.LingeringClose;
+import lineward.mysql.wire.ChannelOperations;
 
-/** The connected clients, and which are closed for being idle or late. Used by one event loop only. */
-final class ConnectedClients {
+/** The connected clients; closes idle clients and clients that do not log in. Confined to the event loop. */
+public final class ConnectedClients {
     private static final long LOGIN_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
-    /** How long open cursors may be read after the graceful shutdown has begun. */
+    /** Time for reading open cursors after the start of the graceful shutdown. */
     private static final long CURSOR_GRACE_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final int maxClients;
     private final Set<ClientSession> clients = new LinkedHashSet<>();
 
-    ConnectedClients(int maxClients) {
+    /** Creates an empty set with a limit. */
+    public ConnectedClients(int maxClients) {
         this.maxClients = maxClients;
     }
 
-    /** Adds the client; returns false if there are too many now. */
+    /** Adds the client; returns false if this exceeds the limit. */
     boolean add(ClientSession client) {
         clients.add(client);
         return clients.size() <= maxClients;
@@ -30,23 +32,29 @@
         clients.remove(client);
     }
 
-    int size() {
+    /** Returns the number of clients. */
+    public int size() {
         return clients.size();
     }
 
-    /** Closes each idle client with that chance, and all cursors if the shutdown began long enough ago. */
-    void closeIdle(double chance, long shutdownStartedNanos) {
+    /**
+     * Closes idle clients, and some time after the start of the shutdown also clients with open cursors.
+     *
+     * @param probability of closing an idle client
+     * @param shutdownStartedNanos start of the graceful shutdown by {@link System#nanoTime}
+     */
+    public void closeIdle(double probability, long shutdownStartedNanos) {
         if (System.nanoTime() - shutdownStartedNanos > CURSOR_GRACE_NANOS) {
             List.copyOf(clients).forEach(ClientSession::closeForShutdown);
         }
         List<ClientSession> idle =
                 clients.stream().filter(ClientSession::isIdle).toList();
         ClientRegistry.closeSome(
-                idle, chance, client -> LingeringClose.begin(client.channel(), client::isIdle, () -> {}));
+                idle, probability, client -> LingeringClose.begin(client.channel(), client::isIdle, () -> {}));
     }
 
-    /** Closes clients that have not logged in in time; one that has may be idle, as sessions are. */
-    void closeNotLoggedIn() {
+    /** Closes clients whose login has not succeeded in time. */
+    public void closeNotLoggedIn() {
         long connectedBefore = System.nanoTime() - LOGIN_TIMEOUT_NANOS;
         clients.stream()
                 .filter(client -> client.isUnauthenticatedSince(connectedBefore))
--- /dev/null
+++ b/src/main/java/lineward/mysql/client/CursorState.java
@@ -0,0 +1,82 @@
+package lineward.mysql.client;
+
+/** The state of an {@link OpenCursor}, and the transitions between its states. */
+enum CursorState {
+    /** The columns have not been sent. */
+    OPENING,
+    /** No rows are requested. */
+    READY,
+    /** Requested rows are being sent. */
+    FETCHING,
+    /** Requested rows are being sent, and no others follow them. */
+    FETCHING_LAST,
+    /** No rows are requested, and there are none left. */
+    EXHAUSTED,
+    /** The result is released; nothing more is sent. */
+    CLOSED;
+
+    /** An event that changes the state. */
+    enum Event {
+        /** The columns have been sent. */
+        COLUMNS_SENT,
+        /** Rows are requested. */
+        FETCH_REQUESTED,
+        /** The result has no rows that were not sent. */
+        NO_ROWS_LEFT,
+        /** The requested rows have been sent. */
+        FETCH_COMPLETED,
+        /** The cursor is closed. */
+        CLOSE_REQUESTED
+    }
+
+    /** Returns whether requested rows are being sent. */
+    boolean isFetching() {
+        return this == FETCHING || this == FETCHING_LAST;
+    }
+
+    /** Returns whether the last row has been sent or the cursor is closed. */
+    boolean isDone() {
+        return this == FETCHING_LAST || this == EXHAUSTED || this == CLOSED;
+    }
+
+    /** Returns whether the client waits for a reply. */
+    boolean isReplyPending() {
+        return this == OPENING || isFetching();
+    }
+
+    /**
+     * Returns the state after the event.
+     *
+     * @throws IllegalStateException if the event is not possible in this state
+     */
+    CursorState after(Event event) {
+        return switch (event) {
+            case COLUMNS_SENT -> require(this == OPENING, event, READY);
+            case FETCH_REQUESTED -> afterFetchRequested();
+            case NO_ROWS_LEFT -> afterNoRowsLeft();
+            case FETCH_COMPLETED -> require(this == FETCHING, event, READY);
+            case CLOSE_REQUESTED -> CLOSED;
+        };
+    }
+
+    private CursorState afterFetchRequested() {
+        if (this == EXHAUSTED) {
+            return FETCHING_LAST;
+        }
+        return require(this == READY, Event.FETCH_REQUESTED, FETCHING);
+    }
+
+    private CursorState afterNoRowsLeft() {
+        if (this == READY) {
+            return EXHAUSTED;
+        }
+        return require(this == FETCHING, Event.NO_ROWS_LEFT, FETCHING_LAST);
+    }
+
+    private CursorState require(boolean possible, Event event, CursorState next) {
+        if (!possible) {
+            throw new IllegalStateException("event " + event + " in state " + this);
+        }
+        return next;
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/mysql/client/OpenCursor.java
@@ -0,0 +1,261 @@
+package lineward.mysql.client;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import java.util.OptionalInt;
+import java.util.OptionalLong;
+import java.util.function.Consumer;
+import lineward.mysql.session.StatementCursor;
+import lineward.mysql.wire.Dialect;
+import lineward.mysql.wire.Packets;
+import lineward.spool.ReadState;
+import lineward.spool.ResultChunk;
+import lineward.spool.SpoolReader;
+import lineward.spool.SpooledResult;
+
+/**
+ * A spooled result that is sent in parts: a read-only cursor, whose rows follow the columns when the client
+ * fetches them, or one page of a result, whose columns and rows are one reply.
+ */
+final class OpenCursor implements StatementCursor {
+    /**
+     * The part of the result that the client requests.
+     *
+     * @param firstRow the first row, counted from 0; above 0 only in a complete result with a key
+     * @param rowCount rows of the single reply; empty: a cursor, whose rows are fetched
+     */
+    record Range(long firstRow, OptionalLong rowCount) {
+        private boolean isPage() {
+            return rowCount.isPresent();
+        }
+    }
+
+    private static final int SEQUENCE_OFFSET = Packets.HEADER_BYTES - 1;
+    private static final byte[] NO_ROWS = {};
+
+    private final Channel channel;
+    private final Dialect dialect;
+    private final Range range;
+    private final Consumer<ByteBuf> sink;
+    private final StreamEndListener listener;
+    private final SpoolReader reader;
+    private CursorState state = CursorState.OPENING;
+    /** Guards against recursion: reading the result notifies its readers, which include this one. */
+    private boolean sending;
+
+    private long rowsWanted;
+    /** Rows of the first block before the range. */
+    private int rowsToSkip;
+    /** Sequence number of the next packet. */
+    private int sequence;
+    /** A copy of the current block, whose sequence numbers are those of this reply. */
+    private byte[] rows = NO_ROWS;
+    /** Offset of the next row in the current block. */
+    private int offset;
+
+    /**
+     * Creates a cursor of which nothing has been sent.
+     *
+     * @param sink sends complete packets
+     * @param listener is notified when a fetch, or the opening of the cursor, has ended
+     */
+    OpenCursor(
+            Channel channel,
+            SpooledResult result,
+            Dialect dialect,
+            Range range,
+            Consumer<ByteBuf> sink,
+            StreamEndListener listener) {
+        this.channel = channel;
+        this.dialect = dialect;
+        this.range = range;
+        this.sink = sink;
+        this.listener = listener;
+        this.reader = result.read(this::resume);
+    }
+
+    private void transition(CursorState.Event event) {
+        state = state.after(event);
+    }
+
+    @Override
+    public boolean isDone() {
+        return state.isDone();
+    }
+
+    @Override
+    public void fetch(long count) {
+        startFetch(count, 1);
+        resume();
+    }
+
+    private void startFetch(long count, int firstSequence) {
+        transition(CursorState.Event.FETCH_REQUESTED);
+        rowsWanted = count;
+        sequence = firstSequence;
+    }
+
+    @Override
+    public void resume() {
+        if (sending || state == CursorState.CLOSED) {
+            return;
+        }
+        sending = true;
+        try {
+            if (state == CursorState.OPENING) {
+                open();
+            }
+            if (state.isFetching()) {
+                sendFetched();
+            }
+            if (reader.readState() == ReadState.EXPIRED) {
+                abort(ReadState.EXPIRED);
+            }
+        } finally {
+            sending = false;
+        }
+    }
+
+    private void open() {
+        ResultChunk head = reader.poll();
+        if (head == null) {
+            if (reader.readState() != ReadState.MORE) {
+                abort(ReadState.BROKEN);
+            }
+            return;
+        }
+        byte[] columns = head.bytes();
+        transition(CursorState.Event.COLUMNS_SENT);
+        if (range.firstRow() > 0) {
+            seekFirstRow();
+        }
+        if (range.isPage()) {
+            sink.accept(dialect.columns(columns));
+            startFetch(range.rowCount().getAsLong(), dialect.sequenceAfter(columns));
+        } else {
+            sink.accept(dialect.cursorColumns(channel.alloc(), columns));
+            listener.ended(ReadState.MORE, OptionalInt.empty());
+        }
+    }
+
+    private void seekFirstRow() {
+        int found = reader.seek(range.firstRow());
+        if (found == SpoolReader.ROW_NOT_FOUND) {
+            transition(CursorState.Event.NO_ROWS_LEFT);
+        } else {
+            rowsToSkip = found;
+        }
+    }
+
+    private void sendFetched() {
+        while (rowsWanted > 0 && state == CursorState.FETCHING && channel.isWritable()) {
+            if (offset == rows.length && !nextBlock()) {
+                return;
+            }
+            if (state == CursorState.FETCHING) {
+                sendRows();
+            }
+        }
+        if (rowsWanted == 0 || state == CursorState.FETCHING_LAST) {
+            finishFetch();
+        }
+    }
+
+    private void finishFetch() {
+        // Reports the last row with the row itself if possible, which saves the client an empty fetch.
+        boolean blockSent = state == CursorState.FETCHING && offset == rows.length;
+        if (blockSent && reader.readState() == ReadState.MORE) {
+            nextBlock();
+        }
+        if (!state.isFetching()) {
+            return;
+        }
+        sink.accept(dialect.end(channel.alloc(), sequence, endStatus()));
+        if (range.isPage() || state == CursorState.FETCHING_LAST) {
+            close();
+            listener.ended(ReadState.END, OptionalInt.empty());
+        } else {
+            transition(CursorState.Event.FETCH_COMPLETED);
+            listener.ended(ReadState.MORE, OptionalInt.empty());
+        }
+    }
+
+    /** Returns the status in the packet after the rows. */
+    private int endStatus() {
+        if (range.isPage()) {
+            return 0;
+        }
+        return state == CursorState.FETCHING_LAST ? Packets.LAST_ROW_SENT : Packets.CURSOR_EXISTS;
+    }
+
+    /** Reads the next block; returns false if the result's next rows are not available. */
+    private boolean nextBlock() {
+        ResultChunk block = reader.poll();
+        if (block != null && block.rows() > 0) {
+            // Other readers share the block, but the sequence numbers are those of this reply.
+            rows = block.bytes().clone();
+            offset = 0;
+            return true;
+        }
+        // The last block ends with an EOF packet instead of a row.
+        if (block != null || reader.readState() == ReadState.END) {
+            transition(CursorState.Event.NO_ROWS_LEFT);
+            return true;
+        }
+        if (reader.readState() == ReadState.BROKEN) {
+            abort(ReadState.BROKEN);
+        }
+        return false;
+    }
+
+    /** Sends requested rows of the current block. */
+    private void sendRows() {
+        skipRows();
+        int begin = offset;
+        while (offset < rows.length && rowsWanted > 0) {
+            advanceRow();
+            rowsWanted--;
+        }
+        if (offset > begin) {
+            sink.accept(Unpooled.wrappedBuffer(rows, begin, offset - begin));
+        }
+    }
+
+    private void skipRows() {
+        int firstSequence = sequence;
+        while (offset < rows.length && rowsToSkip > 0) {
+            advanceRow();
+            rowsToSkip--;
+        }
+        sequence = firstSequence;
+    }
+
+    /** Numbers the packets of the next row and moves past it. */
+    private void advanceRow() {
+        int length;
+        do {
+            rows[offset + SEQUENCE_OFFSET] = (byte) sequence;
+            sequence++;
+            length = Packets.length(rows, offset);
+            offset += length;
+        } while (length == Packets.HEADER_BYTES + Packets.MAX_PAYLOAD_BYTES);
+    }
+
+    /** Closes the cursor, and reports the reason if the client waits for a reply. */
+    private void abort(ReadState reason) {
+        boolean replyPending = state.isReplyPending();
+        close();
+        if (replyPending) {
+            listener.ended(reason, OptionalInt.of(Math.max(1, sequence)));
+        }
+    }
+
+    @Override
+    public void close() {
+        if (state != CursorState.CLOSED) {
+            transition(CursorState.Event.CLOSE_REQUESTED);
+            reader.close();
+        }
+    }
+}
--- a/src/main/java/lineward/mysql/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -1,44 +1,59 @@
-package lineward.mysql;
+package lineward.mysql.client;
 
 import io.netty.buffer.ByteBuf;
+import lineward.mysql.session.PreparedStatements;
+import lineward.mysql.session.SessionSettings;
+import lineward.mysql.session.StatementClass;
+import lineward.mysql.session.Work;
+import lineward.mysql.wire.Failure;
+import lineward.mysql.wire.Packets;
 import lineward.spool.SpoolPolicy;
 
-/**
- * Runs the commands of one client that an engine must answer, one at a time, and relays what becomes of
- * each.
- */
+/** Runs the commands of one client that engines execute, one at a time, and relays their outcomes. */
 final class QueryRunner {
-    /** Where a reply to COM_STMT_PREPARE holds the statement's id, from the beginning of its first packet. */
-    private static final int PREPARED_ID_OFFSET = Packets.HEAD + 1;
+    /** Offset of the statement id in the first packet of a reply to COM_STMT_PREPARE. */
+    private static final int PREPARED_ID_OFFSET = Packets.HEADER_BYTES + 1;
 
-    private static final int PREPARED_PARAMETERS_OFFSET = Packets.HEAD + 7;
-    private static final int SEQUENCE_OFFSET = Packets.HEAD - 1;
+    private static final int PREPARED_PARAMETERS_OFFSET = Packets.HEADER_BYTES + 7;
+    private static final int SEQUENCE_OFFSET = Packets.HEADER_BYTES - 1;
+    /** Retry-After of a query that the server does not admit. */
+    private static final long RETRY_AFTER_MS = 500;
 
     private final ClientSession session;
-    private final MysqlServer server;
+    private final ClientContext context;
     private final ReplyWriter replies;
     private final SessionSettings settings;
     private final PreparedStatements statements;
     private final SpoolStream stream;
+    /** Null while no query runs. */
     private Query running;
+
     private String schema = "";
 
     QueryRunner(
             ClientSession session,
-            MysqlServer server,
+            ClientContext context,
             ReplyWriter replies,
             SessionSettings settings,
             PreparedStatements statements,
             SpoolStream stream) {
         this.session = session;
-        this.server = server;
+        this.context = context;
         this.replies = replies;
         this.settings = settings;
         this.statements = statements;
         this.stream = stream;
     }
 
-    /** Returns the schema that the client has chosen, as a Latin-1 string of its bytes; empty if none. */
+    String user() {
+        return session.user();
+    }
+
+    int clientNumber() {
+        return session.number();
+    }
+
+    /** Returns the session's schema in the form of {@link lineward.mysql.wire.Texts}; empty if none. */
     String schema() {
         return schema;
     }
@@ -47,34 +62,35 @@
         schema = "";
     }
 
-    /** Has an engine choose the schema, which holds from then on if it exists there. */
+    /** Selects the session's schema if an engine confirms that it exists. */
     void useSchema(String latin1) {
-        run(new Work.UseSchema(latin1), "USE", false, Query.Spooling.PLAIN);
+        run(new Work.UseSchema(latin1), "USE", false, Query.Spooling.IF_LONG);
     }
 
     /**
-     * Hands a command to the coordinator; it is rejected if the spool or the coordinator has no capacity.
+     * Starts a query; it is rejected if the spool or the coordinator has no capacity.
      *
-     * @param text the statement, by which its class is found
+     * @param text the statement, which determines the query's class
      */
     void run(Work work, String text, boolean writes, Query.Spooling spooling) {
-        Query query = new Query(session, work, server.typeOf(text, writes), settings.forEngines(), spooling);
+        StatementClass statementClass = context.dispatcher().classOf(text, writes);
+        Query query = new Query(this, work, statementClass, settings.forEngines(), spooling);
         running = query;
         session.enter(SessionState.Event.QUERY_STARTED);
-        if (!writes && server.spool().admit(session.user()) instanceof SpoolPolicy.Rejected rejection) {
-            server.countRejected(query);
+        if (!writes && context.spool().admit(session.user()) instanceof SpoolPolicy.Rejected rejection) {
+            context.dispatcher().countRejected(query);
             reject(query, rejection.retryAfterMs());
-        } else if (!server.admit(query)) {
-            reject(query, MysqlServer.BUSY_RETRY_MS);
+        } else if (!context.dispatcher().admit(query)) {
+            reject(query, RETRY_AFTER_MS);
         }
     }
 
-    /** Tells the client that its query was rejected and changed nothing. */
+    /** Reports to the client that its query was rejected and changed nothing. */
     void reject(Query query, long retryAfterMs) {
         endWith(query, Failure.rejected(retryAfterMs));
     }
 
-    /** Tells the client that its query may have run and has no complete answer. */
+    /** Reports to the client that its query failed and may have been executed. */
     void fail(Query query) {
         endWith(query, Failure.failed());
     }
@@ -87,11 +103,11 @@
         }
     }
 
-    /** Relays a complete reply, whose buffer is taken over; null: it is in the spool. */
+    /** Relays a complete reply, whose reference is taken over; null if the reply is spooled. */
     void replyReceived(Query query, ByteBuf reply) {
         if (reply == null) {
             responseStarted(query);
-            attemptEnded(query);
+            streamedAttemptEnded(query);
         } else if (isCurrent(query)) {
             relay(query, reply);
         } else {
@@ -99,20 +115,20 @@
         }
     }
 
-    /** The bytes go out as they came, but for ids and sequence numbers that are this server's own. */
+    /** Sends the reply with this session's statement ids and sequence numbers. */
     private void relay(Query query, ByteBuf reply) {
         boolean succeeded = Packets.first(reply) != Packets.ERR;
-        boolean prepared = succeeded && query.work instanceof Work.Prepare;
+        boolean prepared = succeeded && query.work() instanceof Work.Prepare;
         if (prepared) {
-            registerPrepared((Work.Prepare) query.work, reply);
+            registerPrepared((Work.Prepare) query.work(), reply);
         } else {
             releaseReservation(query);
         }
-        if (query.work instanceof Work.UseSchema use) {
+        if (query.work() instanceof Work.UseSchema use) {
             schema = succeeded ? use.schema() : schema;
             reply.setByte(reply.readerIndex() + SEQUENCE_OFFSET, replies.nextSequence());
         }
-        replies.send(replies.dialect().reframe(replies.alloc(), reply, prepared));
+        replies.send(replies.dialect().convert(replies.alloc(), reply, prepared));
         complete();
     }
 
@@ -122,29 +138,29 @@
         reply.setIntLE(reply.readerIndex() + PREPARED_ID_OFFSET, (int) id);
     }
 
-    /** Sends the spooled result of the query from now on, complete or not. */
+    /** Starts sending the spooled result of the query, which may be incomplete. */
     void responseStarted(Query query) {
         if (isCurrent(query)) {
             stream.start(query);
         } else {
-            query.spooled.abandon();
+            query.spooledResult().abandon();
         }
     }
 
-    /** The attempt whose result is sent has ended; the remaining rows, or an error, follow from the spool. */
-    void attemptEnded(Query query) {
+    /** The attempt whose spooled result is sent has ended; the remaining rows, or an error, are in the spool. */
+    void streamedAttemptEnded(Query query) {
         if (running == query) {
             complete();
         }
     }
 
-    /** Gives up the query that runs: its client has gone. */
+    /** Cancels the running query, as the client has disconnected. */
     void abort() {
         if (running != null) {
             Query aborted = running;
             running = null;
             releaseReservation(aborted);
-            server.cancel(aborted);
+            context.dispatcher().cancel(aborted);
         }
     }
 
@@ -153,7 +169,7 @@
     }
 
     private void releaseReservation(Query query) {
-        if (query.work instanceof Work.Prepare work) {
+        if (query.work() instanceof Work.Prepare work) {
             statements.release(work);
         }
     }
--- a/src/main/java/lineward/mysql/ReplyWriter.java
+++ b/src/main/java/lineward/mysql/client/ReplyWriter.java
@@ -1,24 +1,22 @@
-package lineward.mysql;
+package lineward.mysql.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.util.concurrent.Future;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
+import lineward.mysql.wire.ChannelOperations;
+import lineward.mysql.wire.Dialect;
+import lineward.mysql.wire.Failure;
+import lineward.mysql.wire.Packets;
 
-/**
- * Writes replies to one client and counts those that are not yet on their way. Takes over each buffer it is
- * given.
- */
+/** Writes replies to one client and takes over their references; counts the replies that are not flushed. */
 final class ReplyWriter {
-    private static final Logger LOG = LoggerFactory.getLogger(ReplyWriter.class);
-    /** The sequence number before the first: a packet that answers nothing begins the count anew. */
+    /** The sequence number before the first one of an unsolicited packet. */
     private static final int BEFORE_FIRST = -1;
 
     private final Channel channel;
-    private Dialect dialect = Dialect.PLAIN;
+    private Dialect dialect = Dialect.EOF_PACKETS;
     private int requestSequence;
     private int unsentReplies;
 
@@ -42,13 +40,13 @@
         dialect = agreed;
     }
 
-    /** The replies that follow answer the packet with this sequence number. */
+    /** The next replies answer the packet with this sequence number. */
     void answerTo(int sequence) {
         requestSequence = sequence;
     }
 
-    /** The reply that follows answers no packet of the client. */
-    void answerUnprompted() {
+    /** The next reply answers no packet of the client. */
+    void beginUnsolicited() {
         requestSequence = BEFORE_FIRST;
     }
 
@@ -57,7 +55,7 @@
         return requestSequence + 1;
     }
 
-    /** Returns whether every reply has been handed to the operating system. */
+    /** Returns whether all replies have been written to the socket. */
     boolean isFlushed() {
         return unsentReplies == 0;
     }
@@ -79,16 +77,16 @@
         send(Packets.error(alloc(), sequence, failure));
     }
 
-    /** Sends an error and closes the connection behind it. */
+    /** Sends an error, then closes the connection. */
     void sendLast(Failure failure) {
         ByteBuf error = Packets.error(alloc(), nextSequence(), failure);
         unsentReplies++;
         channel.writeAndFlush(error).addListener(this::countWritten).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Closes the connection without waiting for replies that are under way. */
+    /** Closes the connection without waiting for unflushed replies. */
     void close() {
-        channel.close().addListener(closed -> LOG.debug("client connection closed channel={}", channel));
+        ChannelOperations.close(channel);
     }
 
     private void countWritten(Future<?> written) {
--- a/src/main/java/lineward/mysql/SessionState.java
+++ b/src/main/java/lineward/mysql/client/SessionState.java
@@ -1,44 +1,44 @@
-package lineward.mysql;
+package lineward.mysql.client;
 
 /**
- * Where the session of one client stands. Events lead from one state to the next; an event that means
- * nothing in a state leaves it as it is, such as the end of a query whose connection is closing.
+ * The state of a client's session, and the transitions between its states. An event without meaning in a state
+ * leaves the state unchanged: a query may end while the connection closes.
  */
 enum SessionState {
-    /** Connected; the client's login packet has not come. */
+    /** Connected; the login packet has not been received. */
     AWAITING_LOGIN,
-    /** The client has been asked to prove its password by another authentication plugin. */
+    /** The client has been requested to use another authentication plugin. */
     AWAITING_PROOF,
-    /** Authenticated, and no command is being carried out. */
+    /** Authenticated, without a command. */
     IDLE,
-    /** A command is queued for an engine or runs there. */
+    /** A command is queued for an engine or is executed there. */
     EXECUTING,
-    /** Rows of a spooled result are being sent, and no engine has a part in it. */
+    /** Rows of a spooled result are being sent; no engine is involved. */
     STREAMING,
     /** Rows of a spooled result are being sent while an engine still produces them. */
     EXECUTING_AND_STREAMING,
-    /** Not authenticated: a last error is being sent, behind which the connection closes. */
+    /** Not authenticated; an error is being sent, after which the connection closes. */
     REJECTING,
-    /** Authenticated: a last error is being sent, behind which the connection closes. */
+    /** Authenticated; an error is being sent, after which the connection closes. */
     CLOSING,
-    /** The connection is gone. */
+    /** The connection is closed. */
     DISCONNECTED;
 
-    /** What can happen to a session. */
+    /** An event that changes the state. */
     enum Event {
-        /** The client's authentication plugin is unknown, and it has been asked to use another. */
+        /** The client's authentication plugin is not supported; another one has been requested. */
         AUTH_SWITCH_REQUESTED,
-        /** The client has proven its password. */
+        /** The client's password is correct. */
         AUTHENTICATED,
-        /** A command has been handed on for execution at an engine. */
+        /** A command has been started that an engine executes. */
         QUERY_STARTED,
-        /** The command that ran at an engine has been answered, rejected or has failed. */
+        /** The command for an engine has been answered or rejected, or has failed. */
         QUERY_ENDED,
-        /** Rows of a spooled result begin to be sent. */
+        /** The first rows of a spooled result are being sent. */
         STREAM_STARTED,
-        /** All rows that were asked for have been sent, or the result has broken off. */
+        /** The requested rows have been sent, or the result is incomplete. */
         STREAM_ENDED,
-        /** A last error goes out, and the connection is to close behind it. */
+        /** An error is sent, after which the connection closes. */
         CLOSE_REQUESTED,
         /** The connection has closed. */
         DISCONNECTED
@@ -49,12 +49,12 @@
         return this == AWAITING_LOGIN || this == AWAITING_PROOF || this == IDLE;
     }
 
-    /** Returns whether the client has not proven who it is. */
+    /** Returns whether the client is not authenticated. */
     boolean isUnauthenticated() {
         return this == AWAITING_LOGIN || this == AWAITING_PROOF || this == REJECTING;
     }
 
-    /** Returns the state in which the event leaves the session. */
+    /** Returns the state after the event. */
     SessionState after(Event event) {
         return switch (event) {
             case AUTH_SWITCH_REQUESTED -> this == AWAITING_LOGIN ? AWAITING_PROOF : this;
--- a/src/main/java/lineward/mysql/AttemptListener.java
+++ b/src/main/java/lineward/mysql/engine/AttemptListener.java
@@ -1,12 +1,12 @@
-package lineward.mysql;
+package lineward.mysql.engine;
 
 import io.netty.buffer.ByteBuf;
 import lineward.scheduling.AttemptOutcome;
 import lineward.spool.SpooledResult;
 
-/** Is notified of the progress and the end of one attempt. */
-interface AttemptListener {
-    /** The listener of an attempt whose reply nobody reads. */
+/** Receives the progress and the end of one attempt. All calls come on the event loop. */
+public interface AttemptListener {
+    /** Ignores the progress and releases the reply. */
     AttemptListener DISCARD_REPLY = new AttemptListener() {
         @Override
         public SpooledResult openSpool() {
@@ -26,28 +26,28 @@
         }
     };
 
-    /** The command has been written completely to the engine. */
+    /** The command has been written to the engine's socket. */
     default void commandWritten() {}
 
-    /** Returns where a result is spooled that is too long to be buffered; null if it is not wanted. */
+    /** Opens the spooled result of a reply that exceeds the buffer; null if the reply is not wanted. */
     SpooledResult openSpool();
 
-    /** Returns whether a result is spooled however short it is. */
+    /** Returns whether the reply is spooled regardless of its length. */
     default boolean alwaysSpools() {
         return false;
     }
 
     /**
-     * The spooled result is sent to the client though it is not complete yet.
+     * The client may read the spooled result, which is not complete yet.
      *
-     * @return whether the client still wants it
+     * @return whether the client still waits for the result
      */
     boolean responseStarted();
 
     /**
-     * The attempt has ended; this comes once.
+     * The attempt has ended; called once.
      *
-     * @param reply the complete reply, which the listener must release, where the outcome is OK and it was
+     * @param reply the complete reply, which the listener must release, if the outcome is OK and the reply was
      *     not spooled; else null
      */
     void ended(AttemptOutcome outcome, ByteBuf reply);
--- a/src/main/java/lineward/mysql/ConnectionState.java
+++ b/src/main/java/lineward/mysql/engine/ConnectionState.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.engine;
 
 import java.util.EnumSet;
 import java.util.Set;
@@ -6,28 +6,28 @@
 
 /** State of one connection to a MySQL engine, and the transitions between its states. */
 enum ConnectionState {
-    /** The TCP connection is being opened. */
+    /** The TCP connection is opening. */
     CONNECTING,
-    /** The login handshake is under way. */
+    /** The login is in progress. */
     AUTHENTICATING,
-    /** Logged in and without an attempt. */
+    /** Logged in, without an attempt. */
     IDLE,
-    /** The settings that the attempt needs are being set. */
+    /** The settings of the attempt's session are being applied. */
     APPLYING_SETTINGS,
-    /** The schema that the attempt needs is being selected. */
+    /** The schema of the attempt's session is being selected. */
     SELECTING_SCHEMA,
-    /** The statement that the attempt executes is being prepared. */
+    /** The attempt's statement is being prepared. */
     PREPARING,
-    /** The attempt's own command has been sent, its reply is awaited or read. */
+    /** The attempt's command has been sent, and its reply is not complete. */
     EXECUTING,
-    /** The running statement is being killed; its reply still comes. */
+    /** The running statement is being killed; its reply is still expected. */
     KILLING,
-    /** The attempt has ended and the connection can't be reused. */
+    /** The attempt has ended, and the connection must not be reused. */
     CLOSING,
     /** The connection is closed. */
     CLOSED;
 
-    /** What moves a connection from one state to another. */
+    /** An event that changes a connection's state. */
     enum Transition {
         /** The TCP connection is open. */
         CONNECT(AUTHENTICATING),
@@ -39,15 +39,15 @@
         SELECT_SCHEMA(SELECTING_SCHEMA),
         /** The attempt's statement is sent for preparation. */
         PREPARE(PREPARING),
-        /** The attempt's own command is sent. */
+        /** The attempt's command is sent. */
         EXECUTE(EXECUTING),
         /** The running statement is cancelled. */
         KILL(KILLING),
-        /** The attempt has ended; the connection serves the next one. */
+        /** The attempt has ended, and the connection can serve another one. */
         RELEASE(IDLE),
-        /** The attempt has ended; the connection must not serve another. */
+        /** The attempt has ended, and the connection must not serve another one. */
         RETIRE(CLOSING),
-        /** The connection has been closed by either side. */
+        /** Either side has closed the connection. */
         CLOSE(CLOSED);
 
         private final ConnectionState target;
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Returns the transitions that start at this state. */
+    /** Returns the transitions that are possible in this state. */
     private Set<Transition> transitions() {
         return switch (this) {
             case CONNECTING -> EnumSet.of(Transition.CONNECT, Transition.CLOSE);
@@ -87,11 +87,7 @@
 
     private static Set<Transition> afterSettings() {
         return EnumSet.of(
-                Transition.SELECT_SCHEMA,
-                Transition.PREPARE,
-                Transition.EXECUTE,
-                Transition.RETIRE,
-                Transition.CLOSE /* at any time */);
+                Transition.SELECT_SCHEMA, Transition.PREPARE, Transition.EXECUTE, Transition.RETIRE, Transition.CLOSE);
     }
 
     private static Set<Transition> afterCommand(Transition next) {
@@ -99,9 +95,9 @@
     }
 
     /**
-     * Returns the state behind the transition.
+     * Returns the state after the transition.
      *
-     * @throws IllegalStateException if the transition does not start at this state
+     * @throws IllegalStateException if the transition is not possible in this state
      */
     ConnectionState after(Transition transition) {
         if (!transitions().contains(transition)) {
@@ -115,22 +111,22 @@
         return this != CONNECTING && this != AUTHENTICATING;
     }
 
-    /** Returns whether the attempt's own command has been sent, so that it may have run. */
+    /** Returns whether the attempt's command has been sent, so that the engine may have executed it. */
     boolean isCommandSent() {
         return this == EXECUTING || this == KILLING;
     }
 
     /**
-     * Returns whether a connection whose attempt ends here may serve another. After settings that failed it
-     * is not known which of them hold; a kill may still be on its way and would hit the next statement.
+     * Returns whether the connection may serve another attempt if its attempt ends in this state. After a
+     * failed SET the values of the settings are unknown; a late kill would stop the next statement.
      */
     boolean isReusable() {
         return this == SELECTING_SCHEMA || this == PREPARING || this == EXECUTING;
     }
 
     /**
-     * Returns how the attempt ends if the connection closes in this state. An engine that vanished between
-     * prepare and execute has run nothing.
+     * Returns the outcome of the attempt if the connection closes in this state. Before the command is sent
+     * the engine has executed nothing.
      */
     AttemptOutcome outcomeOfClose() {
         return switch (this) {
@@ -140,7 +136,7 @@
         };
     }
 
-    /** Returns how the attempt ends if the engine breaks the protocol or shuts down in this state. */
+    /** Returns the outcome of the attempt if the engine violates the protocol or shuts down in this state. */
     AttemptOutcome outcomeOfFault() {
         return isCommandSent() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED;
     }
--- a/src/main/java/lineward/mysql/EngineCommands.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommands.java
@@ -1,9 +1,13 @@
-package lineward.mysql;
+package lineward.mysql.engine;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import java.nio.charset.StandardCharsets;
+import lineward.mysql.session.Work;
+import lineward.mysql.wire.ChannelOperations;
+import lineward.mysql.wire.Commands;
+import lineward.mysql.wire.Packets;
 
 /** Writes commands to an engine. */
 final class EngineCommands {
@@ -13,12 +17,12 @@
         this.channel = channel;
     }
 
-    /** Writes a command that consists of a text, given in Latin-1. */
+    /** Writes a command with a text, which is in the form of {@link lineward.mysql.wire.Texts}. */
     void text(int command, String latin1) {
         write(command, Unpooled.wrappedBuffer(latin1.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    /** Writes the command of work that is done by a text alone, which is all but an execution. */
+    /** Writes the command of any work except an execution. */
     void send(Work work) {
         if (work instanceof Work.Query query) {
             text(Commands.QUERY, query.text());
@@ -29,22 +33,23 @@
         }
     }
 
-    /** Writes the execution of the statement with this id, behind the data that is sent ahead of it. */
+    /** Writes the execution of the statement with this id, after the parts of its long parameters. */
     void execute(long statementId, Work.Execute work) {
         for (Work.LongData data : work.longData()) {
-            ByteBuf arguments =
-                    statementArguments(statementId).writeShortLE(data.param()).writeBytes(data.bytes());
+            ByteBuf arguments = statementArguments(statementId)
+                    .writeShortLE(data.parameter())
+                    .writeBytes(data.bytes());
             write(Commands.LONG_DATA, arguments);
         }
         write(Commands.EXECUTE, statementArguments(statementId).writeBytes(work.arguments()));
     }
 
-    /** Writes that the statement with this id is not needed any more. */
+    /** Closes the statement with this id; the engine sends no reply. */
     void closeStatement(long statementId) {
         write(Commands.CLOSE, statementArguments(statementId));
     }
 
-    /** Runs the callback once all that was written before has been written to the socket. */
+    /** Calls back when all earlier commands have been written to the socket. */
     void whenWritten(Runnable callback) {
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> {
             if (done.isSuccess()) {
--- a/src/main/java/lineward/mysql/EngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnection.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.engine;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -7,20 +7,27 @@
 import io.netty.handler.codec.DecoderException;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import lineward.mysql.ConnectionState.Transition;
+import lineward.mysql.engine.ConnectionState.Transition;
+import lineward.mysql.session.Work;
+import lineward.mysql.wire.ChannelOperations;
+import lineward.mysql.wire.Commands;
+import lineward.mysql.wire.Failure;
+import lineward.mysql.wire.PacketRole;
+import lineward.mysql.wire.Packets;
+import lineward.mysql.wire.ReplyTracker;
 import lineward.scheduling.AttemptOutcome;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to a MySQL engine. It carries one attempt at a time, and before the attempt's own command
- * brings settings, schema and prepared statement into place. Used by its event loop only.
+ * One connection to a MySQL engine, with at most one attempt at a time. Before the attempt's command it applies
+ * the attempt's settings, selects its schema and prepares its statement. Confined to the event loop.
  */
 final class EngineConnection extends SimpleChannelInboundHandler<ByteBuf> {
     private static final Logger LOG = LoggerFactory.getLogger(EngineConnection.class);
-    /** How long the reply of a killed statement is awaited before the connection is closed. */
+    /** Largest time between a kill and the reply of the killed statement; then the connection is closed. */
     private static final int KILL_TIMEOUT_MS = 300;
-    /** The answer to an execution that the front end can't send. */
+    /** The answer to an execution with the parameters of an older version of the statement. */
     private static final Failure PARAMETERS_CHANGED =
             Failure.wrongArguments("the statement's parameters have changed since it was prepared");
 
@@ -32,7 +39,7 @@
     private EngineSession session;
     /** Null while the connection is idle. */
     private QueryAttempt attempt;
-    /** Follows the reply to the last command. */
+    /** Classifies the reply to the last command; null before the first one. */
     private ReplyTracker tracker;
     /** Time of {@link System#nanoTime}. */
     private long lastUsedNanos = System.nanoTime();
@@ -42,7 +49,7 @@
         this.pool = pool;
     }
 
-    /** Takes the channel that is being connected; called before anything else. */
+    /** Sets the channel, which is connecting; called before any other method. */
     void connecting(Channel connectingChannel) {
         channel = connectingChannel;
         login = new EngineLogin(channel, pool.engine());
@@ -58,7 +65,7 @@
         return state.isLoggedIn();
     }
 
-    /** Returns whether it is idle and was used last before that time. */
+    /** Returns whether the connection is idle since before that {@link System#nanoTime}. */
     boolean isIdleSince(long nanoTime) {
         return state == ConnectionState.IDLE && lastUsedNanos < nanoTime;
     }
@@ -67,31 +74,31 @@
         ChannelOperations.close(channel);
     }
 
-    /** Ends the attempt as rejected, unless its command has been sent. */
+    /** Rejects the attempt unless its command has been sent. */
     void rejectUnsent() {
         if (attempt != null && !state.isCommandSent()) {
             fail(AttemptOutcome.REJECTED);
         }
     }
 
-    /** Reads on, or stops reading until the client has read what it was sent. */
+    /** Resumes or pauses reading; a full spool pauses it. */
     void setReading(boolean reading) {
         channel.config().setAutoRead(reading);
     }
 
-    /** Starts the attempt, after the login where that is still under way. */
+    /** Starts the attempt, or after the login if that is not complete. */
     void start(QueryAttempt next) {
         attempt = next;
-        next.connection = this;
+        next.assignTo(this);
         if (state == ConnectionState.IDLE) {
             sendNextCommand();
         }
     }
 
-    /** Cancels the attempt: what runs is killed; what has not begun ends with the connection. */
+    /** Cancels the attempt: kills a running statement; closes the connection if the command has not been sent. */
     void cancel() {
         if (state == ConnectionState.EXECUTING) {
-            moveBy(Transition.KILL);
+            transition(Transition.KILL);
             setReading(true);
             pool.kill(login.threadId());
             ScheduledFuture<?> timeout =
@@ -102,15 +109,15 @@
         }
     }
 
-    private void moveBy(Transition transition) {
+    private void transition(Transition transition) {
         state = state.after(transition);
     }
 
     private void sendNextCommand() {
         lastUsedNanos = System.nanoTime();
         Transition step = session.nextStep(attempt);
-        moveBy(step);
-        Work work = attempt.work;
+        transition(step);
+        Work work = attempt.work();
         switch (step) {
             case APPLY_SETTINGS -> send(Commands.QUERY, session.settingsChangeFor(attempt));
             case SELECT_SCHEMA -> send(Commands.INIT_DB, work.schema());
@@ -131,12 +138,12 @@
 
     private void sendExecute(Work.Execute work) {
         EngineStatementCache.Prepared statement = session.preparedFor(work);
-        if (statement.parameterCount() == work.params()) {
+        if (statement.parameterCount() == work.parameterCount()) {
             tracker = new ReplyTracker(false);
             commands.execute(statement.id(), work);
         } else {
             ByteBuf error = Packets.error(channel.alloc(), 1, PARAMETERS_CHANGED);
-            attempt.take(channel.alloc(), error, ReplyTracker.PacketRole.LAST_ERROR);
+            attempt.receive(channel.alloc(), error, PacketRole.LAST_ERROR);
             finish(AttemptOutcome.OK);
         }
     }
@@ -148,22 +155,22 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        moveBy(Transition.CONNECT);
+        transition(Transition.CONNECT);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-        boolean handedOver = false;
+        boolean ownedByAttempt = false;
         try {
             if (state == ConnectionState.AUTHENTICATING) {
                 readLogin(frame);
             } else if (attempt != null) {
-                handedOver = readReply(frame);
+                ownedByAttempt = readReply(frame);
             } else if (Packets.first(frame) != Packets.ERR) {
-                throw new DecoderException("packet that nobody asked for");
+                throw new DecoderException("packet without a command");
             }
         } finally {
-            if (!handedOver) {
+            if (!ownedByAttempt) {
                 frame.release();
             }
         }
@@ -178,7 +185,7 @@
                 fail(EngineErrorKind.of(code).outcomeAtLogin());
             }
             case ACCEPTED -> {
-                moveBy(Transition.AUTHENTICATE);
+                transition(Transition.AUTHENTICATE);
                 if (attempt != null) {
                     sendNextCommand();
                 } else {
@@ -188,10 +195,10 @@
         }
     }
 
-    /** Returns whether the frame's reference was handed over to the attempt. */
+    /** Returns whether the attempt has taken over the frame's reference. */
     private boolean readReply(ByteBuf frame) {
-        ReplyTracker.PacketRole place = tracker.classify(frame);
-        if (place == ReplyTracker.PacketRole.LAST_ERROR) {
+        PacketRole role = tracker.classify(frame);
+        if (role == PacketRole.LAST_ERROR) {
             return readError(frame);
         }
         return switch (state) {
@@ -201,29 +208,29 @@
                 yield false;
             }
             case SELECTING_SCHEMA, PREPARING -> {
-                readPreparatoryReply(frame, place.isLast());
+                readPreparatoryReply(frame, role.isLast());
                 yield false;
             }
             default -> {
-                readOwnReply(frame, place);
+                readOwnReply(frame, role);
                 yield true;
             }
         };
     }
 
-    /** Reads a packet of the reply that the attempt's own command waits for. */
+    /** Reads a packet of the reply to a command that precedes the attempt's command. */
     private void readPreparatoryReply(ByteBuf frame, boolean last) {
         if (state == ConnectionState.PREPARING) {
-            session.readPrepared(frame, last, attempt.work);
+            session.readPrepared(frame, last, attempt.work());
         } else if (last) {
-            session.schemaSelected(attempt.work.schema());
+            session.schemaSelected(attempt.work().schema());
         }
         if (last) {
             sendNextCommand();
         }
     }
 
-    /** Returns whether the frame's reference was handed over to the attempt. */
+    /** Returns whether the attempt has taken over the frame's reference. */
     private boolean readError(ByteBuf frame) {
         EngineErrorKind kind = EngineErrorKind.of(Packets.errorCode(frame));
         if (kind != EngineErrorKind.COMMAND_FAILED) {
@@ -231,32 +238,32 @@
             fail(overloaded ? AttemptOutcome.REJECTED : state.outcomeOfFault());
             return false;
         }
-        attempt.take(channel.alloc(), frame, ReplyTracker.PacketRole.LAST_ERROR);
+        attempt.receive(channel.alloc(), frame, PacketRole.LAST_ERROR);
         finish(state == ConnectionState.KILLING ? AttemptOutcome.CANCELLED : AttemptOutcome.OK);
         return true;
     }
 
-    private void readOwnReply(ByteBuf frame, ReplyTracker.PacketRole place) {
-        Work work = attempt.work;
+    private void readOwnReply(ByteBuf frame, PacketRole role) {
+        Work work = attempt.work();
         if (work instanceof Work.Prepare) {
-            session.readPrepared(frame, place.isLast(), work);
+            session.readPrepared(frame, role.isLast(), work);
         }
-        attempt.take(channel.alloc(), frame, place);
-        if (place == ReplyTracker.PacketRole.LAST_OK) {
+        attempt.receive(channel.alloc(), frame, role);
+        if (role == PacketRole.LAST_OK) {
             session.completed(work);
             finish(AttemptOutcome.OK);
         }
     }
 
-    /** Ends the attempt, whose reply is complete. */
+    /** Ends the attempt after its complete reply. */
     private void finish(AttemptOutcome outcome) {
         QueryAttempt finished = attempt;
         attempt = null;
         lastUsedNanos = System.nanoTime();
-        // A transaction, or what a statement left in the session, must not reach the next client.
-        boolean sessionClean = !tracker.inTransaction() && !finished.work.leavesTraces();
+        // An open transaction or a changed session must not affect another client.
+        boolean sessionClean = !tracker.inTransaction() && !finished.work().changesSession();
         boolean reusable = state.isReusable() && sessionClean;
-        moveBy(reusable ? Transition.RELEASE : Transition.RETIRE);
+        transition(reusable ? Transition.RELEASE : Transition.RETIRE);
         setReading(true);
         if (reusable) {
             pool.release(this);
@@ -286,11 +293,11 @@
         closed();
     }
 
-    /** The connection was closed, or has not come up. */
+    /** The connection has closed, or opening it has failed. */
     void closed() {
         if (state != ConnectionState.CLOSED) {
             AttemptOutcome outcome = state.outcomeOfClose();
-            moveBy(Transition.CLOSE);
+            transition(Transition.CLOSE);
             pool.remove(this);
             fail(outcome);
         }
--- a/src/main/java/lineward/mysql/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.engine;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -13,37 +13,43 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
+import lineward.mysql.session.Work;
+import lineward.mysql.wire.PacketDecoder;
+import lineward.mysql.wire.Packets;
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * The connections to one MySQL engine, at most {@code linksPerEngine} of the bounds for attempts; a kill may
- * open one more. Used by the event loop of its connections only.
+ * The connections to one MySQL engine. Their number is limited by {@link ConnectionLimits}, except that a kill
+ * may open one more. Confined to the event loop.
  */
 final class EngineConnectionPool {
+    /** Has no effect, as the reply to a kill is never spooled. */
+    private static final long KILL_TIMEOUT_MS = 0;
+
     private final Bootstrap bootstrap;
-    private final MysqlConfig.Engine engine;
-    private final MysqlConfig.Bounds bounds;
+    private final EngineConfig engine;
+    private final ConnectionLimits limits;
     private final List<EngineConnection> connections = new ArrayList<>();
-    /** Connections without an attempt, the one used last first. */
+    /** Connections without an attempt; the most recently used one is the first. */
     private final Deque<EngineConnection> idle = new ArrayDeque<>();
 
     private boolean draining;
 
-    EngineConnectionPool(Bootstrap bootstrap, MysqlConfig.Engine engine, MysqlConfig.Bounds bounds) {
+    EngineConnectionPool(Bootstrap bootstrap, EngineConfig engine, ConnectionLimits limits) {
         this.bootstrap = bootstrap;
         this.engine = engine;
-        this.bounds = bounds;
+        this.limits = limits;
     }
 
     String name() {
         return engine.name();
     }
 
-    MysqlConfig.Engine engine() {
+    EngineConfig engine() {
         return engine;
     }
 
-    /** Starts the attempt on an idle connection or a new one; at the bound of connections it is rejected. */
+    /** Starts the attempt on an idle connection or a new one; rejects it if the limit of connections is reached. */
     void start(QueryAttempt attempt) {
         Optional<EngineConnection> suited = findIdle(attempt);
         if (suited.isPresent()) {
@@ -61,7 +67,7 @@
         }
     }
 
-    /** Returns an idle connection on which the attempt can run, if possible one that has its settings. */
+    /** Returns an idle connection for the attempt, if possible one with its settings. */
     private Optional<EngineConnection> findIdle(QueryAttempt attempt) {
         Predicate<EngineConnection> hasSchema =
                 connection -> connection.session().hasSchemaFor(attempt);
@@ -74,7 +80,7 @@
     }
 
     private boolean isFull() {
-        return connections.size() >= bounds.connectionsPerEngine();
+        return connections.size() >= limits.connectionsPerEngine();
     }
 
     private void closeLeastRecentlyUsed() {
@@ -83,12 +89,12 @@
         connection.close();
     }
 
-    /** Kills what runs under that thread of the engine, through another connection. */
+    /** Kills the statement of the connection with this id at the engine, on another connection. */
     void kill(long threadId) {
         Work killQuery = new Work.Query("", "KILL QUERY " + threadId);
-        QueryAttempt kill = new QueryAttempt(killQuery, Map.of(), 0, AttemptListener.DISCARD_REPLY);
-        EngineConnection free = idle.pollFirst();
-        (free != null ? free : connect()).start(kill);
+        QueryAttempt kill = new QueryAttempt(killQuery, Map.of(), KILL_TIMEOUT_MS, AttemptListener.DISCARD_REPLY);
+        EngineConnection connection = idle.isEmpty() ? connect() : idle.pollFirst();
+        connection.start(kill);
     }
 
     private EngineConnection connect() {
@@ -99,7 +105,7 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new PacketDecoder(Packets.LONGEST), connection);
+                        channel.pipeline().addLast(new PacketDecoder(Packets.MAX_PAYLOAD_BYTES), connection);
                     }
                 })
                 .connect(engine.address());
@@ -114,14 +120,14 @@
         return connection;
     }
 
-    /** An engine that accepts but never greets is given no longer than one that does not accept. */
+    /** The connect timeout also limits the login, as an engine may accept connections without greeting. */
     private ScheduledFuture<?> closeUnlessLoggedIn(EngineConnection connection, Channel channel) {
         Runnable check = () -> {
             if (!connection.isLoggedIn()) {
                 connection.close();
             }
         };
-        return channel.eventLoop().schedule(check, bounds.connectTimeoutMs(), TimeUnit.MILLISECONDS);
+        return channel.eventLoop().schedule(check, limits.connectTimeoutMs(), TimeUnit.MILLISECONDS);
     }
 
     /** Rejects the attempts whose command has not been sent, and closes the idle connections. */
@@ -130,7 +136,7 @@
         closeAllIdle();
     }
 
-    /** Takes back a connection that has become idle. */
+    /** Returns a connection to the pool after its attempt. */
     void release(EngineConnection connection) {
         if (draining) {
             connection.close();
@@ -139,24 +145,24 @@
         }
     }
 
-    /** Forgets a connection that was closed. */
+    /** Removes a closed connection. */
     void remove(EngineConnection connection) {
         connections.remove(connection);
         idle.remove(connection);
     }
 
-    /** Closes the connections as they become idle. */
+    /** Closes each connection when it is idle. */
     void drain() {
         draining = true;
         closeAllIdle();
     }
 
-    /** Keeps idle connections again, after {@link #drain}. */
+    /** Ends a {@link #drain}. */
     void reopen() {
         draining = false;
     }
 
-    /** Returns whether it is draining and has no connection left. */
+    /** Returns whether the pool is draining and has no connections. */
     boolean isDrained() {
         return draining && connections.isEmpty();
     }
@@ -165,7 +171,7 @@
         closeIdleSince(System.nanoTime() + 1);
     }
 
-    /** Closes the idle connections that were used last before that time of {@link System#nanoTime}. */
+    /** Closes connections that are idle since before that {@link System#nanoTime}. */
     void closeIdleSince(long nanoTime) {
         for (EngineConnection connection : List.copyOf(idle)) {
             if (connection.isIdleSince(nanoTime)) {
--- a/src/main/java/lineward/mysql/EngineConnectionPools.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.engine;
 
 import io.netty.bootstrap.Bootstrap;
 import java.util.HashMap;
@@ -9,22 +9,22 @@
 import lineward.scheduling.AttemptOutcome;
 import lineward.scheduling.EndpointState;
 
-/** The connection pools of all engines, as the configuration last named them. Used by one event loop only. */
-final class EngineConnectionPools {
+/** The connection pools of all configured engines. Confined to the event loop. */
+public final class EngineConnectionPools {
     private final Bootstrap bootstrap;
-    private final MysqlConfig.Bounds bounds;
+    private final ConnectionLimits limits;
     private final Map<String, EngineConnectionPool> byName = new HashMap<>();
 
-    /** @param bootstrap opens the connections */
-    EngineConnectionPools(Bootstrap bootstrap, MysqlConfig.Bounds bounds) {
+    /** @param bootstrap the event loop and the options of all connections */
+    public EngineConnectionPools(Bootstrap bootstrap, ConnectionLimits limits) {
         this.bootstrap = bootstrap;
-        this.bounds = bounds;
+        this.limits = limits;
     }
 
-    /** Takes in the engines as the configuration now has them; the pools of all others are drained. */
-    void update(List<MysqlConfig.Engine> engines) {
+    /** Applies the configured engines; the pools of all other engines are drained. */
+    public void update(List<EngineConfig> engines) {
         engines.forEach(this::update);
-        Set<String> names = engines.stream().map(MysqlConfig.Engine::name).collect(Collectors.toSet());
+        Set<String> names = engines.stream().map(EngineConfig::name).collect(Collectors.toSet());
         for (EngineConnectionPool pool : byName.values()) {
             if (!names.contains(pool.name())) {
                 pool.drain();
@@ -32,14 +32,14 @@
         }
     }
 
-    private void update(MysqlConfig.Engine engine) {
+    private void update(EngineConfig engine) {
         EngineConnectionPool pool = byName.get(engine.name());
         boolean hasMoved = pool != null && !pool.engine().address().equals(engine.address());
         if (hasMoved) {
             pool.drain();
         }
         if (pool == null || hasMoved) {
-            pool = new EngineConnectionPool(bootstrap, engine, bounds);
+            pool = new EngineConnectionPool(bootstrap, engine, limits);
             byName.put(engine.name(), pool);
         }
         if (engine.state() == EndpointState.READY) {
@@ -49,8 +49,8 @@
         }
     }
 
-    /** Starts the attempt at that engine; it fails if the engine is gone and its connections are closed. */
-    void start(String engine, QueryAttempt attempt) {
+    /** Starts the attempt at the engine; it fails if the engine is no longer configured and its pool is drained. */
+    public void start(String engine, QueryAttempt attempt) {
         EngineConnectionPool pool = byName.get(engine);
         if (pool == null) {
             attempt.end(AttemptOutcome.CONNECT_FAILED);
@@ -59,21 +59,22 @@
         }
     }
 
-    /** Rejects the engine's attempts whose command has not been sent, and closes its idle connections. */
-    void rejectUnsent(String engine) {
+    /** Rejects attempts whose command has not been sent to the engine, and closes its idle connections. */
+    public void rejectUnsent(String engine) {
         EngineConnectionPool pool = byName.get(engine);
         if (pool != null) {
             pool.rejectUnsent();
         }
     }
 
-    /** Closes connections idle since before that {@link System#nanoTime}, and removes drained pools. */
-    void closeIdleSince(long nanoTime) {
+    /** Closes connections that are idle since before that {@link System#nanoTime}; removes drained pools. */
+    public void closeIdleSince(long nanoTime) {
         byName.values().forEach(pool -> pool.closeIdleSince(nanoTime));
         byName.values().removeIf(EngineConnectionPool::isDrained);
     }
 
-    int size() {
+    /** Returns the number of pools. */
+    public int size() {
         return byName.size();
     }
 }
--- a/src/main/java/lineward/mysql/EngineErrorKind.java
+++ b/src/main/java/lineward/mysql/engine/EngineErrorKind.java
@@ -1,15 +1,15 @@
-package lineward.mysql;
+package lineward.mysql.engine;
 
 import java.util.Set;
 import lineward.scheduling.AttemptOutcome;
 
-/** What the number of an engine's error says of the command that it answers. */
+/** The meaning of an engine's error for the command. */
 enum EngineErrorKind {
-    /** The engine is at a limit of its own: the command never ran. */
+    /** The engine has reached one of its limits and did not execute the command. */
     OVERLOADED,
-    /** The engine shuts down: this is no answer to the command. */
+    /** The engine shuts down; the error does not answer the command. */
     SHUTTING_DOWN,
-    /** The command's own error, which is its answer. */
+    /** The command failed; the error is its answer. */
     COMMAND_FAILED;
 
     /** ER_CON_COUNT_ERROR, ER_TOO_MANY_USER_CONNECTIONS, ER_USER_LIMIT_REACHED. */
@@ -25,7 +25,7 @@
         return SHUTDOWN_CODES.contains(code) ? SHUTTING_DOWN : COMMAND_FAILED;
     }
 
-    /** Returns how an attempt ends whose connection was rejected by such an error at its login. */
+    /** Returns the outcome of an attempt whose login was rejected with this error. */
     AttemptOutcome outcomeAtLogin() {
         return this == OVERLOADED ? AttemptOutcome.REJECTED : AttemptOutcome.CONNECT_FAILED;
     }
--- a/src/main/java/lineward/mysql/EngineLogin.java
+++ b/src/main/java/lineward/mysql/engine/EngineLogin.java
@@ -1,19 +1,23 @@
-package lineward.mysql;
+package lineward.mysql.engine;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.handler.codec.DecoderException;
 import java.nio.charset.StandardCharsets;
 import java.security.GeneralSecurityException;
+import lineward.mysql.wire.Auth;
+import lineward.mysql.wire.ChannelOperations;
+import lineward.mysql.wire.Handshake;
+import lineward.mysql.wire.Packets;
 
-/** The client's side of one login at an engine, from the engine's greeting to its answer. */
+/** The login at an engine, from the engine's greeting to its final answer. */
 final class EngineLogin {
-    /** How far a login has come. */
+    /** The state of a login after a packet. */
     enum Progress {
-        /** Another packet of the engine is awaited. */
+        /** The login expects another packet. */
         CONTINUES,
         ACCEPTED,
-        /** The engine has answered with an error packet. */
+        /** The engine has sent an error packet. */
         REJECTED
     }
 
@@ -22,26 +26,26 @@
     private static final int REQUEST_PUBLIC_KEY = 2;
 
     private final Channel channel;
-    private final MysqlConfig.Engine engine;
-    /** Null until the greeting has come. */
+    private final EngineConfig engine;
+    /** Null before the greeting. */
     private byte[] nonce;
 
     private long threadId;
 
-    EngineLogin(Channel channel, MysqlConfig.Engine engine) {
+    EngineLogin(Channel channel, EngineConfig engine) {
         this.channel = channel;
         this.engine = engine;
     }
 
-    /** Returns the engine's id of this connection, by which its statements are killed. */
+    /** Returns the engine's id of this connection, which KILL QUERY names. */
     long threadId() {
         return threadId;
     }
 
     /**
-     * Answers one packet of the engine, which stays the caller's.
+     * Answers one packet of the engine; the caller releases the packet.
      *
-     * @throws DecoderException if the packet has no place in a login or the engine asks for what is unknown
+     * @throws DecoderException if the packet is not part of a login or requests an unknown plugin
      */
     Progress advance(ByteBuf frame) {
         int sequence = Packets.sequence(frame) + 1;
@@ -75,15 +79,15 @@
     }
 
     private void switchPlugin(ByteBuf payload, int sequence) {
-        String plugin = Packets.zeroEnded(payload);
+        String plugin = Packets.zeroTerminated(payload);
         payload.readBytes(nonce, 0, Math.min(nonce.length, payload.readableBytes()));
         if (!Auth.isSupported(plugin)) {
-            throw new DecoderException("engine asks for the plugin " + plugin);
+            throw new DecoderException("engine requests the plugin " + plugin);
         }
         send(sequence, Auth.proof(plugin, engine.password(), nonce));
     }
 
-    /** An engine that has not cached the password's digest sends its public key to get the password. */
+    /** An engine without a cached digest of the password requests the password, encrypted with its public key. */
     private void answerMoreData(ByteBuf payload, int sequence) {
         if (payload.readableBytes() == 1) {
             if (payload.getByte(payload.readerIndex()) != FAST_AUTH_SUCCESS) {
@@ -93,13 +97,13 @@
         }
         String publicKey = payload.toString(StandardCharsets.US_ASCII);
         try {
-            send(sequence, Auth.sealed(engine.password(), nonce, publicKey));
+            send(sequence, Auth.encrypt(engine.password(), nonce, publicKey));
         } catch (GeneralSecurityException | IllegalArgumentException e) {
             throw new DecoderException("engine's key can't be used", e);
         }
     }
 
     private void send(int sequence, byte[] payload) {
-        ChannelOperations.write(channel, Handshake.bytes(channel.alloc(), sequence, payload));
+        ChannelOperations.write(channel, Handshake.authData(channel.alloc(), sequence, payload));
     }
 }
--- a/src/main/java/lineward/mysql/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -1,13 +1,16 @@
-package lineward.mysql;
+package lineward.mysql.engine;
 
 import io.netty.buffer.ByteBuf;
 import java.util.Map;
-import lineward.mysql.ConnectionState.Transition;
+import lineward.mysql.engine.ConnectionState.Transition;
+import lineward.mysql.session.SessionSettings;
+import lineward.mysql.session.Work;
+import lineward.mysql.wire.Texts;
 
-/** What is in place in the session of one connection to an engine, and what an attempt still needs there. */
+/** The session of one connection to an engine: its settings, schema and prepared statements. */
 final class EngineSession {
     private final EngineStatementCache prepared;
-    /** Empty until one has been selected. */
+    /** Empty until a schema is selected. */
     private String schema = "";
     /** The settings of the session that differ from the engine's defaults. */
     private Map<String, String> settings = Map.of();
@@ -16,19 +19,19 @@
         this.prepared = prepared;
     }
 
-    /** Returns whether the attempt can run here: a schema once selected can be changed but not given up. */
+    /** Returns whether the attempt can run here: once selected, a schema can be changed but not unselected. */
     boolean hasSchemaFor(QueryAttempt attempt) {
-        return schema.isEmpty() || !attempt.work.schema().isEmpty();
+        return schema.isEmpty() || !attempt.work().schema().isEmpty();
     }
 
-    /** Returns whether the attempt finds its settings in place. */
+    /** Returns whether the session has the attempt's settings. */
     boolean hasSettingsFor(QueryAttempt attempt) {
-        return settings.equals(attempt.settings);
+        return settings.equals(attempt.settings());
     }
 
-    /** Returns the next step of the attempt: settings, schema and preparation go ahead of its own command. */
+    /** Returns the next step of the attempt: settings, schema, preparation, and then its command. */
     Transition nextStep(QueryAttempt attempt) {
-        Work work = attempt.work;
+        Work work = attempt.work();
         if (!hasSettingsFor(attempt)) {
             return Transition.APPLY_SETTINGS;
         }
@@ -44,34 +47,34 @@
         return differs && !(work instanceof Work.UseSchema);
     }
 
-    /** Returns the statement, in Latin-1, that brings the attempt's settings into place. */
+    /** Returns the statement that applies the attempt's settings, in the form of {@link Texts}. */
     String settingsChangeFor(QueryAttempt attempt) {
-        return Texts.latin1(SessionSettings.change(settings, attempt.settings));
+        return Texts.latin1(SessionSettings.change(settings, attempt.settings()));
     }
 
-    /** The attempt's settings are in place. */
+    /** The engine has applied the attempt's settings. */
     void settingsApplied(QueryAttempt attempt) {
-        settings = attempt.settings;
+        settings = attempt.settings();
     }
 
-    /** That schema is in place. */
+    /** The engine has selected the schema. */
     void schemaSelected(String selected) {
         schema = selected;
     }
 
-    /** The work succeeded; where it selects a schema, that is in place. */
+    /** The engine has completed the work successfully. */
     void completed(Work work) {
         if (work instanceof Work.UseSchema) {
             schema = work.schema();
         }
     }
 
-    /** Returns the prepared statement that the work executes, or null. */
+    /** Returns the prepared statement of the work; null if it is not prepared here. */
     EngineStatementCache.Prepared preparedFor(Work.Execute work) {
         return prepared.find(key(work));
     }
 
-    /** Reads a packet of the reply to the preparation for that work; the last packet brings it into place. */
+    /** Reads a packet of the reply to a preparation; the last packet completes the preparation. */
     void readPrepared(ByteBuf frame, boolean isLast, Work work) {
         prepared.readPacket(frame);
         if (isLast) {
@@ -80,8 +83,8 @@
     }
 
     /**
-     * Returns the key of a prepared statement. It contains the settings, as an engine parses a text by those
-     * that hold when it is prepared.
+     * Returns the key of a prepared statement. The key contains the settings, because an engine parses a text
+     * with the settings at the time of the preparation.
      */
     private String key(Work work) {
         String text = work instanceof Work.Execute execute ? execute.text() : ((Work.Prepare) work).text();
--- a/src/main/java/lineward/mysql/EngineStatementCache.java
+++ b/src/main/java/lineward/mysql/engine/EngineStatementCache.java
@@ -1,17 +1,18 @@
-package lineward.mysql;
+package lineward.mysql.engine;
 
 import io.netty.buffer.ByteBuf;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.LongConsumer;
+import lineward.mysql.wire.Packets;
 
 /** The statements prepared on one connection to an engine; the least recently used one is evicted. */
 final class EngineStatementCache {
-    /** A statement as the engine knows it. */
+    /** A prepared statement at the engine. */
     record Prepared(long id, int parameterCount) {}
 
-    /** Bounds what one connection holds in an engine's memory. */
+    /** Limits the memory at the engine for one connection. */
     private static final int MAX_STATEMENTS = 64;
 
     private static final int INITIAL_CAPACITY = 16;
@@ -19,7 +20,7 @@
 
     private final Map<String, Prepared> byKey = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
     private final LongConsumer closeAtEngine;
-    /** The statement whose reply is being read; null between replies. */
+    /** The statement whose reply is incomplete; null between replies. */
     private Prepared pending;
 
     /** @param closeAtEngine closes the statement with this id at the engine */
@@ -31,23 +32,23 @@
         return byKey.containsKey(key);
     }
 
-    /** Returns the statement prepared under the key, or null. */
+    /** Returns the statement with this key, or null. */
     Prepared find(String key) {
         return byKey.get(key);
     }
 
-    /** Reads one packet of the reply to a preparation; only the first one tells something. */
+    /** Reads one packet of the reply to a preparation; packets after the first are skipped. */
     void readPacket(ByteBuf frame) {
         if (pending == null) {
             ByteBuf payload = Packets.payload(frame).skipBytes(1);
             long id = payload.readUnsignedIntLE();
-            // The count of columns comes between.
+            // The number of columns precedes the number of parameters.
             int parameterCount = payload.skipBytes(Short.BYTES).readUnsignedShortLE();
             pending = new Prepared(id, parameterCount);
         }
     }
 
-    /** Stores the statement whose reply has been read completely. */
+    /** Stores the statement, whose reply is complete. */
     void complete(String key) {
         Prepared replaced = byKey.put(key, pending);
         pending = null;
--- a/src/main/java/lineward/mysql/QueryAttempt.java
+++ b/src/main/java/lineward/mysql/engine/QueryAttempt.java
@@ -1,84 +1,97 @@
-package lineward.mysql;
+package lineward.mysql.engine;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import lineward.mysql.session.Work;
+import lineward.mysql.wire.PacketRole;
 import lineward.scheduling.AttemptOutcome;
 import lineward.spool.SpooledResult;
 
 /**
  * One attempt at an engine: its work, the reply so far, and its listener. A short reply is buffered; a longer
- * one is spooled, so that the engine is free once its last byte has come. Used by one event loop only.
+ * reply is spooled, so that the engine is free after its last packet. Confined to the event loop.
  */
-final class QueryAttempt {
-    /** What becomes of the reply. */
+public final class QueryAttempt {
     private enum ReplyState {
-        /** It is buffered, or has not begun. */
+        /** The reply is buffered, or has not begun. */
         BUFFERING,
-        /** It is spooled; the client sees nothing of it yet. */
+        /** The reply is spooled, and the client can't read it yet. */
         SPOOLING,
-        /** It is spooled, and the client reads it as it comes. */
+        /** The reply is spooled, and the client reads it. */
         STREAMING,
-        /** Nobody wants the rest of it. */
+        /** The rest of the reply is dropped. */
         DISCARDING,
         /** The attempt has ended. */
         ENDED
     }
 
-    /** Bytes of a reply that are buffered; a longer one is spooled. */
+    /** A longer reply is spooled. */
     private static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
     private static final double NANOS_PER_MS = TimeUnit.MILLISECONDS.toNanos(1);
 
-    final Work work;
-    /** Settings of the client's session that must be in place at the engine. */
-    final Map<String, String> settings;
-
+    private final Work work;
+    private final Map<String, String> settings;
     private final long timeoutMs;
     private final AttemptListener listener;
     private final long startedNanos = System.nanoTime();
     private ReplyState state = ReplyState.BUFFERING;
-    /** Null before the first packet, once the reply is spooled and at the end. */
+    /** Null before the first packet, once the reply is spooled, and at the end. */
     private ByteBuf buffered;
-    /** Bytes of the buffer that come before the rows. */
+    /** Bytes of the buffer before the rows. */
     private int headBytes;
     /** Null unless the reply is spooled. */
     private SpoolWriter spool;
-    /** Null until the attempt has been given to one. */
-    EngineConnection connection;
+    /** Null until a pool has assigned a connection. */
+    private EngineConnection connection;
 
     /**
-     * An attempt that has not started.
+     * Creates an attempt that has not started.
      *
-     * @param timeoutMs how long the attempt may take, in milliseconds
+     * @param settings session variables that must be set at the engine
+     * @param timeoutMs the attempt's timeout, which determines when the client may read an incomplete reply
      */
-    QueryAttempt(Work work, Map<String, String> settings, long timeoutMs, AttemptListener listener) {
+    public QueryAttempt(Work work, Map<String, String> settings, long timeoutMs, AttemptListener listener) {
         this.work = work;
         this.settings = settings;
         this.timeoutMs = timeoutMs;
         this.listener = listener;
     }
 
+    Work work() {
+        return work;
+    }
+
+    Map<String, String> settings() {
+        return settings;
+    }
+
+    /** The connection executes this attempt. */
+    void assignTo(EngineConnection assigned) {
+        connection = assigned;
+    }
+
     void commandWritten() {
         listener.commandWritten();
     }
 
-    /** Cancels the attempt, unless it has ended or no engine has got it. */
-    void cancel() {
+    /** Cancels the attempt, unless it has ended or has no connection. */
+    public void cancel() {
         if (state != ReplyState.ENDED && connection != null) {
             connection.cancel();
         }
     }
 
-    /** Takes in a packet of the reply, of which it takes over the reference. */
-    void take(ByteBufAllocator alloc, ByteBuf frame, ReplyTracker.PacketRole place) {
+    /** Receives a packet of the reply and takes over its reference. */
+    void receive(ByteBufAllocator alloc, ByteBuf frame, PacketRole role) {
         try {
             switch (state) {
-                case BUFFERING -> buffer(alloc, frame, place);
+                case BUFFERING -> buffer(alloc, frame, role);
                 case SPOOLING, STREAMING -> {
-                    spool.write(frame, frame.readableBytes(), place);
-                    spooled();
+                    spool.write(frame, frame.readableBytes(), role);
+                    packetsSpooled();
                 }
                 case DISCARDING, ENDED -> {}
             }
@@ -87,23 +100,23 @@
         }
     }
 
-    private void buffer(ByteBufAllocator alloc, ByteBuf frame, ReplyTracker.PacketRole place) {
+    private void buffer(ByteBufAllocator alloc, ByteBuf frame, PacketRole role) {
         if (buffered == null) {
             buffered = alloc.heapBuffer(frame.readableBytes());
         }
         buffered.writeBytes(frame);
-        if (place == ReplyTracker.PacketRole.HEAD || place == ReplyTracker.PacketRole.HEAD_END) {
+        if (role == PacketRole.HEAD || role == PacketRole.HEAD_END) {
             headBytes = buffered.readableBytes();
         }
-        boolean tooLong = buffered.readableBytes() > MAX_BUFFERED_BYTES && place.mayBeBehindRows();
-        boolean rowsFollow = place == ReplyTracker.PacketRole.HEAD_END;
+        boolean tooLong = buffered.readableBytes() > MAX_BUFFERED_BYTES && role.isRowOrSuccess();
+        boolean rowsFollow = role == PacketRole.HEAD_END;
         if (tooLong || (rowsFollow && listener.alwaysSpools())) {
-            startSpooling(place);
+            startSpooling(role);
         }
     }
 
-    /** Moves what has been buffered to the spool. */
-    private void startSpooling(ReplyTracker.PacketRole lastPlace) {
+    /** Moves the buffered packets to the spool. */
+    private void startSpooling(PacketRole lastRole) {
         SpooledResult result = listener.openSpool();
         ByteBuf packets = buffered;
         buffered = null;
@@ -114,7 +127,7 @@
             }
             state = ReplyState.SPOOLING;
             spool = new SpoolWriter(result);
-            spool.writeBuffered(packets, headBytes, lastPlace);
+            spool.writeBuffered(packets, headBytes, lastRole);
         } finally {
             packets.release();
         }
@@ -123,11 +136,11 @@
                 connection.setReading(result.mayReadEngine());
             }
         });
-        spooled();
+        packetsSpooled();
     }
 
-    /** Lets the client read once it is time for that; a full spool stops the reading from the engine. */
-    private void spooled() {
+    /** Lets the client read at the time that the spool determines; a full spool pauses the engine. */
+    private void packetsSpooled() {
         double limitMs = timeoutMs;
         if (state == ReplyState.SPOOLING && spool.result().shouldStartResponse(elapsedMs(), limitMs)) {
             state = ReplyState.STREAMING;
@@ -151,12 +164,12 @@
         spool.result().fail();
     }
 
-    /** Ends the attempt; only the first end counts. */
+    /** Ends the attempt; an attempt that has ended ignores this. */
     void end(AttemptOutcome reported) {
         if (state == ReplyState.ENDED) {
             return;
         }
-        // The end of a reply came, but the spool has not kept all of it.
+        // The engine's reply may be complete although the spool has dropped a part of it.
         boolean incomplete = state == ReplyState.DISCARDING
                 || (spool != null && spool.result().isReleased());
         AttemptOutcome outcome = incomplete ? AttemptOutcome.CANCELLED : reported;
--- /dev/null
+++ b/src/main/java/lineward/mysql/engine/SpoolWriter.java
@@ -0,0 +1,48 @@
+package lineward.mysql.engine;
+
+import io.netty.buffer.ByteBuf;
+import lineward.mysql.wire.PacketRole;
+import lineward.mysql.wire.Packets;
+import lineward.spool.SpooledResult;
+
+/** Writes the packets of one reply to the spool; a block ends before the first row and after the last. */
+final class SpoolWriter {
+    private final SpooledResult result;
+
+    SpoolWriter(SpooledResult result) {
+        this.result = result;
+    }
+
+    SpooledResult result() {
+        return result;
+    }
+
+    /** Writes the next bytes of the source: one packet, or all packets before the rows. */
+    void write(ByteBuf source, int length, PacketRole role) {
+        if (role.isLast()) {
+            result.seal();
+        }
+        int offset = result.reserve(length);
+        source.readBytes(result.buffer(), offset, length);
+        boolean row = role == PacketRole.ROW;
+        result.commit(length, row, role == PacketRole.ROW_PART);
+        if (role == PacketRole.HEAD_END) {
+            result.seal();
+        }
+    }
+
+    /** Writes buffered packets, with the same block boundaries as if each were written when it was received. */
+    void writeBuffered(ByteBuf packets, int headBytes, PacketRole lastRole) {
+        write(packets, headBytes, PacketRole.HEAD_END);
+        while (packets.isReadable()) {
+            int length = Packets.HEADER_BYTES + packets.getUnsignedMediumLE(packets.readerIndex());
+            boolean isLast = length == packets.readableBytes();
+            write(packets, length, isLast ? lastRole : rowRole(length));
+        }
+    }
+
+    private static PacketRole rowRole(int length) {
+        boolean continued = length == Packets.HEADER_BYTES + Packets.MAX_PAYLOAD_BYTES;
+        return continued ? PacketRole.ROW_PART : PacketRole.ROW;
+    }
+}
--- a/src/main/java/lineward/mysql/Assignment.java
+++ b/src/main/java/lineward/mysql/session/Assignment.java
@@ -1,10 +1,10 @@
-package lineward.mysql;
+package lineward.mysql.session;
 
 /**
  * One assignment of a SET statement.
  *
- * @param name of the variable, in lower case; that of SET NAMES is "names"
- * @param value as it is written in a statement, quoted where it is a text
+ * @param name the variable in lower case, or "names" for SET NAMES
+ * @param value the literal of the statement, with quotes if it is a string
  */
 record Assignment(String name, String value) {
     private static final String DEFAULT = "default";
@@ -18,7 +18,7 @@
         return unquote(value);
     }
 
-    /** Returns a value of a statement without quotes, if it has any. */
+    /** Returns a literal without quotes, if it has any. */
     static String unquote(String value) {
         boolean isQuoted = value.length() > 1 && (value.startsWith("'") || value.startsWith("\""));
         return isQuoted ? value.substring(1, value.length() - 1) : value;
--- /dev/null
+++ b/src/main/java/lineward/mysql/session/ClientStatement.java
@@ -0,0 +1,138 @@
+package lineward.mysql.session;
+
+import io.netty.buffer.ByteBuf;
+import java.util.ArrayList;
+import java.util.List;
+
+/** A statement that a client has prepared, with its text, so that any engine can execute it. */
+public final class ClientStatement {
+    /** Bytes of an execution's flags and iteration count. */
+    private static final int EXECUTION_HEAD_BYTES = 5;
+
+    private static final int NO_CURSOR = 0;
+    private static final int READ_ONLY_CURSOR = 1;
+    private static final int TYPES_FOLLOW = 1;
+    private static final int BYTES_PER_TYPE = 2;
+
+    private final String schema;
+    private final SpoolHint hint;
+    private final int parameterCount;
+    private final int reservedBytes;
+    private final List<Work.LongData> longData = new ArrayList<>();
+    /** Null if no cursor was opened since the last execution or reset. */
+    private StatementCursor cursor;
+    /** Types of the parameters; null until an execution sends them. */
+    private byte[] types;
+
+    /** @param reservedBytes bytes of the text that count against the limit for all clients */
+    ClientStatement(String schema, SpoolHint hint, int parameterCount, int reservedBytes) {
+        this.schema = schema;
+        this.hint = hint;
+        this.parameterCount = parameterCount;
+        this.reservedBytes = reservedBytes;
+    }
+
+    /** Returns the text without the hint. */
+    public String text() {
+        return hint.statement();
+    }
+
+    /** Returns the hint in the statement's text. */
+    public SpoolHint hint() {
+        return hint;
+    }
+
+    int reservedBytes() {
+        return reservedBytes;
+    }
+
+    /** Returns whether rows can be fetched from a cursor. */
+    public boolean hasOpenCursor() {
+        return cursor != null && !cursor.isDone();
+    }
+
+    /** Returns the cursor; only if there is an open one. */
+    public StatementCursor cursor() {
+        return cursor;
+    }
+
+    /** Closes the present cursor, if any, and sets another one. */
+    public void replaceCursor(StatementCursor opened) {
+        closeCursor();
+        cursor = opened;
+    }
+
+    /** Closes the cursor, if there is one. */
+    public void closeCursor() {
+        if (cursor != null) {
+            cursor.close();
+            cursor = null;
+        }
+    }
+
+    /** Returns whether an execution with these arguments opens a read-only cursor. */
+    public static boolean requestsCursor(ByteBuf arguments) {
+        return arguments.isReadable() && arguments.getByte(arguments.readerIndex()) == READ_ONLY_CURSOR;
+    }
+
+    /** Adds a part of a parameter for the next execution. */
+    public void add(Work.LongData data) {
+        longData.add(data);
+    }
+
+    /** Returns the bytes of the parameters' parts for the next execution. */
+    public int longDataBytes() {
+        return longData.stream().mapToInt(data -> data.bytes().length).sum();
+    }
+
+    /** Drops the parameters' parts for the next execution, and closes the cursor. */
+    public void reset() {
+        longData.clear();
+        closeCursor();
+    }
+
+    /**
+     * Returns the execution with these arguments. A client sends the types of the parameters once; they are
+     * added to every execution, as it may be the first one on its engine.
+     *
+     * @param arguments what follows the statement's id
+     * @throws IllegalArgumentException if the arguments are malformed or request another kind of cursor
+     */
+    public Work.Execute execute(ByteBuf arguments) {
+        int maxBytes = arguments.readableBytes() + BYTES_PER_TYPE * parameterCount + 1;
+        ByteBuf forwarded = arguments.alloc().heapBuffer(maxBytes);
+        try {
+            int flags = arguments.readUnsignedByte();
+            if (flags > READ_ONLY_CURSOR) {
+                throw new IllegalArgumentException("only read-only cursors are supported");
+            }
+            // The cursor is in the spool: the engine sends all rows at once and is free for other statements.
+            forwarded.writeByte(NO_CURSOR).writeBytes(arguments, EXECUTION_HEAD_BYTES - 1);
+            if (parameterCount > 0) {
+                copyParameters(arguments, forwarded);
+            }
+            byte[] bytes = new byte[forwarded.readableBytes()];
+            forwarded.readBytes(bytes);
+            return new Work.Execute(schema, text(), parameterCount, bytes, List.copyOf(longData));
+        } catch (IndexOutOfBoundsException e) {
+            throw new IllegalArgumentException("they end early", e);
+        } finally {
+            forwarded.release();
+            longData.clear();
+        }
+    }
+
+    private void copyParameters(ByteBuf arguments, ByteBuf forwarded) {
+        int nullBitmapBytes = (parameterCount + Byte.SIZE - 1) / Byte.SIZE;
+        forwarded.writeBytes(arguments, nullBitmapBytes);
+        if (arguments.readByte() == TYPES_FOLLOW) {
+            byte[] received = new byte[BYTES_PER_TYPE * parameterCount];
+            arguments.readBytes(received);
+            types = received;
+        }
+        if (types == null) {
+            throw new IllegalArgumentException("no types of parameters");
+        }
+        forwarded.writeByte(TYPES_FOLLOW).writeBytes(types).writeBytes(arguments);
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/mysql/session/PreparedStatements.java
@@ -0,0 +1,69 @@
+package lineward.mysql.session;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/** The prepared statements of one client, by the ids that the client uses. Bounded by {@link StatementLimits}. */
+public final class PreparedStatements {
+    private final StatementLimits limits;
+    private final Map<Long, ClientStatement> statementsById = new HashMap<>();
+    private long lastId;
+
+    /** Creates an empty set of statements with these limits. */
+    public PreparedStatements(StatementLimits limits) {
+        this.limits = limits;
+    }
+
+    /** Reserves capacity for one more statement; returns false if a limit is reached. */
+    public boolean reserve(int textBytes) {
+        return statementsById.size() < limits.maxStatements()
+                && limits.textBytes().reserve(textBytes);
+    }
+
+    /** Releases the capacity reserved for a statement whose preparation failed. */
+    public void release(Work.Prepare work) {
+        limits.textBytes().release(work.text().length());
+    }
+
+    /**
+     * Adds a statement that an engine has prepared and for which capacity was reserved.
+     *
+     * @return its id
+     */
+    public long add(Work.Prepare work, int parameterCount) {
+        SpoolHint hint = SpoolHint.of(work.text());
+        int reservedBytes = work.text().length();
+        lastId++;
+        statementsById.put(lastId, new ClientStatement(work.schema(), hint, parameterCount, reservedBytes));
+        return lastId;
+    }
+
+    /** Returns the statement with this id, or null. */
+    public ClientStatement get(long id) {
+        return statementsById.get(id);
+    }
+
+    /** Returns whether a statement has an open cursor. */
+    public boolean hasOpenCursor() {
+        return statementsById.values().stream().anyMatch(ClientStatement::hasOpenCursor);
+    }
+
+    /** Closes the statement with this id, if there is one. */
+    public void close(long id) {
+        ClientStatement statement = statementsById.remove(id);
+        if (statement != null) {
+            close(statement);
+        }
+    }
+
+    /** Closes all statements. */
+    public void closeAll() {
+        statementsById.values().forEach(this::close);
+        statementsById.clear();
+    }
+
+    private void close(ClientStatement statement) {
+        statement.closeCursor();
+        limits.textBytes().release(statement.reservedBytes());
+    }
+}
--- a/src/main/java/lineward/mysql/SessionSettings.java
+++ b/src/main/java/lineward/mysql/session/SessionSettings.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.session;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,19 +7,19 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
+import lineward.mysql.wire.LocalResult;
 
 /**
- * The settings of one client's session: what it has set, as far as an engine must know it, and what it is
- * told when it asks. Statements may run on any engine; what differs from an engine's own settings is set on
- * its connection first.
+ * The session variables of one client. Its statements may run on any engine: the variables that
+ * affect an engine are set on the connection before the statement; queries of variables are answered here.
  */
-final class SessionSettings {
+public final class SessionSettings {
     private static final int MAX_SETTINGS = 32;
     private static final int MAX_VALUE_LENGTH = 1024;
     private static final String CHARACTER_SET_RESULTS = "character_set_results";
     private static final String CONNECTION_CHARSET = "utf8mb4";
     private static final String NULL = "NULL";
-    /** Names of UTF-8, which is what every connection to an engine speaks. */
+    /** Names of UTF-8, the character set of every connection to an engine. */
     private static final Set<String> UTF8_CHARSETS = Set.of(CONNECTION_CHARSET, "utf8", "utf8mb3", "default");
 
     private static final Set<String> AUTOCOMMIT_ON = Set.of("1", "on", "true", "default");
@@ -27,19 +27,19 @@
     private final Map<String, String> values = new TreeMap<>();
     private Map<String, String> forwarded = Map.of();
 
-    /** Returns the settings that an engine's connection must have, by name; an immutable map. */
-    Map<String, String> forEngines() {
+    /** Returns the variables that must be set on an engine's connection, as an immutable map. */
+    public Map<String, String> forEngines() {
         return forwarded;
     }
 
-    /** Forgets all that was set. */
-    void reset() {
+    /** Resets all variables to their defaults. */
+    public void reset() {
         values.clear();
         forwarded = Map.of();
     }
 
-    /** Returns the statement that takes a connection from some settings to others. */
-    static String change(Map<String, String> from, Map<String, String> to) {
+    /** Returns the statement that changes a connection's variables from one set to another. */
+    public static String change(Map<String, String> from, Map<String, String> to) {
         List<String> assignments = new ArrayList<>();
         from.keySet().stream()
                 .filter(name -> !to.containsKey(name))
@@ -54,11 +54,11 @@
     }
 
     /**
-     * Carries out a SET statement.
+     * Executes a SET statement.
      *
-     * @throws UnsupportedSettingException if a part of it is not supported; nothing of it is carried out then
+     * @throws UnsupportedSettingException if a part of it is not supported; nothing is changed then
      */
-    void set(String statement) throws UnsupportedSettingException {
+    public void set(String statement) throws UnsupportedSettingException {
         Map<String, String> changed = new TreeMap<>(values);
         for (Assignment assignment : new SetReader(statement, this::valueOf).read()) {
             apply(changed, assignment);
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Every statement commits by itself. */
+    /** Transactions of several statements are not supported. */
     private static void requireAutocommit(String value) throws UnsupportedSettingException {
         UnsupportedSettingException.require(AUTOCOMMIT_ON.contains(value), "autocommit=0");
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /** NULL asks for results without conversion. */
+    /** With NULL, results are not converted. */
     private static void applyResultCharset(Map<String, String> settings, String charset)
             throws UnsupportedSettingException {
         if (charset.equals("null")) {
@@ -117,20 +117,20 @@
 
     private static void applyNames(Map<String, String> settings, String charsetAndCollation)
             throws UnsupportedSettingException {
-        String[] parts = charsetAndCollation.split(" ", 2);
-        requireUtf8(Assignment.unquote(parts[0]).toLowerCase(Locale.ROOT));
+        String[] names = charsetAndCollation.split(" ", 2);
+        requireUtf8(Assignment.unquote(names[0]).toLowerCase(Locale.ROOT));
         settings.remove(CHARACTER_SET_RESULTS);
-        if (parts.length > 1) {
-            settings.put("collation_connection", parts[1]);
+        if (names.length > 1) {
+            settings.put("collation_connection", names[1]);
         }
     }
 
-    /** Every connection to an engine speaks utf8mb4, and texts are forwarded as the bytes that came. */
+    /** Texts are forwarded unchanged, and every connection to an engine uses utf8mb4. */
     private static void requireUtf8(String charset) throws UnsupportedSettingException {
         UnsupportedSettingException.require(UTF8_CHARSETS.contains(charset), "the character set " + charset);
     }
 
-    /** Returns what a client is told of a variable, or null where only an engine knows it. */
+    /** Returns the value of a variable for the client, or null if the front end has none. */
     String valueOf(String name) {
         String value = values.get(name);
         if (value == null) {
@@ -140,9 +140,9 @@
     }
 
     /**
-     * Returns the answer to a statement that selects known variables alone; empty for any other statement.
+     * Returns the result of a statement that selects known variables only; empty for any other statement.
      */
-    Optional<LocalResult> read(String statement) {
+    public Optional<LocalResult> read(String statement) {
         return new VariableQuery(statement, this::valueOf).answer();
     }
 }
--- a/src/main/java/lineward/mysql/SetReader.java
+++ b/src/main/java/lineward/mysql/session/SetReader.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.session;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -18,11 +18,11 @@
     private final SqlTokens tokens;
     private final String text;
     private final UnaryOperator<String> currentValues;
-    /** Whether the tokens stand at one, and not behind the last. */
+    /** Whether there is a current token. */
     private boolean more;
 
     /**
-     * @param currentValues returns the value of a variable, for a value built on one; null if it is unknown
+     * @param currentValues returns the value of a variable, or null if it is unknown
      */
     SetReader(String text, UnaryOperator<String> currentValues) {
         this.text = text;
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Returns the assignments in the order in which they stand.
+     * Returns the assignments in the order of the statement.
      *
-     * @throws UnsupportedSettingException if it sets anything but variables of this session
+     * @throws UnsupportedSettingException if the statement sets anything but session variables
      */
     List<Assignment> read() throws UnsupportedSettingException {
         List<Assignment> assignments = new ArrayList<>();
@@ -52,12 +52,12 @@
         return more;
     }
 
-    private boolean at(String word) {
-        return more && tokens.is(word);
+    private boolean at(String token) {
+        return more && tokens.is(token);
     }
 
     private Assignment assignment() throws UnsupportedSettingException {
-        scope();
+        skipScope();
         require(more, "an empty SET");
         String name = tokens.text().toLowerCase(Locale.ROOT);
         return switch (name) {
@@ -91,8 +91,8 @@
         return new Assignment(name, at("concat") ? concat() : value());
     }
 
-    /** Passes over {@code SESSION}, {@code LOCAL} and the signs that say the same. */
-    private void scope() throws UnsupportedSettingException {
+    /** Skips {@code SESSION}, {@code LOCAL} and {@code @@}. */
+    private void skipScope() throws UnsupportedSettingException {
         if (tokens.is("@")) {
             require(advance() && tokens.is("@"), USER_VARIABLE);
             advance();
@@ -111,7 +111,7 @@
         return at("session") || at("local");
     }
 
-    /** Returns whether it is set for others too, or not a variable at all. */
+    /** Returns whether the scope is not the session, or this is no assignment of a variable. */
     private boolean isOtherScope() {
         return tokens.is("global")
                 || tokens.is("persist")
@@ -130,7 +130,7 @@
         return new Assignment("transaction_isolation", "'" + level + "'");
     }
 
-    /** Drivers extend sql_mode by CONCAT(@@sql_mode, …); the present value is known here. */
+    /** Drivers extend sql_mode by CONCAT(@@sql_mode, …). */
     private String concat() throws UnsupportedSettingException {
         require(advance() && tokens.is("("), THIS_FORM);
         StringBuilder joined = new StringBuilder();
@@ -144,9 +144,9 @@
         return "'" + joined + "'";
     }
 
-    private static String unquoted(String part) {
-        boolean isQuoted = part.startsWith("'") || part.startsWith("\"");
-        return isQuoted ? part.substring(1, part.length() - 1) : part;
+    private static String unquoted(String literal) {
+        boolean isQuoted = literal.startsWith("'") || literal.startsWith("\"");
+        return isQuoted ? literal.substring(1, literal.length() - 1) : literal;
     }
 
     private String value() throws UnsupportedSettingException {
--- /dev/null
+++ b/src/main/java/lineward/mysql/session/SpoolHint.java
@@ -0,0 +1,58 @@
+package lineward.mysql.session;
+
+import java.util.OptionalLong;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/**
+ * The key by which a client names its result, in a comment of the statement: {@code /* lineward:key=K from=N
+ * rows=N *}{@code /}. Every driver forwards comments, whereas query attributes need a capability that some
+ * drivers lack.
+ *
+ * @param key empty if the result has no key
+ * @param firstRow first row that the client requests, counted from 0
+ * @param rowLimit largest number of rows that the client requests; empty: all. A cursor ignores it
+ * @param statement the statement without the hint
+ */
+public record SpoolHint(String key, long firstRow, OptionalLong rowLimit, String statement) {
+    private static final String KEY_PREFIX = "lineward:key=";
+    private static final Pattern HINT = Pattern.compile("/\\*\\s*" + KEY_PREFIX + "([A-Za-z0-9_.-]{1,64})"
+            + "(?:\\s+from=(\\d{1,12}))?(?:\\s+rows=(\\d{1,12}))?\\s*\\*/");
+    private static final int KEY_GROUP = 1;
+    private static final int FROM_GROUP = 2;
+    private static final int ROWS_GROUP = 3;
+
+    /** Returns the first hint of a statement, or a hint without a key. */
+    public static SpoolHint of(String text) {
+        // The search is much cheaper than the pattern, and few statements have a hint.
+        if (!text.contains(KEY_PREFIX)) {
+            return none(text);
+        }
+        Matcher hint = HINT.matcher(text);
+        if (!hint.find()) {
+            return none(text);
+        }
+        String from = hint.group(FROM_GROUP);
+        String rows = hint.group(ROWS_GROUP);
+        return new SpoolHint(
+                hint.group(KEY_GROUP),
+                from == null ? 0 : Long.parseLong(from),
+                rows == null ? OptionalLong.empty() : OptionalLong.of(Long.parseLong(rows)),
+                text.substring(0, hint.start()) + text.substring(hint.end()));
+    }
+
+    /** Returns the hint of a statement that has none. */
+    public static SpoolHint none(String statement) {
+        return new SpoolHint("", 0, OptionalLong.empty(), statement);
+    }
+
+    /** Returns whether the client names its result. */
+    public boolean hasKey() {
+        return !key.isEmpty();
+    }
+
+    /** Returns whether the client requests a page of a result, which must exist already. */
+    public boolean requestsPage() {
+        return firstRow > 0 || rowLimit.isPresent();
+    }
+}
--- a/src/main/java/lineward/mysql/StatementClassifier.java
+++ b/src/main/java/lineward/mysql/session/StatementClassifier.java
@@ -1,19 +1,20 @@
-package lineward.mysql;
+package lineward.mysql.session;
 
 import java.util.Locale;
 import java.util.Set;
 import lineward.core.SqlTokens;
+import lineward.mysql.wire.Failure;
 
-/** Classifies one statement by its tokens; strings, quoted names and comments are told apart from words. */
+/** Classifies one statement by its tokens; words in strings, quoted names and comments do not count. */
 final class StatementClassifier {
     /** First words of statements that only read. */
     private static final Set<String> READ_KEYWORDS =
             Set.of("select", "show", "desc", "describe", "explain", "table", "values", "with", "help", "(");
-    /** Words that make a statement more than a read, wherever they stand. */
+    /** Words that make a statement a write at any position. */
     private static final Set<String> WRITE_KEYWORDS =
             Set.of("insert", "update", "delete", "replace", "into", "lock", "share");
-    /** First words of statements that leave the engine's session as it was. */
-    private static final Set<String> TRACELESS_KEYWORDS = Set.of(
+    /** First words of statements that do not change the engine's session. */
+    private static final Set<String> SESSION_PRESERVING_KEYWORDS = Set.of(
             "select",
             "show",
             "desc",
@@ -42,10 +43,10 @@
             "revoke",
             "do",
             "load");
-    /** First words of statements that open or end a transaction, which may not span statements here. */
+    /** First words of statements that belong to a transaction of several statements. */
     private static final Set<String> TRANSACTION_KEYWORDS =
             Set.of("begin", "savepoint", "xa", "lock", "unlock", "release");
-    /** First words of statements that need an engine's session of their own. */
+    /** First words of statements that depend on the session of one engine. */
     private static final Set<String> SESSION_KEYWORDS = Set.of(
             "prepare",
             "execute",
@@ -56,7 +57,7 @@
             "get",
             "signal",
             "resignal");
-    /** Functions whose answer or effect belongs to one session at one engine. */
+    /** Functions that depend on the session of one engine. */
     private static final Set<String> SESSION_FUNCTIONS = Set.of(
             "last_insert_id",
             "found_rows",
@@ -67,7 +68,7 @@
             "is_used_lock",
             "is_free_lock",
             "connection_id");
-    /** Variables that describe the statement before on one engine's connection, whichever client sent it. */
+    /** Variables that describe the previous statement on an engine's connection, even of another client. */
     private static final Set<String> SESSION_VARIABLES = Set.of(
             "last_insert_id",
             "identity",
@@ -86,16 +87,17 @@
 
     private final SqlTokens tokens;
     private boolean onlyReads;
-    private boolean leavesTraces;
-    /** The word, or the sign of a variable, before the present token; empty for any other token. */
-    private String previous = "";
+    private boolean changesSession;
+    /** The previous token if it was a word or the sign of a variable; else empty. */
+    private String previousToken = "";
 
-    private StatementClassifier(String text, String firstWord) {
+    private StatementClassifier(String text, String firstKeyword) {
         tokens = new SqlTokens(text);
-        onlyReads = READ_KEYWORDS.contains(firstWord);
-        leavesTraces = !TRACELESS_KEYWORDS.contains(firstWord);
+        onlyReads = READ_KEYWORDS.contains(firstKeyword);
+        changesSession = !SESSION_PRESERVING_KEYWORDS.contains(firstKeyword);
     }
 
+    /** Returns the kind of the statement; a statement that is not known to be a read is a write. */
     static StatementKind classify(String text) {
         SqlTokens tokens = new SqlTokens(text);
         if (!tokens.next() || isNameOrExecutableComment(tokens)) {
@@ -122,7 +124,7 @@
         return tokens.text().toLowerCase(Locale.ROOT);
     }
 
-    /** ROLLBACK TO, or ROLLBACK WORK TO, names a savepoint; any other form has nothing to undo. */
+    /** ROLLBACK TO and ROLLBACK WORK TO name a savepoint; without one there is nothing to roll back. */
     private static StatementKind rollback(SqlTokens tokens) {
         boolean toSavepoint = tokens.is("to") || (tokens.is("work") && tokens.next() && tokens.is("to"));
         return toSavepoint ? noTransaction("ROLLBACK TO") : new StatementKind.NoOperation();
@@ -163,46 +165,46 @@
 
     private StatementKind classifyTokens() {
         while (tokens.next()) {
-            String word = tokens.kind() == SqlTokens.Kind.WORD ? lowerCase(tokens) : "";
-            StatementKind rejection = rejectSessionState(word);
+            String keyword = tokens.kind() == SqlTokens.Kind.WORD ? lowerCase(tokens) : "";
+            StatementKind rejection = rejectSessionState(keyword);
             if (rejection != null) {
                 return rejection;
             }
             boolean executable = tokens.kind() == SqlTokens.Kind.EXECUTABLE_COMMENT;
-            onlyReads &= !executable && !previousWordWrites();
-            leavesTraces |= executable || word.equals("temporary");
-            advance(word);
+            onlyReads &= !executable && !isAfterWriteKeyword();
+            changesSession |= executable || keyword.equals("temporary");
+            advance(keyword);
         }
-        boolean endsInWriteKeyword = WRITE_KEYWORDS.contains(previous);
+        boolean endsInWriteKeyword = WRITE_KEYWORDS.contains(previousToken);
         if (onlyReads && !endsInWriteKeyword) {
             return new StatementKind.Read();
         }
-        return new StatementKind.Write(leavesTraces);
+        return new StatementKind.Write(changesSession);
     }
 
-    /** REPLACE(…) and INSERT(…) are functions on strings: only the bare words write. */
-    private boolean previousWordWrites() {
-        boolean isFunction = tokens.is("(") && !previous.equals("into");
-        return WRITE_KEYWORDS.contains(previous) && !isFunction;
+    /** REPLACE(…) and INSERT(…) are functions on strings, and no writes. */
+    private boolean isAfterWriteKeyword() {
+        boolean isFunction = tokens.is("(") && !previousToken.equals("into");
+        return WRITE_KEYWORDS.contains(previousToken) && !isFunction;
     }
 
-    /** Returns why the statement is not supported at this token; null if it may be. */
-    private StatementKind rejectSessionState(String word) {
-        if (tokens.is("(") && SESSION_FUNCTIONS.contains(previous)) {
-            return unsupported(previous.toUpperCase(Locale.ROOT) + "()");
+    /** Returns the rejection that the current token demands, or null. */
+    private StatementKind rejectSessionState(String keyword) {
+        if (tokens.is("(") && SESSION_FUNCTIONS.contains(previousToken)) {
+            return unsupported(previousToken.toUpperCase(Locale.ROOT) + "()");
         }
-        // One @ is a variable of the session, two are a setting, which any engine may be asked for.
-        if (previous.equals(USER_VARIABLE_SIGN) && !word.isEmpty()) {
+        // @ begins a user variable, which is not supported; @@ begins a system variable, which is.
+        if (previousToken.equals(USER_VARIABLE_SIGN) && !keyword.isEmpty()) {
             return unsupported("a user variable");
         }
-        return SESSION_VARIABLES.contains(word) ? unsupported(SYSTEM_VARIABLE_SIGN + word) : null;
+        return SESSION_VARIABLES.contains(keyword) ? unsupported(SYSTEM_VARIABLE_SIGN + keyword) : null;
     }
 
-    private void advance(String word) {
+    private void advance(String keyword) {
         if (!tokens.is(USER_VARIABLE_SIGN)) {
-            previous = word;
+            previousToken = keyword;
         } else {
-            previous = previous.equals(USER_VARIABLE_SIGN) ? SYSTEM_VARIABLE_SIGN : USER_VARIABLE_SIGN;
+            previousToken = previousToken.equals(USER_VARIABLE_SIGN) ? SYSTEM_VARIABLE_SIGN : USER_VARIABLE_SIGN;
         }
     }
 
--- /dev/null
+++ b/src/main/java/lineward/mysql/session/StatementKind.java
@@ -0,0 +1,57 @@
+package lineward.mysql.session;
+
+import lineward.mysql.wire.Failure;
+
+/** How the front end handles a statement. */
+public sealed interface StatementKind {
+    /** Returns whether a client may prepare the statement. */
+    default boolean canBePrepared() {
+        return true;
+    }
+
+    /** Only reads, and may be retried. */
+    record Read() implements StatementKind {}
+
+    /**
+     * May change data, and is executed at most once.
+     *
+     * @param changesSession whether it may change the engine's session, so that its connection must not
+     *     execute another client's statements
+     */
+    record Write(boolean changesSession) implements StatementKind {}
+
+    /** Requests the warnings of the previous statement. */
+    record ShowWarnings() implements StatementKind {
+        @Override
+        public boolean canBePrepared() {
+            return false;
+        }
+    }
+
+    /** Ends a transaction, although there is none: the front end answers OK. */
+    record NoOperation() implements StatementKind {}
+
+    /** Sets session variables, see {@link SessionSettings}. */
+    record SetVariables() implements StatementKind {
+        @Override
+        public boolean canBePrepared() {
+            return false;
+        }
+    }
+
+    /** Selects the schema of the session. */
+    record UseSchema(String schema) implements StatementKind {
+        @Override
+        public boolean canBePrepared() {
+            return false;
+        }
+    }
+
+    /** Depends on the session of one engine, which is not supported. */
+    record Rejected(Failure failure) implements StatementKind {}
+
+    /** Returns the kind of a statement; a statement that is not known to be a read is a write. */
+    static StatementKind of(String text) {
+        return StatementClassifier.classify(text);
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/mysql/session/StatementLimits.java
@@ -0,0 +1,11 @@
+package lineward.mysql.session;
+
+import lineward.core.ByteBudget;
+
+/**
+ * Limits on prepared statements.
+ *
+ * @param maxStatements largest number of statements of one client
+ * @param textBytes budget for the texts of the statements of all clients
+ */
+public record StatementLimits(int maxStatements, ByteBudget textBytes) {}
--- a/src/main/java/lineward/mysql/SystemVariables.java
+++ b/src/main/java/lineward/mysql/session/SystemVariables.java
@@ -1,14 +1,12 @@
-package lineward.mysql;
+package lineward.mysql.session;
 
 import java.util.Map;
 import java.util.Set;
+import lineward.mysql.wire.Handshake;
 
-/**
- * What is known of MySQL's system variables: which a client may set, and what it is told of those it has not
- * set.
- */
+/** The system variables that a client may set, and the defaults that are reported to clients. */
 final class SystemVariables {
-    /** Variables that are set on an engine's connection before a client's statement runs there. */
+    /** Variables that are set on an engine's connection before a client's statement. */
     static final Set<String> FORWARDED = Set.of(
             "sql_mode",
             "time_zone",
@@ -41,7 +39,7 @@
             "max_sort_length",
             "tmp_table_size",
             "max_heap_table_size");
-    /** Variables that concern the client's own connection, of which an engine need not know. */
+    /** Variables of the client's own connection, which are not forwarded to engines. */
     static final Set<String> LOCAL = Set.of(
             "wait_timeout",
             "interactive_timeout",
@@ -51,7 +49,7 @@
             "session_track_gtids",
             "session_track_transaction_info",
             "net_buffer_length");
-    /** Reported where a client has set nothing; engines are expected to run with MySQL's defaults. */
+    /** Values of variables that a client has not set; engines must run with MySQL's defaults. */
     static final Map<String, String> DEFAULTS = Map.ofEntries(
             Map.entry("auto_increment_increment", "1"),
             Map.entry("auto_increment_offset", "1"),
@@ -87,7 +85,7 @@
             Map.entry("transaction_read_only", "0"),
             Map.entry("tx_read_only", "0"),
             Map.entry("wait_timeout", "28800"),
-            Map.entry("version", MysqlServer.VERSION),
+            Map.entry("version", Handshake.SERVER_VERSION),
             Map.entry("version_comment", "lineward"),
             Map.entry("lc_time_names", "en_US"),
             Map.entry("sql_select_limit", "18446744073709551615"),
--- a/src/main/java/lineward/mysql/UnsupportedSettingException.java
+++ b/src/main/java/lineward/mysql/session/UnsupportedSettingException.java
@@ -1,15 +1,16 @@
-package lineward.mysql;
+package lineward.mysql.session;
 
 /**
- * A SET statement that can't be carried out for a session; the message names the part that is not supported.
+ * Thrown for a SET statement that is not supported; the message names the unsupported part.
  */
-final class UnsupportedSettingException extends Exception {
+public final class UnsupportedSettingException extends Exception {
     private static final long serialVersionUID = 1L;
 
     UnsupportedSettingException(String unsupported) {
         super(unsupported);
     }
 
+    /** Throws an exception that names the unsupported part, unless it is supported. */
     static void require(boolean supported, String otherwise) throws UnsupportedSettingException {
         if (!supported) {
             throw new UnsupportedSettingException(otherwise);
--- a/src/main/java/lineward/mysql/VariableQuery.java
+++ b/src/main/java/lineward/mysql/session/VariableQuery.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.session;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,17 +6,18 @@
 import java.util.Optional;
 import java.util.function.UnaryOperator;
 import lineward.core.SqlTokens;
+import lineward.mysql.wire.LocalResult;
 
-/** Answers a SELECT of system variables alone, as drivers send at their login, without an engine. */
+/** Answers a SELECT of system variables only, which drivers send after their login, without an engine. */
 final class VariableQuery {
     private final SqlTokens tokens;
     private final UnaryOperator<String> values;
     private final List<String> labels = new ArrayList<>();
     private final List<String> row = new ArrayList<>();
-    /** Whether the tokens stand at one, and not behind the last. */
+    /** Whether there is a current token. */
     private boolean more;
 
-    /** @param values tells the value of a variable; null if it is not known */
+    /** @param values returns the value of a variable, or null if it is unknown */
     VariableQuery(String statement, UnaryOperator<String> values) {
         this.tokens = new SqlTokens(statement);
         this.values = values;
@@ -45,7 +46,7 @@
         return true;
     }
 
-    /** Returns whether the statement ends here, perhaps behind a limit of one row. */
+    /** Returns whether the statement ends here, possibly after a limit of one row. */
     private boolean endsHere() {
         if (tokens.is("limit")) {
             return advance() && tokens.is("1") && !advance();
@@ -81,7 +82,7 @@
     }
 
     /**
-     * Returns a variable as it is written, with its signs and without its scope; null if none stands here.
+     * Returns the variable at the current token as it is written, without its scope; null if there is none.
      */
     private String readVariable() {
         if (!skipSigns()) {
@@ -97,7 +98,7 @@
         return variable;
     }
 
-    /** Returns whether the symbol stood here and something follows it. */
+    /** Skips the symbol; returns false if it is not the current token or the statement ends after it. */
     private boolean skip(String symbol) {
         return tokens.is(symbol) && advance();
     }
--- /dev/null
+++ b/src/main/java/lineward/mysql/session/Work.java
@@ -0,0 +1,96 @@
+package lineward.mysql.session;
+
+import java.io.ByteArrayOutputStream;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+import java.util.List;
+import lineward.mysql.wire.Texts;
+
+/** The work of one attempt. Schemas and texts are in the form of {@link Texts}. */
+public sealed interface Work {
+    /** Returns the schema of the session; empty if the client has selected none. */
+    String schema();
+
+    /** Returns whether the work may change the engine's session, so that its connection must be closed. */
+    default boolean changesSession() {
+        return false;
+    }
+
+    private static boolean changesSession(String latin1) {
+        StatementKind kind = StatementKind.of(Texts.utf8(latin1));
+        return kind instanceof StatementKind.Write write && write.changesSession();
+    }
+
+    /** Executes a text. */
+    record Query(String schema, String text) implements Work {
+        @Override
+        public boolean changesSession() {
+            return Work.changesSession(text);
+        }
+
+        /** Returns a digest of everything that determines the result. */
+        public String digest() {
+            return Work.digest(List.of(bytes(schema), bytes(text)));
+        }
+    }
+
+    /** Prepares a text; the reply describes its parameters and columns. */
+    record Prepare(String schema, String text) implements Work {}
+
+    /**
+     * Executes a prepared text; the engine's connection prepares it first if necessary.
+     *
+     * @param parameterCount number of parameters in the reply that the client received
+     * @param arguments what follows the statement's id, always with the parameters' types
+     */
+    @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
+    record Execute(String schema, String text, int parameterCount, byte[] arguments, List<LongData> longData)
+            implements Work {
+        @Override
+        public boolean changesSession() {
+            return Work.changesSession(text);
+        }
+
+        /** Returns a digest of everything that determines the result. */
+        public String digest() {
+            return Work.digest(List.of(bytes(schema), bytes(text), arguments, longDataBytes()));
+        }
+
+        private byte[] longDataBytes() {
+            ByteArrayOutputStream joined = new ByteArrayOutputStream();
+            for (LongData data : longData) {
+                joined.write(data.parameter());
+                joined.writeBytes(data.bytes());
+            }
+            return joined.toByteArray();
+        }
+    }
+
+    /** Selects the schema of the session. */
+    record UseSchema(String schema) implements Work {}
+
+    private static byte[] bytes(String latin1) {
+        return latin1.getBytes(StandardCharsets.ISO_8859_1);
+    }
+
+    private static String digest(List<byte[]> inputs) {
+        try {
+            MessageDigest digest = MessageDigest.getInstance("SHA-256");
+            for (byte[] input : inputs) {
+                ByteBuffer length = ByteBuffer.allocate(Integer.BYTES).putInt(input.length);
+                digest.update(length.array());
+                digest.update(input);
+            }
+            return HexFormat.of().formatHex(digest.digest());
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** A part of a parameter that is sent before the execution. */
+    @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
+    record LongData(int parameter, byte[] bytes) {}
+}
--- a/src/main/java/lineward/mysql/Auth.java
+++ b/src/main/java/lineward/mysql/wire/Auth.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.wire;
 
 import io.netty.util.CharsetUtil;
 import java.security.GeneralSecurityException;
@@ -11,18 +11,20 @@
 import java.util.Base64;
 import javax.crypto.Cipher;
 
-/** Proofs of a password by a nonce, as the two supported authentication plugins compute them. */
-final class Auth {
-    static final String NATIVE = "mysql_native_password";
-    static final String SHA2 = "caching_sha2_password";
-    static final int NONCE = 20;
+/** Scrambles of a password and a nonce, as the two supported authentication plugins compute them. */
+public final class Auth {
+    public static final String NATIVE = "mysql_native_password";
+    public static final String SHA2 = "caching_sha2_password";
+    /** Bytes of a nonce. */
+    public static final int NONCE_BYTES = 20;
+
     private static final SecureRandom RANDOM = new SecureRandom();
 
     private Auth() {}
 
-    /** Returns a nonce without zero bytes, which would end it early on the wire. */
-    static byte[] nonce() {
-        byte[] nonce = new byte[NONCE];
+    /** Returns a random nonce without zero bytes: in the greeting a zero byte ends the nonce. */
+    public static byte[] newNonce() {
+        byte[] nonce = new byte[NONCE_BYTES];
         for (int i = 0; i < nonce.length; i++) {
             nonce[i] = (byte) (1 + RANDOM.nextInt(126));
         }
@@ -30,12 +32,12 @@
     }
 
     /** Returns whether the plugin is supported. */
-    static boolean isSupported(String plugin) {
+    public static boolean isSupported(String plugin) {
         return plugin.equals(NATIVE) || plugin.equals(SHA2);
     }
 
-    /** Returns what proves the password under that plugin; an empty password is proven by nothing. */
-    static byte[] proof(String plugin, String password, byte[] nonce) {
+    /** Returns the plugin's proof of the password; the proof of an empty password is empty. */
+    public static byte[] proof(String plugin, String password, byte[] nonce) {
         if (password.isEmpty()) {
             return new byte[0];
         }
@@ -48,13 +50,13 @@
         return xor(hash, digest("SHA-256", digest("SHA-256", hash), nonce));
     }
 
-    /** Returns whether the proof given is that of the password; compares in constant time. */
-    static boolean proves(String plugin, String password, byte[] nonce, byte[] given) {
+    /** Returns whether the proof matches the password; the comparison takes constant time. */
+    public static boolean proves(String plugin, String password, byte[] nonce, byte[] given) {
         return MessageDigest.isEqual(proof(plugin, password, nonce), given);
     }
 
-    /** Returns the password encrypted with the RSA key of a server that asks for the password itself. */
-    static byte[] sealed(String password, byte[] nonce, String pem) throws GeneralSecurityException {
+    /** Returns the password, encrypted with the RSA public key of a server that requests the password. */
+    public static byte[] encrypt(String password, byte[] nonce, String pem) throws GeneralSecurityException {
         String base64 = pem.replaceAll("-----[A-Z ]+-----", "").replaceAll("\\s", "");
         PublicKey key = KeyFactory.getInstance("RSA")
                 .generatePublic(new X509EncodedKeySpec(Base64.getDecoder().decode(base64)));
@@ -67,11 +69,11 @@
         return cipher.doFinal(text);
     }
 
-    private static byte[] digest(String algorithm, byte[]... parts) {
+    private static byte[] digest(String algorithm, byte[]... inputs) {
         try {
             MessageDigest digest = MessageDigest.getInstance(algorithm);
-            for (byte[] part : parts) {
-                digest.update(part);
+            for (byte[] input : inputs) {
+                digest.update(input);
             }
             return digest.digest();
         } catch (NoSuchAlgorithmException e) {
--- /dev/null
+++ b/src/main/java/lineward/mysql/wire/Dialect.java
@@ -0,0 +1,131 @@
+package lineward.mysql.wire;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufAllocator;
+import io.netty.buffer.Unpooled;
+
+/**
+ * The format of results for one client. Engines send an EOF packet after the columns and another one after the
+ * rows. With CLIENT_DEPRECATE_EOF the first one is left out, which lowers the sequence numbers after it by one,
+ * and the second one is an OK packet whose first byte is that of EOF.
+ */
+public enum Dialect {
+    /** Results have EOF packets, as engines send them. */
+    EOF_PACKETS,
+    /** The client has CLIENT_DEPRECATE_EOF. */
+    DEPRECATE_EOF;
+
+    private static final int EOF_FRAME_BYTES = Packets.HEADER_BYTES + 5;
+    private static final int RESULT_END_PAYLOAD_BYTES = 7;
+    private static final int RESULT_END_FRAME_BYTES = Packets.HEADER_BYTES + RESULT_END_PAYLOAD_BYTES;
+    private static final int EOF_WARNINGS_OFFSET = Packets.HEADER_BYTES + 1;
+    private static final int EOF_STATUS_OFFSET = Packets.HEADER_BYTES + 3;
+    private static final int SEQUENCE_OFFSET = Packets.HEADER_BYTES - 1;
+
+    /** Returns the dialect of a client with these capabilities. */
+    public static Dialect of(int capabilities) {
+        return (capabilities & Handshake.DEPRECATE_EOF) != 0 ? DEPRECATE_EOF : EOF_PACKETS;
+    }
+
+    /** Returns the packet after the rows, or after the columns of a cursor. */
+    public ByteBuf end(ByteBufAllocator alloc, int sequence, int status) {
+        return this == EOF_PACKETS
+                ? Packets.eof(alloc, sequence, status)
+                : resultEnd(alloc.buffer(RESULT_END_FRAME_BYTES), sequence, 0, Packets.AUTOCOMMIT | status);
+    }
+
+    /** Writes the OK packet that replaces the EOF packet after the rows. */
+    private static ByteBuf resultEnd(ByteBuf target, int sequence, int warnings, int status) {
+        return target.writeMediumLE(RESULT_END_PAYLOAD_BYTES)
+                .writeByte(sequence)
+                .writeByte(Packets.EOF)
+                .writeShortLE(0)
+                .writeShortLE(status)
+                .writeShortLE(warnings);
+    }
+
+    /**
+     * Returns a complete reply of an engine in this dialect; takes over the reply's reference.
+     *
+     * @param prepared whether it is the successful reply to COM_STMT_PREPARE
+     */
+    public ByteBuf convert(ByteBufAllocator alloc, ByteBuf reply, boolean prepared) {
+        int first = Packets.first(reply);
+        boolean withoutColumns = first == Packets.ERR || (first == Packets.OK && !prepared);
+        if (this == EOF_PACKETS || withoutColumns) {
+            return reply;
+        }
+        ByteBuf converted = alloc.buffer(reply.readableBytes() + RESULT_END_PAYLOAD_BYTES);
+        try {
+            convertFrames(reply, converted, prepared);
+            return converted;
+        } finally {
+            reply.release();
+        }
+    }
+
+    private static void convertFrames(ByteBuf reply, ByteBuf converted, boolean prepared) {
+        int sequence = Packets.sequence(reply);
+        boolean afterColumns = false;
+        while (reply.isReadable()) {
+            int payloadBytes = reply.getUnsignedMediumLE(reply.readerIndex());
+            ByteBuf frame = reply.readSlice(Packets.HEADER_BYTES + payloadBytes);
+            if (!Packets.isEof(frame)) {
+                converted.writeMediumLE(payloadBytes).writeByte(sequence).writeBytes(Packets.payload(frame));
+                sequence++;
+            } else if (afterColumns && !prepared) {
+                convertResultEnd(frame, converted, sequence);
+            } else {
+                afterColumns = true;
+            }
+        }
+    }
+
+    private static void convertResultEnd(ByteBuf eof, ByteBuf converted, int sequence) {
+        int warnings = eof.getUnsignedShortLE(eof.readerIndex() + EOF_WARNINGS_OFFSET);
+        int status = eof.getUnsignedShortLE(eof.readerIndex() + EOF_STATUS_OFFSET);
+        resultEnd(converted, sequence, warnings, status);
+    }
+
+    /** Returns the columns of a spooled result for a reply in which rows follow. */
+    public ByteBuf columns(byte[] head) {
+        int length = this == EOF_PACKETS ? head.length : head.length - EOF_FRAME_BYTES;
+        return Unpooled.wrappedBuffer(head, 0, length);
+    }
+
+    /** Returns the columns of a spooled result for the reply that opens a cursor. */
+    public ByteBuf cursorColumns(ByteBufAllocator alloc, byte[] head) {
+        int eofOffset = head.length - EOF_FRAME_BYTES;
+        int sequence = head[eofOffset + SEQUENCE_OFFSET] & 0xff;
+        ByteBuf columns = Unpooled.wrappedBuffer(head, 0, eofOffset);
+        return Unpooled.wrappedBuffer(columns, end(alloc, sequence, Packets.CURSOR_EXISTS));
+    }
+
+    /** Returns rows of a spooled result; the array, which other readers share, is not changed. */
+    public ByteBuf rows(byte[] rows) {
+        if (this == EOF_PACKETS) {
+            return Unpooled.wrappedBuffer(rows);
+        }
+        byte[] renumbered = rows.clone();
+        for (int offset = 0; offset < renumbered.length; offset += Packets.length(renumbered, offset)) {
+            renumbered[offset + SEQUENCE_OFFSET]--;
+        }
+        return Unpooled.wrappedBuffer(renumbered);
+    }
+
+    /** Returns the last packet of a spooled result. */
+    public ByteBuf tail(ByteBufAllocator alloc, byte[] tail) {
+        ByteBuf last = Unpooled.wrappedBuffer(tail);
+        if (this == EOF_PACKETS || !Packets.isEof(last)) {
+            return last;
+        }
+        ByteBuf end = alloc.buffer(RESULT_END_FRAME_BYTES);
+        convertResultEnd(last, end, Packets.sequence(last) - 1);
+        return end;
+    }
+
+    /** Returns the sequence number of the first packet after these columns of a spooled result. */
+    public int sequenceAfter(byte[] head) {
+        return Packets.sequenceAfter(head) - (this == EOF_PACKETS ? 0 : 1);
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/mysql/wire/Failure.java
@@ -0,0 +1,122 @@
+package lineward.mysql.wire;
+
+/**
+ * The content of an error packet, with one factory method for each error that the front end reports itself.
+ *
+ * @param code MySQL's error number
+ * @param state SQLSTATE, five characters
+ * @param message the text for the user
+ */
+public record Failure(int code, String state, String message) {
+    /** The delay of a rejection without a suggested delay. */
+    public static final long NO_RETRY_AFTER_MS = 0;
+
+    private Failure(ErrorCode error, String message) {
+        this(error.code(), error.sqlState(), message);
+    }
+
+    /**
+     * A statement was rejected and has changed nothing; a retry is safe.
+     *
+     * @param retryAfterMs delay that is suggested for a retry, or {@link #NO_RETRY_AFTER_MS}
+     */
+    public static Failure rejected(long retryAfterMs) {
+        return new Failure(
+                ErrorCode.TOO_MANY_CONCURRENT_TRANSACTIONS,
+                "refused: nothing was changed, trying again is harmless"
+                        + (retryAfterMs > NO_RETRY_AFTER_MS ? "; come back in " + retryAfterMs + " ms" : ""));
+    }
+
+    /** A statement may have run, and its outcome is unknown. */
+    public static Failure failed() {
+        return new Failure(
+                ErrorCode.QUERY_INTERRUPTED, "failed: no whole answer came from the engine, it may have run");
+    }
+
+    /** The attempt failed after some rows were sent: the client's result is incomplete. */
+    public static Failure brokenOff() {
+        return new Failure(ErrorCode.QUERY_INTERRUPTED, "failed: the engine broke off amid the rows");
+    }
+
+    /** The spool released the remaining rows because the client's lease expired. */
+    public static Failure leaseExpired() {
+        return new Failure(ErrorCode.QUERY_INTERRUPTED, "the result was given back, as nobody read it for too long");
+    }
+
+    /** A fetch names a statement without an open cursor. */
+    public static Failure noCursor(long id) {
+        return new Failure(ErrorCode.NO_OPEN_CURSOR, "the statement " + id + " has no open cursor");
+    }
+
+    /** No result has this key. Expired keys and keys of other users get the same answer. */
+    public static Failure noResult() {
+        return new Failure(ErrorCode.WRONG_ARGUMENTS, "no result stands under that key");
+    }
+
+    /** The key names the result of another statement. */
+    public static Failure otherResult() {
+        return new Failure(ErrorCode.WRONG_ARGUMENTS, "the key stands for the result of another statement");
+    }
+
+    /** The process shuts down. */
+    public static Failure shuttingDown() {
+        return new Failure(ErrorCode.SERVER_SHUTDOWN, "the server is shutting down");
+    }
+
+    /** The statement depends on the session of one engine. */
+    public static Failure unsupported(String what) {
+        return new Failure(
+                ErrorCode.NOT_SUPPORTED_YET, what + " can't be kept: each statement may run on another engine");
+    }
+
+    /** The front end answers this statement itself, so that no engine can prepare it. */
+    public static Failure notPreparable() {
+        return new Failure(ErrorCode.UNSUPPORTED_PREPARED_STATEMENT, "USE, SET and SHOW WARNINGS can't be prepared");
+    }
+
+    /** The statement opens a transaction or continues one. */
+    public static Failure noTransaction(String what) {
+        return new Failure(
+                ErrorCode.FORBIDDEN_IN_TRANSACTION, what + " is not possible here: every statement commits by itself");
+    }
+
+    /** The command is not in {@link Commands}. */
+    public static Failure unknownCommand() {
+        return new Failure(ErrorCode.UNKNOWN_COMMAND, "unknown command");
+    }
+
+    /** The client has no prepared statement with this id. */
+    public static Failure unknownStatement(long id) {
+        return new Failure(ErrorCode.UNKNOWN_STATEMENT, "unknown prepared statement " + id);
+    }
+
+    /** The arguments of a command are malformed. */
+    public static Failure wrongArguments(String why) {
+        return new Failure(ErrorCode.WRONG_ARGUMENTS, "wrong arguments: " + why);
+    }
+
+    /** A packet exceeds the configured limit. */
+    public static Failure tooLarge(int maxBytes) {
+        return new Failure(ErrorCode.PACKET_TOO_LARGE, "packet larger than the " + maxBytes + " bytes allowed");
+    }
+
+    /** A limit on a count is reached. */
+    public static Failure tooMany(String what) {
+        return new Failure(ErrorCode.TOO_MANY_STATEMENTS, "too many " + what);
+    }
+
+    /** The user does not exist, or the password is wrong. */
+    public static Failure accessDenied(String user) {
+        return new Failure(ErrorCode.ACCESS_DENIED, "access denied for user '" + user + "'");
+    }
+
+    /** The limit on client connections is reached. */
+    public static Failure tooManyConnections() {
+        return new Failure(ErrorCode.TOO_MANY_CONNECTIONS, "too many connections");
+    }
+
+    /** The login packet is malformed. */
+    public static Failure malformedHandshake() {
+        return new Failure(ErrorCode.HANDSHAKE_ERROR, "bad handshake");
+    }
+}
--- /dev/null
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -0,0 +1,160 @@
+package lineward.mysql.wire;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufAllocator;
+import io.netty.handler.codec.DecoderException;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+
+/** The packets of the connection phase, for connections of clients and connections to engines. */
+public final class Handshake {
+    public static final int LONG_PASSWORD = 0x1;
+    public static final int WITH_DB = 0x8;
+    public static final int PROTOCOL_41 = 0x200;
+    public static final int SSL = 0x800;
+    public static final int TRANSACTIONS = 0x2000;
+    public static final int SECURE = 0x8000;
+    public static final int PLUGIN_AUTH = 0x80000;
+    public static final int PLUGIN_DATA = 0x200000;
+    /**
+     * The capabilities used with engines: EOF packets, no session tracking, no query attributes, one
+     * statement and one result for each command. A result goes unchanged to a client with these capabilities.
+     */
+    public static final int CAPABILITIES = PROTOCOL_41
+            | LONG_PASSWORD
+            | WITH_DB // the login packet has a schema field
+            | TRANSACTIONS
+            | SECURE
+            | PLUGIN_AUTH;
+    /** Results have no EOF packet after the columns, and an OK packet instead of EOF after the rows. */
+    public static final int DEPRECATE_EOF = 0x1000000;
+    /** The capabilities offered to clients; {@link Dialect} converts the engines' replies. */
+    public static final int OFFERED = CAPABILITIES | DEPRECATE_EOF;
+
+    /** The number of the collation utf8mb4_general_ci. */
+    public static final int UTF8MB4 = 45;
+    /** The server version that clients see. */
+    public static final String SERVER_VERSION = "8.0.36-lineward";
+
+    private static final int PROTOCOL_VERSION = 10;
+    private static final int NONCE_HEAD = 8;
+    private static final int LOGIN_RESERVED_BYTES = 23;
+    private static final int GREETING_RESERVED_BYTES = 10;
+    /** Shortest second part of a nonce in a greeting, including its final zero byte. */
+    private static final int MIN_NONCE_TAIL = 13;
+
+    private static final int MAX_PACKET_BYTES = 1 << 24;
+
+    /** The content of a server's first packet. */
+    @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
+    public record Greeting(long thread, byte[] nonce, String plugin) {}
+
+    /** The content of a client's first packet; the schema is empty if the client selects none. */
+    @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
+    public record Login(int capabilities, String user, byte[] proof, String schema, String plugin) {}
+
+    private Handshake() {}
+
+    /** Returns the greeting, the first packet on a client's connection. */
+    public static ByteBuf greeting(ByteBufAllocator alloc, int thread, byte[] nonce) {
+        ByteBuf packet = Packets.begin(alloc, 0).writeByte(PROTOCOL_VERSION);
+        writeZeroTerminated(packet, SERVER_VERSION);
+        packet.writeIntLE(thread).writeBytes(nonce, 0, NONCE_HEAD).writeByte(0);
+        packet.writeShortLE(OFFERED).writeByte(UTF8MB4).writeShortLE(Packets.AUTOCOMMIT);
+        packet.writeShortLE(OFFERED >>> 16).writeByte(nonce.length + 1).writeZero(GREETING_RESERVED_BYTES);
+        packet.writeBytes(nonce, NONCE_HEAD, nonce.length - NONCE_HEAD).writeByte(0);
+        writeZeroTerminated(packet, Auth.SHA2);
+        return Packets.done(packet);
+    }
+
+    /**
+     * Reads the greeting of an engine.
+     *
+     * @throws DecoderException if it is malformed
+     */
+    public static Greeting readGreeting(ByteBuf payload) {
+        try {
+            if (payload.readUnsignedByte() != PROTOCOL_VERSION) {
+                throw new DecoderException("not version 10 of the protocol");
+            }
+            Packets.zeroTerminated(payload);
+            long thread = payload.readUnsignedIntLE();
+            byte[] head = new byte[NONCE_HEAD];
+            payload.readBytes(head).skipBytes(1);
+            int capabilities = payload.readUnsignedShortLE();
+            payload.skipBytes(3);
+            capabilities |= payload.readUnsignedShortLE() << 16;
+            int length = Math.max(MIN_NONCE_TAIL, payload.readUnsignedByte() - NONCE_HEAD);
+            payload.skipBytes(GREETING_RESERVED_BYTES);
+            byte[] tail = new byte[Math.min(length, payload.readableBytes())];
+            payload.readBytes(tail);
+            byte[] nonce = Arrays.copyOf(head, Auth.NONCE_BYTES);
+            System.arraycopy(tail, 0, nonce, NONCE_HEAD, Math.min(tail.length, Auth.NONCE_BYTES - NONCE_HEAD));
+            String plugin = (capabilities & PLUGIN_AUTH) != 0 ? Packets.zeroTerminated(payload) : Auth.NATIVE;
+            return new Greeting(thread, nonce, plugin);
+        } catch (IndexOutOfBoundsException e) {
+            throw new DecoderException("greeting ends early", e);
+        }
+    }
+
+    /** Returns the login packet for an engine. */
+    public static ByteBuf login(ByteBufAllocator alloc, int sequence, Login login) {
+        ByteBuf packet = Packets.begin(alloc, sequence)
+                .writeIntLE(login.capabilities())
+                .writeIntLE(MAX_PACKET_BYTES)
+                .writeByte(UTF8MB4)
+                .writeZero(LOGIN_RESERVED_BYTES);
+        writeZeroTerminated(packet, login.user());
+        packet.writeByte(login.proof().length).writeBytes(login.proof());
+        if ((login.capabilities() & WITH_DB) != 0) {
+            writeZeroTerminated(packet, login.schema());
+        }
+        writeZeroTerminated(packet, login.plugin());
+        return Packets.done(packet);
+    }
+
+    /**
+     * Reads a client's login packet.
+     *
+     * @throws DecoderException if the packet is malformed, requests TLS, or uses a protocol before 4.1
+     */
+    public static Login readLogin(ByteBuf payload) {
+        try {
+            int capabilities = payload.readIntLE();
+            if ((capabilities & PROTOCOL_41) == 0 || (capabilities & SSL) != 0) {
+                throw new DecoderException("client does not speak protocol 4.1 in the clear");
+            }
+            payload.skipBytes(4 + 1 + LOGIN_RESERVED_BYTES);
+            String user = Packets.zeroTerminated(payload);
+            boolean lengthEncoded = (capabilities & PLUGIN_DATA) != 0;
+            int length = lengthEncoded ? (int) Packets.lengthEncoded(payload) : payload.readUnsignedByte();
+            if (length < 0 || length > payload.readableBytes()) {
+                throw new DecoderException("proof of " + length + " bytes");
+            }
+            byte[] proof = new byte[length];
+            payload.readBytes(proof);
+            String schema = (capabilities & WITH_DB) != 0 ? Packets.zeroTerminated(payload) : "";
+            String plugin = (capabilities & PLUGIN_AUTH) != 0 ? Packets.zeroTerminated(payload) : Auth.NATIVE;
+            return new Login(capabilities, user, proof, schema, plugin);
+        } catch (IndexOutOfBoundsException e) {
+            throw new DecoderException("login ends early", e);
+        }
+    }
+
+    /** Returns the packet that requests authentication by another plugin. */
+    public static ByteBuf authSwitchRequest(ByteBufAllocator alloc, int sequence, String plugin, byte[] nonce) {
+        ByteBuf packet = Packets.begin(alloc, sequence).writeByte(Packets.EOF);
+        writeZeroTerminated(packet, plugin);
+        return Packets.done(packet.writeBytes(nonce).writeByte(0));
+    }
+
+    /** Returns a packet with this payload. */
+    public static ByteBuf authData(ByteBufAllocator alloc, int sequence, byte[] payload) {
+        return Packets.done(Packets.begin(alloc, sequence).writeBytes(payload));
+    }
+
+    private static void writeZeroTerminated(ByteBuf packet, String text) {
+        packet.writeCharSequence(text, StandardCharsets.UTF_8);
+        packet.writeByte(0);
+    }
+}
--- a/src/main/java/lineward/mysql/LocalResult.java
+++ b/src/main/java/lineward/mysql/wire/LocalResult.java
@@ -1,50 +1,48 @@
-package lineward.mysql;
+package lineward.mysql.wire;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import java.util.List;
 
 /**
- * A result of one row of texts, or of none, that is answered without an engine.
+ * A result of at most one row of texts that the front end produces itself.
  *
- * @param labels of the columns
- * @param row one value for each column; empty: the result has no rows
+ * @param labels names of the columns
+ * @param row one value for each column; empty if the result has no row
  */
-record LocalResult(List<String> labels, List<String> row) {
-    /**
-     * The answer to SHOW WARNINGS: the engine's connection has had other clients since the statement before.
-     */
-    static final LocalResult NO_WARNINGS = new LocalResult(List.of("Level", "Code", "Message"), List.of());
+public record LocalResult(List<String> labels, List<String> row) {
+    /** The answer to SHOW WARNINGS: the connection to the engine may have run statements of other clients. */
+    public static final LocalResult NO_WARNINGS = new LocalResult(List.of("Level", "Code", "Message"), List.of());
 
     private static final String CATALOG = "def";
     private static final int TYPE_VAR_STRING = 253;
     private static final int MAX_VALUE_BYTES = 1024;
-    /** Bytes of a column definition behind its texts. */
+    /** Bytes of a column definition after its texts. */
     private static final int FIXED_FIELDS_BYTES = 12;
 
-    LocalResult {
+    public LocalResult {
         labels = List.copyOf(labels);
         row = List.copyOf(row);
     }
 
-    /** Returns the packets of the result, the first with this sequence number. */
-    ByteBuf encode(ByteBufAllocator alloc, int firstSequence, Dialect dialect) {
+    /** Returns the packets of the result; the first one has this sequence number. */
+    public ByteBuf encode(ByteBufAllocator alloc, int firstSequence, Dialect dialect) {
         int sequence = firstSequence;
-        ByteBuf out = alloc.buffer();
-        append(out, Packets.done(Packets.begin(alloc, sequence++).writeByte(labels.size())));
+        ByteBuf reply = alloc.buffer();
+        append(reply, Packets.done(Packets.begin(alloc, sequence++).writeByte(labels.size())));
         for (String label : labels) {
-            append(out, column(alloc, sequence++, label));
+            append(reply, column(alloc, sequence++, label));
         }
-        if (dialect == Dialect.PLAIN) {
-            append(out, Packets.eof(alloc, sequence++, 0));
+        if (dialect == Dialect.EOF_PACKETS) {
+            append(reply, Packets.eof(alloc, sequence++, 0));
         }
         if (!row.isEmpty()) {
             ByteBuf values = Packets.begin(alloc, sequence++);
             row.forEach(value -> Packets.writeText(values, value));
-            append(out, Packets.done(values));
+            append(reply, Packets.done(values));
         }
-        append(out, dialect.end(alloc, sequence, 0));
-        return out;
+        append(reply, dialect.end(alloc, sequence, 0));
+        return reply;
     }
 
     private static ByteBuf column(ByteBufAllocator alloc, int sequence, String label) {
@@ -66,8 +64,8 @@
         return Packets.done(column);
     }
 
-    private static void append(ByteBuf out, ByteBuf packets) {
-        out.writeBytes(packets);
+    private static void append(ByteBuf reply, ByteBuf packets) {
+        reply.writeBytes(packets);
         packets.release();
     }
 }
--- a/src/main/java/lineward/mysql/PacketDecoder.java
+++ b/src/main/java/lineward/mysql/wire/PacketDecoder.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.wire;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
@@ -6,24 +6,27 @@
 import io.netty.handler.codec.TooLongFrameException;
 import java.util.List;
 
-/** Splits a connection's bytes into packets with heads; one that is too long fails before it is read. */
-final class PacketDecoder extends ByteToMessageDecoder {
+/**
+ * Splits a connection's bytes into packets, each with its header. The length in the header is checked before
+ * the payload is buffered.
+ */
+public final class PacketDecoder extends ByteToMessageDecoder {
     private final int maxPayloadBytes;
-    /** Set behind a packet that was too long: the bytes that follow have no packet boundaries. */
+    /** Set after a packet that was too long: packet boundaries are unknown from then on. */
     private boolean failed;
 
     /** @param maxPayloadBytes largest payload of a packet */
-    PacketDecoder(int maxPayloadBytes) {
+    public PacketDecoder(int maxPayloadBytes) {
         this.maxPayloadBytes = maxPayloadBytes;
     }
 
     @Override
-    protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
+    protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> packets) {
         if (failed) {
             in.skipBytes(in.readableBytes());
             return;
         }
-        if (in.readableBytes() < Packets.HEAD) {
+        if (in.readableBytes() < Packets.HEADER_BYTES) {
             return;
         }
         int length = in.getUnsignedMediumLE(in.readerIndex());
@@ -31,8 +34,8 @@
             failed = true;
             throw new TooLongFrameException("packet of " + length + " bytes");
         }
-        if (in.readableBytes() >= Packets.HEAD + length) {
-            out.add(in.readRetainedSlice(Packets.HEAD + length));
+        if (in.readableBytes() >= Packets.HEADER_BYTES + length) {
+            packets.add(in.readRetainedSlice(Packets.HEADER_BYTES + length));
         }
     }
 }
--- /dev/null
+++ b/src/main/java/lineward/mysql/wire/Packets.java
@@ -0,0 +1,160 @@
+package lineward.mysql.wire;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufAllocator;
+import java.nio.charset.StandardCharsets;
+
+/** Encodes packets and reads parts of received ones. A frame is one complete packet with its header. */
+public final class Packets {
+    /** Bytes of a header: the payload's length and the sequence number. */
+    public static final int HEADER_BYTES = 4;
+
+    public static final int OK = 0x00;
+    public static final int EOF = 0xfe;
+    public static final int ERR = 0xff;
+    public static final int AUTOCOMMIT = 0x0002;
+    public static final int CURSOR_EXISTS = 0x0040;
+    public static final int LAST_ROW_SENT = 0x0080;
+    /** The error number of an error packet without one. */
+    public static final int UNKNOWN_ERROR = 0;
+    /** The first byte of an empty payload. */
+    public static final int EMPTY = -1;
+    /** Largest payload; after a packet of this size the next packet continues the payload. */
+    public static final int MAX_PAYLOAD_BYTES = 0xffffff;
+    /** Distinguishes an EOF packet from a row with the same first byte, which is at least as long. */
+    private static final int MIN_ROW_BYTES_AFTER_EOF_BYTE = 9;
+
+    /** First bytes of length-encoded integers whose value follows in 2, 3 or 8 bytes. */
+    private static final int LENGTH_2 = 0xfc;
+
+    private static final int LENGTH_3 = 0xfd;
+    private static final int LENGTH_8 = 0xfe;
+    /** Largest length-encoded integer of a single byte. */
+    private static final int MAX_LENGTH_IN_ONE_BYTE = 250;
+    /** First byte of an error packet and its error number. */
+    private static final int ERROR_HEAD_BYTES = 3;
+
+    private Packets() {}
+
+    /** Starts a frame, whose length {@link #done} sets. */
+    public static ByteBuf begin(ByteBufAllocator alloc, int sequence) {
+        return alloc.buffer().writeMediumLE(0).writeByte(sequence);
+    }
+
+    /** Sets the length in the header of a frame that is complete. */
+    public static ByteBuf done(ByteBuf frame) {
+        return frame.setMediumLE(0, frame.readableBytes() - HEADER_BYTES);
+    }
+
+    /** Returns an OK packet. */
+    public static ByteBuf ok(ByteBufAllocator alloc, int sequence) {
+        return done(begin(alloc, sequence)
+                .writeByte(OK)
+                .writeByte(0)
+                .writeByte(0)
+                .writeShortLE(AUTOCOMMIT)
+                .writeShortLE(0));
+    }
+
+    /** Returns an EOF packet with this status beside AUTOCOMMIT. */
+    public static ByteBuf eof(ByteBufAllocator alloc, int sequence, int status) {
+        return done(begin(alloc, sequence).writeByte(EOF).writeShortLE(0).writeShortLE(AUTOCOMMIT | status));
+    }
+
+    /** Returns the length, including the header, of the packet at this offset. */
+    public static int length(byte[] packets, int offset) {
+        int low = packets[offset] & 0xff;
+        int middle = packets[offset + 1] & 0xff;
+        int high = packets[offset + 2] & 0xff;
+        return HEADER_BYTES + (low | (middle << 8) | (high << 16));
+    }
+
+    /** Returns an error packet. */
+    public static ByteBuf error(ByteBufAllocator alloc, int sequence, Failure failure) {
+        ByteBuf packet = begin(alloc, sequence).writeByte(ERR).writeShortLE(failure.code());
+        packet.writeCharSequence("#" + failure.state() + failure.message(), StandardCharsets.UTF_8);
+        return done(packet);
+    }
+
+    /** Returns a command with these arguments, which the caller releases. */
+    public static ByteBuf command(ByteBufAllocator alloc, int command, ByteBuf arguments) {
+        ByteBuf frame = begin(alloc, 0).writeByte(command);
+        return done(frame.writeBytes(arguments, arguments.readerIndex(), arguments.readableBytes()));
+    }
+
+    /** Returns the sequence number of a frame. */
+    public static int sequence(ByteBuf frame) {
+        return frame.getUnsignedByte(frame.readerIndex() + HEADER_BYTES - 1);
+    }
+
+    /** Returns the payload's first byte, which identifies the packet's type, or {@link #EMPTY}. */
+    public static int first(ByteBuf frame) {
+        return size(frame) == 0 ? EMPTY : frame.getUnsignedByte(frame.readerIndex() + HEADER_BYTES);
+    }
+
+    /** Returns the payload's length. */
+    public static int size(ByteBuf frame) {
+        return frame.readableBytes() - HEADER_BYTES;
+    }
+
+    /** Returns a view of the payload, which shares the frame's reference. */
+    public static ByteBuf payload(ByteBuf frame) {
+        return frame.slice(frame.readerIndex() + HEADER_BYTES, size(frame));
+    }
+
+    /** Returns whether the frame is an EOF packet. */
+    public static boolean isEof(ByteBuf frame) {
+        return first(frame) == EOF && size(frame) < MIN_ROW_BYTES_AFTER_EOF_BYTE;
+    }
+
+    /** Returns the error's number, or {@link #UNKNOWN_ERROR} if the packet is too short for one. */
+    public static int errorCode(ByteBuf frame) {
+        return size(frame) < ERROR_HEAD_BYTES
+                ? UNKNOWN_ERROR
+                : frame.getUnsignedShortLE(frame.readerIndex() + HEADER_BYTES + 1);
+    }
+
+    /** Reads a length-encoded integer. */
+    public static long lengthEncoded(ByteBuf payload) {
+        int first = payload.readUnsignedByte();
+        return switch (first) {
+            case LENGTH_2 -> payload.readUnsignedShortLE();
+            case LENGTH_3 -> payload.readUnsignedMediumLE();
+            case LENGTH_8 -> payload.readLongLE();
+            default -> first;
+        };
+    }
+
+    /** Writes the length of a text of less than 64 KiB, then the text. */
+    public static void writeText(ByteBuf packet, String text) {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        if (bytes.length > MAX_LENGTH_IN_ONE_BYTE) {
+            packet.writeByte(LENGTH_2).writeShortLE(bytes.length);
+        } else {
+            packet.writeByte(bytes.length);
+        }
+        packet.writeBytes(bytes);
+    }
+
+    /** Reads a text that ends with a zero byte or at the end of the packet. */
+    public static String zeroTerminated(ByteBuf payload) {
+        int length = payload.bytesBefore((byte) 0);
+        if (length < 0) {
+            length = payload.readableBytes();
+        }
+        String text = payload.readCharSequence(length, StandardCharsets.UTF_8).toString();
+        payload.skipBytes(Math.min(1, payload.readableBytes()));
+        return text;
+    }
+
+    /** Returns the sequence number that follows the last of these packets. */
+    public static int sequenceAfter(byte[] packets) {
+        int offset = 0;
+        int sequence = 0;
+        while (offset < packets.length) {
+            sequence = packets[offset + HEADER_BYTES - 1] & 0xff;
+            offset += length(packets, offset);
+        }
+        return sequence + 1;
+    }
+}
