--- a/src/main/java/lineward/mysql/ReplyTracker.java
+++ b/src/main/java/lineward/mysql/wire/ReplyTracker.java
@@ -1,35 +1,10 @@
-package lineward.mysql;
+package lineward.mysql.wire;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.DecoderException;
 
-/** Follows the packets of one reply of an engine and tells which is the last. */
-final class ReplyTracker {
-    /** What a packet is to the reply. */
-    enum PacketRole {
-        /** A packet before the rows. */
-        HEAD,
-        /** The last packet before the rows. */
-        HEAD_END,
-        /** A row, or the last part of one. */
-        ROW,
-        /** A part of a row that continues in the next packet. */
-        ROW_PART,
-        /** The last packet of a reply that succeeded. */
-        LAST_OK,
-        /** An error, which ends the reply. */
-        LAST_ERROR;
-
-        boolean isLast() {
-            return this == LAST_OK || this == LAST_ERROR;
-        }
-
-        /** Returns whether rows may end with, or before, this packet and the reply is no error. */
-        boolean mayBeBehindRows() {
-            return this == ROW || this == ROW_PART || this == LAST_OK;
-        }
-    }
-
+/** Follows the packets of one reply of an engine and classifies each by its {@link PacketRole}. */
+public final class ReplyTracker {
     private enum State {
         FIRST_PACKET,
         PREPARED,
@@ -37,46 +12,46 @@
         ROWS
     }
 
-    /** First byte of a reply by which the engine requests a file of its client. */
+    /** First byte of a reply that requests a local file of the client. */
     private static final int LOCAL_INFILE = 0xfb;
 
     private static final int SERVER_MORE_RESULTS_EXISTS = 0x0008;
     private static final int SERVER_STATUS_IN_TRANS = 0x0001;
     private static final int STATUS_UNKNOWN = -1;
-    /** Bytes of the statement's id in the reply to a preparation. */
+    /** Bytes of the statement id in the reply to COM_STMT_PREPARE. */
     private static final int STATEMENT_ID_BYTES = 4;
-    /** Bytes of an EOF packet before its status: the type and the count of warnings. */
+    /** Offset of the status in an EOF packet, after the type and the count of warnings. */
     private static final int EOF_STATUS_OFFSET = 3;
 
     private final boolean prepare;
     private State state = State.FIRST_PACKET;
-    /** Blocks of definitions, each ended by an EOF packet, that a preparation's reply still has. */
+    /** Lists of definitions still to come in a reply to COM_STMT_PREPARE; EOF ends each of them. */
     private int definitionBlocks;
 
     private int status = STATUS_UNKNOWN;
     private boolean rowContinues;
 
     /**
-     * A tracker of a reply that has not begun.
+     * Creates the tracker of a reply whose first packet has not been received.
      *
-     * @param prepare whether the reply is to COM_STMT_PREPARE, which has a form of its own
+     * @param prepare whether this is the reply to COM_STMT_PREPARE, whose format differs
      */
-    ReplyTracker(boolean prepare) {
+    public ReplyTracker(boolean prepare) {
         this.prepare = prepare;
     }
 
-    /** Returns whether the engine reports a transaction, or that the next statement begins one. */
-    boolean inTransaction() {
+    /** Returns whether the engine reports an open transaction, or autocommit off. */
+    public boolean inTransaction() {
         int transactionFlags = status & (SERVER_STATUS_IN_TRANS | Packets.AUTOCOMMIT);
         return status != STATUS_UNKNOWN && transactionFlags != Packets.AUTOCOMMIT;
     }
 
     /**
-     * Returns the place of the reply's next packet, which stays unread.
+     * Returns the role of the reply's next packet; the frame's reader index does not move.
      *
-     * @throws DecoderException if the reply breaks the protocol or is of a kind that was not requested
+     * @throws DecoderException if the packet violates the protocol or belongs to a reply that was not requested
      */
-    PacketRole classify(ByteBuf frame) {
+    public PacketRole classify(ByteBuf frame) {
         if (rowContinues) {
             return row(frame);
         }
@@ -157,9 +132,9 @@
         return PacketRole.LAST_OK;
     }
 
-    /** A packet of the greatest length is continued in the next, which may be empty. */
+    /** The next packet, which may be empty, continues a packet of the maximal length. */
     private PacketRole row(ByteBuf frame) {
-        rowContinues = Packets.size(frame) == Packets.LONGEST;
+        rowContinues = Packets.size(frame) == Packets.MAX_PAYLOAD_BYTES;
         return rowContinues ? PacketRole.ROW_PART : PacketRole.ROW;
     }
 
--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -14,8 +14,8 @@
 import lineward.spool.store.SpoolFolder;
 
 /**
- * Measures spooled results and prints a line a figure. Arguments: the jar, and where it is to be compared an
- * earlier version's jar. Everything is on loopback and ends by itself.
+ * Measures spooled results on loopback, and prints one line for each figure. Arguments: the jar, and optionally
+ * the jar of an earlier version for comparison.
  */
 public final class MeasureSpool {
     private static final int READERS = 200;
@@ -27,7 +27,7 @@
     /**
      * Prints all figures and ends the process.
      *
-     * @param args the jar to measure; an earlier one
+     * @param args the jar to measure, and optionally the jar of an earlier version
      */
     public static void main(String[] args) throws Exception {
         release("", args[0], READERS);
@@ -46,7 +46,7 @@
         System.out.printf(Locale.ROOT, "%s %.3f %s%n", name, value, unit);
     }
 
-    /** The program before one engine. */
+    /** The program with one engine. */
     private static final class Rig implements AutoCloseable {
         final StandInEngine engine = new StandInEngine();
         final Path folder = Files.createTempDirectory("measure");
@@ -113,12 +113,12 @@
     }
 
     /**
-     * From the engine's last byte until its one session takes the next statement, which waits already, while
-     * readers take 1 KB a second of 1 MB. The next statement's own way is in the figure.
+     * Measures the time from the engine's last byte to the next statement on its only connection, while clients
+     * read their results of 1 MB slowly. The figure includes the program's time for the next statement.
      */
     private static void release(String suffix, String jar, int readers) throws Exception {
         List<StandInClient> slow = new ArrayList<>();
-        double[] took = new double[readers];
+        double[] releaseTimes = new double[readers];
         String spool = suffix.isEmpty() ? "[spool]\nmemory-mb = 250\nresults = 1000\n" : "";
         try (Rig rig = new Rig(jar, 1, 512, spool);
                 StandInClient next = new StandInClient(rig.port)) {
@@ -126,20 +126,20 @@
                 StandInClient client = new StandInClient(rig.port);
                 client.wire.socket.setReceiveBufferSize(4096);
                 slow.add(client);
-                int ran = rig.engine.ran.size();
+                int executed = rig.engine.executed.size();
                 client.send(3, "select rows=1000 size=1000");
-                for (int t = 0; t < 2000 && rig.engine.ran.size() == ran; t++) {
+                for (int t = 0; t < 2000 && rig.engine.executed.size() == executed; t++) {
                     pause(1);
                 }
                 long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
                 while (next.query("select rows=1").code() != 0 && System.nanoTime() < limit) {
-                    drip(slow);
+                    readSlowly(slow);
                 }
-                took[i] = rig.engine.releasedAfterMs(limit);
-                drip(slow);
+                releaseTimes[i] = rig.engine.releasedAfterMs(limit);
+                readSlowly(slow);
             }
-            Arrays.sort(took);
-            figure("engine-release-p99-ms" + suffix, took[(int) Math.ceil(readers * 0.99) - 1], "ms");
+            Arrays.sort(releaseTimes);
+            figure("engine-release-p99-ms" + suffix, releaseTimes[(int) Math.ceil(readers * 0.99) - 1], "ms");
         } finally {
             for (StandInClient client : slow) {
                 client.close();
@@ -147,7 +147,7 @@
         }
     }
 
-    private static void drip(List<StandInClient> readers) throws IOException {
+    private static void readSlowly(List<StandInClient> readers) throws IOException {
         for (StandInClient reader : readers) {
             if (reader.wire.socket.getInputStream().available() > 0) {
                 reader.wire
@@ -175,7 +175,7 @@
                 clients.add(client);
                 client.send(3, "select rows=1600 size=10000");
                 if (i % 4 == 3) {
-                    for (int t = 0; t < 3000 && rig.engine.ran.size() <= i; t++) {
+                    for (int t = 0; t < 3000 && rig.engine.executed.size() <= i; t++) {
                         pause(1);
                     }
                 }
@@ -183,7 +183,7 @@
             int lost = 0;
             for (int i = 0; i < 50; i++) {
                 clients.get(i).wire.socket.setSoTimeout(3000);
-                lost += isWhole(clients.get(i)) ? 0 : 1;
+                lost += isComplete(clients.get(i)) ? 0 : 1;
             }
             String status = Files.readString(Path.of("/proc/" + rig.process.pid() + "/status"));
             double rss = Double.parseDouble(status.lines()
@@ -212,7 +212,7 @@
         }
     }
 
-    private static boolean isWhole(StandInClient client) {
+    private static boolean isComplete(StandInClient client) {
         try {
             return client.count() == 1600;
         } catch (IOException e) {
@@ -231,12 +231,12 @@
         int megabytes = 512;
         SpoolFixture.fill(folder, megabytes / 16, 16);
         long start = System.nanoTime();
-        try (SpoolFolder held = SpoolFolder.acquire(folder)) {
-            int whole = held.recover().complete().size();
+        try (SpoolFolder spool = SpoolFolder.acquire(folder)) {
+            int recovered = spool.recover().complete().size();
             figure(
                     "recover-ms",
                     (System.nanoTime() - start) / MS,
-                    "ms for " + whole + " results, " + SpoolFixture.megabytes(folder) + " MB on file");
+                    "ms for " + recovered + " results, " + SpoolFixture.megabytes(folder) + " MB on file");
         }
         figure("wrong-bytes", SpoolFixture.wrongBytes(folder, new Random(1), 1000), "in 1000 crash points");
         try (Stream<Path> files = Files.walk(folder)) {
--- a/src/test/java/lineward/LayersTest.java
+++ b/src/test/java/lineward/LayersTest.java
@@ -39,6 +39,14 @@
             new Layer("estimation", "lineward.scheduling.estimation"),
             new Layer("events, actions and settings", "lineward.scheduling"));
 
+    /** The parts of the MySQL front end, from the top down. */
+    private static final List<Layer> MYSQL_LAYERS = List.of(
+            new Layer("server", "lineward.mysql"),
+            new Layer("client", "lineward.mysql.client"),
+            new Layer("engine", "lineward.mysql.engine"),
+            new Layer("session", "lineward.mysql.session"),
+            new Layer("wire", "lineward.mysql.wire"));
+
     private static JavaClasses productionClasses(String root) {
         return new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -55,6 +63,11 @@
         layered(SCHEDULING_LAYERS).check(productionClasses("lineward.scheduling"));
     }
 
+    @Test
+    public void noPartOfTheMysqlFrontEndUsesOneAboveIt() {
+        layered(MYSQL_LAYERS).check(productionClasses("lineward.mysql"));
+    }
+
     /** Returns the rule for layers from the top down. */
     private static LayeredArchitecture layered(List<Layer> layers) {
         LayeredArchitecture architecture = Architectures.layeredArchitecture()
@@ -80,7 +93,9 @@
     @DataProvider
     public Object[][] plantedFaults() {
         return new Object[][] {
-            {"lineward.core..", "lineward.mysql.."}, {"lineward.scheduling.state", "lineward.scheduling.decision"}
+            {"lineward.core..", "lineward.mysql.."},
+            {"lineward.scheduling.state", "lineward.scheduling.decision"},
+            {"lineward.mysql.session", "lineward.mysql.client"}
         };
     }
 
--- a/src/test/java/lineward/mysql/ChildSockets.java
+++ b/src/test/java/lineward/mysql/ChildSockets.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Sockets held by child processes, by which a test sees that a child has closed its end. */
+/** The sockets of child processes; a test waits until a child has closed them. */
 final class ChildSockets {
     private static final List<String> SOCKET_TABLES = List.of("/proc/net/tcp", "/proc/net/tcp6");
     private static final int REMOTE_ADDRESS_COLUMN = 2;
@@ -23,7 +23,7 @@
         this.links = links;
     }
 
-    /** Returns the sockets that are connected to that port of this host now. */
+    /** Returns the sockets that are connected to a port of this host. */
     static ChildSockets connectedTo(int port) throws IOException {
         String suffix = String.format(":%04X", port);
         Set<String> links = new HashSet<>();
@@ -40,14 +40,14 @@
         return new ChildSockets(links);
     }
 
-    /** Returns whether no child process holds any of them any more. */
+    /** Returns whether no child process has any of them open. */
     boolean areClosed() {
         Set<Long> children =
                 ProcessHandle.current().children().map(ProcessHandle::pid).collect(Collectors.toSet());
-        return children.stream().noneMatch(this::isHeldBy);
+        return children.stream().noneMatch(this::isOpenIn);
     }
 
-    private boolean isHeldBy(long process) {
+    private boolean isOpenIn(long process) {
         try (Stream<Path> descriptors = Files.list(Path.of("/proc/" + process + "/fd"))) {
             return descriptors.anyMatch(descriptor -> links.contains(target(descriptor)));
         } catch (NoSuchFileException e) {
@@ -62,7 +62,7 @@
         try {
             return Files.readSymbolicLink(descriptor).toString();
         } catch (IOException e) {
-            // Closed since it was listed.
+            // The descriptor was closed after it was listed.
             return "";
         }
     }
--- a/src/test/java/lineward/mysql/CustomersTest.java
+++ b/src/test/java/lineward/mysql/CustomersTest.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import lineward.Program;
-import lineward.mysql.StandInEngine.Trouble;
+import lineward.mysql.StandInEngine.Fault;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Customers whose sessions share one engine's connections: none finds what another left there. */
+/** Clients that share the connections to one engine: no session affects another one. */
 public class CustomersTest {
     private static final String PLAIN = "{}";
     private StandInEngine engine;
@@ -50,99 +50,104 @@
         return new StandInClient(program.port());
     }
 
-    /** Returns what a customer finds who has set nothing. */
-    private StandInEngine.Seen next() throws IOException {
+    /** Executes a statement of a new client, and returns the state of its session at the engine. */
+    private StandInEngine.Execution executeForNewClient() throws IOException {
         try (StandInClient client = client()) {
-            assertEquals(client.query("select rows=1 of the next").rows().size(), 1);
-            return engine.seen.get(engine.seen.size() - 1);
+            assertEquals(client.query("select rows=1 of a new client").rows().size(), 1);
+            return engine.executions.get(engine.executions.size() - 1);
         }
     }
 
-    private void assertNextFindsNothing() throws IOException {
+    private void assertNewClientsAreUnaffected() throws IOException {
         for (int i = 0; i < 3; i++) {
-            assertEquals(next(), new StandInEngine.Seen("select rows=1 of the next", PLAIN, "", ""));
+            assertEquals(
+                    executeForNewClient(), new StandInEngine.Execution("select rows=1 of a new client", PLAIN, "", ""));
         }
     }
 
-    /** How a customer goes. */
+    /** Whether the client resets its connection instead of closing it. */
     @DataProvider
-    public Object[][] goings() {
+    public Object[][] disconnects() {
         return new Object[][] {{true}, {false}};
     }
 
-    private static void go(StandInClient client, boolean reset) throws IOException {
+    private static void disconnect(StandInClient client, boolean reset) throws IOException {
         if (reset) {
             client.wire.socket.setSoLinger(true, 0);
         }
         client.wire.socket.close();
     }
 
-    @Test(dataProvider = "goings")
-    public void aSettingInFlightAsItsClientLeaves(boolean reset) throws Exception {
-        CountDownLatch come = new CountDownLatch(1);
-        CountDownLatch left = new CountDownLatch(1);
-        engine.atSettings = () -> {
-            come.countDown();
+    @Test(dataProvider = "disconnects")
+    public void clientDisconnectsWhileSettingsAreApplied(boolean reset) throws Exception {
+        CountDownLatch settingsReceived = new CountDownLatch(1);
+        CountDownLatch clientLeft = new CountDownLatch(1);
+        engine.onSettings = () -> {
+            settingsReceived.countDown();
             try {
-                assertTrue(left.await(10, TimeUnit.SECONDS));
+                assertTrue(clientLeft.await(10, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
         };
         try (StandInClient client = client()) {
             assertEquals(client.query("set sql_mode = 'ANSI'").code(), 0);
-            client.send(3, "select rows=1 of who left");
-            assertTrue(come.await(10, TimeUnit.SECONDS), "the settings are on their way");
-            go(client, reset);
-            assertNextFindsNothing();
-            left.countDown();
-            assertNextFindsNothing();
+            client.send(3, "select rows=1 of a disconnected client");
+            assertTrue(settingsReceived.await(10, TimeUnit.SECONDS), "the engine has received the settings");
+            disconnect(client, reset);
+            assertNewClientsAreUnaffected();
+            clientLeft.countDown();
+            assertNewClientsAreUnaffected();
         }
-        assertTrue(engine.ran.stream().noneMatch(text -> text.contains("who left")), engine.ran.toString());
+        assertTrue(
+                engine.executed.stream().noneMatch(text -> text.contains("disconnected client")),
+                engine.executed.toString());
     }
 
     @Test
-    public void aSettingThatFailsHalfway() throws IOException {
+    public void secondOfTwoSettingsFails() throws IOException {
         try (StandInClient client = client()) {
             assertEquals(
                     client.query("set group_concat_max_len = 5, sql_mode = 'bad_mode'")
                             .code(),
                     0);
-            assertEquals(client.query("select rows=1").code(), 1193, "the first half holds at the engine");
-            assertNextFindsNothing();
+            assertEquals(client.query("select rows=1").code(), 1193, "the first setting is applied at the engine");
+            assertNewClientsAreUnaffected();
         }
     }
 
-    @Test(dataProvider = "goings")
-    public void aStatementThatIsKilledUnderSettings(boolean reset) throws IOException {
-        engine.trouble = Trouble.SILENT;
+    @Test(dataProvider = "disconnects")
+    public void statementWithSettingsIsKilled(boolean reset) throws IOException {
+        engine.fault = Fault.SILENT;
         try (StandInClient client = client()) {
             assertEquals(client.query("set sql_mode = 'ANSI'").code(), 0);
-            client.send(3, "select rows=1 of who left");
-            Program.await("it runs", () -> !engine.ran.isEmpty());
-            go(client, reset);
-            Program.await("it is killed", () -> engine.said.stream().anyMatch(s -> s.startsWith("KILL")));
-            engine.trouble = Trouble.NONE;
-            assertNextFindsNothing();
+            client.send(3, "select rows=1 of a disconnected client");
+            Program.await("the engine executes the statement", () -> !engine.executed.isEmpty());
+            disconnect(client, reset);
+            Program.await(
+                    "the engine receives the kill",
+                    () -> engine.received.stream().anyMatch(text -> text.startsWith("KILL")));
+            engine.fault = Fault.NONE;
+            assertNewClientsAreUnaffected();
         }
     }
 
     @Test
-    public void settingsAndSchemaOfOneWhoStays() throws IOException {
+    public void settingsAndSchemaApplyToTheirClientOnly() throws IOException {
         try (StandInClient client = client()) {
             assertEquals(client.query("set sql_mode = 'ANSI'").code(), 0);
             assertEquals(client.query("use sales").code(), 0);
             assertEquals(client.query("select rows=1").code(), 0);
-            assertNextFindsNothing();
+            assertNewClientsAreUnaffected();
             assertEquals(client.query("select rows=1").code(), 0);
-            StandInEngine.Seen own = engine.seen.get(engine.seen.size() - 1);
-            assertEquals(own, new StandInEngine.Seen("select rows=1", "{sql_mode='ANSI'}", "sales", ""));
+            StandInEngine.Execution own = engine.executions.get(engine.executions.size() - 1);
+            assertEquals(own, new StandInEngine.Execution("select rows=1", "{sql_mode='ANSI'}", "sales", ""));
         }
     }
 
-    /** An engine reads a statement by the settings under which it is prepared. */
+    /** An engine parses a statement with the settings at its preparation. */
     @Test
-    public void aStatementPreparedUnderOthersSettings() throws IOException {
+    public void statementsArePreparedForEachSetOfSettings() throws IOException {
         try (StandInClient first = client();
                 StandInClient second = client()) {
             assertEquals(first.query("set sql_mode = 'ANSI'").code(), 0);
@@ -150,16 +155,16 @@
             StandInClient.Statement plain = second.prepare("select rows=1 of \"a\"");
             for (int i = 0; i < 3; i++) {
                 assertEquals(first.execute(ansi, true).rows().size(), 1);
-                assertEquals(engine.seen.get(engine.seen.size() - 1).settings(), "{sql_mode='ANSI'}");
+                assertEquals(engine.executions.get(engine.executions.size() - 1).settings(), "{sql_mode='ANSI'}");
                 assertEquals(second.execute(plain, true).rows().size(), 1);
-                assertEquals(engine.seen.get(engine.seen.size() - 1).settings(), PLAIN);
+                assertEquals(engine.executions.get(engine.executions.size() - 1).settings(), PLAIN);
             }
         }
     }
 
-    /** What may change a session unseen, as texts and prepared. */
+    /** Statements that may change the engine's session, as texts and prepared. */
     @DataProvider
-    public Object[][] traces() {
+    public Object[][] sessionChanges() {
         return new Object[][] {
             {"call p()"},
             {"/*!50000 set sql_mode = 'ANSI' */"},
@@ -171,21 +176,21 @@
         };
     }
 
-    @Test(dataProvider = "traces")
-    public void whatLeavesTracesEndsItsConnection(String text) throws IOException {
+    @Test(dataProvider = "sessionChanges")
+    public void statementsThatChangeTheSessionCloseItsConnection(String text) throws IOException {
         try (StandInClient client = client()) {
             assertEquals(client.query(text).code(), 0);
-            assertNextFindsNothing();
+            assertNewClientsAreUnaffected();
             StandInClient.Statement statement = client.prepare(text);
             assertEquals(client.execute(statement, true).code(), 0);
-            assertNextFindsNothing();
-            Program.await("no connection with traces is left", () -> engine.connections() == 1);
+            assertNewClientsAreUnaffected();
+            Program.await("connections with changed sessions are closed", () -> engine.connections() == 1);
         }
     }
 
-    /** What would tell of the statement before, whosever it was. */
+    /** Statements that depend on the previous statement of the connection, which may be another client's. */
     @DataProvider
-    public Object[][] questions() {
+    public Object[][] dependentStatements() {
         return new Object[][] {
             {"show count(*) warnings"},
             {"get diagnostics @a = number"},
@@ -198,12 +203,12 @@
         };
     }
 
-    @Test(dataProvider = "questions")
-    public void nobodyIsToldOfOthersStatements(String text) throws IOException {
+    @Test(dataProvider = "dependentStatements")
+    public void rejectsStatementsThatDependOnThePreviousOne(String text) throws IOException {
         try (StandInClient client = client()) {
             assertEquals(client.query(text).code(), 1235);
             assertEquals(client.query("show warnings").rows().size(), 0);
-            assertEquals(engine.ran, List.of());
+            assertEquals(engine.executed, List.of());
         }
     }
 }
--- a/src/test/java/lineward/mysql/DriverTest.java
+++ b/src/test/java/lineward/mysql/DriverTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Stock drivers with their usual settings, before the stand-in engine. */
+/** JDBC drivers with common settings, against the stand-in engine. */
 public class DriverTest {
     private StandInEngine engine;
     private Path file;
@@ -64,7 +64,7 @@
     }
 
     @Test(dataProvider = "drivers")
-    public void itConnectsQueriesAndIsToldErrors(String scheme, String options) throws SQLException {
+    public void connectsQueriesAndReportsErrors(String scheme, String options) throws SQLException {
         try (Connection connection = connect(scheme, options);
                 Statement statement = connection.createStatement()) {
             assertTrue(connection.isValid(2));
@@ -82,7 +82,7 @@
     }
 
     @Test(dataProvider = "drivers")
-    public void preparedStatementsRunWithArguments(String scheme, String options) throws SQLException {
+    public void executesPreparedStatements(String scheme, String options) throws SQLException {
         try (Connection connection = connect(scheme, options);
                 PreparedStatement statement = connection.prepareStatement("select rows=3 where a = ?")) {
             for (int i = 0; i < 3; i++) {
@@ -99,7 +99,7 @@
     }
 
     @Test(dataProvider = "drivers")
-    public void itPagesWithAFetchSize(String scheme, String options) throws SQLException {
+    public void readsPagesWithAFetchSize(String scheme, String options) throws SQLException {
         try (Connection connection = connect(scheme, options);
                 PreparedStatement statement = connection.prepareStatement("select rows=2500 size=100")) {
             statement.setFetchSize(200);
--- /dev/null
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -0,0 +1,134 @@
+package lineward.mysql;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertNotEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.io.IOException;
+import lineward.Program;
+import lineward.mysql.StandInEngine.Fault;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** Engines that fail or do not answer. */
+public class EngineFaultTest extends TwoEngineFixture {
+    @DataProvider
+    public Object[][] faults() {
+        return new Object[][] {
+            {Fault.DIE_AFTER_PREPARE, "select rows=4", 0},
+            {Fault.DIE_AFTER_PREPARE, "update t set a=1", 0},
+            {Fault.DIE_IN_EXECUTE, "select rows=4", 0},
+            {Fault.DIE_IN_EXECUTE, "update t set a=1", FAILED},
+            {Fault.DIE_BETWEEN_ROWS, "select rows=4", 0},
+            {Fault.DIE_BETWEEN_ROWS, "select rows=20000", 0},
+            {Fault.GARBAGE, "select rows=4", 0},
+            {Fault.GARBAGE, "update t set a=1", FAILED},
+            {Fault.FULL, "update t set a=1", 0}
+        };
+    }
+
+    /** The engine fails between preparation and execution, during the execution, or between two rows. */
+    @Test(dataProvider = "faults")
+    public void completesEveryExecutionThoughItsEngineFails(Fault fault, String text, int code) throws IOException {
+        try (StandInClient client = client()) {
+            StandInClient.Statement statement = client.prepare(text);
+            if (fault == Fault.DIE_AFTER_PREPARE || fault == Fault.FULL) {
+                resetAndAwaitClose(firstToPrepare(text), fault);
+            } else {
+                setFaultOfNextEngine(fault);
+            }
+            int executionsBefore = executionsOf(text);
+            StandInClient.Result result = client.execute(statement, false);
+            assertNotEquals(one.fault, two.fault, "one engine has the fault, the other has none");
+            assertEquals(result.code(), code, result.message());
+            if (code == 0 && text.startsWith("select")) {
+                assertEquals(result.rows().size(), text.contains("20000") ? 20_000 : 4);
+            }
+            if (code == FAILED) {
+                assertEquals(result.state(), "70100");
+            }
+            if (text.startsWith("update")) {
+                assertEquals(executionsOf(text) - executionsBefore, 1, "executions of a write");
+            }
+            assertEquals(client.query("select rows=1").rows().size(), 1, "the connection is still usable");
+        }
+    }
+
+    /**
+     * The program sends the execution before it reads the reset. The engine may have executed the write, which
+     * therefore fails and is not retried.
+     */
+    @Test
+    public void failsAWriteSentBeforeTheResetIsRead() throws IOException {
+        String text = "update t set a=1";
+        try (StandInClient client = client()) {
+            StandInClient.Statement statement = client.prepare(text);
+            setFaultOfNextEngine(Fault.DIE_BEFORE_EXECUTE);
+            StandInClient.Result result = client.execute(statement, false);
+            assertNotEquals(one.isDead(), two.isDead(), "the execution reached an engine that reset it");
+            assertEquals(result.code(), FAILED, result.message());
+            assertEquals(result.state(), "70100");
+            assertEquals(executionsOf(text), 0, "no engine has executed it");
+            assertEquals(client.query("select rows=1").rows().size(), 1, "the connection is still usable");
+        }
+    }
+
+    /** The engine that is used next has the fault; the other engine has none. */
+    private void setFaultOfNextEngine(Fault fault) {
+        one.beforeFault = () -> two.fault = Fault.NONE;
+        two.beforeFault = () -> one.fault = Fault.NONE;
+        one.fault = fault;
+        two.fault = fault;
+    }
+
+    private StandInEngine firstToPrepare(String text) {
+        return one.received.contains("prepare " + text) ? one : two;
+    }
+
+    /** Resets the engine's connections; returns when the program has closed them. */
+    private static void resetAndAwaitClose(StandInEngine engine, Fault fault) throws IOException {
+        engine.fault = fault;
+        ChildSockets open = ChildSockets.connectedTo(engine.port());
+        assertFalse(open.areClosed(), "the program is connected to the engine");
+        if (fault == Fault.FULL) {
+            engine.resetConnections();
+        } else {
+            engine.die();
+        }
+        Program.await("the program has read the reset", open::areClosed);
+    }
+
+    @Test
+    public void rejectsAStatementOfAnUnresponsiveEngineByItsDeadline() throws IOException {
+        one.fault = Fault.SILENT;
+        two.fault = Fault.SILENT;
+        try (StandInClient client = client()) {
+            long start = System.nanoTime();
+            StandInClient.Result result = client.query("select rows=1");
+            assertEquals(result.code(), REJECTED);
+            assertTrue((System.nanoTime() - start) / 1e6 < 1600, "answered by its deadline");
+            Program.await(
+                    "an engine receives the kill",
+                    () -> one.received.stream().anyMatch(command -> command.startsWith("KILL QUERY"))
+                            || two.received.stream().anyMatch(command -> command.startsWith("KILL QUERY")));
+            assertEquals(client.query("update t set a = 1").code(), FAILED);
+            assertEquals(executionsOf("update t set a = 1"), 1);
+        }
+        assertEquals(StandInEngine.MAX_RUNNING.get(), 1, "concurrent attempts");
+    }
+
+    @Test
+    public void killsTheStatementOfAClientThatDisconnects() throws IOException {
+        one.fault = Fault.SILENT;
+        two.fault = Fault.SILENT;
+        try (StandInClient client = client()) {
+            client.send(3, "select rows=1");
+            Program.await("an engine executes the statement", () -> executionsOf("select rows=1") == 1);
+        }
+        Program.await(
+                "an engine receives the kill",
+                () -> one.received.toString().contains("KILL")
+                        || two.received.toString().contains("KILL"));
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -0,0 +1,150 @@
+package lineward.mysql;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import lineward.Program;
+import org.testng.annotations.Test;
+
+/** Cursors, and pages of results with a key, with stand-in clients and engines. */
+public class SpoolCursorTest extends SpoolProgramFixture {
+    private static final int CURSOR_EXISTS = 0x40;
+    private static final int LAST_ROW_SENT = 0x80;
+
+    @Test
+    public void fetchesPagesWithoutAnEngine() throws IOException {
+        try (StandInClient client = client()) {
+            StandInClient.Statement statement = client.prepare("select rows=2500");
+            assertEquals(client.open(statement).status() & CURSOR_EXISTS, CURSOR_EXISTS);
+            one.die();
+            two.die();
+            int received = 0;
+            StandInClient.Page page;
+            do {
+                page = client.fetch(statement, 100);
+                for (byte[] row : page.rows()) {
+                    assertTrue(new String(row, StandardCharsets.UTF_8).contains("row " + received + " of"));
+                    received++;
+                }
+            } while ((page.status() & LAST_ROW_SENT) == 0 && page.code() == 0);
+            assertEquals(received, 2500);
+            assertEquals(client.fetch(statement, 100).code(), 1421, "past the end");
+        }
+    }
+
+    @Test
+    public void closesOneOfSeveralCursorsByResetCloseAndExecution() throws IOException {
+        try (StandInClient client = client()) {
+            StandInClient.Statement a = client.prepare("select rows=10");
+            StandInClient.Statement none = client.prepare("select rows=0");
+            StandInClient.Statement b = client.prepare("select rows=5000");
+            client.open(a);
+            client.open(b);
+            client.open(none);
+            assertEquals(client.fetch(a, 4).rows().size(), 4);
+            assertEquals(client.fetch(b, 4000).rows().size(), 4000);
+            assertEquals(client.fetch(none, 4).status() & LAST_ROW_SENT, LAST_ROW_SENT);
+            StandInClient.Page remaining = client.fetch(a, 100);
+            assertEquals(remaining.rows().size(), 6);
+            assertEquals(remaining.status() & LAST_ROW_SENT, LAST_ROW_SENT);
+            assertEquals(client.command(0x1a, b.id()).code(), 0);
+            assertEquals(client.fetch(b, 1).code(), 1421, "reset");
+            client.open(b);
+            assertEquals(client.execute(b, false).rows().size(), 5000);
+            assertEquals(client.fetch(b, 1).code(), 1421, "another execution");
+            client.open(b);
+            client.send(0x19, b.id());
+            assertEquals(client.fetch(b, 1).code(), 1243, "closed");
+        }
+    }
+
+    @Test
+    public void reportsTheErrorOfAnExecutionWithACursor() throws IOException {
+        try (StandInClient client = client()) {
+            StandInClient.Statement statement = client.prepare("select syntax");
+            assertEquals(client.open(statement).code(), 1064);
+            assertEquals(client.fetch(statement, 1).code(), 1421);
+            assertEquals(client.query("select rows=1").rows().size(), 1);
+        }
+    }
+
+    @Test
+    public void answersPagesOfAResultWithAKeyFromTheSpool() throws IOException {
+        String text = " select rows=1000";
+        try (StandInClient client = client()) {
+            assertEquals(client.query("/* lineward:key=k1 */" + text).rows().size(), 1000);
+            assertEquals(client.query("/* lineward:key=k1 */" + text).rows().size(), 1000);
+        }
+        try (StandInClient reconnected = client()) {
+            StandInClient.Result page = reconnected.query("/* lineward:key=k1 from=200 rows=100 */" + text);
+            assertEquals(page.rows().size(), 100);
+            assertTrue(new String(page.rows().get(0), StandardCharsets.UTF_8).contains("row 200 of"));
+            assertEquals(
+                    reconnected
+                            .query("/* lineward:key=k1 from=990 */" + text)
+                            .rows()
+                            .size(),
+                    10);
+            assertEquals(
+                    reconnected
+                            .query("/* lineward:key=k1 from=1000 */" + text)
+                            .rows()
+                            .size(),
+                    0);
+            StandInClient.Statement statement = reconnected.prepare("/* lineward:key=k1 from=1 */ select rows=7");
+            assertEquals(reconnected.open(statement).code(), 1210, "the key is another statement's");
+            assertEquals(executions(), 1);
+        }
+        try (StandInClient other = client("other")) {
+            StandInClient.Result foreign = other.query("/* lineward:key=k1 from=200 */" + text);
+            StandInClient.Result unknown = other.query("/* lineward:key=k9 from=200 */" + text);
+            assertEquals(foreign.code(), 1210);
+            assertEquals(foreign.message(), unknown.message(), "the error does not reveal which keys exist");
+            assertEquals(other.query("/* lineward:key=k1 */" + text).rows().size(), 1000);
+            assertEquals(executions(), 2);
+        }
+    }
+
+    @Test
+    public void keepsAResultWithAKeyAcrossAKill() throws IOException {
+        String text = " select rows=3000 size=100";
+        try (StandInClient client = client()) {
+            assertEquals(client.query("/* lineward:key=k */" + text).rows().size(), 3000);
+        }
+        Program.await("the result is on file", () -> {
+            try {
+                return lineward.spool.store.SpoolFolder.inspect(folder)
+                                .complete()
+                                .size()
+                        == 1;
+            } catch (IOException e) {
+                throw new AssertionError(e);
+            }
+        });
+        program.close();
+        program = program("folder = \"" + folder + "\"\n");
+        try (StandInClient client = client()) {
+            assertEquals(
+                    client.query("/* lineward:key=k from=2000 rows=50 */" + text)
+                            .rows()
+                            .size(),
+                    50);
+            assertEquals(executions(), 1);
+        }
+    }
+
+    @Test
+    public void letsClientsReadOpenCursorsAfterSigterm() throws IOException, InterruptedException {
+        try (StandInClient client = client()) {
+            StandInClient.Statement statement = client.prepare("select rows=300");
+            client.open(statement);
+            program.terminate();
+            Program.await("the shutdown begins", () -> program.log().contains("SIGTERM"));
+            assertEquals(client.fetch(statement, 100).rows().size(), 100);
+            assertEquals(client.fetch(statement, 300).rows().size(), 200);
+            assertEquals(program.status(), 0);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/mysql/SpoolProgramFixture.java
@@ -0,0 +1,73 @@
+package lineward.mysql;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+import lineward.Program;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+
+/** The program with a spool on files, two engines, and two connections to each of them. */
+public abstract class SpoolProgramFixture {
+    StandInEngine one;
+    StandInEngine two;
+    Path folder;
+    Program program;
+    Path file;
+
+    @BeforeMethod
+    public void start() throws IOException {
+        one = new StandInEngine();
+        two = new StandInEngine();
+        folder = Files.createTempDirectory("spooled");
+        file = Files.createTempFile("mysql", ".toml");
+        program = program("memory-mb = 64\nfolder = \"" + folder + "\"\nlease-s = 2\n");
+    }
+
+    /** Starts the program with these settings of its spool. */
+    Program program(String spool) throws IOException {
+        StringBuilder text = new StringBuilder("listen = \"127.0.0.1:0\"\n[limits]\nclients = 600\n"
+                + "connections-per-engine = 2\n[spool]\n" + spool
+                + "[[user]]\nname = \"office\"\npassword = \"secret\"\n"
+                + "[[user]]\nname = \"other\"\npassword = \"secret\"\n"
+                + "[[class]]\nname = \"all\"\naim-ms = 3000\ndeadline-ms = 9000\n");
+        for (StandInEngine engine : List.of(one, two)) {
+            text.append("[[engine]]\nname = \"")
+                    .append(engine == one ? "one" : "two")
+                    .append("\"\naddress = \"")
+                    .append(engine.address())
+                    .append("\"\nuser = \"front\"\n");
+        }
+        Files.writeString(file, text);
+        return new Program(Map.of(), "mysql", file.toString());
+    }
+
+    @AfterMethod(alwaysRun = true)
+    public void stop() throws IOException {
+        program.close();
+        one.close();
+        two.close();
+        Files.delete(file);
+        try (Stream<Path> files = Files.walk(folder)) {
+            files.sorted(Comparator.reverseOrder())
+                    .forEach(path -> path.toFile().delete());
+        }
+    }
+
+    StandInClient client() throws IOException {
+        return new StandInClient(program.port());
+    }
+
+    StandInClient client(String user) throws IOException {
+        return new StandInClient(program.port(), "caching_sha2_password", user, "secret", null);
+    }
+
+    /** Returns the number of statements that the engines have executed. */
+    int executions() {
+        return one.executed.size() + two.executed.size();
+    }
+}
--- a/src/test/java/lineward/mysql/StandInClient.java
+++ b/src/test/java/lineward/mysql/StandInClient.java
@@ -12,10 +12,10 @@
 
 /** A small MySQL client. */
 final class StandInClient implements AutoCloseable {
-    /** What a command brought: rows, or an error's number, state and text; code 0 is success. */
+    /** The result of a command: rows, or the number, state and text of an error; code 0 is success. */
     record Result(int code, String state, String message, List<byte[]> rows) {}
 
-    /** What the front said of a statement. */
+    /** The reply to a preparation. */
     record Statement(long id, int params, Result result) {}
 
     final Wire wire;
@@ -78,10 +78,10 @@
         wire.write(command);
     }
 
-    /** What a fetch brought: the rows and the status that ended them, or an error. */
+    /** The result of a fetch: rows and the status after them, or an error. */
     record Page(int code, List<byte[]> rows, int status) {}
 
-    /** Executes with a read-only cursor; the status is that behind the columns. */
+    /** Executes with a read-only cursor; returns the status after the columns. */
     Page open(Statement statement) throws IOException {
         send(0x17, statement.id(), 1, 1L);
         byte[] first = wire.read();
@@ -131,7 +131,10 @@
         return new Statement(head[1] & 0xff, params, new Result(0, "", "", List.of()));
     }
 
-    /** Executes with one text for each parameter; the types go along only where told. */
+    /** Executes with one text for each parameter.
+     *
+     * @param types whether to send the types of the parameters
+     */
     Result execute(Statement statement, boolean types, String... values) throws IOException {
         List<Object> parts = new ArrayList<>(List.of(0x17, statement.id(), 0, 1L));
         if (values.length > 0) {
@@ -148,7 +151,7 @@
     }
 
     /**
-     * Returns the rows of the result that comes, which are passed over; -1 if an error came in their place.
+     * Reads a result and returns the number of its rows; -1 if it is or ends with an error.
      */
     int count() throws IOException {
         byte[] first = wire.read();
--- /dev/null
+++ b/src/test/java/lineward/mysql/TwoEngineFixture.java
@@ -0,0 +1,79 @@
+package lineward.mysql;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+import lineward.Program;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+
+/** The program with two engines. */
+public abstract class TwoEngineFixture {
+    /** Error number of a rejected statement. */
+    static final int REJECTED = 1637;
+    /** Error number of a statement that may have been executed. */
+    static final int FAILED = 1317;
+
+    StandInEngine one;
+    StandInEngine two;
+    Program program;
+    private Path file;
+
+    @BeforeMethod
+    public void start() throws IOException {
+        StandInEngine.MAX_RUNNING.set(0);
+        one = new StandInEngine();
+        two = new StandInEngine();
+        file = Files.createTempFile("mysql", ".toml");
+        configure("ready", "ready");
+        program = new Program(Map.of(), "mysql", file.toString());
+    }
+
+    @AfterMethod(alwaysRun = true)
+    public void stop() throws IOException {
+        program.close();
+        one.close();
+        two.close();
+        Files.delete(file);
+    }
+
+    /** Writes the configuration with these states of the engines. */
+    void configure(String stateOfOne, String stateOfTwo) throws IOException {
+        StringBuilder text = new StringBuilder("""
+                listen = "127.0.0.1:0"
+                [limits]
+                packet = 100000
+                [[user]]
+                name = "office"
+                password = "secret"
+                [[class]]
+                name = "all"
+                aim-ms = 300
+                deadline-ms = 1500
+                """);
+        engine(text, "one", one, stateOfOne);
+        engine(text, "two", two, stateOfTwo);
+        Files.writeString(file, text);
+    }
+
+    private static void engine(StringBuilder text, String name, StandInEngine engine, String state) {
+        text.append("[[engine]]\nname = \"")
+                .append(name)
+                .append("\"\naddress = \"")
+                .append(engine.address())
+                .append("\"\nuser = \"front\"\nstate = \"")
+                .append(state)
+                .append("\"\n");
+    }
+
+    StandInClient client() throws IOException {
+        return new StandInClient(program.port());
+    }
+
+    /** Returns how often the engines have executed the statement. */
+    int executionsOf(String text) {
+        return (int) (one.executed.stream().filter(text::equals).count()
+                + two.executed.stream().filter(text::equals).count());
+    }
+}
--- a/src/test/java/lineward/mysql/Wire.java
+++ b/src/test/java/lineward/mysql/Wire.java
@@ -9,41 +9,41 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Packets on a plain socket, written from the protocol's pages and not from the program's code. */
+/** Packets on a plain socket; shares no code with the program, so that it can find faults in the program's. */
 final class Wire {
-    private static final int LONGEST = 0xffffff;
+    private static final int MAX_PAYLOAD_BYTES = 0xffffff;
     final Socket socket;
     private final DataInputStream in;
-    private final OutputStream out;
+    private final OutputStream output;
     int sequence;
-    /** Packets wait here until {@link #flush}, where many small ones follow each other. */
-    private ByteArrayOutputStream gathered;
+    /** Buffers small packets until {@link #flush}; null outside of a batch. */
+    private ByteArrayOutputStream batch;
 
     Wire(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(20_000);
         socket.setTcpNoDelay(true);
         in = new DataInputStream(socket.getInputStream());
-        out = socket.getOutputStream();
+        output = socket.getOutputStream();
     }
 
-    void gather() {
-        gathered = new ByteArrayOutputStream();
+    void beginBatch() {
+        batch = new ByteArrayOutputStream();
     }
 
     void flush() throws IOException {
-        out.write(gathered.toByteArray());
-        gathered = null;
+        output.write(batch.toByteArray());
+        batch = null;
     }
 
     byte[] read() throws IOException {
-        byte[] part = readPacket();
-        byte[] whole = part;
-        while (part.length == LONGEST) {
-            part = readPacket();
-            whole = bytes(whole, part);
+        byte[] packet = readPacket();
+        byte[] payload = packet;
+        while (packet.length == MAX_PAYLOAD_BYTES) {
+            packet = readPacket();
+            payload = bytes(payload, packet);
         }
-        return whole;
+        return payload;
     }
 
     private byte[] readPacket() throws IOException {
@@ -58,45 +58,45 @@
         return payload;
     }
 
-    void write(Object... parts) throws IOException {
-        byte[] payload = bytes(parts);
-        int at = 0;
+    void write(Object... values) throws IOException {
+        byte[] payload = bytes(values);
+        int offset = 0;
         int length;
         do {
-            length = Math.min(LONGEST, payload.length - at);
+            length = Math.min(MAX_PAYLOAD_BYTES, payload.length - offset);
             byte[] packet = bytes(
                     length & 0xff,
                     length >> 8 & 0xff,
                     length >> 16,
                     sequence++ & 0xff,
-                    Arrays.copyOfRange(payload, at, at + length));
-            at += length;
-            if (gathered == null) {
-                out.write(packet);
+                    Arrays.copyOfRange(payload, offset, offset + length));
+            offset += length;
+            if (batch == null) {
+                output.write(packet);
             } else {
-                gathered.writeBytes(packet);
-                if (gathered.size() > 1 << 16) {
-                    out.write(gathered.toByteArray());
-                    gathered.reset();
+                batch.writeBytes(packet);
+                if (batch.size() > 1 << 16) {
+                    output.write(batch.toByteArray());
+                    batch.reset();
                 }
             }
-        } while (length == LONGEST);
+        } while (length == MAX_PAYLOAD_BYTES);
     }
 
-    /** Integers are one byte each, longs four, texts end where they end. */
-    static byte[] bytes(Object... parts) {
+    /** Encodes an integer as one byte, a long as four bytes, and a text without a length or an end. */
+    static byte[] bytes(Object... values) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        for (Object part : parts) {
-            if (part instanceof Integer i) {
-                all.write(i);
-            } else if (part instanceof Long l) {
+        for (Object value : values) {
+            if (value instanceof Integer number) {
+                all.write(number);
+            } else if (value instanceof Long number) {
                 for (int shift = 0; shift < 32; shift += 8) {
-                    all.write((int) (l >> shift));
+                    all.write((int) (number >> shift));
                 }
-            } else if (part instanceof byte[] b) {
-                all.writeBytes(b);
+            } else if (value instanceof byte[] bytes) {
+                all.writeBytes(bytes);
             } else {
-                all.writeBytes(part.toString().getBytes(StandardCharsets.UTF_8));
+                all.writeBytes(value.toString().getBytes(StandardCharsets.UTF_8));
             }
         }
         return all.toByteArray();
--- a/src/test/java/lineward/mysql/SessionStateTest.java
+++ b/src/test/java/lineward/mysql/client/SessionStateTest.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.client;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -6,12 +6,12 @@
 import java.util.Arrays;
 import java.util.EnumSet;
 import java.util.Set;
-import lineward.mysql.SessionState.Event;
+import lineward.mysql.client.SessionState.Event;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /**
- * The transition table of a client's session, complete: one row for each state, one column for each event.
+ * The complete transition table of a client's session: one row for each state, one column for each event.
  */
 public class SessionStateTest {
     private static final Event[] EVENTS = {
@@ -25,7 +25,7 @@
         Event.DISCONNECTED
     };
 
-    /** The states behind each event; a dash where the event leaves the state as it is. */
+    /** The state after each event; a dash if the event does not change the state. */
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
@@ -42,7 +42,7 @@
     }
 
     @Test(dataProvider = "transitions")
-    public void eachEventLeadsFromAStateToTheNext(String from, String row) {
+    public void changesTheStateAsInTheTable(String from, String row) {
         SessionState state = SessionState.valueOf(from);
         String[] expected = row.split(" ", EVENTS.length);
         assertEquals(EVENTS.length, expected.length);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    public void theTableHoldsEveryStateAndEvent() {
+    public void tableHasEveryStateAndEvent() {
         assertEquals(Set.of(EVENTS), EnumSet.allOf(Event.class));
         assertEquals(Arrays.stream(transitions()).map(row -> row[0]).toList(), names());
     }
@@ -63,7 +63,7 @@
     }
 
     @Test
-    public void packetsAreProcessedBeforeLoginAndBetweenCommandsOnly() {
+    public void acceptsPacketsBeforeLoginAndBetweenCommandsOnly() {
         Set<SessionState> accepting = EnumSet.noneOf(SessionState.class);
         Set<SessionState> unauthenticated = EnumSet.noneOf(SessionState.class);
         for (SessionState state : SessionState.values()) {
--- a/src/test/java/lineward/mysql/ConnectionStateTest.java
+++ b/src/test/java/lineward/mysql/engine/ConnectionStateTest.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.engine;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
@@ -8,14 +8,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import lineward.mysql.ConnectionState.Transition;
+import lineward.mysql.engine.ConnectionState.Transition;
 import lineward.scheduling.AttemptOutcome;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of a connection to an engine, and what each state proves of its attempt. */
+/** The transition table of a connection to an engine, and the outcomes of attempts in each state. */
 public class ConnectionStateTest {
-    /** Every allowed transition by the state it starts at, and where it leads. */
+    /** The transitions that are possible in each state, and the states after them. */
     private static final Map<ConnectionState, String> TABLE = Map.of(
             ConnectionState.CONNECTING, "CLOSE=CLOSED CONNECT=AUTHENTICATING",
             ConnectionState.AUTHENTICATING, "AUTHENTICATE=IDLE CLOSE=CLOSED",
@@ -41,7 +41,7 @@
     }
 
     @Test(dataProvider = "states")
-    public void onlyTheTransitionsOfTheTableAreAllowed(ConnectionState state) {
+    public void allowsTheTransitionsOfTheTableOnly(ConnectionState state) {
         Set<String> allowed = new TreeSet<>();
         for (Transition transition : Transition.values()) {
             String entry = transition + "=";
@@ -68,7 +68,7 @@
     }
 
     @Test(dataProvider = "outcomes")
-    public void onlyAnAttemptWhoseCommandWasSentMayHaveRun(
+    public void reportsThatAnAttemptMayHaveRunOnceItsCommandIsSent(
             ConnectionState state, AttemptOutcome ofClose, AttemptOutcome ofFault) {
         assertEquals(state.outcomeOfClose(), ofClose);
         assertEquals(state.outcomeOfFault(), ofFault);
--- a/src/test/java/lineward/mysql/SessionSettingsTest.java
+++ b/src/test/java/lineward/mysql/session/SessionSettingsTest.java
@@ -1,20 +1,21 @@
-package lineward.mysql;
+package lineward.mysql.session;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
 
 import java.util.Map;
 import java.util.Optional;
+import lineward.mysql.wire.LocalResult;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What clients set and ask at their login and later, as tables. */
+/** SET statements and queries of variables, as tables. */
 public class SessionSettingsTest {
     private static final String DRIVER_QUERY =
             "/* driver */SELECT  @@session.auto_increment_increment AS a, @@wait_timeout AS w;";
 
     @DataProvider
-    public Object[][] kept() {
+    public Object[][] supported() {
         return new Object[][] {
             {"set sql_mode = ''", Map.of("sql_mode", "''")},
             {
@@ -46,8 +47,8 @@
         };
     }
 
-    @Test(dataProvider = "kept")
-    public void whatCanBeKeptIsKeptAsItWasWritten(String text, Map<String, String> engines)
+    @Test(dataProvider = "supported")
+    public void forwardsSupportedSettingsAsWritten(String text, Map<String, String> engines)
             throws UnsupportedSettingException {
         SessionSettings settings = new SessionSettings();
         settings.set(text);
@@ -57,7 +58,7 @@
     }
 
     @DataProvider
-    public Object[][] unkeepable() {
+    public Object[][] unsupported() {
         return new Object[][] {
             {"set autocommit=0", "autocommit=0"},
             {"set @a = 1", "a user variable"},
@@ -74,8 +75,8 @@
         };
     }
 
-    @Test(dataProvider = "unkeepable")
-    public void whatCannotBeKeptIsRefusedWholeWithTheReason(String text, String why) {
+    @Test(dataProvider = "unsupported")
+    public void rejectsAStatementWithAnyUnsupportedSetting(String text, String unsupported) {
         SessionSettings settings = new SessionSettings();
         UnsupportedSettingException e = null;
         try {
@@ -83,12 +84,12 @@
         } catch (UnsupportedSettingException thrown) {
             e = thrown;
         }
-        assertEquals(e == null ? "taken" : e.getMessage(), why);
+        assertEquals(e == null ? "accepted" : e.getMessage(), unsupported);
         assertEquals(settings.forEngines(), Map.of());
     }
 
     @DataProvider
-    public Object[][] readings() {
+    public Object[][] queries() {
         return new Object[][] {
             {"SELECT @@version_comment LIMIT 1", "[@@version_comment]", "[lineward]"},
             {DRIVER_QUERY, "[a, w]", "[1, 28800]"},
@@ -103,8 +104,8 @@
         };
     }
 
-    @Test(dataProvider = "readings")
-    public void variablesAloneAreAnsweredFromTheTable(String text, String labels, String values)
+    @Test(dataProvider = "queries")
+    public void answersQueriesOfVariablesOnly(String text, String labels, String values)
             throws UnsupportedSettingException {
         SessionSettings settings = new SessionSettings();
         settings.set("set sql_mode = 'ANSI'");
@@ -118,14 +119,14 @@
     }
 
     @Test
-    public void onlyWhatDiffersGoesToAnEngine() {
+    public void changesOnlySettingsThatDiffer() {
         assertEquals(
                 SessionSettings.change(Map.of("a", "1", "b", "2"), Map.of("b", "3")),
                 "SET SESSION a=DEFAULT, SESSION b=3");
     }
 
     @Test
-    public void manySettingsAreBounded() throws UnsupportedSettingException {
+    public void keepsSettingsAfterARejectedStatement() throws UnsupportedSettingException {
         SessionSettings settings = new SessionSettings();
         settings.set("set sql_notes = 1");
         assertThrows(UnsupportedSettingException.class, () -> settings.set("set sql_notes = 1, no_such = 2"));
--- a/src/test/java/lineward/mysql/DialectTest.java
+++ b/src/test/java/lineward/mysql/wire/DialectTest.java
@@ -1,4 +1,4 @@
-package lineward.mysql;
+package lineward.mysql.wire;
 
 import static org.testng.Assert.assertEquals;
 
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Replies as clients that know CLIENT_DEPRECATE_EOF want them, to the byte. */
+/** Replies for clients with CLIENT_DEPRECATE_EOF, byte by byte. */
 public class DialectTest {
     private static final String EOF_3 = "05000003fe01000200";
     private static final String COLUMNS = "0100000101" + "020000020303";
@@ -42,27 +42,27 @@
     }
 
     @Test(dataProvider = "replies")
-    public void aHeldReplyIsFramedAnew(String reply, boolean prepared, String expected) {
+    public void convertsACompleteReply(String reply, boolean prepared, String expected) {
         UnpooledByteBufAllocator alloc = UnpooledByteBufAllocator.DEFAULT;
-        ByteBuf reframed = Dialect.SHORT.reframe(alloc, bytes(reply), prepared);
-        assertEquals(ByteBufUtil.hexDump(reframed), expected);
-        ByteBuf unchanged = Dialect.PLAIN.reframe(alloc, bytes(reply), prepared);
+        ByteBuf converted = Dialect.DEPRECATE_EOF.convert(alloc, bytes(reply), prepared);
+        assertEquals(ByteBufUtil.hexDump(converted), expected);
+        ByteBuf unchanged = Dialect.EOF_PACKETS.convert(alloc, bytes(reply), prepared);
         assertEquals(ByteBufUtil.hexDump(unchanged), reply);
     }
 
     @Test
-    public void spooledPiecesAreFramedAnewAndStayAsTheyAre() {
+    public void convertsCopiesOfSpooledBlocks() {
         UnpooledByteBufAllocator alloc = UnpooledByteBufAllocator.DEFAULT;
         byte[] rows = array(ROW + "0200000501bb");
-        assertEquals(ByteBufUtil.hexDump(Dialect.SHORT.columns(array(HEAD))), COLUMNS);
-        String shortCursor = ByteBufUtil.hexDump(Dialect.SHORT.cursor(alloc, array(HEAD)));
+        assertEquals(ByteBufUtil.hexDump(Dialect.DEPRECATE_EOF.columns(array(HEAD))), COLUMNS);
+        String shortCursor = ByteBufUtil.hexDump(Dialect.DEPRECATE_EOF.cursorColumns(alloc, array(HEAD)));
         assertEquals(shortCursor, COLUMNS + "07000003fe000042000000");
-        String plainCursor = ByteBufUtil.hexDump(Dialect.PLAIN.cursor(alloc, array(HEAD)));
+        String plainCursor = ByteBufUtil.hexDump(Dialect.EOF_PACKETS.cursorColumns(alloc, array(HEAD)));
         assertEquals(plainCursor, COLUMNS + "05000003fe00004200");
-        assertEquals(ByteBufUtil.hexDump(Dialect.SHORT.rows(rows)), "0200000301aa" + "0200000401bb");
+        assertEquals(ByteBufUtil.hexDump(Dialect.DEPRECATE_EOF.rows(rows)), "0200000301aa" + "0200000401bb");
         assertEquals(ByteBufUtil.hexDump(rows), ROW + "0200000501bb");
-        assertEquals(ByteBufUtil.hexDump(Dialect.SHORT.tail(alloc, array(EOF_5))), "07000004fe000002000100");
-        assertEquals(Dialect.SHORT.behindColumns(array(HEAD)), 3);
-        assertEquals(Dialect.PLAIN.behindColumns(array(HEAD)), 4);
+        assertEquals(ByteBufUtil.hexDump(Dialect.DEPRECATE_EOF.tail(alloc, array(EOF_5))), "07000004fe000002000100");
+        assertEquals(Dialect.DEPRECATE_EOF.sequenceAfter(array(HEAD)), 3);
+        assertEquals(Dialect.EOF_PACKETS.sequenceAfter(array(HEAD)), 4);
     }
 }
