--- a/src/main/java/lineward/app/AdminWiring.java
+++ b/src/main/java/lineward/app/AdminWiring.java
@@ -7,10 +7,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Wires the admin endpoint, where operators call. */
+/** Wires the admin endpoint. */
 final class AdminWiring {
     private static final Logger LOG = LoggerFactory.getLogger(AdminWiring.class);
-    /** How often silent callers are looked for; they may stay silent for most of a second. */
+    /** Interval of checks for unresponsive clients, well below their time limit. */
     private static final int UNRESPONSIVE_INTERVAL_MS = 100;
 
     private AdminWiring() {}
@@ -18,8 +18,8 @@
     /**
      * Starts the endpoint.
      *
-     * @param address null: there is none
-     * @throws ConfigException if it can't listen there
+     * @param address null if the process has no admin endpoint
+     * @throws ConfigException if it can't listen at the address
      */
     static void start(FrontEndContext context, Lifecycle lifecycle, InetSocketAddress address) {
         if (address == null) {
--- a/src/main/java/lineward/app/CoalescedTick.java
+++ b/src/main/java/lineward/app/CoalescedTick.java
@@ -4,8 +4,8 @@
 import lineward.frontend.ProtocolServer;
 
 /**
- * Lets a protocol server decide on all events of one turn of the event loop together, at the turn's end. All
- * but {@link #attach} runs on the event loop.
+ * Runs the tick of a protocol server once at the end of a turn of the event loop, for all events of the turn.
+ * All methods are called on the event loop, except {@link #attach}.
  */
 final class CoalescedTick implements Runnable {
     private final EventLoop eventLoop;
@@ -16,7 +16,7 @@
         this.eventLoop = eventLoop;
     }
 
-    /** Names the server, before the first event; it is built with this object, so it can't be passed in. */
+    /** Sets the server before the first event; its constructor needs this object, so it is set later. */
     void attach(ProtocolServer protocolServer) {
         server = protocolServer;
     }
--- a/src/main/java/lineward/app/Config.java
+++ b/src/main/java/lineward/app/Config.java
@@ -6,12 +6,12 @@
 import lineward.scheduling.SchedulerSettings;
 
 /**
- * The configuration of a front end of the platform.
+ * The configuration of a front end of the platform. Immutable.
  *
  * @param name of this front end
  * @param seed of the scheduler's random draws
  * @param settings of the scheduler
- * @param initialEndpoints the discovery events up to the start, in the form of the discovery service
+ * @param initialEndpoints the events of service discovery before the start, in its wire format
  */
 record Config(
         String name,
@@ -27,34 +27,34 @@
      * Where the process listens and connects.
      *
      * @param listen where clients connect
-     * @param discovery HOST:PORT of the discovery service
-     * @param admin where the admin endpoint listens; null: there is none
-     * @param gossip how the front ends of the tier talk; null: they do not
+     * @param discovery HOST:PORT of service discovery
+     * @param admin where the admin endpoint listens; null if there is none
+     * @param gossip between the front ends of the tier; null if there is none
      */
     record Addresses(InetSocketAddress listen, String discovery, InetSocketAddress admin, Gossip gossip) {}
 
     /**
-     * The datagrams between the front ends of a tier.
+     * The addresses of gossip between the front ends of a tier.
      *
-     * @param listen where datagrams of the others arrive
-     * @param peers the number of each front end of the tier, by the address it sends from
-     * @param all where a datagram for all others goes
+     * @param listen where the messages of the others arrive
+     * @param peers the number of each front end of the tier, by the address from which it sends
+     * @param all the address of a broadcast to all others
      */
     record Gossip(InetSocketAddress listen, Map<InetSocketAddress, Integer> peers, InetSocketAddress all) {}
 
-    /** What the process may use of the machine: memory in megabytes and open file descriptors. */
+    /** The resources that the process may use: memory in megabytes and open file descriptors. */
     record Resources(int memoryMb, int descriptors) {}
 
     /**
-     * The rules of connections to engines.
+     * The limits of connections to engines.
      *
-     * @param connectTimeoutMs a connection that is not up by then is late
-     * @param idleMs an engine closes a connection that has been idle for so long
-     * @param streams attempts that one connection carries
+     * @param connectTimeoutMs time after which a connection attempt counts as slow
+     * @param idleMs time after which an engine closes an idle connection
+     * @param streams concurrent attempts on one connection
      */
     record EngineConnections(int connectTimeoutMs, double idleMs, int streams) {}
 
-    /** Names that requests and discovery events use, each list in the order of the settings. */
+    /** The names in requests and discovery events, each list in the order of the settings. */
     record Names(List<String> classes, List<String> tenants, List<String> engineKinds, List<String> zones) {}
 
     /** Returns the deadlines of the classes in milliseconds, in the order of the settings. */
--- a/src/main/java/lineward/app/ConfigException.java
+++ b/src/main/java/lineward/app/ConfigException.java
@@ -1,13 +1,13 @@
 package lineward.app;
 
 /**
- * A configuration can't be used.
+ * The error of a configuration that can't be used.
  *
  * <p>The message is one line without the program's name: file, key, reason, value found, value allowed.
  */
 final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
-    /** Longer values are cut in the message, so that it stays one readable line. */
+    /** Longer values are truncated in the message, so that it stays one readable line. */
     private static final int MAX_FOUND_CHARS = 80;
 
     private final String file;
@@ -15,7 +15,7 @@
     private final String found;
     private final String allowed;
 
-    /** For the factories below alone. */
+    /** Used by the factory methods only. */
     ConfigException(String message, String file, String key, String found, String allowed, Throwable cause) {
         super(message, cause);
         this.file = file;
@@ -37,15 +37,15 @@
     /**
      * Creates an exception for one value.
      *
-     * @param reason what is wrong, as the predicate of a sentence whose subject is the key
-     * @param found the value as it stands in the file; never a password
-     * @param allowed what may stand there
+     * @param reason the fault, as the predicate of a sentence whose subject is the key
+     * @param found the value in the file; never a password
+     * @param allowed the values that are allowed
      */
     static ConfigException invalid(String file, String key, String reason, String found, String allowed) {
         return invalid(file, key, reason, found, allowed, null);
     }
 
-    /** Creates an exception for one value, with what it follows from. */
+    /** Creates an exception for one value, with its cause. */
     static ConfigException invalid(
             String file, String key, String reason, String found, String allowed, Throwable cause) {
         int shownChars = Math.min(MAX_FOUND_CHARS, found.length());
@@ -54,7 +54,7 @@
         return new ConfigException(printable(message), file, key, shown, allowed, cause);
     }
 
-    /** Returns the text on one line: configuration texts may hold line ends. */
+    /** Returns the text on one line: configuration values may contain line ends. */
     private static String printable(String text) {
         return text.replaceAll("\\p{Cntrl}", "?");
     }
@@ -69,12 +69,12 @@
         return key;
     }
 
-    /** Returns the value found, as far as it can be shown on one line. */
+    /** Returns the value found, truncated to one line. */
     String found() {
         return found;
     }
 
-    /** Returns what is allowed in its place. */
+    /** Returns the values that are allowed. */
     String allowed() {
         return allowed;
     }
--- a/src/main/java/lineward/app/ConfigFile.java
+++ b/src/main/java/lineward/app/ConfigFile.java
@@ -16,7 +16,7 @@
 import lineward.scheduling.simulator.SettingsReader;
 import lineward.scheduling.simulator.WireException;
 
-/** The platform's configuration file, in JSON; its keys are the platform's and are named here only. */
+/** The platform's configuration file, in JSON. Only this class names its keys, which the platform defines. */
 final class ConfigFile {
     private static final int SEED_RADIX = 16;
     private static final int DEFAULT_MEMORY_MB = 192;
@@ -27,15 +27,15 @@
 
     private final String path;
 
-    /** Creates the file of that path; null or blank: the environment names none, and reading fails. */
+    /** Creates the file; {@link #read} fails if the path is null or blank, as the environment names none. */
     ConfigFile(String path) {
         this.path = path;
     }
 
     /**
-     * Reads the file as it now stands; may be called on any thread.
+     * Reads the current content of the file; may be called on any thread.
      *
-     * @throws ConfigException with one line if the file can't be used
+     * @throws ConfigException with a message of one line if the file can't be used
      */
     Config read() {
         ConfigNode root = ConfigNode.root(path, parse());
@@ -88,7 +88,7 @@
                 limits.path("streams-per-conn").asInt(DEFAULT_STREAMS));
     }
 
-    /** Returns null where the settings forbid gossip or the file names no address for it. */
+    /** Returns null if the settings forbid gossip or the file names no address for it. */
     private static Config.Gossip gossip(ConfigNode root) {
         ConfigNode limits = root.member("settings").member("limits");
         boolean isAllowed = limits.member("peer-messages").value().asBoolean(false);
@@ -104,7 +104,7 @@
                 listen.address(), numbers, root.member("peers_all").address());
     }
 
-    /** Returns the text itself: the client of the service resolves it at each connection. */
+    /** Returns the address unresolved: the client of service discovery resolves it at each connect. */
     private static String discovery(ConfigNode address) {
         address.address();
         return address.text("");
@@ -122,7 +122,7 @@
         try {
             return SettingsReader.read(settings.value().toString());
         } catch (WireException e) {
-            // Its message names the setting, the value found and what is allowed.
+            // Its message names the setting, the value found and the allowed values.
             throw ConfigException.unusable(settings.file() + ": settings: " + e.getMessage(), e);
         }
     }
@@ -135,7 +135,7 @@
                 names(settings.value().path("zones")));
     }
 
-    /** Returns the names in a list whose elements are texts or objects with a name. */
+    /** Returns the names in a list of strings or of objects with a name. */
     private static List<String> names(JsonNode list) {
         List<String> names = new ArrayList<>();
         for (JsonNode element : list) {
--- a/src/main/java/lineward/app/ConfigNode.java
+++ b/src/main/java/lineward/app/ConfigNode.java
@@ -8,11 +8,11 @@
 import java.util.regex.Pattern;
 
 /**
- * A value of a configuration file that knows where it stands, so that errors can name file and key.
+ * A value of a configuration file with its file and key, which errors name.
  *
  * @param file the file it was read from
  * @param key the path of the value, its parts separated by dots; empty for the whole file
- * @param value the value; a missing node where the file does not have it
+ * @param value the value; a missing node if the file does not have it
  */
 record ConfigNode(String file, String key, JsonNode value) {
     private static final Pattern ADDRESS = Pattern.compile("([^\\s:]+):([0-9]{1,5})");
@@ -28,7 +28,7 @@
         return new ConfigNode(file, key.isEmpty() ? name : key + '.' + name, value.path(name));
     }
 
-    /** Returns the elements of a list; none where the file does not have it. */
+    /** Returns the elements of a list; none if the file does not have it. */
     List<ConfigNode> elements() {
         List<ConfigNode> elements = new ArrayList<>();
         for (JsonNode element : value) {
@@ -37,7 +37,7 @@
         return elements;
     }
 
-    /** Returns whether the file has a value here that is not null. */
+    /** Returns whether the file has a value other than null here. */
     boolean isPresent() {
         return !value.isMissingNode() && !value.isNull();
     }
@@ -56,7 +56,7 @@
         return text;
     }
 
-    /** Returns a number above 0; throws a {@link ConfigException} if there is something else. */
+    /** Returns a number above 0; throws a {@link ConfigException} if the value is something else. */
     int positiveInt(int fallback) {
         boolean isPositive = value.isInt() && value.asInt() > 0;
         if (!value.isMissingNode() && !isPositive) {
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Returns a number above 0, where a text that holds a number counts as well and any other text is read
-     * as the fallback; throws a {@link ConfigException} if it is 0 or less.
+     * Returns a number above 0, which may be quoted; the fallback if there is no number. Throws a {@link
+     * ConfigException} if it is 0 or less.
      */
     int lenientPositiveInt(int fallback) {
         int number = value.asInt(fallback);
@@ -95,12 +95,12 @@
         return invalid(reason, allowed, null);
     }
 
-    /** Returns an exception that names this value, with what it follows from. */
+    /** Returns an exception that names this value, with its cause. */
     ConfigException invalid(String reason, String allowed, Throwable cause) {
         return ConfigException.invalid(file, key, reason, shown(), allowed, cause);
     }
 
-    /** Lists and tables are not shown: they are long, and may hold passwords. */
+    /** Lists and tables are not shown: they are long and may contain passwords. */
     private String shown() {
         if (value.isMissingNode()) {
             return "nothing";
--- a/src/main/java/lineward/app/DiscoveryWiring.java
+++ b/src/main/java/lineward/app/DiscoveryWiring.java
@@ -5,20 +5,20 @@
 
 /** Wires service discovery: polls for endpoints, and a reload of the service's address on SIGHUP. */
 final class DiscoveryWiring {
-    /** A poll needs no finer clock, and each tick wakes the event loop. */
+    /** Coarse, as each tick wakes up the event loop. */
     private static final int TICK_INTERVAL_MS = 20;
 
     private final FrontEndContext context;
-    /** Null until the start has come so far; used on the event loop. */
+    /** Null until {@link #follow}; used on the event loop. */
     private DiscoveryClient client;
-    /** Whether a SIGHUP came before there was a client; used on the event loop. */
+    /** Whether SIGHUP has come, which may be before there is a client; used on the event loop. */
     private boolean reloadRequested;
 
     DiscoveryWiring(FrontEndContext context) {
         this.context = context;
     }
 
-    /** Polls the service at that address; a reload reads the address from the file again. */
+    /** Polls service discovery at this address; a reload reads the address from the file again. */
     void follow(String address, ConfigFile file, EndpointList endpoints) {
         context.runOnEventLoop(() -> {
             client = new DiscoveryClient(
@@ -36,12 +36,12 @@
     }
 
     private void startPolling() {
-        // What the first poll loads must not delay the first client, so it runs before any is accepted.
+        // Runs the first poll before clients are accepted, as it loads classes and would delay them.
         context.runOnEventLoop(client::tick);
         context.ticker().every(TICK_INTERVAL_MS, client::tick);
     }
 
-    /** Reads the service's address again; may be called on any thread and while the front end starts. */
+    /** Reads the service's address again; may be called on any thread, also during the start. */
     void reloadAddress() {
         context.eventLoop().execute(() -> {
             reloadRequested = true;
--- a/src/main/java/lineward/app/FileSchema.java
+++ b/src/main/java/lineward/app/FileSchema.java
@@ -10,7 +10,7 @@
 import java.io.UncheckedIOException;
 import java.util.Comparator;
 
-/** Checks a configuration file against its schema; the library is loaded only where a file says something. */
+/** Checks a configuration file against its schema. The schema library is not loaded for an empty file. */
 final class FileSchema {
     private static final String SECRET = "password";
 
--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -1,6 +1,7 @@
 package lineward.app;
 
 import java.net.InetSocketAddress;
+import java.net.SocketAddress;
 import java.util.List;
 import lineward.frontend.ProtocolServer;
 import lineward.lifecycle.Lifecycle;
@@ -8,19 +9,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One front end: its subsystems are added on the main thread, then it runs until the last response. */
+/**
+ * One front end. The main thread adds its subsystems and starts it; it runs until the last response after
+ * SIGTERM.
+ */
 final class FrontEnd {
     private static final Logger LOG = LoggerFactory.getLogger(FrontEnd.class);
-    /** How often engine connections that have been idle for long are looked for. */
+    /** Interval of checks for idle connections to engines. */
     private static final int IDLE_INTERVAL_MS = 1000;
-    /** How often clients that have been silent for long are looked for. */
+    /** Interval of checks for unresponsive clients. */
     private static final int UNRESPONSIVE_INTERVAL_MS = 100;
 
     private final FrontEndContext context = new FrontEndContext();
     private final TelemetryWiring telemetry = new TelemetryWiring(context.metrics(), context.environment());
     private final DiscoveryWiring discovery = new DiscoveryWiring(context);
     private LifecycleWiring.Instance instance = LifecycleWiring.Instance.mysqlOnly();
-    /** Null where the configuration names no admin endpoint. */
+    /** Null if the configuration names no admin endpoint. */
     private InetSocketAddress adminAddress;
 
     private Lifecycle lifecycle;
@@ -38,17 +42,17 @@
     }
 
     /**
-     * SIGHUP: follows the discovery service to the address that now stands in the platform's file; all other
-     * settings hold until the next start. May come while the front end starts.
+     * SIGHUP: reads the address of service discovery from the platform's file again; other settings do not
+     * change before the next start. May be called on any thread, also during the start.
      */
     void reload() {
         discovery.reloadAddress();
     }
 
-    /** Starts all servers and returns; the process then runs until SIGTERM and the last response after it. */
+    /** Starts all servers and returns; the process runs until the last response after SIGTERM. */
     void run() {
         lifecycle = LifecycleWiring.create(context, instance);
-        // Clients may come between the first listener and the end of the start: SIGTERM must drain them too.
+        // Clients may connect before the start is complete, and SIGTERM must drain them too.
         Thread shutdownHook = new Thread(this::terminate, "end");
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
@@ -69,7 +73,8 @@
         AdminWiring.start(context, lifecycle, adminAddress);
         context.startActions().forEach(Runnable::run);
         for (ProtocolServer server : servers) {
-            LOG.info("listening on {}", FrontEndContext.awaitBound(server.listen(context.eventLoopGroup())));
+            SocketAddress address = FrontEndContext.awaitBound(server.listen(context.eventLoopGroup()));
+            LOG.info("server listening on address={}", address);
         }
         if (servers.isEmpty()) {
             throw ConfigException.unusable("nothing to serve: the MySQL file names no address to listen on");
@@ -77,7 +82,7 @@
         context.runOnEventLoop(lifecycle::serve);
     }
 
-    /** Ends the process with status 0 once all requests have been answered. */
+    /** Shuts down gracefully and ends the process with status 0. */
     private void terminate() {
         lifecycle.shutdownGracefully();
         context.closeables().forEach(FrontEnd::close);
@@ -89,8 +94,8 @@
         try {
             closeable.close();
         } catch (Exception e) {
-            // The process ends all the same: what is left on file is recovered at the next start.
-            LOG.warn("not closed at shutdown: resource={} cause={}", closeable, String.valueOf(e));
+            // The process ends anyway, and the next start recovers files.
+            LOG.warn("close failed at shutdown: resource={} cause={}", closeable, String.valueOf(e));
         }
     }
 }
--- a/src/main/java/lineward/app/FrontEndContext.java
+++ b/src/main/java/lineward/app/FrontEndContext.java
@@ -16,13 +16,13 @@
 import lineward.operations.Metrics;
 
 /**
- * What the subsystems of one front end share: the event loop with its ticker, the clock, the metrics, and
- * what each of them adds for the start and the end. Filled on the main thread, before the front end runs.
+ * The objects that the subsystems of one front end share: event loop, ticker, clock, metrics, and the actions
+ * that each of them adds for start and shutdown. Filled on the main thread, before the front end runs.
  */
 final class FrontEndContext {
     /**
-     * The open requests of one protocol server at most. Each has a slot in a table; beyond it requests are
-     * rejected, as they could not be answered in time.
+     * Limit on the open requests of one protocol server, each of which has a slot in a table. More requests
+     * could not be answered in time and are rejected.
      */
     static final int MAX_OPEN_REQUESTS = 8192;
 
@@ -62,27 +62,29 @@
         return metrics;
     }
 
-    /** Returns the protocol servers, in the order in which they start to listen. */
+    /** Returns the protocol servers in the order of their start. */
     List<ProtocolServer> protocolServers() {
         return protocolServers;
     }
 
-    /** Returns what runs on the main thread, in order, before the protocol servers listen. */
+    /** Returns the actions of the start, which run on the main thread before the protocol servers listen. */
     List<Runnable> startActions() {
         return startActions;
     }
 
-    /** Returns what is closed, in order, once all requests have been answered. */
+    /** Returns the resources that are closed, in order, after the last response. */
     List<AutoCloseable> closeables() {
         return closeables;
     }
 
-    /** Runs the task on the event loop and waits for its end; throws what the task throws. */
+    /** Runs a task on the event loop and blocks until it ends; throws what the task throws. */
     void runOnEventLoop(Runnable task) {
         eventLoop.submit(task).syncUninterruptibly();
     }
 
-    /** Waits for a listener and returns its address; throws a {@link ConfigException} if binding fails. */
+    /**
+     * Blocks until a listener is bound and returns its address; throws {@link ConfigException} on failure.
+     */
     static SocketAddress awaitBound(ChannelFuture binding) {
         binding.awaitUninterruptibly();
         if (!binding.isSuccess()) {
--- a/src/main/java/lineward/app/GossipWiring.java
+++ b/src/main/java/lineward/app/GossipWiring.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Wires the gossip between the front ends of a tier; one whose socket can't be opened serves without. */
+/** Wires the gossip between the front ends of a tier. If the socket can't be opened, there is no gossip. */
 final class GossipWiring {
     private static final Logger LOG = LoggerFactory.getLogger(GossipWiring.class);
 
@@ -17,9 +17,9 @@
     /**
      * Opens the socket when the front end starts.
      *
-     * @param gossip null: there is no socket, and what is broadcast goes nowhere
-     * @param received is run on the event loop after each datagram
-     * @return what broadcasts a datagram
+     * @param gossip null if there is no gossip; messages are dropped then
+     * @param received run on the event loop after each message
+     * @return a function that broadcasts a message
      */
     static Consumer<byte[]> connect(
             FrontEndContext context, Config.Gossip gossip, Coordinator<?> coordinator, Runnable received) {
@@ -37,7 +37,8 @@
     private static void open(FrontEndContext context, GossipSocket socket, InetSocketAddress address) {
         ChannelFuture opening = socket.open(context.eventLoopGroup(), address).awaitUninterruptibly();
         if (!opening.isSuccess()) {
-            LOG.warn("serving without gossip: address={} cause={}", address, String.valueOf(opening.cause()));
+            String cause = String.valueOf(opening.cause());
+            LOG.warn("gossip disabled, its socket can't be opened: address={} cause={}", address, cause);
         }
     }
 }
--- a/src/main/java/lineward/app/LifecycleWiring.java
+++ b/src/main/java/lineward/app/LifecycleWiring.java
@@ -6,42 +6,42 @@
 import lineward.lifecycle.HotRestart;
 import lineward.lifecycle.Lifecycle;
 
-/** Wires graceful shutdown and hot restart: the states of the process and what it passes to the next one. */
+/** Wires graceful shutdown and hot restart. */
 final class LifecycleWiring {
-    /** The longest deadline that counts at a restart: SIGKILL comes 0.7 s after it. */
+    /** Limit on the deadline at a restart: SIGKILL comes 0.7 s later. */
     static final int MAX_RESTART_MS = 3000;
-    /** The longest deadline that counts at an upgrade, where the socket passes to another process. */
-    private static final int MAX_UPGRADE_MS = 5000;
-    /** Requests still open so long after the longest deadline fail, well before SIGKILL. */
+    /** Limit on the deadline at a hot restart, in which another process accepts on the socket. */
+    private static final int MAX_HOT_RESTART_MS = 5000;
+    /** Time after the longest deadline at which open requests are failed, before SIGKILL. */
     private static final int SHUTDOWN_GRACE_MS = 300;
-    /** The variable that names the folder which the processes of an upgrade share. */
+    /** The variable with the directory that the processes of a hot restart share. */
     private static final String SHARED_FOLDER_VARIABLE = "TMPDIR";
 
     private static final String MYSQL_ONLY_NAME = "mysql";
 
     /**
-     * What the lifecycle has to know of this process.
+     * The properties of this process that its lifecycle depends on.
      *
      * @param name the same for the process that takes over
      * @param isListenerInherited whether other processes accept on the clients' socket
      * @param longestDeadlineMs of all classes of requests
      */
     record Instance(String name, boolean isListenerInherited, double longestDeadlineMs) {
-        /** Returns a process that serves MySQL clients only. */
+        /** Returns the properties of a process that serves MySQL clients only. */
         static Instance mysqlOnly() {
             return new Instance(MYSQL_ONLY_NAME, false, MAX_RESTART_MS);
         }
 
-        /** Returns when, in milliseconds after SIGTERM, requests that are still open fail. */
+        /** Returns the time after SIGTERM at which open requests are failed. */
         int shutdownDeadlineMs() {
-            int maxDeadlineMs = isListenerInherited ? MAX_UPGRADE_MS : MAX_RESTART_MS;
+            int maxDeadlineMs = isListenerInherited ? MAX_HOT_RESTART_MS : MAX_RESTART_MS;
             return (int) Math.min(longestDeadlineMs, maxDeadlineMs) + SHUTDOWN_GRACE_MS;
         }
     }
 
     private LifecycleWiring() {}
 
-    /** Returns the lifecycle of all protocol servers that the front end has so far. */
+    /** Returns the lifecycle of all protocol servers of the front end. */
     static Lifecycle create(FrontEndContext context, Instance instance) {
         List<ProtocolServer> servers = context.protocolServers();
         String folder = context.environment().getOrDefault(SHARED_FOLDER_VARIABLE, "");
@@ -57,11 +57,11 @@
                 new Lifecycle.ShutdownOptions(instance.isListenerInherited(), instance.shutdownDeadlineMs()));
     }
 
-    /** Applies to all protocol servers what other processes of this front end have published. */
+    /** Applies the orders of operators and other processes to all protocol servers. */
     private record RestartListener(List<ProtocolServer> servers) implements HotRestart.Listener {
         @Override
-        public void maintenanceChanged(String engine, boolean out, double since) {
-            servers.forEach(server -> server.setMaintenance(engine, out, since));
+        public void maintenanceChanged(String engine, boolean excluded, double sinceMs) {
+            servers.forEach(server -> server.setMaintenance(engine, excluded, sinceMs));
         }
 
         @Override
--- a/src/main/java/lineward/app/ListenerWiring.java
+++ b/src/main/java/lineward/app/ListenerWiring.java
@@ -14,9 +14,9 @@
     private static final String INHERITED_DESCRIPTOR_VARIABLE = "RELAY_ACCEPT_FD";
 
     /**
-     * Returns the socket that the environment names, or one of this process's own at that address.
+     * Returns the inherited socket if the environment names one, else a new socket at the address.
      *
-     * @throws ConfigException if the descriptor that the environment names can't be used
+     * @throws ConfigException if the inherited descriptor can't be used
      */
     static ListenerWiring open(InetSocketAddress address, Map<String, String> environment) {
         String descriptor = environment.getOrDefault(INHERITED_DESCRIPTOR_VARIABLE, "");
--- a/src/main/java/lineward/app/Main.java
+++ b/src/main/java/lineward/app/Main.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command line; {@code --help} lists its commands. Bad use ends with status 2. */
+/** The command line; {@code --help} lists its commands. Usage errors end with status 2. */
 @Command(
         name = "lineward",
         mixinStandardHelpOptions = true,
@@ -21,7 +21,7 @@
             Main.Mysql.class,
             Main.Adapter.class,
             Main.Rehearse.class,
-            // Its commands are methods of the class.
+            // Its subcommands are methods of the class.
             SpoolCommand.class
         })
 public final class Main implements Runnable {
@@ -33,7 +33,7 @@
     private static final int STATUS_OK = 0;
     private static final int STATUS_FAILED = 1;
     private static final int STATUS_USAGE = 2;
-    /** Returned by commands whose front end goes on in threads of its own. */
+    /** Returned by commands whose front end goes on running on its own threads. */
     private static final int STILL_RUNNING = -1;
 
     @Spec
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Returns whether the platform runs this command. It starts front ends under load, on a fraction of a
-     * core, where picocli costs time and 9 MB: its own commands, which have no options, do without.
+     * Returns whether the platform uses this command. Its commands have no options and do not need picocli,
+     * which costs 9 MB and delays a start on a fraction of a core.
      */
     private static boolean isPlatformCommand(String[] args) {
         return switch (args.length) {
@@ -88,13 +88,13 @@
                 });
     }
 
-    /** Prints what went wrong and returns the status that says so. */
+    /** Prints the error and returns the exit status. */
     private static int statusOf(Exception e) {
         if (e instanceof ConfigException) {
             System.err.println("lineward: " + e.getMessage());
             return STATUS_USAGE;
         }
-        // The caller exits: the event loop would keep a process alive that serves nobody.
+        // The caller exits, because the event loop would keep a failed process running.
         e.printStackTrace();
         return STATUS_FAILED;
     }
@@ -160,7 +160,7 @@
 
     private static void startPlatform(String config, Path mysqlFile, boolean isMysqlRequired) {
         FrontEnd frontEnd = new FrontEnd();
-        // Without a handler the virtual machine ends on SIGHUP, which may come while the front end starts.
+        // Without a handler SIGHUP, which may come during the start, ends the virtual machine.
         Signals.register("HUP", frontEnd::reload);
         frontEnd.addPlatform(new ConfigFile(config));
         if (isMysqlRequired || Files.exists(mysqlFile)) {
--- a/src/main/java/lineward/app/MysqlConfigReader.java
+++ b/src/main/java/lineward/app/MysqlConfigReader.java
@@ -14,7 +14,7 @@
 import lineward.scheduling.EndpointState;
 import lineward.spool.SpoolLimits;
 
-/** Turns the tree of a MySQL file into its typed configuration; its keys and defaults are named here only. */
+/** Reads the typed configuration from a MySQL file. Only this class names its keys and defaults. */
 final class MysqlConfigReader {
     private static final long BYTES_PER_MB = 1 << 20;
     private static final double MS_PER_SECOND = 1000;
@@ -30,20 +30,20 @@
     private static final int DEFAULT_OBJECTIVE_MS = 500;
     private static final int DEFAULT_DEADLINE_MS = 2500;
 
-    /** The least heap that is reckoned with, whatever the virtual machine states. */
+    /** Lower bound of the heap size used, if the virtual machine reports less. */
     private static final int MIN_HEAP_MB = 4;
-    /** Results may take this fraction of the heap where the file says nothing: the rest serves requests. */
+    /** By default spooled results use the heap divided by this; requests use the rest. */
     private static final int SPOOL_HEAP_DIVISOR = 4;
 
     private static final int MAX_DEFAULT_SPOOL_MEMORY_MB = 1024;
     private static final int DEFAULT_SPOOL_FILE_MB = 1024;
     private static final int DEFAULT_SPOOL_FILES = 1000;
     private static final int DEFAULT_SPOOL_RESULTS = 10_000;
-    /** One user, and one result, may take half of the spool: neither can fill it for all others. */
+    /** One user or one result may use half of the spool, so that neither fills it. */
     private static final int SINGLE_OWNER_DIVISOR = 2;
-    /** Results queued for a retry may take a quarter of the memory: finished ones need the rest. */
+    /** Results that are buffered for a retry may use a quarter of the memory. */
     private static final int RETRYABLE_MEMORY_DIVISOR = 4;
-    /** Ratio of an attempt's time for which its result is queued, so that it may still be retried. */
+    /** Fraction of an attempt's timeout for which its result is buffered, so that it may be retried. */
     private static final double RETRYABLE_TIME_RATIO = 0.5;
 
     private static final int DEFAULT_LEASE_S = 60;
@@ -51,7 +51,7 @@
 
     private MysqlConfigReader() {}
 
-    /** Returns the configuration; throws a {@link ConfigException} that names the first value at fault. */
+    /** Returns the configuration; throws a {@link ConfigException} that names the first invalid value. */
     static MysqlConfig read(ConfigNode root) {
         ConfigNode listen = root.member("listen");
         InetSocketAddress address = listen.isPresent() ? listen.address() : null;
--- a/src/main/java/lineward/app/MysqlFile.java
+++ b/src/main/java/lineward/app/MysqlFile.java
@@ -10,32 +10,33 @@
 import java.nio.file.attribute.FileTime;
 import lineward.mysql.MysqlConfig;
 
-/** The TOML file that configures the MySQL server; its engines may change while the program runs. */
+/** The TOML file that configures the MySQL server; its engines are reloaded when the file changes. */
 final class MysqlFile {
     private static final String SCHEMA = "mysql.schema.json";
 
     private final Path path;
+    /** Modification time of the content that was read; null before the first read. */
     private FileTime readAt;
 
-    /** Creates the file of that path; it need not exist until it is read. */
+    /** Creates the file, which need not exist before it is read. */
     MysqlFile(Path path) {
         this.path = path;
     }
 
-    /** Returns whether the file has been written since it was last read. */
+    /** Returns whether the file has changed since it was last read. */
     boolean hasChanged() {
         try {
             return !Files.getLastModifiedTime(path).equals(readAt);
         } catch (IOException e) {
-            // An editor may be replacing the file: what was read last stays in use.
+            // An editor may be replacing the file, so the last configuration stays in use.
             return false;
         }
     }
 
     /**
-     * Reads the file as it now stands.
+     * Reads the current content of the file.
      *
-     * @throws ConfigException with one line if the file can't be used
+     * @throws ConfigException with a message of one line if the file can't be used
      */
     MysqlConfig read() {
         ConfigNode root = ConfigNode.root(path.toString(), parse());
@@ -49,8 +50,8 @@
             return new TomlMapper().readTree(Files.readString(path));
         } catch (JsonProcessingException e) {
             JsonLocation location = e.getLocation();
-            String line = location == null ? "?" : Integer.toString(location.getLineNr());
-            throw ConfigException.unusable(path + " is not TOML: line " + line, e);
+            String lineNumber = location == null ? "?" : Integer.toString(location.getLineNr());
+            throw ConfigException.unusable(path + " is not TOML: line " + lineNumber, e);
         } catch (IOException e) {
             throw ConfigException.unusable(path + " can't be read", e);
         }
--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSettings.java
@@ -12,24 +12,24 @@
 
 /** The scheduler's settings for the pool of MySQL engines. */
 final class MysqlSettings {
-    /** Answers keep some value until this multiple of their latency objective. */
+    /** Multiple of the latency objective until which an answer has some value. */
     private static final double OBJECTIVE_STRETCH = 2;
 
-    private static final double LATE_VALUE_RATIO = 0.3;
+    private static final double OVERDUE_VALUE_RATIO = 0.3;
     private static final double MAX_RETRY_AFTER_MS = 2000;
     private static final double DRAIN_GRACE_MS = 1000;
-    /** The slow start assumed of an engine, as the file says nothing about it. */
+    /** The slow start of an engine, which the file does not configure. */
     private static final double SLOW_START_MS = 15_000;
 
     private static final double INITIAL_CAPACITY_RATIO = 0.34;
     private static final double OVERLOAD_FACTOR = 2.5;
-    private static final double OVERLOAD_WINDOW_MS = 1500;
+    private static final double OVERLOAD_INTERVAL_MS = 1500;
 
     private MysqlSettings() {}
 
     /**
-     * Returns the settings. Every class stands twice: statements that only read are idempotent, those that
-     * may write are not.
+     * Returns the settings, with two classes for each class of the file: statements that only read are
+     * idempotent, others are not.
      */
     static SchedulerSettings of(MysqlConfig config) {
         int cores = config.engines().stream()
@@ -64,7 +64,7 @@
                         OBJECTIVE_STRETCH,
                         queryClass.deadlineMs(),
                         queryClass.priorityWeight(),
-                        LATE_VALUE_RATIO),
+                        OVERDUE_VALUE_RATIO),
                 new RequestClass.Repeatability(idempotence, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
                 new RequestClass.Workload(false, false, queryClass.threads()));
@@ -81,7 +81,7 @@
         return new SchedulerSettings.Rules(
                 DRAIN_GRACE_MS,
                 new SchedulerSettings.SlowStartRule(
-                        SLOW_START_MS, INITIAL_CAPACITY_RATIO, OVERLOAD_FACTOR, OVERLOAD_WINDOW_MS),
+                        SLOW_START_MS, INITIAL_CAPACITY_RATIO, OVERLOAD_FACTOR, OVERLOAD_INTERVAL_MS),
                 0,
                 new SchedulerSettings.RetryBudget(0, 0, 0));
     }
--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -13,10 +13,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Wires the MySQL protocol: a server, a coordinator of its own, a spool and the reload of the engines. */
+/** Wires the MySQL protocol: a server with its own coordinator, a spool and the reload of the engines. */
 final class MysqlWiring {
     private static final Logger LOG = LoggerFactory.getLogger(MysqlWiring.class);
-    /** How often the file is looked at: a drained engine must be known well within a second. */
+    /** Interval of checks for a changed file: a drain of an engine must be in effect within a second. */
     private static final int RELOAD_INTERVAL_MS = 200;
 
     private final FrontEndContext context;
@@ -61,7 +61,7 @@
         try {
             engines.accept(file.read().engines());
         } catch (ConfigException e) {
-            LOG.warn("engines not reloaded, the last good list stays in use: cause={}", e.getMessage());
+            LOG.warn("engine list not reloaded, the last valid one stays in use: cause={}", e.getMessage());
         }
     }
 }
--- a/src/main/java/lineward/app/SpoolCommand.java
+++ b/src/main/java/lineward/app/SpoolCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Reads a spool folder, whether a process uses it or not, and deletes results from one that none uses. */
+/** Reads a spool folder, which a process may have locked, and deletes results from one that is not locked. */
 @Command(name = SpoolCommand.NAME, description = SpoolCommand.DESCRIPTION, mixinStandardHelpOptions = true)
 final class SpoolCommand implements Runnable {
     static final String NAME = "spool";
@@ -88,14 +88,14 @@
         }
     }
 
-    /** Returns whether a result has that user and that key; null stands for any. */
+    /** Returns whether a result has this user and this key; null matches any. */
     private static boolean matches(Manifest manifest, String user, String key) {
         boolean isOfUser = user == null || manifest.user().equals(user);
         boolean isUnderKey = key == null || manifest.key().equals(key);
         return isOfUser && isUnderKey;
     }
 
-    /** Returns what is wrong with the first block that can't be read, if there is one. */
+    /** Returns the fault of the first block that can't be read; empty if there is none. */
     private static Optional<String> findFault(Segment.Found result) {
         for (Segment.Extent block : result.blocks()) {
             try {
--- a/src/main/java/lineward/app/SpoolWiring.java
+++ b/src/main/java/lineward/app/SpoolWiring.java
@@ -8,14 +8,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Wires a spool: its folder, the workers on its files, the results that an earlier process left there. */
+/** Wires a spool: its folder, the threads that read and write it, and the results of an earlier process. */
 final class SpoolWiring {
     private static final Logger LOG = LoggerFactory.getLogger(SpoolWiring.class);
 
     private SpoolWiring() {}
 
     /**
-     * Opens a spool that is used on the event loop and closed at the end. Without a usable folder, results
+     * Opens a spool, which is used on the event loop and closed at shutdown. Without a usable folder, results
      * stay in memory.
      *
      * @throws ConfigException if another process uses the folder
@@ -40,7 +40,7 @@
         } catch (SpoolFolder.LockedException e) {
             throw ConfigException.unusable(e.getMessage(), e);
         } catch (IOException e) {
-            LOG.warn("{}: results stay in memory", e.getMessage());
+            LOG.warn("spool folder not usable, results stay in memory: cause={}", e.getMessage());
             return inMemory(context, config);
         }
         SegmentStore store = new SegmentStore(folder, context.eventLoop());
--- a/src/main/java/lineward/app/TelemetryWiring.java
+++ b/src/main/java/lineward/app/TelemetryWiring.java
@@ -7,13 +7,13 @@
 import lineward.operations.MetricsTracer;
 import lineward.telemetry.Telemetry;
 
-/** Wires what observes requests: the log, the metrics and, where a collector is named, the OTLP export. */
+/** Wires the observers of requests: log, metrics and, if the environment names a collector, OTLP export. */
 final class TelemetryWiring implements AutoCloseable {
     private static final String INSTANCE_VARIABLE = "RELAY_NAME";
     private static final String DEFAULT_INSTANCE = "lineward";
 
     private final Metrics metrics;
-    /** Null where the environment names no collector. */
+    /** Null if the environment names no collector. */
     private final Telemetry export;
 
     /** Starts the export; throws a {@link ConfigException} if its variables can't be used. */
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Returns the observer of one protocol server's requests. */
+    /** Returns the tracer of one protocol server. */
     <X> Tracer<X> tracer(Function<X, String> classOf) {
         Tracer<X> counter = new MetricsTracer<>(metrics, classOf, new LogTracer<>());
         return export == null ? counter : export.tracer(classOf, Object::toString, counter);
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -10,21 +10,21 @@
 import lineward.thrift.ProtocolWarmup;
 import lineward.thrift.ThriftServer;
 
-/** Wires the platform's protocol: clients that speak Thrift, the engines' connections, one coordinator. */
+/** Wires the platform's protocol: the Thrift server, the connections to engines and a coordinator. */
 final class ThriftWiring {
-    /** An attempt is cancelled on an engine well within this, over the network. */
+    /** Time within which a cancel takes effect on an engine, including the network. */
     private static final double CANCEL_LATENCY_MS = 6;
-    /** One open request is reckoned with 16 KB of memory. */
+    /** Memory is sized for 16 KB for each open request. */
     private static final int OPEN_REQUESTS_PER_MB = 64;
-    /** Statements of open requests may take this fraction of the memory. */
+    /** Statements of open requests may use the memory divided by this. */
     private static final int STATEMENT_MEMORY_DIVISOR = 16;
-    /** Responses that clients have not read yet may take this fraction of the memory. */
+    /** Responses that clients have not read may use the memory divided by this. */
     private static final int RESPONSE_MEMORY_DIVISOR = 12;
 
     private static final long BYTES_PER_MB = 1 << 20;
-    /** Clients may take half of the descriptors; those left by them and engines serve everything else. */
+    /** Fraction of the descriptors for clients. */
     private static final double CLIENT_DESCRIPTOR_RATIO = 0.5;
-    /** Connections to engines may take about a third of the descriptors. */
+    /** Fraction of the descriptors for connections to engines. The remaining ones serve everything else. */
     private static final double ENGINE_DESCRIPTOR_RATIO = 0.35;
 
     private final FrontEndContext context;
@@ -49,16 +49,16 @@
     }
 
     /**
-     * Adds the server to the front end, warmed up and with the endpoints that the configuration names.
+     * Adds the server to the front end, after its warm-up and with the endpoints of the configuration.
      *
-     * @param file from which a reload reads
-     * @return how this process ends and is told from others
+     * @param file that a reload reads
+     * @return the properties of this process that its lifecycle depends on
      */
     LifecycleWiring.Instance connect(TelemetryWiring telemetry, DiscoveryWiring discovery, ConfigFile file) {
         Coordinator<Call> coordinator = coordinator(config.seed(), telemetry.tracer(Call::op));
         EngineCluster cluster = cluster();
         context.metrics().registerClasses(names.classes());
-        context.runOnEventLoop(() -> warmUp(cluster));
+        context.runOnEventLoop(() -> loadClasses(cluster));
         ListenerWiring clients = ListenerWiring.open(config.addresses().listen(), context.environment());
         CoalescedTick tick = new CoalescedTick(context.eventLoop());
         ThriftServer server = new ThriftServer(
@@ -101,8 +101,8 @@
         return new EngineCluster(context.eventLoopGroup(), limits, context.metrics()::countForwarded);
     }
 
-    /** Loads and compiles what the first requests need, with a coordinator of its own. */
-    private void warmUp(EngineCluster cluster) {
+    /** Loads and compiles the code of the first requests, with a separate coordinator. */
+    private void loadClasses(EngineCluster cluster) {
         EngineWarmup.run();
         ProtocolWarmup.run(names, bounds, coordinator(0, new LogTracer<>()), cluster, context.clock());
     }
--- a/src/main/java/lineward/discovery/AddressFileReader.java
+++ b/src/main/java/lineward/discovery/AddressFileReader.java
@@ -9,16 +9,16 @@
 import java.util.function.Supplier;
 
 /**
- * Reads the service's address from the configuration file on a thread of its own, which lives while it has
- * something to do. At most one read is waiting: the poll policy asks for the next only after the last one's
- * result.
+ * Reads the address of service discovery from the configuration file, on a thread of its own that ends when
+ * it is idle. Called on the event loop, where the results arrive too. At most one read is pending: the poll
+ * policy starts the next one after the result of the last.
  */
 final class AddressFileReader {
-    private static final int IDLE_THREAD_LIFE_S = 5;
+    private static final int THREAD_KEEP_ALIVE_S = 5;
 
-    /** Takes the result of a read, on the event loop. */
+    /** Receives the result of a read, on the event loop. */
     interface Listener {
-        /** The file names that address. */
+        /** The file has been read and contains this address. */
         void addressRead(String address);
 
         /** The file can't be read or used. */
@@ -32,14 +32,15 @@
     /**
      * Creates a reader.
      *
-     * @param file returns the address in the file; throws a runtime exception with one plain line if it can't
+     * @param file returns the address in the file; throws a runtime exception with a message of one line if
+     *     it can't be read
      */
     AddressFileReader(EventLoop loop, Supplier<String> file) {
         this.loop = loop;
         this.file = file;
         BlockingQueue<Runnable> reads = new LinkedBlockingQueue<>();
         ThreadFactory threads = AddressFileReader::newThread;
-        executor = new ThreadPoolExecutor(1, 1, IDLE_THREAD_LIFE_S, TimeUnit.SECONDS, reads, threads);
+        executor = new ThreadPoolExecutor(1, 1, THREAD_KEEP_ALIVE_S, TimeUnit.SECONDS, reads, threads);
         executor.allowCoreThreadTimeOut(true);
     }
 
--- a/src/main/java/lineward/discovery/DiscoveryClient.java
+++ b/src/main/java/lineward/discovery/DiscoveryClient.java
@@ -15,9 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the endpoint list up to date by long polls of the journal service: carries out the steps of {@link
- * PollPolicy} and reports to it what came of them. All of it runs on the event loop but for the reads of the
- * configuration file.
+ * Keeps the endpoint list up to date by long polls of service discovery: carries out the steps of {@link
+ * PollPolicy} and reports their results to it. All methods are called on the event loop; only the reads of
+ * the configuration file run on another thread.
  */
 public final class DiscoveryClient {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
@@ -34,11 +34,11 @@
     /**
      * Creates a client, which does nothing before its first {@link #tick}.
      *
-     * @param loop on which everything here runs
-     * @param address of the journal service, {@code host:port}
-     * @param file reads the address that the configuration now names; throws a runtime exception with one
-     *     plain line if the file can't be used; called on a thread of its own
-     * @param clock in milliseconds, never going back
+     * @param loop on which the methods are called
+     * @param address of service discovery, {@code host:port}
+     * @param file reads the address in the configuration file; throws a runtime exception with a message of
+     *     one line if the file can't be used; called on a thread of its own
+     * @param clock in milliseconds, monotonic
      */
     public DiscoveryClient(
             EventLoop loop, String address, EndpointList list, Supplier<String> file, DoubleSupplier clock) {
@@ -49,18 +49,18 @@
         fileReader = new AddressFileReader(loop, file);
     }
 
-    /** Carries out what has become due; to be called every few milliseconds. */
+    /** Carries out the steps that are due; to be called every few milliseconds. */
     public void tick() {
         perform(policy.tick(clock.getAsDouble()));
     }
 
-    /** SIGHUP: reads the file anew, with retries until it can be read, and polls the address in it. */
+    /** SIGHUP: reads the file, with retries until it can be read, and polls the address in it. */
     public void reloadAddress() {
         policy.reloadAddress(clock.getAsDouble());
         tick();
     }
 
-    /** Returns milliseconds since the journal's last usable response, or since the start if none has come. */
+    /** Returns milliseconds since the last usable response, or since the start if there was none. */
     public long ageMs() {
         return Math.round(policy.silentMs(clock.getAsDouble()));
     }
@@ -96,7 +96,7 @@
         @Override
         public void warnOfSilence(PollStep.WarnOfSilence step) {
             LOG.warn(
-                    "no usable response from the journal: address={} silentMs={} cause={}",
+                    "no usable response from service discovery: address={} silentMs={} cause={}",
                     step.address(),
                     Math.round(step.silentMs()),
                     step.lastFault());
@@ -104,17 +104,14 @@
     }
 
     private final class FileListener implements AddressFileReader.Listener {
-        /**
-         * Why the last read failed, so that a retry with the same result is not logged again; null after
-         * success.
-         */
+        /** Reason of the last failure, which is logged once for all retries; null after a success. */
         private String lastReason;
 
         @Override
         public void addressRead(String address) {
             lastReason = null;
             if (!address.equals(policy.address())) {
-                LOG.info("journal address changed: address={}", address);
+                LOG.info("service discovery address changed: address={}", address);
             }
             perform(policy.fileRead(address, clock.getAsDouble()));
         }
--- a/src/main/java/lineward/discovery/EndpointList.java
+++ b/src/main/java/lineward/discovery/EndpointList.java
@@ -10,17 +10,18 @@
 import lineward.scheduling.EndpointState;
 
 /**
- * The list of engines as the journal's events have made it: the last entry of each and the last event's
- * number.
+ * The endpoints that service discovery lists: the last entry of each, merged from full snapshots and
+ * incremental updates, and the number of the last event. Used on the event loop.
  */
 public final class EndpointList {
-    /** Is notified of the complete list, or of what has changed. */
+    /** Is notified of full snapshots and incremental updates. */
     @FunctionalInterface
     public interface Listener {
         /**
          * The list has changed.
          *
-         * @param fullSnapshot whether engines that are not among the entries are gone
+         * @param fullSnapshot whether engines without an entry are gone
+         * @param entries complete, also in an incremental update
          */
         void changed(boolean fullSnapshot, List<EngineEndpoint> entries);
     }
@@ -33,24 +34,23 @@
     /**
      * Creates an empty list.
      *
-     * @param kinds names of machine kinds, in the order of the settings
-     * @param zones names of zones, in the order of the settings
+     * @param kinds names of the machine kinds, in the order of the settings
+     * @param zones names of the zones, in the order of the settings
      */
     public EndpointList(List<String> kinds, List<String> zones, Listener listener) {
         this.format = new JournalFormat(kinds, zones);
         this.listener = listener;
     }
 
-    /** Returns the number of the last event applied; 0 if none was. */
+    /** Returns the number of the last event applied; 0 before the first. */
     public long lastEventNumber() {
         return lastEventNumber;
     }
 
     /**
-     * Applies the events of a journal response; those applied before are ignored.
+     * Applies the events of a response; events that were applied before are ignored.
      *
-     * @throws IllegalArgumentException if the response is not in the journal's form; nothing of the event at
-     *     fault is applied
+     * @throws DiscoveryFormatException if an event has an invalid form; that event changes nothing
      */
     public void apply(JsonNode response) {
         for (JsonNode event : JournalFormat.events(response)) {
@@ -76,7 +76,7 @@
         listener.changed(fullSnapshot, changed);
     }
 
-    /** A change may bring just the fields that differ: the others stay as they were. */
+    /** An incremental update may contain only the fields that changed: the other fields keep their values. */
     private EngineEndpoint mergeEntry(JsonNode entry, Map<String, ObjectNode> merged) {
         String id = JournalFormat.endpointId(entry);
         ObjectNode complete = (ObjectNode) entry;
--- a/src/main/java/lineward/discovery/FileReadSchedule.java
+++ b/src/main/java/lineward/discovery/FileReadSchedule.java
@@ -4,29 +4,27 @@
 import java.util.Set;
 
 /**
- * Decides when the configuration file that names the service's address is read: on SIGHUP, again while it
- * can't be read, and while the service fails. At most one read is in progress. Times are milliseconds of a
- * monotonic clock.
+ * Decides when the configuration file with the address of service discovery is read: on SIGHUP, with retries
+ * while it can't be read, and repeatedly while the service fails. At most one read is in progress. Times are
+ * milliseconds of a monotonic clock. Used by {@link PollPolicy} only.
  */
 final class FileReadSchedule {
-    /** How long the service fails before the file is read, and the interval of reads from then on. */
+    /** Time for which the service fails before the file is read, and interval of further reads. */
     static final double FAULT_READ_INTERVAL_MS = 250;
-    /** Interval of retries in the first seconds after SIGHUP, while the file can't be read. */
+    /** Interval of retries soon after SIGHUP. */
     static final double RETRY_INTERVAL_MS = 50;
-    /** How long after SIGHUP the short retry interval holds. */
+    /** Time after SIGHUP in which retries use the short interval. */
     static final double SHORT_RETRIES_MS = 4000;
-    /** Interval of retries after that. */
+    /** Interval of later retries. */
     static final double LONG_RETRY_INTERVAL_MS = 1000;
 
-    private static final double NEVER = Double.POSITIVE_INFINITY;
-
-    /** Whether the file is being read. */
+    /** Whether a read of the file is in progress. */
     enum State {
         /** No read is in progress. */
         IDLE,
         /** A read is in progress. */
         READING,
-        /** A read is in progress that began before the last SIGHUP: the file is to be read once more. */
+        /** A read is in progress that began before the last SIGHUP: another read has to follow. */
         READING_STALE;
 
         /** Returns the states that may follow. */
@@ -40,16 +38,16 @@
     }
 
     private State state = State.IDLE;
-    private double nextReadAtMs = NEVER;
-    /** When the SIGHUP came whose address has not been read yet; {@link #NEVER}: none is open. */
-    private double reloadRequestedAtMs = NEVER;
+    private double nextReadAtMs = PollPolicy.NEVER;
+    /** Time of the SIGHUP whose address has not been read yet; {@link PollPolicy#NEVER} if there is none. */
+    private double reloadRequestedAtMs = PollPolicy.NEVER;
 
-    /** Returns whether the file is being read. */
+    /** Returns whether a read is in progress. */
     State state() {
         return state;
     }
 
-    /** SIGHUP: the file has been replaced and is to be read. */
+    /** SIGHUP: the file has been replaced and has to be read. */
     void requestReload(double nowMs) {
         reloadRequestedAtMs = nowMs;
         nextReadAtMs = nowMs;
@@ -59,32 +57,35 @@
     }
 
     /**
-     * Returns whether a read is to begin; {@code failingSinceMs} is positive infinity for a healthy service.
+     * Returns whether a read has to start.
+     *
+     * @param failingSinceMs time of the service's first fault; {@link PollPolicy#NEVER} if it is healthy
      */
     boolean isReadDue(double nowMs, double failingSinceMs) {
-        // Once a read is scheduled the faults' first one adds nothing: later ones follow from reads that end.
-        double dueAtMs = nextReadAtMs < NEVER ? nextReadAtMs : failingSinceMs + FAULT_READ_INTERVAL_MS;
+        // A fault schedules the first read only; each read that ends schedules the next one.
+        double faultReadAtMs = failingSinceMs + FAULT_READ_INTERVAL_MS;
+        double dueAtMs = nextReadAtMs < PollPolicy.NEVER ? nextReadAtMs : faultReadAtMs;
         return state == State.IDLE && nowMs >= dueAtMs;
     }
 
-    /** A read begins. */
+    /** A read starts. */
     void beginRead() {
         transitionTo(State.READING);
-        nextReadAtMs = NEVER;
+        nextReadAtMs = PollPolicy.NEVER;
     }
 
     /** The read has ended with an address. */
     void readSucceeded(double nowMs, boolean serviceFailing) {
         if (state != State.READING_STALE) {
-            reloadRequestedAtMs = NEVER;
+            reloadRequestedAtMs = PollPolicy.NEVER;
         }
         endRead(nowMs, serviceFailing);
     }
 
-    /** The read has ended without an address: the file is missing, cut or not valid. */
+    /** The read has failed: the file is missing, truncated or not valid. */
     void readFailed(double nowMs, boolean serviceFailing) {
         endRead(nowMs, serviceFailing);
-        if (reloadRequestedAtMs < NEVER) {
+        if (reloadRequestedAtMs < PollPolicy.NEVER) {
             boolean shortly = nowMs - reloadRequestedAtMs < SHORT_RETRIES_MS;
             double retryIntervalMs = shortly ? RETRY_INTERVAL_MS : LONG_RETRY_INTERVAL_MS;
             nextReadAtMs = Math.min(nextReadAtMs, nowMs + retryIntervalMs);
@@ -92,7 +93,7 @@
     }
 
     private void endRead(double nowMs, boolean serviceFailing) {
-        nextReadAtMs = state == State.READING_STALE ? nowMs : NEVER;
+        nextReadAtMs = state == State.READING_STALE ? nowMs : PollPolicy.NEVER;
         if (serviceFailing) {
             nextReadAtMs = Math.min(nextReadAtMs, nowMs + FAULT_READ_INTERVAL_MS);
         }
--- a/src/main/java/lineward/discovery/JournalFormat.java
+++ b/src/main/java/lineward/discovery/JournalFormat.java
@@ -7,7 +7,11 @@
 import lineward.core.EngineEndpoint;
 import lineward.scheduling.EndpointState;
 
-/** The journal's form on the wire: the one place that knows its field names. */
+/**
+ * The journal, as the platform names service discovery, on the wire. Only this class names its fields, its
+ * path and its states; the other classes use the terms of service discovery. Reads single values and keeps no
+ * state, so it may be used on any thread.
+ */
 final class JournalFormat {
     private static final String EVENTS = "entries";
     private static final String EVENT_NUMBER = "pos";
@@ -23,6 +27,11 @@
     private static final String ZONE = "zone";
     private static final String CELL = "cell";
 
+    private static final String PATH = "/journal";
+    private static final String AFTER_EVENT = "tail";
+    private static final String TIMEOUT = "max_wait";
+    private static final String ERROR_PREFIX = "journal: ";
+
     private static final double DEFAULT_WEIGHT = 1;
     private static final long NO_NUMBER = -1;
     private static final Pattern HOST_AND_PORT = Pattern.compile("[^\\s:]+:[0-9]{1,5}");
@@ -30,24 +39,26 @@
     private final List<String> kinds;
     private final List<String> zones;
 
-    /** Creates the format for the kinds of machines and the zones of the settings, in their order. */
+    /** Creates the format for the machine kinds and zones of the settings, in their order. */
     JournalFormat(List<String> kinds, List<String> zones) {
         this.kinds = kinds;
         this.zones = zones;
     }
 
     /**
-     * Returns what a poll asks for: the events after that number, or an empty response once the wait is over.
+     * Returns the URI of a poll for the events after that number.
+     *
+     * @param timeoutMs after which the service answers even if there is no event
      */
     static String pollUri(long afterEvent, int timeoutMs) {
-        return "/journal?tail=" + afterEvent + "&max_wait=" + timeoutMs;
+        return PATH + '?' + AFTER_EVENT + '=' + afterEvent + '&' + TIMEOUT + '=' + timeoutMs;
     }
 
     /** Returns the events of a response, in order. */
     static JsonNode events(JsonNode response) {
         JsonNode events = response.path(EVENTS);
         if (!events.isArray() || !response.path(EVENT_NUMBER).isIntegralNumber()) {
-            throw new JournalFormatException("no pos or entries");
+            throw invalid("no pos or entries");
         }
         return events;
     }
@@ -56,22 +67,22 @@
     static long eventNumber(JsonNode event) {
         long number = event.path(EVENT_NUMBER).asLong(NO_NUMBER);
         if (number < 0) {
-            throw new JournalFormatException("event without a number");
+            throw invalid("event without a number");
         }
         return number;
     }
 
-    /** Returns whether an event is about endpoints. */
+    /** Returns whether an event has an endpoint update. */
     static boolean hasEndpointUpdate(JsonNode event) {
         return event.has(ENDPOINTS);
     }
 
-    /** Returns the part of an event that is about endpoints. */
+    /** Returns the endpoint update of an event. */
     static JsonNode endpointUpdate(JsonNode event) {
         return event.get(ENDPOINTS);
     }
 
-    /** Returns whether an update holds all endpoints; {@code byDefault} if it doesn't say. */
+    /** Returns whether an update is a full snapshot; {@code byDefault} if the field is missing. */
     static boolean isFullSnapshot(JsonNode update, boolean byDefault) {
         return update.path(FULL_SNAPSHOT).asBoolean(byDefault);
     }
@@ -81,11 +92,11 @@
         return update.path(ENTRIES);
     }
 
-    /** Returns the name of the endpoint that an entry is about. */
+    /** Returns the id of the endpoint that an entry describes. */
     static String endpointId(JsonNode entry) {
         String id = entry.path(ENDPOINT_ID).asText("");
         if (id.isEmpty() || !(entry instanceof ObjectNode)) {
-            throw new JournalFormatException("instance without an id");
+            throw invalid("instance without an id");
         }
         return id;
     }
@@ -94,7 +105,7 @@
     EngineEndpoint endpoint(String id, JsonNode entry) {
         String address = entry.path(ADDRESS).asText("");
         if (!HOST_AND_PORT.matcher(address).matches()) {
-            throw new JournalFormatException("address of " + id + " can't be used");
+            throw invalid("address of " + id + " can't be used");
         }
         return new EngineEndpoint(
                 id,
@@ -112,12 +123,16 @@
             case "ready" -> EndpointState.READY;
             case "draining" -> EndpointState.DRAINING;
             case "gone" -> EndpointState.GONE;
-            default -> throw new JournalFormatException("unknown state of " + id);
+            default -> throw invalid("unknown state of " + id);
         };
     }
 
-    /** Returns the index of a name in the settings; a name that they don't have counts as the first. */
+    /** Returns the index of a name in the settings; 0 for a name that they do not have. */
     private static int indexOrFirst(List<String> names, JsonNode name) {
         return Math.max(0, names.indexOf(name.asText()));
     }
+
+    private static DiscoveryFormatException invalid(String problem) {
+        return new DiscoveryFormatException(ERROR_PREFIX + problem);
+    }
 }
--- a/src/main/java/lineward/discovery/PollConnection.java
+++ b/src/main/java/lineward/discovery/PollConnection.java
@@ -3,21 +3,24 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** One connection to the service as the poll policy sees it. Times are milliseconds of a monotonic clock. */
+/**
+ * One connection to service discovery as {@link PollPolicy} sees it. Times are milliseconds of a monotonic
+ * clock.
+ */
 final class PollConnection {
-    /** Limit on the time to connect. The caller's own limit on connecting is shorter. */
+    /** Limit on the time to connect, above the connect timeout of {@link PollTransport}. */
     static final double CONNECT_LIMIT_MS = 600;
-    /** Limit on the time to a complete response; some bytes now and then don't extend it. */
+    /** Limit on the time to a complete response; partial responses do not extend it. */
     static final double RESPONSE_LIMIT_MS = PollPolicy.LONG_POLL_TIMEOUT_MS + 700;
 
-    /** What the connection waits for. */
+    /** What the connection waits for, with the limit on the wait. */
     enum State {
-        /** To be open. */
+        /** The end of connecting. */
         CONNECTING(CONNECT_LIMIT_MS),
-        /** A response to the poll that was sent. */
+        /** The response to the last poll. */
         POLLING(RESPONSE_LIMIT_MS),
         /** The end of a pause before the next poll. */
-        PAUSED(Double.POSITIVE_INFINITY);
+        PAUSED(PollPolicy.NEVER);
 
         private final double limitMs;
 
@@ -25,7 +28,7 @@
             this.limitMs = limitMs;
         }
 
-        /** Returns the states that may follow; a response may come unasked, so both later ones may repeat. */
+        /** Returns the states that may follow; an unsolicited response may repeat the last two. */
         Set<State> successors() {
             return switch (this) {
                 case CONNECTING -> EnumSet.of(POLLING);
@@ -37,7 +40,8 @@
     private final int number;
     private State state = State.CONNECTING;
     private double waitingSinceMs;
-    private double resumeAtMs = Double.POSITIVE_INFINITY;
+    /** {@link PollPolicy#NEVER} before the first pause. */
+    private double resumeAtMs = PollPolicy.NEVER;
 
     /** Creates a connection that is being opened. */
     PollConnection(int number, double nowMs) {
@@ -45,7 +49,7 @@
         waitingSinceMs = nowMs;
     }
 
-    /** Returns the number by which the caller knows the connection. */
+    /** Returns the number that identifies the connection. */
     int number() {
         return number;
     }
@@ -55,7 +59,7 @@
         return state;
     }
 
-    /** Returns since when the connection opens or, once it is open, when the last poll was sent. */
+    /** Returns when connecting started or, once the connection is open, when the last poll was sent. */
     double waitingSinceMs() {
         return waitingSinceMs;
     }
@@ -66,7 +70,7 @@
         waitingSinceMs = nowMs;
     }
 
-    /** The next poll is put off. */
+    /** The next poll is delayed. */
     void pause(double untilMs) {
         transitionTo(State.PAUSED);
         resumeAtMs = untilMs;
@@ -77,7 +81,7 @@
         return state == State.PAUSED && resumeAtMs <= nowMs;
     }
 
-    /** Returns whether the connection has waited beyond its limit. */
+    /** Returns whether the connection has waited longer than its limit. */
     boolean isOverdue(double nowMs) {
         return nowMs - waitingSinceMs > state.limitMs;
     }
--- a/src/main/java/lineward/discovery/PollFault.java
+++ b/src/main/java/lineward/discovery/PollFault.java
@@ -1,9 +1,9 @@
 package lineward.discovery;
 
 /**
- * Why a poll brought no usable response.
+ * The reason why a poll failed.
  *
- * @param detail what the log says of it
+ * @param detail for the log
  */
 record PollFault(Kind kind, String detail) {
     /** No complete response within the limit. */
@@ -12,7 +12,7 @@
     /** The service closed the connection. */
     static final PollFault CONNECTION_CLOSED = new PollFault(Kind.CONNECTION_CLOSED, "connection closed");
 
-    /** The ways in which a poll fails. */
+    /** The kinds of faults. */
     enum Kind {
         NO_RESPONSE,
         CONNECTION_CLOSED,
@@ -31,7 +31,7 @@
         return new PollFault(Kind.HTTP_STATUS, "status " + status);
     }
 
-    /** Returns the fault of a response that can't be read or used, or of a connection that broke. */
+    /** Returns the fault of a response that can't be read or used, or of a connection that failed. */
     static PollFault invalidResponse(Throwable cause) {
         return new PollFault(Kind.INVALID_RESPONSE, cause.toString());
     }
--- a/src/main/java/lineward/discovery/PollPolicy.java
+++ b/src/main/java/lineward/discovery/PollPolicy.java
@@ -4,36 +4,37 @@
 import java.util.List;
 
 /**
- * Decides how the journal service is followed: when to connect, to poll, to close a connection, to read the
- * file that names the service, and to warn of silence. Free of I/O; times are milliseconds of one monotonic
- * clock. Each event returns the steps that are due now, in order; {@link #tick} is to be called every few
- * milliseconds.
+ * Decides how service discovery is polled: when to connect, to poll, to close a connection, to read the file
+ * with the service's address, and to warn of silence. Does no I/O; times are milliseconds of one monotonic
+ * clock. {@link DiscoveryClient} calls it on the event loop, {@link #tick} every few milliseconds; each
+ * method returns the steps that are due, in order.
  *
- * <p>A service may refuse connections, accept them and stay silent, close at once, answer byte by byte or
- * late, and the file may be half written when it is read. None of these may keep the program from news for
- * long once there is something to receive: every wait has a limit, and any lasting fault makes the file be
- * read again. The alternatives are weighed in {@code docs/journal.md}.
+ * <p>A service may refuse connections, accept them and stay silent, close them at once, or answer slowly, and
+ * the file may be incomplete when it is read. No such fault may delay an event for long: every wait has a
+ * limit, and a lasting fault causes another read of the file. {@code docs/journal.md} compares the
+ * alternatives.
  */
 final class PollPolicy {
     /**
-     * How long a poll asks the service to wait for an event. The journal counts its events as delivered at
-     * once: keep it short.
+     * Time for which the service holds a poll without an event. Short, because the service
+     * counts its events as delivered at once.
      */
     static final int LONG_POLL_TIMEOUT_MS = 1000;
-    /** Pause after a failure, and before the next poll of a service that answers at once with nothing new. */
+    /** Pause after a failure, and before the next poll after an early empty response. */
     static final double PAUSE_MS = 100;
-    /** Connections at once: overdue ones stay open, as a slow service may still answer on them. */
+    /** Limit on connections; overdue ones stay open because a slow service may still answer on them. */
     static final int MAX_CONNECTIONS = 3;
-    /** Silence beyond which a warning is logged. */
+    /** Time without a usable response after which a warning is logged. */
     static final double SILENCE_MS = 2000;
     /** Interval of these warnings. */
     static final double WARNING_INTERVAL_MS = 1000;
-    /** An empty response that comes sooner than this was not waited for: the service does not hold polls. */
+    /** An empty response is early before this time: the service does not hold polls. */
     private static final double EARLY_RESPONSE_MS = LONG_POLL_TIMEOUT_MS / 2.0;
 
-    private static final double NEVER = Double.POSITIVE_INFINITY;
+    /** A time that does not come. */
+    static final double NEVER = Double.POSITIVE_INFINITY;
 
-    /** In the order of their opening: the newest is last. */
+    /** In the order in which they were opened: the newest is last. */
     private final List<PollConnection> connections = new ArrayList<>(MAX_CONNECTIONS);
 
     private final FileReadSchedule fileReads = new FileReadSchedule();
@@ -41,30 +42,30 @@
     private int lastNumber;
     private double connectNotBeforeMs;
     private double lastResponseAtMs;
-    /** When the present row of faults began; {@link #NEVER} for a healthy service. */
+    /** Time of the first fault since the last response; {@link #NEVER} for a healthy service. */
     private double failingSinceMs = NEVER;
 
     private PollFault lastFault = PollFault.NO_RESPONSE;
     private double nextWarningAtMs;
 
-    /** Creates the policy for a service at that address, which is connected to at the first tick. */
+    /** Creates the policy for a service at this address; the first tick connects to it. */
     PollPolicy(String address, double nowMs) {
         this.address = address;
         connectNotBeforeMs = nowMs;
         lastResponseAtMs = nowMs;
     }
 
-    /** Returns the time since the last usable response, or since the start if none has come. */
+    /** Returns the time since the last usable response, or since the start if there was none. */
     double silentMs(double nowMs) {
         return nowMs - lastResponseAtMs;
     }
 
-    /** Returns the service's address as last read. */
+    /** Returns the address of the service as last read. */
     String address() {
         return address;
     }
 
-    /** Returns the steps that have become due. */
+    /** Returns the steps that are due. */
     List<PollStep> tick(double nowMs) {
         List<PollStep> steps = new ArrayList<>(2);
         for (PollConnection connection : connections) {
@@ -96,12 +97,12 @@
         return steps;
     }
 
-    /** Returns whether the policy still has that connection; responses on any other are to be ignored. */
+    /** Returns whether the connection is in use; the caller ignores responses on any other. */
     boolean isOpen(int number) {
         return find(number) != null;
     }
 
-    /** A complete, usable response came; it makes all other connections superfluous. */
+    /** A complete, usable response has come; all other connections are closed. */
     List<PollStep> responded(int number, PollResponse response, double nowMs) {
         List<PollStep> steps = new ArrayList<>(2);
         PollConnection connection = find(number);
@@ -111,12 +112,12 @@
         lastResponseAtMs = nowMs;
         failingSinceMs = NEVER;
         nextWarningAtMs = nowMs;
-        closeAllBut(connection, steps);
+        closeAllExcept(connection, steps);
         if (response.closesConnection()) {
             steps.add(new PollStep.Close(number));
             remove(connection, nowMs);
         } else if (!response.changed() && nowMs - connection.waitingSinceMs() < EARLY_RESPONSE_MS) {
-            // Danger: a service that answers at once with nothing new would be polled without a pause.
+            // Pauses after an early empty response, to avoid a busy loop.
             connection.pause(nowMs + PAUSE_MS);
         } else {
             poll(connection, nowMs, steps);
@@ -124,7 +125,7 @@
         return steps;
     }
 
-    /** A connection has ended, could not be opened, or brought an unusable response and was closed for it. */
+    /** A connection has ended, could not be opened, or was closed after an unusable response. */
     void failed(int number, PollFault fault, double nowMs) {
         PollConnection connection = find(number);
         if (connection != null) {
@@ -133,12 +134,12 @@
         }
     }
 
-    /** SIGHUP: the file has been replaced and is to be read. */
+    /** SIGHUP: the file has been replaced and has to be read. */
     void reloadAddress(double nowMs) {
         fileReads.requestReload(nowMs);
     }
 
-    /** The file is complete and names that address. */
+    /** The file has been read and contains this address. */
     List<PollStep> fileRead(String addressRead, double nowMs) {
         List<PollStep> steps = new ArrayList<>(MAX_CONNECTIONS);
         fileReads.readSucceeded(nowMs, isFailing());
@@ -153,7 +154,7 @@
         return steps;
     }
 
-    /** The file is missing, cut or not valid: the address stays. */
+    /** The file is missing, truncated or not valid: the address does not change. */
     void fileUnreadable(double nowMs) {
         fileReads.readFailed(nowMs, isFailing());
     }
@@ -182,13 +183,13 @@
         steps.add(new PollStep.SendPoll(connection.number()));
     }
 
-    private void closeAllBut(PollConnection kept, List<PollStep> steps) {
+    private void closeAllExcept(PollConnection retained, List<PollStep> steps) {
         for (PollConnection connection : connections) {
-            if (connection != kept) {
+            if (connection != retained) {
                 steps.add(new PollStep.Close(connection.number()));
             }
         }
-        connections.removeIf(connection -> connection != kept);
+        connections.removeIf(connection -> connection != retained);
     }
 
     private void remove(PollConnection connection, double nowMs) {
--- a/src/main/java/lineward/discovery/PollResponse.java
+++ b/src/main/java/lineward/discovery/PollResponse.java
@@ -1,9 +1,9 @@
 package lineward.discovery;
 
 /**
- * What the poll policy has to know of a usable response.
+ * A usable response, as far as the poll policy needs it.
  *
- * @param changed whether it brought an event that was not known
- * @param closesConnection whether the service closes the connection behind it
+ * @param changed whether it had a new event
+ * @param closesConnection whether the service closes the connection after it
  */
 record PollResponse(boolean changed, boolean closesConnection) {}
--- a/src/main/java/lineward/discovery/PollStep.java
+++ b/src/main/java/lineward/discovery/PollStep.java
@@ -1,12 +1,12 @@
 package lineward.discovery;
 
-/** What the poll policy asks its caller to do. */
+/** A step that {@link PollPolicy} decides and {@link DiscoveryClient} carries out on the event loop. */
 sealed interface PollStep {
 
-    /** Hands this step to the method of the handler that takes its type. */
+    /** Calls the method of the handler for this type of step. */
     void dispatchTo(Handler handler);
 
-    /** Takes the steps apart: one method for each type. */
+    /** Carries out the steps, with one method for each type. */
     interface Handler {
         /** Open a connection. */
         void connect(Connect step);
@@ -24,7 +24,7 @@
         void warnOfSilence(WarnOfSilence step);
     }
 
-    /** Opens a connection to the address; it has that number from now on. */
+    /** Opens a connection to the address, under this number. */
     record Connect(int connection, String address) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Closes a connection and forgets it. */
+    /** Closes a connection, whose events are ignored from then on. */
     record Close(int connection) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
@@ -50,7 +50,7 @@
 
     /**
      * Reads the configuration file and reports {@link PollPolicy#fileRead} or {@link
-     * PollPolicy#fileUnreadable}. The next such step comes only after that report.
+     * PollPolicy#fileUnreadable}. There is no other such step before that report.
      */
     record ReadFile() implements PollStep {
         @Override
@@ -60,10 +60,10 @@
     }
 
     /**
-     * Logs that no usable response has come.
+     * Logs a warning: there was no usable response for some time.
      *
-     * @param silentMs time since the last usable response, or since the start if none has come
-     * @param lastFault what went wrong last
+     * @param silentMs time since the last usable response, or since the start if there was none
+     * @param lastFault the latest fault
      */
     record WarnOfSilence(String address, double silentMs, PollFault lastFault) implements PollStep {
         @Override
--- a/src/main/java/lineward/discovery/PollTransport.java
+++ b/src/main/java/lineward/discovery/PollTransport.java
@@ -26,27 +26,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The HTTP/1.1 connections to the journal service, by the numbers that the poll policy gives them. All of it
- * runs on the event loop. There are as many connections as the policy opens, three at most.
+ * The HTTP/1.1 connections to service discovery, by the numbers that {@link PollPolicy} assigns. Runs on the
+ * event loop. Bounds: the policy limits the number of connections, {@value #MAX_RESPONSE_BYTES} bytes for a
+ * response.
  */
 final class PollTransport {
     private static final Logger LOG = LoggerFactory.getLogger(PollTransport.class);
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int MAX_RESPONSE_BYTES = 4 << 20;
 
-    /** Takes what happens on the connections. */
+    /** Receives the events of the connections, on the event loop. */
     interface Listener {
         /** A connection is open. */
         void connected(int number);
 
         /**
-         * A complete response has come; the listener must not keep its content.
+         * A complete response has come; its content is released when the method returns.
          *
          * @throws IOException if the content can't be read; the connection is then closed as failed
          */
         void responded(int number, FullHttpResponse response) throws IOException;
 
-        /** A connection has ended, could not be opened or has failed; may come again for the same one. */
+        /** A connection has ended, could not be opened or has failed; may be called repeatedly for one. */
         void failed(int number, PollFault fault);
     }
 
@@ -82,7 +83,7 @@
         });
     }
 
-    /** Sends a GET for that URI, if the connection is still there. */
+    /** Sends a GET for this URI if the connection still exists. */
     void get(int number, String uri) {
         Connection connection = connections.get(number);
         if (connection != null) {
@@ -92,7 +93,7 @@
         }
     }
 
-    /** Closes a connection, if it is still there. */
+    /** Closes a connection if it still exists. */
     void close(int number) {
         Connection connection = connections.remove(number);
         if (connection != null) {
@@ -117,7 +118,7 @@
     private static void close(Channel channel) {
         channel.close().addListener(closed -> {
             if (!closed.isSuccess()) {
-                LOG.debug("connection to the journal not closed in order", closed.cause());
+                LOG.debug("closing a connection to service discovery failed", closed.cause());
             }
         });
     }
--- a/src/main/java/lineward/gossip/GossipSocket.java
+++ b/src/main/java/lineward/gossip/GossipSocket.java
@@ -17,9 +17,12 @@
 import java.net.InetSocketAddress;
 import java.util.Map;
 
-/** The UDP socket by which a front end exchanges gossip with the other front ends of its tier. */
+/**
+ * The UDP socket with which a front end exchanges gossip with the other front ends of its tier. Runs on the
+ * event loop, except {@link #open}, which may be called on any thread.
+ */
 public final class GossipSocket extends SimpleChannelInboundHandler<DatagramPacket> {
-    /** Takes the messages of the other front ends. */
+    /** Receives the messages of the other front ends, on the event loop. */
     @FunctionalInterface
     public interface Listener {
         /**
@@ -31,11 +34,11 @@
         void received(int senderNumber, byte[] message);
     }
 
-    /** A longer datagram is no message of this protocol. */
+    /** Limit on a message; longer datagrams are ignored. */
     public static final int MAX_MESSAGE_BYTES = 256;
-    /** Datagrams read in one turn of the event loop: a peer that floods must not take the clients' time. */
+    /** Datagrams read in one turn of the event loop, so that a flood does not delay clients. */
     private static final int MAX_DATAGRAMS_PER_READ = 64;
-    /** One byte more than a message may have tells those that are too long. */
+    /** One byte above the limit, so that a datagram that is too long can be detected. */
     private static final int RECEIVE_BUFFER_BYTES = MAX_MESSAGE_BYTES + 1;
 
     private final Map<InetSocketAddress, Integer> peerNumbers;
@@ -44,11 +47,11 @@
     private Channel channel;
 
     /**
-     * Creates a socket that is not open yet.
+     * Creates a socket that is not open.
      *
-     * @param peerNumbers the other front ends' numbers, by the address from which they send; datagrams
-     *     from any other address are ignored
-     * @param groupAddress where a message for all of them is sent
+     * @param peerNumbers the numbers of the other front ends, by the address from which they send;
+     *     datagrams from other addresses are ignored
+     * @param groupAddress to which broadcasts are sent
      */
     public GossipSocket(
             Map<InetSocketAddress, Integer> peerNumbers, InetSocketAddress groupAddress, Listener listener) {
@@ -58,7 +61,8 @@
     }
 
     /**
-     * Opens the socket at that address. At a hot restart two processes have it, and the later one receives.
+     * Opens the socket at the address. During a hot restart two processes have it open, and the later one
+     * receives.
      */
     public ChannelFuture open(EventLoopGroup loop, InetSocketAddress address) {
         FixedRecvByteBufAllocator allocator = new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES);
@@ -75,7 +79,8 @@
     }
 
     /**
-     * Sends a message to all others. One that is too long, or finds the socket not open or full, is dropped.
+     * Sends a message to all other front ends. It is dropped if it is too long, the socket is not open, or
+     * its buffer is full.
      */
     public void broadcast(byte[] message) {
         if (message.length <= MAX_MESSAGE_BYTES && channel != null && channel.isWritable()) {
@@ -97,7 +102,7 @@
     }
 
     /**
-     * Ignores the error: a peer that is down causes one now and then, and the next message may find it up.
+     * Ignores errors: a peer that is down causes them, and later messages may reach it.
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
--- a/src/main/java/lineward/lifecycle/DrainSchedule.java
+++ b/src/main/java/lineward/lifecycle/DrainSchedule.java
@@ -1,11 +1,11 @@
 package lineward.lifecycle;
 
 /**
- * When the connections of a drain close: spread over a period, since clients whose connections all close at
- * once would reconnect elsewhere all at once. Pure decisions; time is passed in.
+ * Decides when the connections of a drain close: over a period, so that clients do not reconnect all at the
+ * same time. Does no I/O; times are milliseconds since the start of the drain.
  */
 enum DrainSchedule {
-    /** An operator drains this process: its clients go to other front ends. */
+    /** An operator drains this process: its clients reconnect to other front ends. */
     OPERATOR_DRAIN(1500) {
         @Override
         boolean rejectsRequests(double elapsedMs) {
@@ -20,9 +20,11 @@
         }
     };
 
-    /** New connections go on coming this long after the drain's start; from then on idle ones are closed. */
+    /** Clients still open connections before this time; afterwards idle ones are closed. */
     private static final double FIRST_CLOSE_AFTER_MS = 300;
-    /** At 4 s a connection may carry none of the last 2 s: requests are rejected a little before that. */
+    /**
+     * A connection that is open at 4 s must not have carried a request for 2 s, so rejections start earlier.
+     */
     private static final double REJECT_AFTER_MS = 1800;
 
     private final double allClosedAfterMs;
@@ -31,19 +33,19 @@
         this.allClosedAfterMs = allClosedAfterMs;
     }
 
-    /** Returns whether new requests are rejected this long after the drain's start. */
+    /** Returns whether new requests are rejected at this time. */
     abstract boolean rejectsRequests(double elapsedMs);
 
-    /** Returns whether idle connections are closed this long after the drain's start. */
+    /** Returns whether idle connections are closed at this time. */
     boolean closesConnections(double elapsedMs) {
         return elapsedMs >= FIRST_CLOSE_AFTER_MS;
     }
 
     /**
-     * Returns the probability with which each idle connection is closed now, 1 at the end of the schedule.
+     * Returns the probability with which each idle connection is closed now; 1 at the end of the schedule.
      *
-     * @param elapsedMs since the drain's start
-     * @param intervalMs until connections are chosen again
+     * @param elapsedMs since the start of the drain
+     * @param intervalMs until the next call
      */
     double closeProbability(double elapsedMs, double intervalMs) {
         double remainingMs = allClosedAfterMs - elapsedMs;
--- a/src/main/java/lineward/lifecycle/HotRestart.java
+++ b/src/main/java/lineward/lifecycle/HotRestart.java
@@ -7,33 +7,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Shares operators' maintenance orders among the processes of one front end during a hot restart, and with
- * the process that takes over. Each process writes a file of its own and reads those of the others. A file
- * that can't be read or that has not been written lately is skipped. {@link HotRestartPolicy} decides; this
- * class reads, writes, logs and notifies. Runs on the event loop.
+ * Shares the operators' maintenance orders among the processes of one front end during a hot restart, and
+ * with the process that takes over. Each process writes its own file and reads the files of the others. A
+ * file that can't be read, or that is out of date, is skipped. {@link HotRestartPolicy} decides; this class
+ * reads, writes, logs and notifies. Runs on the event loop, which its I/O may block because files are small.
  */
 public final class HotRestart {
-    /** Is notified of what is in effect from now on. */
+    /** Is notified of changes, on the event loop. */
     public interface Listener {
         /**
-         * An engine gets no requests, or is used again.
+         * An engine is excluded from requests or used again.
          *
          * @param excluded true while the engine gets no requests
          * @param sinceMs when the operator gave the order, in Unix milliseconds
          */
         void maintenanceChanged(String engine, boolean excluded, double sinceMs);
 
-        /** The part of this front end's work that falls to this process, in (0, 1]. */
+        /** This process's quota of the front end's work has changed; it is in (0, 1]. */
         void quotaChanged(double quota);
     }
 
-    /** The interval at which a process that runs rewrites its file. */
+    private enum Operation {
+        WRITE,
+        LIST,
+        READ
+    }
+
+    /** The interval at which a running process rewrites its file. */
     static final int HEARTBEAT_MS = 500;
 
     private static final Logger LOG = LoggerFactory.getLogger(HotRestart.class);
 
     private final HotRestartPolicy policy = new HotRestartPolicy();
-    /** Null where the processes share no directory. */
+    /** Null if the processes share no directory. */
     private final PeerStateFiles files;
 
     private final DoubleSupplier clock;
@@ -44,7 +50,7 @@
     /**
      * Prepares the exchange; nothing is read or written yet.
      *
-     * @param directory shared by the processes of a hot restart alone; null: nothing is shared
+     * @param directory which only the processes of a hot restart share; null if nothing is shared
      * @param name of this front end, the same for the process that takes over
      * @param clock Unix milliseconds
      */
@@ -55,12 +61,12 @@
         this.listener = listener;
     }
 
-    /** Returns whether that engine gets no requests by an operator's order. */
+    /** Returns whether an operator has excluded the engine. */
     public boolean isExcluded(String engine) {
         return policy.isExcluded(engine);
     }
 
-    /** An operator has given an order: it is in effect here, and in the file when this returns. */
+    /** An operator gives an order, which is in effect and written to the file when this returns. */
     public void setMaintenance(String engine, boolean excluded) {
         apply(new MaintenanceOrder(engine, excluded, clock.getAsDouble()));
         writeState();
@@ -74,7 +80,7 @@
         }
     }
 
-    /** Writes this process's file, which is its heartbeat to the others as well. */
+    /** Writes this process's file, which is also its heartbeat. */
     public void writeState() {
         if (files == null || left) {
             return;
@@ -83,11 +89,11 @@
             files.write(policy.snapshot(clock.getAsDouble()));
             failureLogged = false;
         } catch (IOException e) {
-            logFirstFailure("maintenance orders not shared: cause=" + e);
+            logFirstFailure(Operation.WRITE, files.own(), e);
         }
     }
 
-    /** Reads what the other processes of this front end have written. */
+    /** Applies the orders of the other processes of this front end, and updates the quota. */
     public void readPeers() {
         if (files == null) {
             return;
@@ -98,7 +104,7 @@
                 runningPeers += isRunningAfterReading(file) ? 1 : 0;
             }
         } catch (IOException e) {
-            logFirstFailure("other processes not seen: cause=" + e);
+            logFirstFailure(Operation.LIST, files.directory(), e);
         }
         if (policy.setRunningPeers(runningPeers)) {
             LOG.info("quota of this process changed: quota={}", policy.quota());
@@ -107,7 +113,7 @@
     }
 
     /**
-     * Takes in the orders in that file, or deletes it if it has expired; returns whether its process runs.
+     * Applies the orders in a file, or deletes the file if it has expired; returns whether its process runs.
      */
     private boolean isRunningAfterReading(Path file) {
         try {
@@ -124,13 +130,12 @@
             }
             return status == HotRestartPolicy.PeerStatus.RUNNING;
         } catch (IOException e) {
-            String fileName = file.getFileName().toString();
-            logFirstFailure("file of another process skipped: file=" + fileName + " cause=" + e.getMessage());
+            logFirstFailure(Operation.READ, file, e);
             return false;
         }
     }
 
-    /** This process ends: the process that takes over has read what it wrote. */
+    /** This process ends: another process has read its orders. */
     public void leave() {
         left = true;
         if (files != null) {
@@ -138,11 +143,15 @@
         }
     }
 
-    /** Logs one line for a row of failures, which ends with the next write that succeeds. */
-    private void logFirstFailure(String failure) {
+    /** Logs the first of consecutive failures, which the next successful write ends. */
+    private void logFirstFailure(Operation operation, Path file, IOException failure) {
         if (!failureLogged) {
             failureLogged = true;
-            LOG.warn("{}", failure);
+            LOG.warn(
+                    "hot restart state not exchanged: operation={} file={} cause={}",
+                    operation,
+                    file,
+                    String.valueOf(failure));
         }
     }
 }
--- a/src/main/java/lineward/lifecycle/HotRestartPolicy.java
+++ b/src/main/java/lineward/lifecycle/HotRestartPolicy.java
@@ -5,28 +5,28 @@
 import java.util.TreeMap;
 
 /**
- * Decides which maintenance orders are in effect and what part of the front end's quota falls to this
- * process. Of two orders on one engine the later is in effect. Does no I/O; time is passed in, in Unix
- * milliseconds.
+ * Decides which maintenance orders are in effect, and this process's quota of the front end's work. Of two
+ * orders on one engine the later one is in effect. Does no I/O; times are Unix milliseconds. {@link
+ * HotRestart} calls it on the event loop.
  */
 final class HotRestartPolicy {
-    /** What the age of another process's file says of that process. */
+    /** The status of another process, by the age of its file. */
     enum PeerStatus {
-        /** It runs and shares the work. */
+        /** It is running and has a quota. */
         RUNNING,
         /** It has ended; its orders are still in effect. */
         ENDED,
-        /** It ended long ago; its file is to be deleted. */
+        /** It ended long ago; its file has to be deleted. */
         EXPIRED
     }
 
-    /** Several times the interval at which a process that runs rewrites its file. */
+    /** Several heartbeats, so that a late one does not end a running process. */
     private static final double RUNNING_MAX_AGE_MS = 3_000;
-    /** Long enough for a process that takes over to read what the one before it has left. */
+    /** Long enough for a process that takes over to read the file. */
     private static final double ENDED_MAX_AGE_MS = 10_000;
-    /** An engine that is used again has completed its slow start long before. */
+    /** Longer than a slow start, so that the order is remembered while it affects the engine. */
     private static final double REVOKED_ORDER_TTL_MS = 60_000;
-    /** The clocks of two processes differ by this much at most. */
+    /** Limit on the difference between the clocks of two processes. */
     private static final double MAX_CLOCK_SKEW_MS = 1_000;
 
     /** The order in effect for each engine; bounded by the engines that operators have named. */
@@ -34,13 +34,13 @@
 
     private double quota = 1;
 
-    /** Returns whether that engine gets no requests by an operator's order. */
+    /** Returns whether an operator has excluded the engine. */
     boolean isExcluded(String engine) {
         MaintenanceOrder order = orders.get(engine);
         return order != null && order.excluded();
     }
 
-    /** Takes an order in, unless a later one is known; returns whether it changes anything for its engine. */
+    /** Applies an order unless it is out of date; returns whether it changes its engine's exclusion. */
     boolean apply(MaintenanceOrder order) {
         MaintenanceOrder previous = orders.get(order.engine());
         if (previous != null && previous.sinceMs() >= order.sinceMs()) {
@@ -51,13 +51,14 @@
     }
 
     /**
-     * Returns whether an order of another process is credible: one from the future would override later ones.
+     * Returns whether an order of another process is credible: one from the future would override later
+     * orders.
      */
     boolean isCredible(MaintenanceOrder order, double nowMs) {
         return order.sinceMs() < nowMs + MAX_CLOCK_SKEW_MS;
     }
 
-    /** Returns the state to share with other processes, and forgets orders revoked long ago. */
+    /** Returns the state to share with other processes, and removes orders revoked long ago. */
     PeerState snapshot(double nowMs) {
         double oldestMs = nowMs - REVOKED_ORDER_TTL_MS;
         orders.values().removeIf(order -> !order.excluded() && order.sinceMs() < oldestMs);
@@ -65,7 +66,7 @@
     }
 
     /**
-     * Returns what becomes of a process whose state was written then; one from the future counts as old, too.
+     * Returns the status of the process that wrote this state; a time in the future counts like the past.
      */
     PeerStatus statusOf(PeerState peer, double nowMs) {
         double ageMs = Math.abs(nowMs - peer.writtenAtMs());
@@ -75,14 +76,14 @@
         return ageMs < RUNNING_MAX_AGE_MS ? PeerStatus.RUNNING : PeerStatus.ENDED;
     }
 
-    /** Takes in how many other processes run; returns whether this process's quota changes by that. */
+    /** Sets the number of other running processes; returns whether this process's quota changes. */
     boolean setRunningPeers(int peers) {
         double previous = quota;
         quota = 1.0 / (1 + peers);
         return quota != previous;
     }
 
-    /** Returns the part of this front end's work that falls to this process, in (0, 1]. */
+    /** Returns this process's quota of the front end's work, in (0, 1]. */
     double quota() {
         return quota;
     }
--- a/src/main/java/lineward/lifecycle/InheritedListener.java
+++ b/src/main/java/lineward/lifecycle/InheritedListener.java
@@ -15,9 +15,9 @@
 import lineward.frontend.Listener;
 
 /**
- * A listening socket that was inherited as descriptor 0 and is shared with other processes. Both may wake for
- * the same connection, and the flag that makes it non-blocking is shared as well: should another process
- * clear it, the accept that comes second blocks until the next connection. So a thread beside the event loop
+ * A listening socket that was inherited as descriptor 0 and is shared with other processes. Two processes may
+ * wake up for the same connection, and they share the flag that makes the socket non-blocking: if another
+ * process clears it, the second accept blocks until the next connection. Therefore a thread of its own
  * accepts.
  */
 public final class InheritedListener implements Listener {
@@ -30,7 +30,7 @@
     /**
      * Returns the listener on descriptor 0.
      *
-     * @throws IllegalArgumentException if the descriptor named is not 0, or is no listening socket
+     * @throws IllegalArgumentException if the descriptor is not 0, or is no listening socket
      */
     public static InheritedListener fromDescriptor(String descriptor) {
         try {
@@ -47,7 +47,7 @@
     public ChannelFuture bind(ServerBootstrap clients, EventLoopGroup loop) {
         DefaultThreadFactory threads = new DefaultThreadFactory("accept", true);
         EventLoopGroup acceptor = new MultiThreadIoEventLoopGroup(1, threads, NioIoHandler.newFactory());
-        // One accept for each wake-up: one that blocks must not hold an accepted connection back.
+        // One accept for each wake-up: a second one may block, and delay the connection accepted first.
         ServerChannelRecvByteBufAllocator singleAccept = new ServerChannelRecvByteBufAllocator();
         singleAccept.maxMessagesPerRead(1);
         return clients.group(acceptor, loop)
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Stops reading only: a close would replace the log by the null device, and other processes hold the
-     * socket.
+     * Stops accepting without closing the socket: other processes share it, and a close would replace the log
+     * by the null device.
      */
     @Override
     public void stopAccepting(Channel listener) {
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -13,22 +13,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out the transitions of this process: starting, serving, draining by an operator's order, and the
- * graceful shutdown after SIGTERM. All but {@link #shutdownGracefully} runs on the event loop.
+ * Carries out the transitions of this process: start, operators' drains, and the graceful shutdown after
+ * SIGTERM. All methods are called on the event loop, except {@link #shutdownGracefully}.
  */
 public final class Lifecycle implements AdminOperations {
     /**
      * How this process ends after SIGTERM.
      *
-     * @param inherited whether other processes accept on the clients' socket: this one stops accepting then
-     * @param shutdownDeadlineMs from SIGTERM until requests that are still open are failed
+     * @param inherited whether other processes accept on the clients' socket, so that this one stops
+     *     accepting
+     * @param shutdownDeadlineMs time after SIGTERM at which open requests are failed
      */
     public record ShutdownOptions(boolean inherited, int shutdownDeadlineMs) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(Lifecycle.class);
-    /** After SIGTERM requests go on coming for 0.6 s, a little later on a slow network. */
+    /** Requests still arrive for 0.6 s after SIGTERM, and a little longer on a slow network. */
     private static final int REQUEST_ARRIVAL_GRACE_MS = 900;
-    /** Another process's maintenance order has to be in effect here well within a second. */
+    /** Interval of polls for other processes' maintenance orders, which must be in effect within a second. */
     private static final int PEER_POLL_MS = 100;
 
     private static final double NANOS_PER_MS = 1e6;
@@ -41,13 +42,14 @@
     private final ShutdownOptions shutdown;
     private final CountDownLatch drained = new CountDownLatch(1);
     private ProcessState state = ProcessState.STARTING;
+    /** Set by each transition to a drain or a shutdown; not read in other states. */
     private long drainStartNanos;
 
     /**
      * Creates the lifecycle of a process that starts.
      *
-     * @param servers the servers of all protocols; may be added to until {@link #serve}
-     * @param shutdown how this process will end
+     * @param servers the servers of all protocols; servers may be added until {@link #serve}
+     * @param shutdown how this process ends
      */
     public Lifecycle(
             EventLoop loop,
@@ -64,7 +66,7 @@
         this.shutdown = shutdown;
     }
 
-    /** Takes over the maintenance orders of the process before this one, and polls for more. */
+    /** Applies the maintenance orders of other processes, and polls for further ones. */
     public void joinHotRestart() {
         hotRestart.readPeers();
         hotRestart.writeState();
@@ -72,7 +74,7 @@
         ticker.every(HotRestart.HEARTBEAT_MS, hotRestart::writeState);
     }
 
-    /** All protocols listen: from now on this process reports that it is ready. */
+    /** All protocols listen: this process is ready. */
     public void serve() {
         state = state.afterListening();
         ticker.every(Ticker.TICK_MS, this::closeDrainedConnections);
@@ -83,7 +85,10 @@
         return state.isReady();
     }
 
-    /** An order that is in effect already changes nothing: the engine has not been away. */
+    /**
+     * Ignores an order that is in effect already: the release of an engine that was not excluded would
+     * restart its slow start.
+     */
     @Override
     public boolean setMaintenance(String engine, boolean excluded) {
         boolean listed =
@@ -103,7 +108,7 @@
     public void startDrain() {
         ProcessState next = state.afterDrainStarted();
         if (next != state) {
-            LOG.info("drain started");
+            LOG.info("drain started: state={}", next);
             state = next;
             drainStartNanos = System.nanoTime();
             setAdmission(ServerAdmissionPolicy.Phase.DRAINING);
@@ -114,7 +119,7 @@
     public boolean stopDrain() {
         ProcessState next = state.afterDrainStopped();
         if (next != state) {
-            LOG.info("drain stopped");
+            LOG.info("drain stopped: state={}", next);
             state = next;
             setAdmission(ServerAdmissionPolicy.Phase.OPEN);
         }
@@ -145,11 +150,11 @@
     }
 
     /**
-     * Shuts down gracefully after SIGTERM: serves on while requests still come, completes all that are open,
-     * and returns when every answer has been written. Called on a thread of its own.
+     * Shuts down gracefully after SIGTERM: serves requests that still arrive, completes all open ones, and
+     * returns when every answer has been written. Blocks; called once, on the thread of the shutdown hook.
      */
     public void shutdownGracefully() {
-        LOG.info("SIGTERM: graceful shutdown, deadlineMs={}", shutdown.shutdownDeadlineMs());
+        LOG.info("graceful shutdown started: signal=SIGTERM deadlineMs={}", shutdown.shutdownDeadlineMs());
         loop.execute(this::beginShutdown);
         try {
             drained.await();
@@ -180,7 +185,7 @@
     }
 
     private static void logFailure(Future<?> task) {
-        // What is cancelled is no failure: the event loop has been shut down.
+        // The shutdown of the event loop cancels tasks, which is no failure.
         if (!task.isSuccess() && !task.isCancelled()) {
             LOG.error("shutdown task failed", task.cause());
         }
--- a/src/main/java/lineward/lifecycle/PeerState.java
+++ b/src/main/java/lineward/lifecycle/PeerState.java
@@ -3,12 +3,15 @@
 import java.util.List;
 
 /**
- * What a process shares with the other processes of its front end during a hot restart.
+ * The state that a process shares with the other processes of its front end during a hot restart.
  *
- * @param writtenAtMs when it was written, in Unix milliseconds; 0 if the file does not say
- * @param orders the operators' orders that the process knows
+ * @param writtenAtMs when it was written, in Unix milliseconds; {@link #LONG_AGO_MS} if the file lacks it
+ * @param orders the operators' orders that the process has
  */
 record PeerState(double writtenAtMs, List<MaintenanceOrder> orders) {
-    /** Stands for a file without usable content, which counts as one written long ago. */
-    static final PeerState UNUSABLE = new PeerState(0, List.of());
+    /** The time of a state whose file lacks one, so that it counts as expired. */
+    static final double LONG_AGO_MS = 0;
+
+    /** The state of a file without usable content. */
+    static final PeerState UNUSABLE = new PeerState(LONG_AGO_MS, List.of());
 }
--- a/src/main/java/lineward/lifecycle/PeerStateCodec.java
+++ b/src/main/java/lineward/lifecycle/PeerStateCodec.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * The JSON form of {@link PeerState}. Processes of the versions before and after this one read and write it
- * as well, so its keys and types stay as they are.
+ * The JSON form of {@link PeerState}. Processes of earlier and later versions read and write it too, so its
+ * keys and types can't change. Stateless; may be used on any thread.
  */
 final class PeerStateCodec {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -21,7 +21,7 @@
 
     private PeerStateCodec() {}
 
-    /** Returns the file's content for that state. */
+    /** Returns the content of the file for a state. */
     static String encode(PeerState state) {
         ObjectNode root = JSON.createObjectNode().put(WRITTEN_AT, state.writtenAtMs());
         ObjectNode engines = root.putObject(ENGINES);
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Returns the state that a file's content stands for; orders of another form are left out.
+     * Returns the state in the content of a file; orders of another form are ignored.
      *
-     * @throws JsonProcessingException if the content is no JSON
+     * @throws JsonProcessingException if the content is not JSON
      */
     static PeerState decode(String content) throws JsonProcessingException {
         JsonNode root = JSON.readTree(content);
@@ -46,6 +46,6 @@
                 orders.add(new MaintenanceOrder(engine.getKey(), excluded.asBoolean(), since.asDouble()));
             }
         }
-        return new PeerState(root.path(WRITTEN_AT).asDouble(0), List.copyOf(orders));
+        return new PeerState(root.path(WRITTEN_AT).asDouble(PeerState.LONG_AGO_MS), List.copyOf(orders));
     }
 }
--- a/src/main/java/lineward/lifecycle/PeerStateFiles.java
+++ b/src/main/java/lineward/lifecycle/PeerStateFiles.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** The directory in which the processes of one front end share their states, a file for each process. */
+/**
+ * The directory in which the processes of one front end share their states, with one file for each process.
+ * Used on the event loop; reads and writes block.
+ */
 final class PeerStateFiles {
     private static final String SUFFIX = ".engines.json";
     private static final String DRAFT_SUFFIX = ".new";
@@ -19,10 +22,10 @@
     private final Path draft;
 
     /**
-     * Names this process's file; nothing is written yet.
+     * Creates the names; nothing is written yet.
      *
      * @param name of this front end
-     * @param startedAtMs tells processes apart that had the same id one after the other
+     * @param startedAtMs distinguishes this process from earlier ones with the same process id
      */
     PeerStateFiles(Path directory, String name, long startedAtMs) {
         this.directory = directory;
@@ -32,7 +35,16 @@
         this.draft = directory.resolve(ownName + DRAFT_SUFFIX);
     }
 
-    /** Replaces this process's file; other processes see the old content or the new. */
+    Path directory() {
+        return directory;
+    }
+
+    /** Returns this process's file. */
+    Path own() {
+        return own;
+    }
+
+    /** Replaces this process's file atomically. */
     void write(PeerState state) throws IOException {
         Files.writeString(draft, PeerStateCodec.encode(state));
         Files.move(draft, own, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
@@ -50,7 +62,7 @@
         return fileName.startsWith(prefix) && fileName.endsWith(SUFFIX) && !file.equals(own);
     }
 
-    /** Returns the state in a file of {@link #listPeers}; a file too large is not read. */
+    /** Returns the state in a file of {@link #listPeers}; {@link PeerState#UNUSABLE} if it is too large. */
     PeerState read(Path file) throws IOException {
         if (Files.size(file) > MAX_FILE_BYTES) {
             return PeerState.UNUSABLE;
@@ -58,12 +70,12 @@
         return PeerStateCodec.decode(Files.readString(file));
     }
 
-    /** Deletes a file of {@link #listPeers}, which another process may have deleted already. */
+    /** Deletes a file of {@link #listPeers} unless another process has already deleted it. */
     void delete(Path file) throws IOException {
         Files.deleteIfExists(file);
     }
 
-    /** Deletes this process's file; one that can't be deleted expires. */
+    /** Deletes this process's file; if that fails, other processes delete it once it has expired. */
     void deleteOwn() {
         own.toFile().delete();
         draft.toFile().delete();
--- a/src/main/java/lineward/lifecycle/ProcessState.java
+++ b/src/main/java/lineward/lifecycle/ProcessState.java
@@ -3,19 +3,19 @@
 /**
  * The states of this process, and the transitions that operators and signals cause.
  *
- * <p>Ordered by the usual course: the process starts, serves, perhaps drains, and terminates. A drain may be
- * started in any state; one that is in effect when the process terminates cannot be stopped any more.
+ * <p>The process starts, serves, may be drained, and terminates, in the order of the states. A drain may
+ * start in any state; a drain in effect at SIGTERM can't be stopped any more.
  */
 enum ProcessState {
     /** Not all protocols listen yet. */
     STARTING,
     /** Not all protocols listen yet, and an operator has started a drain. */
     STARTING_DRAINED,
-    /** All protocols listen, and clients are welcome. */
+    /** All protocols listen, and new clients are accepted. */
     SERVING,
-    /** An operator sends the clients elsewhere; the process stays. */
+    /** An operator drains the process, which goes on running without clients. */
     DRAINING,
-    /** SIGTERM has come: what is open is completed. */
+    /** SIGTERM has come: open requests are completed. */
     TERMINATING,
     /** SIGTERM has come, and an operator has started a drain before or after it. */
     TERMINATING_DRAINED;
@@ -56,12 +56,12 @@
         };
     }
 
-    /** Returns whether the process serves and wants new clients. */
+    /** Returns whether the process accepts new clients. */
     boolean isReady() {
         return this == SERVING;
     }
 
-    /** Returns whether an operator's drain is in effect while the process stays. */
+    /** Returns whether an operator's drain is in effect and SIGTERM has not come. */
     boolean isDraining() {
         return this == STARTING_DRAINED || this == DRAINING;
     }
--- a/src/main/java/lineward/lifecycle/Ticker.java
+++ b/src/main/java/lineward/lifecycle/Ticker.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Periodic tasks on a hashed wheel timer, coarse but cheap; the tasks run on the event loop. */
+/** Periodic tasks on a hashed wheel timer, which is coarse but cheap. The tasks run on the event loop. */
 public final class Ticker {
     /** The resolution of the timer. */
     public static final int TICK_MS = 5;
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Runs the task periodically, each time this many milliseconds after its last end, until the process
-     * ends.
+     * Runs the task periodically until the process ends, each time this many milliseconds after its last end.
+     * May be called on any thread.
      */
     public void every(int periodMs, Runnable task) {
         wheel.newTimeout(
--- a/src/main/java/lineward/lifecycle/package-info.java
+++ b/src/main/java/lineward/lifecycle/package-info.java
@@ -6,8 +6,8 @@
  * {@code lineward.frontend} to steer the protocol servers and implements the operations of {@code
  * lineward.operations}.
  *
- * <p>Everything runs on the event loop but the call that waits for the end of a shutdown, which has a thread
- * of its own; accepting on an inherited socket has another. Bounds: a drain's schedule, the shutdown
- * deadline, and the size and age of the files read. Design note: docs/architecture.md.
+ * <p>Everything runs on the event loop, except the call that waits for the end of a shutdown and the accepts
+ * on an inherited socket, which have a thread each. Bounds: a drain's schedule, the shutdown
+ * deadline, and the size and age of the files read. Design: docs/architecture.md.
  */
 package lineward.lifecycle;
--- a/src/main/java/lineward/operations/AdminHandler.java
+++ b/src/main/java/lineward/operations/AdminHandler.java
@@ -17,7 +17,10 @@
 import lineward.frontend.Channels;
 import lineward.frontend.ClientRegistry;
 
-/** Replies to the first request of a connection and closes it; see {@link AdminRoutes} for the replies. */
+/**
+ * Replies to the first request of a connection and closes it; {@link AdminRoutes} decides the reply. Runs on
+ * the event loop.
+ */
 final class AdminHandler extends SimpleChannelInboundHandler<Object> {
     private static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
@@ -40,10 +43,10 @@
         clients.disconnected(ctx.channel());
     }
 
-    /** Takes a complete request, or the aggregator's mark for one too large. */
+    /** Receives a complete request, or the aggregator's marker of one that is too large. */
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Object message) {
-        // One request for each connection: what follows is dropped.
+        // Each connection carries one request; later ones are dropped.
         if (replied) {
             return;
         }
@@ -56,8 +59,8 @@
     }
 
     /**
-     * Closes the sending half only: a close with bytes of the client unread would reset the connection and
-     * drop the response. The client's close or the request timeout closes the rest.
+     * Shuts down the output only: a close with unread bytes of the client would reset the connection and drop
+     * the response. The client or the request timeout closes the connection.
      */
     private static void send(ChannelHandlerContext ctx, AdminReply reply) {
         ByteBuf body = ByteBufUtil.writeUtf8(ctx.alloc(), reply.text());
@@ -77,7 +80,7 @@
         });
     }
 
-    /** A client that disconnects during its request is owed nothing. */
+    /** Closes the connection without a reply: its client has disconnected or its request is malformed. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         Channels.close(ctx.channel());
--- a/src/main/java/lineward/operations/AdminOperations.java
+++ b/src/main/java/lineward/operations/AdminOperations.java
@@ -1,12 +1,12 @@
 package lineward.operations;
 
-/** What operators may order of this process and ask of it. All of it runs on the event loop. */
+/** The operations of the admin endpoint. All methods are called on the event loop. */
 public interface AdminOperations {
-    /** Returns whether this process serves and wants new clients. */
+    /** Returns whether this process accepts new clients. */
     boolean isReady();
 
     /**
-     * Excludes an engine from all new requests, or uses it again.
+     * Excludes an engine from new requests, or uses it again.
      *
      * @param engine the engine's id
      * @return false if no such engine is listed
@@ -16,9 +16,9 @@
     /** Returns the counters and gauges of this process, in the text format of Prometheus. */
     String metrics();
 
-    /** Starts to send clients elsewhere; the process stays. No effect if a drain is in effect. */
+    /** Starts to drain this process, which goes on running. No effect if it is draining. */
     void startDrain();
 
-    /** Welcomes clients again; returns false if the process terminates, so that a drain can't be stopped. */
+    /** Stops a drain; returns false if the process is terminating, which can't be stopped. */
     boolean stopDrain();
 }
--- a/src/main/java/lineward/operations/AdminReply.java
+++ b/src/main/java/lineward/operations/AdminReply.java
@@ -8,7 +8,7 @@
  * A response of the admin endpoint.
  *
  * @param text the body
- * @param allowedMethod for the header of that name, where the request's method was wrong
+ * @param allowedMethod value of the header {@code Allow}; empty unless the request's method was wrong
  */
 record AdminReply(HttpResponseStatus status, String text, Optional<HttpMethod> allowedMethod) {
     static AdminReply ok(String text) {
--- a/src/main/java/lineward/operations/AdminRequestAggregator.java
+++ b/src/main/java/lineward/operations/AdminRequestAggregator.java
@@ -4,9 +4,9 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 
-/** Collects a request with its body, which is an engine's id at most; one too large is replaced by a mark. */
+/** Aggregates a request with its body, which is an engine's id at most. Runs on the event loop. */
 final class AdminRequestAggregator extends HttpObjectAggregator {
-    /** Passed on in place of a request whose body is too large. */
+    /** Marker that replaces a request whose body is too large. */
     static final Object TOO_LARGE = new Object();
 
     private static final int MAX_BODY_BYTES = 1024;
--- a/src/main/java/lineward/operations/AdminRoutes.java
+++ b/src/main/java/lineward/operations/AdminRoutes.java
@@ -9,9 +9,9 @@
 import java.util.function.BiFunction;
 import java.util.function.Function;
 
-/** The paths of the admin endpoint: which operation each carries out, and what it replies. */
+/** The paths of the admin endpoint, with the operation and the reply of each. Runs on the event loop. */
 final class AdminRoutes {
-    /** A path's method, and the operation on it; the reply may depend on the request's body. */
+    /** The method of a path, and its operation, which gets the body of the request. */
     private record Route(HttpMethod method, BiFunction<AdminOperations, String, AdminReply> operation) {}
 
     private static final Map<String, Route> ROUTES = Map.of(
@@ -32,7 +32,7 @@
         return new Route(HttpMethod.POST, operation);
     }
 
-    /** Carries a complete request out and returns the reply to it. */
+    /** Carries out a complete request and returns its reply. */
     static AdminReply handle(AdminOperations operations, FullHttpRequest request) {
         if (!request.decoderResult().isSuccess()) {
             return AdminReply.of(HttpResponseStatus.BAD_REQUEST, "no call that can be read\n");
@@ -48,7 +48,7 @@
         return route.operation().apply(operations, body);
     }
 
-    /** Returns the reply to a request whose body is larger than any that is expected. */
+    /** Returns the reply to a request whose body is too large. */
     static AdminReply bodyTooLarge() {
         return AdminReply.of(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large\n");
     }
--- a/src/main/java/lineward/operations/AdminServer.java
+++ b/src/main/java/lineward/operations/AdminServer.java
@@ -14,11 +14,14 @@
 import lineward.frontend.Channels;
 import lineward.frontend.ClientRegistry;
 
-/** The admin endpoint at an address of its own: HTTP/1.1, one request for each connection. */
+/**
+ * The admin endpoint: HTTP/1.1 with one request for each connection. Connections run on the event loop that
+ * is passed to {@link #listen}.
+ */
 public final class AdminServer {
-    /** Connections at once; beyond them the one that has been silent longest is closed. */
+    /** Limit on connections; beyond it the one that has been silent longest is closed. */
     private static final int MAX_CLIENTS = 32;
-    /** Time in which a request has to be complete, and its response read. */
+    /** Limit on the time in which a client sends its request and reads the response. */
     private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
     private static final int MAX_REQUEST_LINE_BYTES = 1024;
@@ -29,15 +32,15 @@
             new ClientRegistry<>(MAX_CLIENTS, System::nanoTime, Channels::close, Channels::close);
 
     /**
-     * Creates a server that does not listen yet.
+     * Creates a server, which does not listen before {@link #listen}.
      *
-     * @param operations carries out what operators order
+     * @param operations carries out the requests
      */
     public AdminServer(AdminOperations operations) {
         this.operations = operations;
     }
 
-    /** Starts to listen. */
+    /** Starts to listen; may be called on any thread. */
     public ChannelFuture listen(EventLoopGroup loop, InetSocketAddress address) {
         return new ServerBootstrap()
                 .group(loop)
@@ -64,7 +67,7 @@
                         new AdminHandler(operations, clients));
     }
 
-    /** Closes the connections of clients that have not sent their request, or read its response, in time. */
+    /** Closes the connections of clients that are over the time limit; called on the event loop. */
     public void closeUnresponsive() {
         clients.closeSilent(REQUEST_TIMEOUT_NANOS);
     }
--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -12,11 +12,11 @@
 import lineward.frontend.ProtocolServer;
 import lineward.spool.SpoolPolicy;
 
-/** What this process has done since its start, and what it holds now. Used on the event loop alone. */
+/** The counters and gauges of this process. Used on the event loop. */
 public final class Metrics {
-    /** How a request ended, as operators count it. */
+    /** The outcome of a request in the counters. */
     public enum RequestStatus {
-        /** Its client got the engine's response. */
+        /** Its client has received the engine's response. */
         SERVED("fulfilled"),
         /** It was rejected. */
         REJECTED("throttled"),
@@ -37,19 +37,21 @@
 
     private static final String REQUESTS = "operations_total";
     private static final String CLASS_LABEL = "priority";
-    private static final String ENDING_LABEL = "status";
+    private static final String STATUS_LABEL = "status";
 
-    /** A row for each class announced, which are those of the configuration. */
+    /** Counts by class and status; bounded by the classes of the configuration. */
     private final Map<String, Map<RequestStatus, Long>> endedRequests = new TreeMap<>();
 
     private long forwardedAttempts;
-    /** Null, like the next two, where there is nothing to measure. */
+    /** Null if the process has no service discovery. */
     private LongSupplier listAgeMs;
 
+    /** Null if no server counts them. */
     private LongSupplier unreadBytes;
-    private Supplier<SpoolPolicy.Statistics> setSpool;
+    /** Null if the process has no spool. */
+    private Supplier<SpoolPolicy.Statistics> spool;
 
-    /** Adds classes whose counters are shown from the start, at 0. */
+    /** Adds classes, whose counters start at 0. */
     public void registerClasses(Collection<String> classes) {
         for (String className : classes) {
             endedRequests.computeIfAbsent(className, name -> emptyRow());
@@ -58,17 +60,17 @@
 
     private static Map<RequestStatus, Long> emptyRow() {
         Map<RequestStatus, Long> row = new EnumMap<>(RequestStatus.class);
-        for (RequestStatus ending : RequestStatus.values()) {
-            row.put(ending, 0L);
+        for (RequestStatus status : RequestStatus.values()) {
+            row.put(status, 0L);
         }
         return row;
     }
 
-    /** Counts a request of that class that has ended; a class never announced is ignored. */
-    public void countEnded(String className, RequestStatus ending) {
+    /** Counts a request that has ended; a class that is not registered is ignored. */
+    public void countEnded(String className, RequestStatus status) {
         Map<RequestStatus, Long> row = endedRequests.get(className);
         if (row != null) {
-            row.merge(ending, 1L, Long::sum);
+            row.merge(status, 1L, Long::sum);
         }
     }
 
@@ -87,24 +89,24 @@
     }
 
     /**
-     * Sets the source of the bytes that wait for clients.
+     * Sets the source of the bytes that clients have not read.
      *
-     * @param bytes of responses that clients have not read yet
+     * @param bytes of responses that are buffered for clients
      */
     public void setUnreadBytes(LongSupplier bytes) {
         unreadBytes = bytes;
     }
 
     /**
-     * Sets the source of the spool's figures.
+     * Sets the source of the spool's gauges and counters.
      *
-     * @param figures what the spool holds now
+     * @param statistics returns the current values
      */
-    public void setSpool(Supplier<SpoolPolicy.Statistics> figures) {
-        setSpool = figures;
+    public void setSpool(Supplier<SpoolPolicy.Statistics> statistics) {
+        spool = statistics;
     }
 
-    /** Returns all figures in the text format of Prometheus; gauges are read from these servers. */
+    /** Returns all metrics in the text format of Prometheus, with the gauges of these servers. */
     public String text(Collection<ProtocolServer> servers) {
         PrometheusText text = new PrometheusText();
         writeRequests(text, servers);
@@ -113,18 +115,18 @@
             String help = "Bytes of answers that clients have not taken yet.";
             text.gauge("unread_answer_bytes", help, unreadBytes.getAsLong());
         }
-        if (setSpool != null) {
-            writeSpool(text, setSpool.get());
+        if (spool != null) {
+            writeSpool(text, spool.get());
         }
         return text.toString();
     }
 
     private void writeRequests(PrometheusText text, Collection<ProtocolServer> servers) {
         text.labelledCounter(REQUESTS, "Requests that have ended, by class and end.");
-        endedRequests.forEach((className, row) -> row.forEach((ending, count) -> {
+        endedRequests.forEach((className, row) -> row.forEach((status, count) -> {
             Map<String, String> labels = new LinkedHashMap<>();
             labels.put(CLASS_LABEL, className);
-            labels.put(ENDING_LABEL, ending.label());
+            labels.put(STATUS_LABEL, status.label());
             text.sample(REQUESTS, labels, count);
         }));
         text.counter("relayed_total", "Attempts written whole to query engines.", forwardedAttempts);
@@ -155,10 +157,7 @@
         text.counter("spool_slowed_total", slowed, now.backpressured());
     }
 
-    private static int sum(Collection<ProtocolServer> servers, ToIntFunction<Coordinator<?>> figure) {
-        return servers.stream()
-                .map(ProtocolServer::coordinator)
-                .mapToInt(figure)
-                .sum();
+    private static int sum(Collection<ProtocolServer> servers, ToIntFunction<Coordinator<?>> gauge) {
+        return servers.stream().map(ProtocolServer::coordinator).mapToInt(gauge).sum();
     }
 }
--- a/src/main/java/lineward/operations/MetricsTracer.java
+++ b/src/main/java/lineward/operations/MetricsTracer.java
@@ -6,7 +6,8 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * Counts each request that the scheduler completes, once; one that its client cancelled is not counted.
+ * Counts each request that the scheduler completes; requests that their clients cancelled are not counted.
+ * Called on the event loop.
  *
  * @param <X> the protocol's own record of a request
  */
@@ -16,10 +17,10 @@
     private final Tracer<X> next;
 
     /**
-     * Creates a tracer that counts and passes each event on.
+     * Creates a tracer that counts requests and forwards each event.
      *
      * @param classOf returns a request's class
-     * @param next receives each event as well
+     * @param next receives each event
      */
     public MetricsTracer(Metrics metrics, Function<X, String> classOf, Tracer<X> next) {
         this.metrics = metrics;
--- a/src/main/java/lineward/operations/PrometheusText.java
+++ b/src/main/java/lineward/operations/PrometheusText.java
@@ -2,9 +2,9 @@
 
 import java.util.Map;
 
-/** Writes figures in the text format of Prometheus, version 0.0.4. */
+/** Writes metrics in the text format of Prometheus, version 0.0.4. */
 final class PrometheusText {
-    /** The kinds of figures, as the format names them. */
+    /** The types of metrics, as the format names them. */
     private enum Kind {
         COUNTER("counter"),
         GAUGE("gauge");
@@ -21,22 +21,22 @@
 
     /** Writes a counter without labels. */
     void counter(String name, String help, long value) {
-        head(name, Kind.COUNTER, help);
+        header(name, Kind.COUNTER, help);
         sample(name, value);
     }
 
-    /** Writes the head of a counter whose samples, which have labels, follow. */
+    /** Writes the header of a counter with labels; its samples must follow. */
     void labelledCounter(String name, String help) {
-        head(name, Kind.COUNTER, help);
+        header(name, Kind.COUNTER, help);
     }
 
     /** Writes a gauge. */
     void gauge(String name, String help, long value) {
-        head(name, Kind.GAUGE, help);
+        header(name, Kind.GAUGE, help);
         sample(name, value);
     }
 
-    /** Writes a sample with labels, in the map's order. */
+    /** Writes a sample with labels, in the order of the map. */
     void sample(String name, Map<String, String> labels, long value) {
         text.append(PREFIX).append(name).append('{');
         String separator = "";
@@ -52,7 +52,7 @@
         text.append(PREFIX).append(name).append(' ').append(value).append('\n');
     }
 
-    private void head(String name, Kind kind, String help) {
+    private void header(String name, Kind kind, String help) {
         text.append("# HELP ")
                 .append(PREFIX)
                 .append(name)
@@ -71,7 +71,7 @@
         return label.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
     }
 
-    /** Returns all that has been written. */
+    /** Returns the text written so far. */
     @Override
     public String toString() {
         return text.toString();
--- a/src/main/java/lineward/spool/Block.java
+++ b/src/main/java/lineward/spool/Block.java
@@ -2,11 +2,11 @@
 
 import lineward.spool.store.Segment;
 
-/** One block of a result: bytes that are in memory, on their way to the result's file, or there alone. */
+/** One block of a result, in memory or on file; a block that is being written is in both. */
 final class Block {
     private enum Storage {
         MEMORY,
-        /** Still in memory, but accounted for on file. */
+        /** In memory until the write ends, but already accounted for on file. */
         BEING_WRITTEN,
         FILE
     }
@@ -15,9 +15,9 @@
     private final int rows;
     private final int rawBytes;
     private Storage storage;
-    /** Null once it is on file. */
+    /** Null once the block is on file. */
     private byte[] data;
-    /** Null until it is on file. */
+    /** Null until the block is on file. */
     private Segment.Extent location;
 
     private Block(long firstRow, int rows, int rawBytes) {
@@ -81,12 +81,12 @@
         return rawBytes;
     }
 
-    /** Returns its bytes, or null if they have to be loaded from file. */
+    /** Returns its bytes; null if they have to be loaded from file. */
     byte[] data() {
         return data;
     }
 
-    /** Returns where it is on file, or null before. */
+    /** Returns where it is on file; null until it is there. */
     Segment.Extent location() {
         return location;
     }
--- a/src/main/java/lineward/spool/BlockBuffer.java
+++ b/src/main/java/lineward/spool/BlockBuffer.java
@@ -2,9 +2,9 @@
 
 import java.util.Arrays;
 
-/** Gathers rows until they make a block. */
+/** Collects rows until they fill a block. */
 final class BlockBuffer {
-    /** Rows are gathered into blocks of about this size; a longer row makes a longer block. */
+    /** Size at which a block is full; a row is never split, so a block may be longer. */
     static final int BLOCK_BYTES = 64 << 10;
 
     private static final int MIN_GROWTH_BYTES = 1024;
@@ -14,7 +14,7 @@
     private int length;
     private int rows;
 
-    /** Makes space for so many bytes, and returns their offset in {@link #array}. */
+    /** Makes space for this many bytes, and returns their offset in {@link #array}. */
     int reserve(int count) {
         if (length + count > bytes.length) {
             int grown = Math.min(2 * bytes.length + MIN_GROWTH_BYTES, BLOCK_BYTES);
@@ -23,12 +23,12 @@
         return length;
     }
 
-    /** Returns the array with the space reserved last; another one after each {@link #reserve}. */
+    /** Returns the array with the space reserved last; {@link #reserve} may replace it. */
     byte[] array() {
         return bytes;
     }
 
-    /** Counts so many reserved bytes as written. */
+    /** This many of the reserved bytes have been written. */
     void commit(int count, boolean endsRow) {
         length += count;
         rows += endsRow ? 1 : 0;
@@ -42,7 +42,7 @@
         return length >= BLOCK_BYTES;
     }
 
-    /** Returns what was gathered as a block whose first row has that number, and starts anew. */
+    /** Returns the collected rows as a block whose first row has that number, and clears the buffer. */
     Block removeBlock(long firstRow) {
         byte[] data = length == bytes.length ? bytes : Arrays.copyOf(bytes, length);
         Block block = Block.inMemory(firstRow, rows, data);
--- a/src/main/java/lineward/spool/BlockPlacement.java
+++ b/src/main/java/lineward/spool/BlockPlacement.java
@@ -2,11 +2,11 @@
 
 import lineward.spool.SpoolPolicy.Placement;
 
-/** Decides where blocks are stored, and when an engine has to wait for the readers. */
+/** Decides where a block is stored, and when an engine has to wait for the readers. */
 final class BlockPlacement {
-    /** One result may use this ratio of the memory; the rest of it goes to files. */
+    /** Limit on the fraction of the memory for one result; its other blocks are stored on file. */
     private static final double RESULT_MEMORY_RATIO = 0.25;
-    /** Backpressure ends once what is stored has fallen to one part in so many of each bound. */
+    /** Backpressure ends once the bytes stored have fallen to each bound divided by this. */
     private static final int RESUME_DIVISOR = 2;
 
     private final SpoolLimits limits;
@@ -20,13 +20,13 @@
         this.fileBackoff = fileBackoff;
     }
 
-    /** Decides where a block of a result goes and accounts for it there. */
+    /** Decides where a block of a result is stored and accounts for it there. */
     Placement allocate(ResultAccount account, long bytes, double nowMs) {
         boolean withinQuota = isWithinQuota(account, bytes);
         boolean fitsMemory = withinQuota && fitsMemory(account, bytes);
         boolean fitsFile = withinQuota && fitsFile(account, bytes, nowMs);
-        // A result with a key is to outlive the process.
-        if (fitsFile && (account.keyed || !fitsMemory)) {
+        // A result with a key is stored on file so that it survives the process.
+        if (fitsFile && (account.isKeyed() || !fitsMemory)) {
             ledger.addFile(account);
             ledger.addToFile(account, bytes);
             account.endBackpressure();
@@ -46,31 +46,31 @@
 
     private boolean isWithinQuota(ResultAccount account, long bytes) {
         return account.bytes() + bytes <= limits.resultBytes()
-                && ledger.bytesOf(account.user) + bytes <= limits.userBytes();
+                && ledger.bytesOf(account.user()) + bytes <= limits.userBytes();
     }
 
     private boolean fitsMemory(ResultAccount account, long bytes) {
-        // Without files a result may use all of the memory that is free.
+        // Without files one result may use all memory, as its blocks cannot be stored elsewhere.
         double resultMemoryBytes = RESULT_MEMORY_RATIO * limits.memoryBytes();
-        boolean withinRatio = limits.fileBytes() == 0 || account.memoryBytes + bytes <= resultMemoryBytes;
+        boolean withinRatio = !limits.hasFiles() || account.memoryBytes() + bytes <= resultMemoryBytes;
         return withinRatio && ledger.memoryBytes() + bytes <= limits.memoryBytes();
     }
 
     private boolean fitsFile(ResultAccount account, long bytes, double nowMs) {
-        boolean mayHaveFile = account.hasFile || ledger.files() < limits.files();
+        boolean mayHaveFile = account.hasFile() || ledger.files() < limits.files();
         boolean hasSpace = ledger.fileBytes() + bytes <= limits.fileBytes();
         return mayHaveFile && hasSpace && fileBackoff.hasElapsed(nowMs);
     }
 
-    /** Returns whether the engine may be read: what is stored of this result leaves capacity for more. */
+    /** Returns whether the engine may be read: there is capacity to store more of this result. */
     boolean mayReadEngine(ResultAccount account) {
-        return !account.hasBackpressure() || account.memoryBytes == 0 || hasCapacityToResume(account);
+        return !account.hasBackpressure() || account.memoryBytes() == 0 || hasCapacityToResume(account);
     }
 
     private boolean hasCapacityToResume(ResultAccount account) {
         return ledger.memoryBytes() <= limits.memoryBytes() / RESUME_DIVISOR
                 && account.bytes() <= limits.resultBytes() / RESUME_DIVISOR
-                && ledger.bytesOf(account.user) <= limits.userBytes() / RESUME_DIVISOR;
+                && ledger.bytesOf(account.user()) <= limits.userBytes() / RESUME_DIVISOR;
     }
 
     /** Returns how many times a result's engine had to wait for its reader. */
--- a/src/main/java/lineward/spool/BlockSequence.java
+++ b/src/main/java/lineward/spool/BlockSequence.java
@@ -5,12 +5,12 @@
 import java.util.function.Consumer;
 import lineward.spool.store.Segment;
 
-/** The blocks of a result in their order, numbered from 0; the first ones may have been removed. */
+/** The blocks of a result in order, numbered from 0; the first ones may have been removed. */
 final class BlockSequence {
     static final int NOT_FOUND = -1;
 
     private final List<Block> blocks = new ArrayList<>();
-    /** How many blocks have been removed before the first that is left. */
+    /** Number of blocks removed, which is the number of the first that is left. */
     private int removed;
 
     void add(Block block) {
--- a/src/main/java/lineward/spool/FileBackoff.java
+++ b/src/main/java/lineward/spool/FileBackoff.java
@@ -1,16 +1,21 @@
 package lineward.spool;
 
-/** Keeps results off the files for a while after a failed write. */
+import java.util.OptionalDouble;
+
+/** Keeps new blocks in memory for some time after a failed write. */
 final class FileBackoff {
-    static final double PAUSE_MS = 5000;
+    static final double BACKOFF_MS = 5000;
 
-    private double untilMs = Double.NEGATIVE_INFINITY;
+    /** Empty before the first failed write. */
+    private OptionalDouble lastFailureMs = OptionalDouble.empty();
 
+    /** A write has failed. */
     void writeFailed(double nowMs) {
-        untilMs = nowMs + PAUSE_MS;
+        lastFailureMs = OptionalDouble.of(nowMs);
     }
 
+    /** Returns whether files may be written: no write failed within the backoff. */
     boolean hasElapsed(double nowMs) {
-        return nowMs >= untilMs;
+        return lastFailureMs.isEmpty() || nowMs >= lastFailureMs.getAsDouble() + BACKOFF_MS;
     }
 }
--- a/src/main/java/lineward/spool/LeasePolicy.java
+++ b/src/main/java/lineward/spool/LeasePolicy.java
@@ -1,8 +1,8 @@
 package lineward.spool;
 
-/** Decides when a result has been left unread for too long. */
+/** Decides when a result expires because no reader uses it. */
 final class LeasePolicy {
-    /** A result whose engine has had to wait for so long without a block being read is ended. */
+    /** Limit on the time for which an engine waits without a block being read. */
     static final double MAX_STALL_MS = 20_000;
 
     private final SpoolLimits limits;
@@ -11,18 +11,15 @@
         this.limits = limits;
     }
 
-    /** Returns whether a result is to be ended. One that grows unread has its attempt's own timeout. */
+    /**
+     * Returns whether a result has been idle for longer than its lease, or its engine has waited too long.
+     */
     boolean isExpired(ResultAccount account, double nowMs) {
-        boolean hasLease = account.complete || account.readers > 0;
-        boolean idle = nowMs - account.lastUsedMs > leaseMs(account);
-        return (hasLease && idle) || isStalled(account, nowMs);
+        boolean idle = nowMs - account.lastUsedMs() > leaseMs(account);
+        return (account.hasLease() && idle) || account.isStalledFor(MAX_STALL_MS, nowMs);
     }
 
     private double leaseMs(ResultAccount account) {
-        return account.keyed && account.readers == 0 ? limits.keyLeaseMs() : limits.leaseMs();
-    }
-
-    private static boolean isStalled(ResultAccount account, double nowMs) {
-        return account.hasBackpressure() && account.backpressureMs(nowMs) > MAX_STALL_MS;
+        return account.isKeyed() && account.readers() == 0 ? limits.keyLeaseMs() : limits.leaseMs();
     }
 }
--- a/src/main/java/lineward/spool/ReadState.java
+++ b/src/main/java/lineward/spool/ReadState.java
@@ -2,11 +2,11 @@
 
 /** What a reader finds at its position. */
 public enum ReadState {
-    /** There is more, now or later. */
+    /** There are more blocks, or there may be later. */
     MORE,
     /** All has been read. */
     END,
-    /** What is missing will never come: the attempt failed or a file can't be read. */
+    /** The missing blocks never come: the attempt failed or a file can't be read. */
     BROKEN,
     /** The reader's lease has expired. */
     EXPIRED
--- a/src/main/java/lineward/spool/ResultChunk.java
+++ b/src/main/java/lineward/spool/ResultChunk.java
@@ -1,10 +1,10 @@
 package lineward.spool;
 
 /**
- * A part of a result.
+ * One block of a result as its reader gets it.
  *
- * @param bytes complete rows, or what stands before or behind all rows
+ * @param bytes complete rows, or the packets before or after all rows
  * @param rows in it
  */
-@SuppressWarnings("ArrayRecordComponent") // handed on once, never compared
+@SuppressWarnings("ArrayRecordComponent") // passed on once, never compared
 public record ResultChunk(byte[] bytes, int rows) {}
--- a/src/main/java/lineward/spool/ResultDescription.java
+++ b/src/main/java/lineward/spool/ResultDescription.java
@@ -1,10 +1,10 @@
 package lineward.spool;
 
 /**
- * Whose result it is and what was asked.
+ * The owner of a result, its key and its statement.
  *
  * @param user owner of the result
- * @param key by which its client asks for it again; empty: it won't
+ * @param key by which its client may ask for it again; empty for none
  * @param statement digest of the statement and its arguments
  */
 record ResultDescription(String user, String key, String statement) {
--- a/src/main/java/lineward/spool/ResultFile.java
+++ b/src/main/java/lineward/spool/ResultFile.java
@@ -5,36 +5,38 @@
 import lineward.spool.store.Segment;
 import lineward.spool.store.SegmentStore;
 
-/** The file of one result: writes blocks beside the event loop and accounts for them as they arrive there. */
+/**
+ * The file of one result. Its methods run on the event loop; {@link SegmentStore} writes blocks on a thread
+ * of its own and reports their end on the event loop, where they are accounted for.
+ */
 final class ResultFile {
     private final Spool spool;
     private final long resultId;
     private final SegmentStore.Handle handle;
-    private boolean exists;
+    private ResultFileState state;
     private int pendingWrites;
-    private boolean manifestRequested;
 
-    private ResultFile(Spool spool, long resultId, SegmentStore.Handle handle, boolean exists) {
+    private ResultFile(Spool spool, long resultId, SegmentStore.Handle handle, ResultFileState state) {
         this.spool = spool;
         this.resultId = resultId;
         this.handle = handle;
-        this.exists = exists;
+        this.state = state;
     }
 
     /** Returns the file of a new result, which the first block creates. */
     static ResultFile ofNewResult(Spool spool, long resultId) {
-        return new ResultFile(spool, resultId, new SegmentStore.Handle(), false);
+        return new ResultFile(spool, resultId, new SegmentStore.Handle(), ResultFileState.ABSENT);
     }
 
-    /** Returns the file of a result that was found at the start. */
+    /** Returns the file of a complete result of an earlier process. */
     static ResultFile ofRestoredResult(Spool spool, long resultId, Segment segment) {
-        return new ResultFile(spool, resultId, new SegmentStore.Handle(segment), true);
+        return new ResultFile(spool, resultId, new SegmentStore.Handle(segment), ResultFileState.SEALED);
     }
 
-    /** Writes a block. Its {@link Block} tells how that ended once {@code onEnded} is run. */
+    /** Writes a block. The block's state shows how the write ended once {@code onEnded} is run. */
     void write(Block block, Runnable onEnded) {
+        state = state.writeBlock();
         block.writeStarted();
-        exists = true;
         pendingWrites++;
         spool.writeStarted(block.rawBytes());
         spool.store().append(handle, block.data(), block.firstRow(), block.rows(), (location, failure) -> {
@@ -53,13 +55,13 @@
     }
 
     /** Returns whether its manifest may be written now: no block is being written, and it has none yet. */
-    boolean mayComplete() {
-        return pendingWrites == 0 && !manifestRequested;
+    boolean maySeal() {
+        return pendingWrites == 0 && state == ResultFileState.GROWING;
     }
 
-    /** Writes manifest and index; from then on the result outlives this process. */
-    void complete(Manifest manifest, List<Segment.Extent> locations) {
-        manifestRequested = true;
+    /** Writes manifest and index, after which the result survives this process. */
+    void seal(Manifest manifest, List<Segment.Extent> locations) {
+        state = state.seal();
         spool.store().complete(handle, manifest, locations, (fileBytes, failure) -> {
             spool.logWriteFailure(failure);
             if (failure == null) {
@@ -76,9 +78,9 @@
         spool.store().read(handle, block.location(), completion);
     }
 
-    /** Deletes the file if there ever was one, even if no block is left that is stored there. */
+    /** Deletes the file, which may exist even if the write of every block failed. */
     void delete() {
-        if (exists) {
+        if (state != ResultFileState.ABSENT) {
             spool.store().delete(handle, (nothing, failure) -> spool.logWriteFailure(failure));
         }
     }
--- a/src/main/java/lineward/spool/ResultReader.java
+++ b/src/main/java/lineward/spool/ResultReader.java
@@ -1,20 +1,16 @@
 package lineward.spool;
 
-import java.io.IOException;
 import java.util.Objects;
 
-/** Reads a result's blocks in order and loads those that are on file. Confined to the event loop. */
+/** Reads a result's blocks in order and loads those on file. Runs on the event loop. */
 final class ResultReader implements SpoolReader {
     private final SpooledResult result;
     private final Runnable onProgress;
     private int nextBlock;
-    private boolean loading;
-    /** The next block if it had to be loaded, else null. */
+    private ReaderState state = ReaderState.READY;
+    /** The bytes of the next block; null unless the state is {@link ReaderState#LOADED}. */
     private byte[] loaded;
 
-    private IOException loadFailure;
-    private boolean closed;
-
     ResultReader(SpooledResult result, Runnable onProgress) {
         this.result = result;
         this.onProgress = Objects.requireNonNull(onProgress);
@@ -24,14 +20,14 @@
         onProgress.run();
     }
 
-    /** Returns the number of the block that it reads next: those before it are not needed any more. */
+    /** Returns the number of the block that it reads next; it does not read earlier ones again. */
     int nextBlock() {
         return nextBlock;
     }
 
     @Override
     public ResultChunk poll() {
-        if (!isReadable()) {
+        if (!state.isReadable() || !result.isReadable()) {
             return null;
         }
         Block block = result.blockOrNull(nextBlock);
@@ -40,37 +36,34 @@
         }
         byte[] data = block.data() == null ? loaded : block.data();
         if (data == null) {
-            load(block);
+            loadOnce(block);
             return null;
         }
+        state = state.blockRead();
         loaded = null;
         nextBlock++;
         result.blockRead();
         return new ResultChunk(data, block.rows());
     }
 
-    private boolean isReadable() {
-        return !closed && loadFailure == null && result.isReadable();
-    }
-
-    private void load(Block block) {
-        if (loading) {
+    private void loadOnce(Block block) {
+        if (state == ReaderState.LOADING) {
             return;
         }
-        loading = true;
+        state = state.startLoad();
         result.load(block, (data, failure) -> {
-            loading = false;
-            loaded = data;
-            loadFailure = failure;
-            if (!closed) {
-                notifyProgress();
+            state = failure == null ? state.loadSucceeded() : state.loadFailed();
+            if (state == ReaderState.CLOSED) {
+                return;
             }
+            loaded = data;
+            notifyProgress();
         });
     }
 
     @Override
     public ReadState readState() {
-        if (loadFailure != null && !result.isExpired()) {
+        if (state == ReaderState.FAILED && !result.isExpired()) {
             return ReadState.BROKEN;
         }
         return result.readState(nextBlock);
@@ -88,8 +81,8 @@
 
     @Override
     public void close() {
-        if (!closed) {
-            closed = true;
+        if (state != ReaderState.CLOSED) {
+            state = state.close();
             result.readerClosed(this);
         }
     }
--- a/src/main/java/lineward/spool/ResultState.java
+++ b/src/main/java/lineward/spool/ResultState.java
@@ -1,25 +1,26 @@
 package lineward.spool;
 
 /**
- * The state of a spooled result: how much of it has come, and whether its lease has expired. An expired
- * result remains until its last reader has left, as each reader has to be notified.
+ * The state of a spooled result: how much of it the engine has sent, and whether its lease has expired. An
+ * expired result remains until its last reader closes it, as each reader has to be notified. Each method
+ * returns the state after its event.
  */
 enum ResultState {
-    /** The engine still sends. */
+    /** The engine is still sending. */
     GROWING(Content.GROWING, false),
-    /** All of it is here. */
+    /** The engine has sent all of it. */
     COMPLETE(Content.COMPLETE, false),
-    /** What is missing will never come. */
+    /** The attempt failed: the missing blocks never come. */
     BROKEN(Content.BROKEN, false),
-    /** It has been given back, and nothing of it is left. */
+    /** Memory and file have been released. */
     RELEASED(Content.RELEASED, false),
-    /** Its lease expired while the engine still sends. */
+    /** The lease expired; the engine is still sending. */
     EXPIRED_GROWING(Content.GROWING, true),
-    /** Its lease expired, and all of it is here. */
+    /** The lease expired; the engine has sent all of it. */
     EXPIRED_COMPLETE(Content.COMPLETE, true),
-    /** Its lease expired, and what is missing will never come. */
+    /** The lease expired; the missing blocks never come. */
     EXPIRED_BROKEN(Content.BROKEN, true),
-    /** Its lease expired, and it has been given back. */
+    /** The lease expired; memory and file have been released. */
     EXPIRED_RELEASED(Content.RELEASED, true);
 
     private enum Content {
@@ -52,15 +53,15 @@
         return of(content, true);
     }
 
-    /** All that was stored of it is given back. */
+    /** Memory and file are released. */
     ResultState release() {
         return of(Content.RELEASED, expired);
     }
 
     /**
-     * Returns what lies ahead of a reader.
+     * Returns what a reader finds at its position.
      *
-     * @param hasMore whether parts have come that it has not read
+     * @param hasMore whether there are blocks that it has not read
      */
     ReadState readState(boolean hasMore) {
         if (expired) {
--- a/src/main/java/lineward/spool/Spool.java
+++ b/src/main/java/lineward/spool/Spool.java
@@ -14,10 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** All spooled results of one front end. Confined to the event loop; {@link SpoolPolicy} decides for it. */
+/** All spooled results of one front end. Runs on the event loop; {@link SpoolPolicy} decides for it. */
 public final class Spool implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Spool.class);
-    /** Blocks that are being written, for all results together: past it engines wait for the disk. */
+    /** Limit on the bytes that are being written; beyond it engines wait for the disk. */
     private static final long MAX_PENDING_WRITE_BYTES = 4L << 20;
 
     private record ResultKey(String user, String key) {
@@ -27,7 +27,7 @@
     }
 
     private final SpoolPolicy policy;
-    /** Null: there are no files. */
+    /** Null if there are no files. */
     private final SegmentStore store;
 
     private final DoubleSupplier clock;
@@ -41,7 +41,7 @@
     /**
      * Creates an empty spool.
      *
-     * @param store null: memory alone
+     * @param store null if results are stored in memory only
      * @param clock in milliseconds, monotonic
      */
     public Spool(SpoolLimits limits, SegmentStore store, DoubleSupplier clock) {
@@ -50,19 +50,19 @@
         this.clock = clock;
     }
 
-    /** Takes over the complete results of an earlier process; of two with one key the later one remains. */
+    /** Adds the complete results of an earlier process; of two with the same key the later one remains. */
     public void restore(SpoolFolder.Recovered recovered) {
         recovered.complete().stream()
                 .sorted(Comparator.comparingLong(found -> found.manifest().createdMs()))
                 .forEach(this::restore);
         LOG.info(
-                "spool recovered results={} dropped={}",
+                "spool recovered: results={} dropped={}",
                 resultsByKey.size(),
                 recovered.unusable().size());
         recovered
                 .unusable()
                 .forEach(segment -> LOG.info(
-                        "spool segment dropped file={} cause=\"{}\"",
+                        "spool segment not usable: file={} cause=\"{}\"",
                         segment.path().getFileName(),
                         segment.reason()));
     }
@@ -86,8 +86,8 @@
     /**
      * Begins a result.
      *
-     * @param key by which the client will ask for it again; empty: it won't
-     * @param statement digest of what was asked
+     * @param key by which the client may ask for it again; empty for none
+     * @param statement digest of the statement and its arguments
      */
     public SpooledResult begin(String user, String key, String statement) {
         reclaimFor(user);
@@ -96,7 +96,7 @@
         SpooledResult result = SpooledResult.begin(this, id, description);
         results.put(id, result);
         if (description.isKeyed()) {
-            // Whoever asks under the same key from now on reads along, and nothing is run again.
+            // Later requests with this key attach to the running result.
             resultsByKey.putIfAbsent(ResultKey.of(description), result);
         }
         return result;
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Ends what has expired and lets engines go on where there is capacity; called ten times a second. */
+    /** Ends expired results and resumes engines for which there is capacity; called ten times a second. */
     public void tick() {
         for (long id : policy.expire(now())) {
             SpooledResult result = results.get(id);
@@ -125,7 +125,7 @@
         List.copyOf(results.values()).forEach(SpooledResult::notifyFlow);
     }
 
-    /** Returns the gauges and counters as they stand. */
+    /** Returns the current gauges and counters. */
     public SpoolPolicy.Statistics statistics() {
         return policy.statistics();
     }
@@ -162,10 +162,10 @@
         pendingWriteBytes -= bytes;
     }
 
-    /** Logs the first failure of a row of them; null: the write succeeded. */
+    /** Logs the first of consecutive failures; null if the write succeeded. */
     void logWriteFailure(IOException failure) {
         if (failure != null && !lastWriteFailed) {
-            LOG.warn("spool write failed, results stay in memory for now cause=\"{}\"", failure.toString());
+            LOG.warn("spool write failed, results stay in memory for now: cause=\"{}\"", failure.toString());
         }
         lastWriteFailed = failure != null;
     }
--- a/src/main/java/lineward/spool/SpoolAdmission.java
+++ b/src/main/java/lineward/spool/SpoolAdmission.java
@@ -5,19 +5,17 @@
 import java.util.OptionalLong;
 
 /**
- * Decides which statements are admitted, and which complete results are given up for new ones.
- *
- * <p>Nothing is given up that a reader still needs: only complete results with a key and without readers
- * are, the least recently used first.
+ * Decides which statements are admitted, and which results are released to make space for new ones. Only
+ * complete results with a key and without readers are released, the least recently used first.
  */
 final class SpoolAdmission {
-    /** Above this ratio of a bound nothing new is admitted, so that what is admitted can end. */
+    /** Fraction of a bound above which no statement is admitted, so that admitted ones can complete. */
     private static final double HIGH_WATER_RATIO = 0.9;
 
     private static final long MIN_RETRY_AFTER_MS = 100;
     private static final long MAX_RETRY_AFTER_MS = 2000;
     private static final long BYTES_PER_MB = 1 << 20;
-    /** Advised for each megabyte that has to be released, before any release was seen. */
+    /** Retry-After for each megabyte to be released, while the release rate is unknown. */
     private static final double DEFAULT_MS_PER_MB = 20;
 
     private final SpoolLimits limits;
@@ -45,7 +43,7 @@
     }
 
     private boolean isAboveHighWater(double nowMs) {
-        boolean mayUseFiles = limits.fileBytes() > 0 && fileBackoff.hasElapsed(nowMs);
+        boolean mayUseFiles = limits.hasFiles() && fileBackoff.hasElapsed(nowMs);
         return mayUseFiles ? isTotalAboveHighWater() : isMemoryAboveHighWater();
     }
 
@@ -74,7 +72,7 @@
     }
 
     private static boolean isCandidate(ResultAccount account, String user, boolean onlyFromUser) {
-        return account.isReclaimable() && (!onlyFromUser || account.user.equals(user));
+        return account.isReclaimable() && (!onlyFromUser || account.user().equals(user));
     }
 
     private long retryAfterMs() {
@@ -85,7 +83,7 @@
         return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, Math.round(expectedMs)));
     }
 
-    /** Returns the result to be given up before one of this user begins; empty: none has to be, or can be. */
+    /** Returns the result to release before one of this user begins; empty if none has to be, or can be. */
     OptionalLong selectForReclaim(String user) {
         boolean scarceForAll = isTotalAboveHighWater() || isFileCountReached() || isResultCountReached();
         if (!scarceForAll && !isUserAboveHighWater(user)) {
@@ -93,7 +91,7 @@
         }
         return ledger.accountsById().entrySet().stream()
                 .filter(entry -> isCandidate(entry.getValue(), user, !scarceForAll))
-                .min(Comparator.comparingDouble(entry -> entry.getValue().lastUsedMs))
+                .min(Comparator.comparingDouble(entry -> entry.getValue().lastUsedMs()))
                 .map(Map.Entry::getKey)
                 .map(OptionalLong::of)
                 .orElse(OptionalLong.empty());
--- a/src/main/java/lineward/spool/SpoolLedger.java
+++ b/src/main/java/lineward/spool/SpoolLedger.java
@@ -36,34 +36,34 @@
     ResultAccount close(long id) {
         ResultAccount account = accounts.remove(id);
         if (account != null) {
-            addToMemory(account, -account.memoryBytes);
-            addToFile(account, -account.fileBytes);
-            files -= account.hasFile ? 1 : 0;
+            addToMemory(account, -account.memoryBytes());
+            addToFile(account, -account.fileBytes());
+            files -= account.hasFile() ? 1 : 0;
         }
         return account;
     }
 
     void addToMemory(ResultAccount account, long bytes) {
-        account.memoryBytes += bytes;
+        account.addMemoryBytes(bytes);
         memoryBytes += bytes;
         addToUser(account, bytes);
     }
 
     void addToFile(ResultAccount account, long bytes) {
-        account.fileBytes += bytes;
+        account.addFileBytes(bytes);
         fileBytes += bytes;
         addToUser(account, bytes);
     }
 
     private void addToUser(ResultAccount account, long bytes) {
-        bytesByUser.merge(account.user, bytes, Long::sum);
-        bytesByUser.remove(account.user, 0L);
+        bytesByUser.merge(account.user(), bytes, Long::sum);
+        bytesByUser.remove(account.user(), 0L);
     }
 
     /** Counts the file of a result, once. */
     void addFile(ResultAccount account) {
-        if (!account.hasFile) {
-            account.hasFile = true;
+        if (!account.hasFile()) {
+            account.addFile();
             files++;
         }
     }
--- a/src/main/java/lineward/spool/SpoolLimits.java
+++ b/src/main/java/lineward/spool/SpoolLimits.java
@@ -4,17 +4,17 @@
  * The bounds of a spool.
  *
  * @param memoryBytes in memory for all results together, at least 1 MB
- * @param fileBytes on files for all results together, as stored; 0: no files
- * @param files results on files at once, one file each
- * @param results results at once
+ * @param fileBytes on files for all results together, compressed; 0 if there are no files
+ * @param files results on file at the same time, one file each
+ * @param results results at the same time
  * @param userBytes of one user, in memory and on files
- * @param resultBytes of one result; past it the engine is slowed to the reader's speed
- * @param responseBufferBytes a result that is no longer is complete before its first row goes out, so that a
- *     failed attempt leaves no trace
- * @param responseDelayRatio part of an attempt's timeout, 0 to 1, after which the first row goes out all the
- *     same
- * @param leaseMs a result whose reader has taken nothing for so long is released
- * @param keyLeaseMs a result with a key that no reader has touched for so long is released
+ * @param resultBytes of one result; beyond it the engine is read only as fast as the reader reads
+ * @param responseBufferBytes a result up to this size is complete before its first row is sent, so that its
+ *     client sees nothing of a failed attempt
+ * @param responseDelayRatio fraction of an attempt's timeout, 0 to 1, after which the first row is sent even
+ *     if the result is not complete
+ * @param leaseMs time after which a result is released whose reader does not read
+ * @param keyLeaseMs time after which a result with a key and without readers is released
  */
 public record SpoolLimits(
         long memoryBytes,
@@ -32,7 +32,7 @@
     /**
      * Checks the bounds.
      *
-     * @throws IllegalArgumentException with one plain line if they contradict each other
+     * @throws IllegalArgumentException with a message of one line if they contradict each other
      */
     public SpoolLimits {
         require(memoryBytes >= MIN_MEMORY_BYTES, "memory is below 1 MB");
@@ -54,6 +54,11 @@
         }
     }
 
+    /** Returns whether results may be stored on file. */
+    boolean hasFiles() {
+        return fileBytes > 0;
+    }
+
     /** Returns these bounds without files, for a folder that can't be used. */
     public SpoolLimits withoutFiles() {
         return new SpoolLimits(
--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -5,9 +5,9 @@
 import java.util.OptionalLong;
 
 /**
- * Decides for the spool: who is admitted, where blocks go, when an engine waits, which results expire and
- * which are given up for others. Without I/O; times are milliseconds of one monotonic clock. Events of
- * results that have been released are ignored where they may still arrive.
+ * Decides for the spool: which statements are admitted, where blocks are stored, when an engine waits, which
+ * results expire and which are released to make space. Does no I/O; times are milliseconds of one monotonic
+ * clock. Events that may arrive after the release of their result are ignored.
  */
 public final class SpoolPolicy {
     /** Where a block is stored. */
@@ -16,7 +16,7 @@
         MEMORY,
         /** In the result's file. */
         FILE,
-        /** In memory past the bounds: the engine is not read until the reader has caught up. */
+        /** In memory beyond the bounds: the engine is not read until the readers have freed capacity. */
         MEMORY_WITH_BACKPRESSURE
     }
 
@@ -29,7 +29,7 @@
     /**
      * It is rejected before it runs.
      *
-     * @param retryAfterMs when there should be capacity again, in milliseconds from now
+     * @param retryAfterMs milliseconds after which there should be capacity
      */
     public record Rejected(long retryAfterMs) implements Admission {}
 
@@ -37,13 +37,13 @@
      * The gauges and counters of a spool.
      *
      * @param memoryBytes in memory now
-     * @param fileBytes on files now, as stored
+     * @param fileBytes on files now, compressed
      * @param results now
      * @param readers now
      * @param released results released so far
      * @param expired results that expired so far
      * @param rejected statements rejected so far
-     * @param backpressured times so far that an engine had to wait for a reader
+     * @param backpressured times so far that an engine had to wait for the readers
      */
     public record Statistics(
             long memoryBytes,
@@ -78,7 +78,7 @@
         return admission.admit(user, nowMs);
     }
 
-    /** Returns the result to be given up before one of this user begins; empty: none has to be, or can be. */
+    /** Returns the result to release before one of this user begins; empty if none has to be, or can be. */
     public OptionalLong selectForReclaim(String user) {
         return admission.selectForReclaim(user);
     }
@@ -88,25 +88,25 @@
         return ledger.open(user, keyed, nowMs);
     }
 
-    /** Accounts for a complete result that was found on file at the start, and returns its number. */
+    /** Accounts for a complete result of an earlier process, and returns its number. */
     public long restore(String user, long fileBytes, double nowMs) {
         long id = ledger.open(user, true, nowMs);
         ResultAccount account = ledger.account(id);
-        account.complete = true;
+        account.complete(nowMs);
         ledger.addFile(account);
         ledger.addToFile(account, fileBytes);
         return id;
     }
 
     /**
-     * Decides where a block of a result goes and accounts for it there; a block on file counts with its raw
-     * length until {@link #blockStored} tells its stored one.
+     * Decides where a block of a result is stored and accounts for it there; a block on file counts with its
+     * raw length until {@link #blockStored} replaces that by its stored length.
      */
     public Placement allocate(long id, long bytes, double nowMs) {
         return placement.allocate(ledger.account(id), bytes, nowMs);
     }
 
-    /** Corrects what is accounted for a block once it is on file. */
+    /** Replaces the bytes accounted for a block by its stored length, once it is on file. */
     public void blockStored(long id, long allocatedBytes, long storedBytes) {
         ResultAccount account = ledger.account(id);
         if (account != null) {
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Moves a block whose write failed back to memory, and keeps off the files for a while. */
+    /** Moves a block whose write failed back to memory, and starts the backoff of files. */
     public void writeFailed(long id, long allocatedBytes, double nowMs) {
         fileBackoff.writeFailed(nowMs);
         ResultAccount account = ledger.account(id);
@@ -124,14 +124,14 @@
         }
     }
 
-    /** Returns whether the engine may be read: what is stored of this result leaves capacity for more. */
+    /** Returns whether the engine may be read: there is capacity to store more of this result. */
     public boolean mayReadEngine(long id) {
         ResultAccount account = ledger.account(id);
         return account != null && placement.mayReadEngine(account);
     }
 
     /**
-     * Returns whether the first row goes out now, though the result is not complete.
+     * Returns whether the first row is sent now, although the result is not complete.
      *
      * @param bytes received of the result so far
      * @param ageMs of the attempt
@@ -146,44 +146,33 @@
 
     /** The result is complete. */
     public void complete(long id, double nowMs) {
-        ResultAccount account = ledger.account(id);
-        account.complete = true;
-        account.endBackpressure();
-        account.lastUsedMs = nowMs;
+        ledger.account(id).complete(nowMs);
     }
 
-    /** A reader has come. */
+    /** A reader starts to read. */
     public void readerOpened(long id, double nowMs) {
-        ResultAccount account = ledger.account(id);
-        account.readers++;
-        account.lastUsedMs = nowMs;
+        ledger.account(id).readerOpened(nowMs);
     }
 
-    /** A reader has taken a block: its lease begins anew. */
+    /** A reader has read a block: the lease starts anew. */
     public void blockRead(long id, double nowMs) {
         ResultAccount account = ledger.account(id);
-        if (account == null) {
-            return;
-        }
-        account.lastUsedMs = nowMs;
-        if (account.hasBackpressure()) {
-            account.startBackpressure(nowMs);
+        if (account != null) {
+            account.blockRead(nowMs);
         }
     }
 
-    /** A reader has left; returns whether nobody is owed anything any more, so that the result can go. */
+    /** A reader ends; returns whether it was the last one and the result does not have to be retained. */
     public boolean readerClosed(long id, double nowMs) {
         ResultAccount account = ledger.account(id);
         if (account == null) {
             return false;
         }
-        account.readers--;
-        account.lastUsedMs = nowMs;
-        boolean isRetained = account.keyed && account.complete;
-        return account.readers <= 0 && !isRetained;
+        account.readerClosed(nowMs);
+        return account.readers() == 0 && !account.isRetained();
     }
 
-    /** A block that was in memory has been read and is not needed again. */
+    /** A block in memory has been read and is removed. */
     public void memoryReleased(long id, long bytes, double nowMs) {
         ResultAccount account = ledger.account(id);
         if (account != null) {
@@ -192,7 +181,7 @@
         }
     }
 
-    /** The result is gone, with all that was stored of it. */
+    /** The result is released, with all that was stored of it. */
     public void release(long id, double nowMs) {
         ResultAccount account = ledger.account(id);
         if (account != null) {
@@ -202,7 +191,7 @@
         }
     }
 
-    /** Returns results whose lease has expired, or that are stalled: they are to be ended and released. */
+    /** Returns the results that have expired; the caller ends and releases them. */
     public List<Long> expire(double nowMs) {
         List<Long> due = new ArrayList<>();
         ledger.accountsById().forEach((id, account) -> {
@@ -214,13 +203,13 @@
         return due;
     }
 
-    /** Returns the gauges and counters as they stand. */
+    /** Returns the current gauges and counters. */
     public Statistics statistics() {
         return new Statistics(
                 ledger.memoryBytes(),
                 ledger.fileBytes(),
                 ledger.results(),
-                ledger.accounts().stream().mapToInt(account -> account.readers).sum(),
+                ledger.accounts().stream().mapToInt(ResultAccount::readers).sum(),
                 released,
                 expired,
                 admission.rejected(),
--- a/src/main/java/lineward/spool/SpoolReader.java
+++ b/src/main/java/lineward/spool/SpoolReader.java
@@ -1,23 +1,23 @@
 package lineward.spool;
 
-/** Reads a result from its first block on, in order. */
+/** Reads a result in order, from its first block. Used on the event loop. */
 public interface SpoolReader {
-    /** Returned by {@link #seek} if the result does not reach so far. */
+    /** Returned by {@link #seek} if the result has no such row. */
     int ROW_NOT_FOUND = -1;
 
-    /** Returns the next part; null: none is at hand, and the listener is notified when that changes. */
+    /** Returns the next block; null if none is in memory, and the listener is run when that changes. */
     ResultChunk poll();
 
-    /** Returns what lies ahead of the parts read so far. */
+    /** Returns what follows the blocks read so far. */
     ReadState readState();
 
     /**
-     * Goes to the block with a row; only in a result with a key, and before the first poll.
+     * Moves to the block with a row; only in a result with a key.
      *
      * @return rows of that block before it, or {@link #ROW_NOT_FOUND}
      */
     int seek(long row);
 
-    /** Ends the reading; the result may be released with it. */
+    /** Ends the reading, which may release the result. */
     void close();
 }
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -7,9 +7,9 @@
 import lineward.spool.store.SegmentStore;
 
 /**
- * One result: blocks in the order in which they came, in memory or on file, that grows until it is complete.
- * A result without a key is read once and its blocks are released as they are read; one with a key stays
- * until its lease ends. Confined to the event loop.
+ * One result: its blocks in order, in memory or on file, to which blocks are added until it is complete. A
+ * result without a key is read once and its blocks are removed as they are read; one with a key is stored
+ * until its lease expires. Runs on the event loop.
  */
 public final class SpooledResult {
     private final Spool spool;
@@ -20,9 +20,9 @@
     private final BlockBuffer buffer = new BlockBuffer();
     private final List<ResultReader> readers = new ArrayList<>();
     private ResultState state = ResultState.GROWING;
-    /** Of all blocks, those removed included. */
+    /** Rows of all blocks, including removed ones. */
     private long rows;
-    /** Received so far. */
+    /** Bytes received so far, including removed blocks. */
     private long bytes;
 
     private Runnable flowListener = () -> {};
@@ -39,7 +39,7 @@
         return new SpooledResult(spool, id, description, ResultFile.ofNewResult(spool, id));
     }
 
-    /** Returns a complete result that was found on file. */
+    /** Returns a complete result of an earlier process. */
     static SpooledResult restore(Spool spool, long id, ResultDescription description, Segment.Found found) {
         ResultFile file = ResultFile.ofRestoredResult(spool, id, found.segment());
         SpooledResult result = new SpooledResult(spool, id, description, file);
@@ -60,7 +60,7 @@
         return description;
     }
 
-    /** Returns the digest of what was asked. */
+    /** Returns the digest of its statement. */
     public String statement() {
         return description.statement();
     }
@@ -70,7 +70,7 @@
         return state.isReleased();
     }
 
-    /** Returns whether all of it is here. */
+    /** Returns whether the engine has sent all of it. */
     public boolean isComplete() {
         return state.isComplete();
     }
@@ -79,7 +79,7 @@
         return state.isExpired();
     }
 
-    /** Sets who is notified when {@link #mayReadEngine} may have changed. */
+    /** Sets the listener that is run when {@link #mayReadEngine} may have changed. */
     public void onFlowChange(Runnable onChange) {
         flowListener = onChange;
     }
@@ -88,14 +88,14 @@
         flowListener.run();
     }
 
-    /** Returns whether the engine is to be read on. */
+    /** Returns whether the engine may be read: there is capacity, and the disk is not behind. */
     public boolean mayReadEngine() {
         boolean hasCapacity = spool.policy().mayReadEngine(id) && spool.diskKeepsUp();
         return state.isReleased() || hasCapacity;
     }
 
     /**
-     * Returns whether the first row is to go out now, though the result is not complete.
+     * Returns whether the first row is sent now, although the result is not complete.
      *
      * @param ageMs of the attempt
      * @param timeoutMs of the attempt
@@ -105,15 +105,15 @@
     }
 
     /**
-     * Makes space for bytes that are to come.
+     * Makes space for bytes that the caller is about to write.
      *
-     * @return their offset in {@link #buffer}; {@link #commit} is to follow
+     * @return their offset in {@link #buffer}; {@link #commit} must follow
      */
     public int reserve(int length) {
         return buffer.reserve(length);
     }
 
-    /** Returns the array with the space reserved last; another one after each {@link #reserve}. */
+    /** Returns the array with the space reserved last; {@link #reserve} may replace it. */
     public byte[] buffer() {
         return buffer.array();
     }
@@ -122,7 +122,7 @@
      * The reserved bytes have been written.
      *
      * @param endsRow whether a row ends with them
-     * @param rowContinues whether what follows belongs to the same row, and must be in the same block
+     * @param rowContinues whether the next bytes belong to the same row, and so to the same block
      */
     public void commit(int length, boolean endsRow, boolean rowContinues) {
         if (state.isReleased()) {
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Ends the block that grows: rows and what is around them are never in one block. */
+    /** Ends the current block; rows and the packets around them are never in one block. */
     public void seal() {
         if (buffer.isEmpty() || state.isReleased()) {
             return;
@@ -157,7 +157,7 @@
         writeManifestIfOnFile();
     }
 
-    /** Releases blocks that the one reader of a result without a key has passed. */
+    /** Removes the blocks that the only reader of a result without a key has read. */
     private void removeReadBlocks() {
         if (description.isKeyed() || readers.isEmpty()) {
             return;
@@ -169,7 +169,7 @@
         });
     }
 
-    /** The result is complete. With a key, and on file to the last block, it outlives this process. */
+    /** The engine has sent all of it. With a key and all blocks on file it survives this process. */
     public void complete() {
         if (state.isReleased()) {
             return;
@@ -183,15 +183,15 @@
 
     private void writeManifestIfOnFile() {
         boolean isDurable = description.isKeyed() && state.isComplete() && blocks.isOnFile();
-        if (isDurable && file.mayComplete()) {
+        if (isDurable && file.maySeal()) {
             long createdMs = System.currentTimeMillis();
             String user = description.user();
             Manifest manifest = new Manifest(user, description.key(), statement(), createdMs, rows, bytes);
-            file.complete(manifest, blocks.locations());
+            file.seal(manifest, blocks.locations());
         }
     }
 
-    /** The attempt failed: what is missing will never come. */
+    /** The attempt failed: the missing blocks never come. */
     public void fail() {
         if (state.isReleased() || state.isComplete()) {
             return;
@@ -205,14 +205,14 @@
         }
     }
 
-    /** Whoever asked for it has gone before it read: without a key nobody will come back. */
+    /** The client has disconnected before it read: only a complete result with a key can be read later. */
     public void abandon() {
         if (!description.isKeyed() || !state.isComplete()) {
             release();
         }
     }
 
-    /** Its lease has expired: readers are notified and it goes with the last of them. */
+    /** Its lease has expired: readers are notified, and the last one that closes it releases it. */
     void expire() {
         state = state.expire();
         if (readers.isEmpty()) {
@@ -223,7 +223,7 @@
         }
     }
 
-    /** Gives all of it back. Readers that are left find it broken. */
+    /** Releases memory and file. Remaining readers find it broken. */
     public void release() {
         if (state.isReleased()) {
             return;
@@ -242,7 +242,7 @@
      * Returns a new reader.
      *
      * @param onProgress is run when {@link SpoolReader#poll} or {@link SpoolReader#readState} may return
-     *     something else
+     *     another value
      */
     public SpoolReader read(Runnable onProgress) {
         ResultReader reader = new ResultReader(this, onProgress);
@@ -259,7 +259,7 @@
         return !state.isReleased() && !state.isExpired();
     }
 
-    /** Returns a block by its number, or null if nothing of it has come; a growing one is sealed. */
+    /** Returns a block by its number, or null if no byte of it has come; the current one is ended. */
     Block blockOrNull(int number) {
         if (number == blocks.end()) {
             seal();
@@ -275,14 +275,14 @@
         file.read(block, completion);
     }
 
-    /** A reader has taken a block. */
+    /** A reader has read a block. */
     void blockRead() {
         spool.policy().blockRead(id, spool.now());
         removeReadBlocks();
         notifyFlow();
     }
 
-    /** Returns what lies ahead of a reader whose next block has that number. */
+    /** Returns what a reader finds whose next block has that number. */
     ReadState readState(int nextBlock) {
         boolean hasMore = nextBlock < blocks.end() || !buffer.isEmpty();
         return state.readState(hasMore);
@@ -290,9 +290,9 @@
 
     void readerClosed(ResultReader reader) {
         readers.remove(reader);
-        boolean isUnowed = spool.policy().readerClosed(id, spool.now());
-        boolean isStillNeeded = description.isKeyed() && state == ResultState.GROWING;
-        if (isUnowed && !isStillNeeded) {
+        boolean isReleasable = spool.policy().readerClosed(id, spool.now());
+        boolean mayBeReadAgain = description.isKeyed() && state == ResultState.GROWING;
+        if (isReleasable && !mayBeReadAgain) {
             release();
         }
     }
--- a/src/main/java/lineward/spool/package-info.java
+++ b/src/main/java/lineward/spool/package-info.java
@@ -1,14 +1,14 @@
 /**
- * Spooled results: what an engine has answered is stored here until its client has read it, so that the
- * engine is free once its answer is complete.
+ * Spooled results: the answer of an engine is stored here until its client has read it, so that the engine is
+ * free once its answer is complete.
  *
- * <p>{@link lineward.spool.SpoolPolicy} decides, without I/O: what is stored in memory and what on files,
- * when an engine has to wait, who is admitted, when leases expire and what is given up first. {@link
- * lineward.spool.Spool} carries out on the event loop; files are read and written by the bounded threads of
- * {@code lineward.spool.store}. Uses {@code core} only and knows no protocol: a result is blocks of bytes
- * with a count of rows.
+ * <p>{@link lineward.spool.SpoolPolicy} decides without I/O: which statements are admitted, which blocks are
+ * stored in memory and which on file, when an engine has to wait, when a lease expires and which result is
+ * released first. {@link lineward.spool.Spool} carries the decisions out; the threads of {@code
+ * lineward.spool.store} read and write the files. The package uses {@code core} only and is independent of
+ * protocols: a result is blocks of bytes with a count of rows.
  *
- * <p>Threads: the event loop alone. Bounds: {@link lineward.spool.SpoolLimits}; what is in use is in {@link
- * lineward.spool.SpoolPolicy.Figures}. The design note is {@code docs/spool-design.md}.
+ * <p>Threads: the event loop only. Bounds: {@link lineward.spool.SpoolLimits}; the current use is in {@link
+ * lineward.spool.SpoolPolicy.Statistics}. The design is in {@code docs/spool-design.md}.
  */
 package lineward.spool;
--- a/src/main/java/lineward/spool/store/Segment.java
+++ b/src/main/java/lineward/spool/store/Segment.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** One result on file. Every call opens the file, does its work and closes it; all of them block. */
+/** One result on file. Each call opens the file, blocks while it reads or writes, and closes the file. */
 public final class Segment {
     /**
      * Where a block is stored.
@@ -26,7 +26,7 @@
     public record Extent(long offset, int storedBytes, long firstRow, int rows, int rawBytes) {}
 
     /**
-     * A complete result as it was found on file.
+     * A complete result of an earlier process.
      *
      * @param blocks in their order
      * @param fileBytes of the file
@@ -34,7 +34,7 @@
     public record Found(Segment segment, Manifest manifest, List<Extent> blocks, long fileBytes) {}
 
     private final Path path;
-    /** Length of the file, where the next block goes. */
+    /** Length of the file, and offset of the next block. */
     private long end;
 
     Segment(Path path) {
@@ -72,7 +72,7 @@
         return location;
     }
 
-    /** Writes manifest and index behind the blocks: from then on the result is complete. */
+    /** Writes manifest and index after the blocks, which makes the result complete on file. */
     void complete(Manifest manifest, List<Extent> blocks) throws IOException {
         ByteBuffer footer = new SegmentFooter(manifest, blocks).encode();
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.WRITE)) {
@@ -84,7 +84,7 @@
             writeFully(channel, block, footerOffset);
             writeFully(channel, SegmentFormat.trailer(footerOffset), end);
             end += SegmentFormat.TRAILER_BYTES;
-            // A client that comes back after a loss of power should find what it was promised.
+            // A client may read the result after a power failure.
             channel.force(false);
         }
     }
@@ -92,7 +92,7 @@
     /**
      * Returns the bytes of a block, decompressed.
      *
-     * @throws CorruptSegmentException if they are not what was written, to the bit
+     * @throws CorruptSegmentException if any bit differs from what was written
      */
     public byte[] read(Extent location) throws IOException {
         ByteBuffer block = ByteBuffer.allocate(location.storedBytes());
--- a/src/main/java/lineward/spool/store/SegmentFault.java
+++ b/src/main/java/lineward/spool/store/SegmentFault.java
@@ -2,9 +2,9 @@
 
 /** Why a segment can't be recovered, as far as recovery treats it differently. */
 public enum SegmentFault {
-    /** It was never completed, or its bytes are not those that were written. */
+    /** It was never completed, or its bytes differ from what was written. */
     CORRUPT,
-    /** It is of a format version that this program does not know; a later program may need it. */
+    /** Its format version is not supported here; another version of the program may need it. */
     UNKNOWN_VERSION,
     /** The file could not be read at all. */
     UNREADABLE;
