--- a/src/main/java/lineward/spool/store/SegmentFormat.java
+++ b/src/main/java/lineward/spool/store/SegmentFormat.java
@@ -20,9 +20,9 @@
     static final int HEADER_BYTES = 24;
     static final int BLOCK_HEADER_BYTES = 28;
     static final int TRAILER_BYTES = 16;
-    /** Of a complete segment, which has at least the block with its manifest. */
+    /** Size of the smallest complete segment: it has a block with the manifest. */
     static final int MIN_COMPLETE_BYTES = HEADER_BYTES + BLOCK_HEADER_BYTES + TRAILER_BYTES;
-    /** Of a block, raw or stored: a block is 64 KB and one row at most. */
+    /** Limit on a block, raw or stored: a block has 64 KB and one row at most. */
     static final int MAX_BLOCK_BYTES = 64 << 20;
 
     private static final int CRC_BYTES = 4;
@@ -81,7 +81,7 @@
     /**
      * Returns when the segment was begun, in Unix milliseconds.
      *
-     * @throws CorruptSegmentException if these are not the first bytes of a segment of a version known here
+     * @throws CorruptSegmentException if these are not the first bytes of a segment of the supported version
      */
     static long readHeader(ByteBuffer header) throws CorruptSegmentException {
         check(header.remaining() >= HEADER_BYTES && header.getLong(0) == MAGIC, "it is no segment");
@@ -133,7 +133,7 @@
     /**
      * Checks a block that fills the whole buffer.
      *
-     * @throws CorruptSegmentException if header and payload are not those that were written, to the bit
+     * @throws CorruptSegmentException if any bit of header or payload differs from what was written
      */
     static void verify(ByteBuffer block, BlockHeader header) throws CorruptSegmentException {
         check(block.remaining() == BLOCK_HEADER_BYTES + header.storedBytes, "a block ends early");
--- a/src/main/java/lineward/spool/store/SegmentStore.java
+++ b/src/main/java/lineward/spool/store/SegmentStore.java
@@ -9,16 +9,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reads and writes segments beside the event loop: one thread writes, in the order of the calls, and two
- * read. The queues are bounded by the caller, which counts the bytes that are being written; each call
- * completes on the event loop.
+ * Reads and writes segments on threads of its own: one writes, in the order of the calls, and two read. The
+ * methods are called on the event loop and complete there. The caller bounds the queues by counting the bytes
+ * that are being written.
  */
 public final class SegmentStore implements AutoCloseable {
     private static final int READER_THREADS = 2;
     private static final int THREAD_KEEP_ALIVE_S = 10;
     private static final int SHUTDOWN_TIMEOUT_S = 5;
 
-    /** Is notified how a call ended. */
+    /** Receives the result of a call. */
     @FunctionalInterface
     public interface Completion<T> {
         /**
@@ -30,15 +30,15 @@
         void completed(T result, IOException failure);
     }
 
-    /** The file of one result; created by the first block. Its fields belong to the writer thread. */
+    /** The file of one result, created by its first block. The writer thread writes its fields. */
     public static final class Handle {
         private Segment segment;
         private boolean deleted;
 
-        /** A result that has no file yet. */
+        /** Creates the handle of a result that has no file yet. */
         public Handle() {}
 
-        /** A result that was found on file. */
+        /** Creates the handle of a result of an earlier process. */
         public Handle(Segment segment) {
             this.segment = segment;
         }
@@ -82,7 +82,7 @@
             try {
                 result = task.run();
             } catch (IOException | RuntimeException e) {
-                // A file that is not what it seems must not end a worker.
+                // A corrupt file must not end the thread.
                 IOException failure = asIoException(e);
                 eventLoop.execute(() -> completion.completed(null, failure));
                 return;
@@ -136,7 +136,7 @@
         submit(readers, () -> file.segment.read(location), onEnd);
     }
 
-    /** Deletes a result's file, after all that was asked of it before. */
+    /** Deletes a result's file, after all earlier writes. */
     public void delete(Handle file, Completion<Void> onEnd) {
         submit(
                 writer,
@@ -150,13 +150,13 @@
                 onEnd);
     }
 
-    /** Ends the threads once what was asked has been done, 5 s at most, and releases the folder. */
+    /** Waits for pending writes, 5 s at most, ends the threads and releases the folder. */
     @Override
     public void close() throws IOException {
         writer.shutdown();
         readers.shutdown();
         try {
-            // The threads are daemons: what is not written in time is dropped at the next start.
+            // The threads are daemons; the next start deletes a segment that is not complete by then.
             writer.awaitTermination(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/lineward/spool/store/SpoolFolder.java
+++ b/src/main/java/lineward/spool/store/SpoolFolder.java
@@ -14,11 +14,11 @@
 import java.util.UUID;
 
 /**
- * A folder of segments, locked by one process at a time. The lock is the file system's: it ends with the
- * process, however that ends.
+ * A folder of segments, locked by one process at a time. The file system releases the lock when the process
+ * ends, even after a crash. All methods block.
  */
 public final class SpoolFolder implements AutoCloseable {
-    /** The suffix of a segment's name; nothing else in the folder is ever touched. */
+    /** The suffix of a segment's name; files with other names are never changed. */
     static final String SEGMENT_SUFFIX = ".lwseg";
 
     private static final String LOCK_NAME = "lineward-spool.lock";
@@ -26,7 +26,7 @@
     /**
      * What the folder contains.
      *
-     * @param complete complete results, in no order
+     * @param complete complete results, in no particular order
      * @param unusable segments that can't be used
      */
     public record Recovered(List<Segment.Found> complete, List<UnusableSegment> unusable) {}
@@ -48,7 +48,7 @@
     }
 
     private final Path folder;
-    /** Owns the lock, which ends as it is closed. */
+    /** Owns the lock; a close releases it. */
     private final FileChannel lockFile;
 
     private SpoolFolder(Path folder, FileChannel lockFile) {
@@ -59,8 +59,8 @@
     /**
      * Locks the folder, and creates it where it does not exist.
      *
-     * @throws HeldException if another process, or this one, has locked it
-     * @throws IOException with one plain line if it can't be used
+     * @throws LockedException if another process, or this one, has locked it
+     * @throws IOException with a message of one line if it can't be used
      */
     public static SpoolFolder acquire(Path folder) throws IOException {
         createFolder(folder);
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Returns the complete results and deletes segments that are not; other files stay as they are. */
+    /** Returns the complete results and deletes corrupt segments; other files are not changed. */
     public Recovered recover() throws IOException {
         Recovered recovered = inspect(folder);
         for (UnusableSegment segment : recovered.unusable()) {
@@ -110,7 +110,7 @@
         return recovered;
     }
 
-    /** Returns what a folder contains and changes nothing, whether it is locked or not. */
+    /** Returns the contents of a folder, locked or not, and changes nothing. */
     public static Recovered inspect(Path folder) throws IOException {
         List<Segment.Found> complete = new ArrayList<>();
         List<UnusableSegment> unusable = new ArrayList<>();
@@ -121,7 +121,7 @@
                 } catch (CorruptSegmentException e) {
                     unusable.add(new UnusableSegment(file, e.fault(), e.getMessage()));
                 } catch (IOException | RuntimeException e) {
-                    // Whatever the bytes are, they end neither the start nor another result.
+                    // One unreadable segment must not prevent the start or the recovery of other results.
                     String reason = "it can't be read: " + e;
                     unusable.add(new UnusableSegment(file, SegmentFault.UNREADABLE, reason));
                 }
--- a/src/main/java/lineward/spool/store/package-info.java
+++ b/src/main/java/lineward/spool/store/package-info.java
@@ -3,7 +3,7 @@
  * where that helps, followed by an index and a manifest once the result is complete.
  *
  * <p>Owns the byte format ({@link lineward.spool.store.SegmentFormat}, {@code docs/spool-format.md}), the
- * lock of the folder and the I/O threads. May use the core and nothing above it.
+ * lock of the folder and the I/O threads. May use the core only.
  *
  * <p>Threads: {@link lineward.spool.store.Segment} and {@link lineward.spool.store.SpoolFolder} block;
  * {@link lineward.spool.store.SegmentStore} runs them on one writer and two reader threads and completes on
--- a/src/main/java/lineward/telemetry/OutcomeAttribute.java
+++ b/src/main/java/lineward/telemetry/OutcomeAttribute.java
@@ -4,13 +4,13 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * The values of the exported attribute {@code lineward.outcome}. Dashboards and alerts read them, so they are
- * listed here and do not follow the names of the enums' constants.
+ * The values of the exported attribute {@code lineward.outcome}. Dashboards and alerts read them, so they
+ * must not change when an enum constant is renamed.
  */
 final class OutcomeAttribute {
     private OutcomeAttribute() {}
 
-    /** Returns the exported value for the way in which an attempt ended. */
+    /** Returns the exported value of an attempt's outcome. */
     static String valueOf(AttemptOutcome outcome) {
         return switch (outcome) {
             case OK -> "ok";
@@ -24,7 +24,7 @@
         };
     }
 
-    /** Returns the exported value for the way in which a request ended. */
+    /** Returns the exported value of a request's ending. */
     static String valueOf(Tracer.Ending ending) {
         return switch (ending) {
             case SERVED -> "served";
--- a/src/main/java/lineward/telemetry/Telemetry.java
+++ b/src/main/java/lineward/telemetry/Telemetry.java
@@ -10,15 +10,15 @@
 import lineward.core.Tracer;
 
 /**
- * The export of spans and metrics over OTLP, configured by the standard environment variables. It runs on
- * threads of its own behind a bounded queue: what the collector does not accept is dropped, and no request
- * waits for it.
+ * The export of spans and metrics over OTLP, configured by the standard environment variables. The SDK
+ * exports on its own threads from a bounded queue and drops what the collector does not accept, so requests
+ * never wait for it.
  */
 public final class Telemetry implements AutoCloseable {
     private static final String ENDPOINT = "OTEL_EXPORTER_OTLP_ENDPOINT";
     private static final String TRACES_ENDPOINT = "OTEL_EXPORTER_OTLP_TRACES_ENDPOINT";
     private static final String METRICS_ENDPOINT = "OTEL_EXPORTER_OTLP_METRICS_ENDPOINT";
-    /** Time for the last export at shutdown; the responses have all gone out by then. */
+    /** Limit on the last export at shutdown, which happens after the last response. */
     private static final int LAST_EXPORT_TIMEOUT_MS = 1500;
 
     private final OpenTelemetrySdk sdk;
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Starts the export that the environment asks for.
+     * Starts the export as the environment configures it.
      *
-     * @param name of this front end, exported as the id of the service's instance
-     * @throws IllegalArgumentException with a plain reason if the variables can't be used
+     * @param name of this front end, exported as the id of the service instance
+     * @throws IllegalArgumentException with a message of one line if a variable can't be used
      */
     public static Telemetry start(Map<String, String> environment, String name) {
         boolean all = isSet(environment, ENDPOINT);
@@ -58,7 +58,7 @@
         return !environment.getOrDefault(variable, "").isBlank();
     }
 
-    /** Returns the SDK's properties where the environment leaves them open: its variables take precedence. */
+    /** Returns defaults of the SDK's properties; environment variables take precedence. */
     private static Map<String, String> defaults(String name, boolean traces, boolean metrics) {
         return Map.of(
                 "otel.service.name",
@@ -80,17 +80,17 @@
     }
 
     /**
-     * Returns a tracer that exports and passes each event on.
+     * Returns a tracer that exports and forwards each event.
      *
      * @param classOf returns a request's class
      * @param idOf returns a request's id
-     * @param next receives each event as well
+     * @param next receives each event
      */
     public <X> Tracer<X> tracer(Function<X, String> classOf, Function<X, String> idOf, Tracer<X> next) {
         return new OtlpTracer<>(sdk, classOf, idOf, next);
     }
 
-    /** Exports what is left, within {@value #LAST_EXPORT_TIMEOUT_MS} ms at most. */
+    /** Exports the queued spans and metrics, and blocks for {@value #LAST_EXPORT_TIMEOUT_MS} ms at most. */
     @Override
     public void close() {
         sdk.shutdown().join(LAST_EXPORT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/lineward/telemetry/package-info.java
+++ b/src/main/java/lineward/telemetry/package-info.java
@@ -3,10 +3,10 @@
  *
  * <p>Owns the OpenTelemetry SDK, which is configured by the standard environment variables, and the spans of
  * requests and attempts in progress. Uses {@code lineward.core} for the tracer interface and
- * {@code lineward.scheduling} for the outcomes of attempts; other packages see {@code Telemetry} alone.
+ * {@code lineward.scheduling} for the outcomes of attempts; other packages use {@code Telemetry} only.
  *
- * <p>The tracer runs on the event loop; the SDK exports on threads of its own. Bounds: the SDK's queue of
+ * <p>The tracer runs on the event loop; the SDK exports on its own threads. Bounds: the SDK's queue of
  * spans, beyond which spans are dropped, one span for each admitted request or started attempt, and the time
- * that the last export may take at shutdown. Design note: docs/architecture.md.
+ * that the last export may take at shutdown. Design: docs/architecture.md.
  */
 package lineward.telemetry;
--- a/src/measure/java/lineward/spool/store/SpoolFixture.java
+++ b/src/measure/java/lineward/spool/store/SpoolFixture.java
@@ -9,39 +9,42 @@
 import java.util.Random;
 import java.util.stream.Stream;
 
-/** Fills folders with results and corrupts them, for measurements. */
+/** Creates folders of results and corrupt files, for measurements. */
 public final class SpoolFixture {
-    private static final int BLOCK = 64 << 10;
+    private static final int BLOCK_BYTES = 64 << 10;
+    private static final int BLOCKS_PER_MB = 16;
+    private static final int ROWS_PER_BLOCK = 10;
 
     private SpoolFixture() {}
 
     private static byte[] block(int result, int index) {
-        byte[] block = new byte[BLOCK];
+        byte[] block = new byte[BLOCK_BYTES];
         new Random(result * 31L + index).nextBytes(block);
         return block;
     }
 
-    /** Writes so many results of so many megabytes that do not compress. */
+    /** Writes results of random bytes, which do not compress. */
     public static void fill(Path folder, int results, int megabytes) throws IOException {
-        for (int r = 0; r < results; r++) {
-            Segment segment = new Segment(folder.resolve("r" + r + SpoolFolder.SEGMENT_SUFFIX));
+        for (int result = 0; result < results; result++) {
+            Segment segment = new Segment(folder.resolve("r" + result + SpoolFolder.SEGMENT_SUFFIX));
             segment.create(1);
             List<Segment.Extent> locations = new ArrayList<>();
-            for (int i = 0; i < megabytes * 16; i++) {
-                locations.add(segment.append(block(r, i), 10L * i, 10));
+            long rows = (long) ROWS_PER_BLOCK * BLOCKS_PER_MB * megabytes;
+            for (int i = 0; i < megabytes * BLOCKS_PER_MB; i++) {
+                locations.add(segment.append(block(result, i), (long) ROWS_PER_BLOCK * i, ROWS_PER_BLOCK));
             }
-            segment.complete(new Manifest("u", "k" + r, "d", 1, 160L * megabytes, 0), locations);
+            segment.complete(new Manifest("u", "k" + result, "d", 1, rows, 0), locations);
         }
     }
 
-    /** Returns megabytes of the files in a folder. */
+    /** Returns the size of the files in a folder, in megabytes. */
     public static long megabytes(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.mapToLong(f -> f.toFile().length()).sum() >> 20;
         }
     }
 
-    /** Returns how many blocks were read but differ from those written, over seeded corruptions. */
+    /** Returns the number of blocks read from corrupt files that differ from the blocks written. */
     public static int wrongBytes(Path folder, Random random, int times) throws IOException {
         int wrong = 0;
         Path file = folder.resolve("corrupt" + SpoolFolder.SEGMENT_SUFFIX);
@@ -52,14 +55,14 @@
         List<Segment.Extent> locations = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             blocks.add(block(0, i));
-            locations.add(segment.append(blocks.get(i), 10L * i, 10));
+            locations.add(segment.append(blocks.get(i), (long) ROWS_PER_BLOCK * i, ROWS_PER_BLOCK));
         }
         segment.complete(new Manifest("u", "k", "d", 1, 30, 0), locations);
-        byte[] good = Files.readAllBytes(file);
-        for (int t = 0; t < times; t++) {
-            byte[] corrupt = good.clone();
+        byte[] intact = Files.readAllBytes(file);
+        for (int time = 0; time < times; time++) {
+            byte[] corrupt = intact.clone();
             if (random.nextBoolean()) {
-                corrupt = Arrays.copyOf(good, random.nextInt(good.length));
+                corrupt = Arrays.copyOf(intact, random.nextInt(intact.length));
             }
             if (corrupt.length > 0 && random.nextBoolean()) {
                 corrupt[random.nextInt(corrupt.length)] ^= (byte) (1 << random.nextInt(8));
@@ -72,7 +75,7 @@
                     wrong += Arrays.equals(read, blocks.get(i)) ? 0 : 1;
                 }
             } catch (IOException | RuntimeException e) {
-                // Reported, not served.
+                // Reported and not served.
             }
         }
         Files.delete(file);
--- a/src/test/java/lineward/app/ConfigExceptionTest.java
+++ b/src/test/java/lineward/app/ConfigExceptionTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** An error in a configuration file names the file, the key, the value found and what is allowed. */
+/** An error in a configuration file names the file, the key, the value found and the allowed values. */
 public class ConfigExceptionTest {
     private static final String ADDRESS_FORM = "HOST:PORT with a port up to 65535";
 
@@ -95,7 +95,7 @@
     }
 
     @Test
-    public void valueWithLineEndsIsShownOnOneLine() throws IOException {
+    public void valueWithNewlinesIsPrintedOnASingleLine() throws IOException {
         Files.writeString(file, "listen = \"a\\nb\"");
         ConfigException error = expectThrows(ConfigException.class, () -> new MysqlFile(file).read());
         assertEquals(error.getMessage().lines().count(), 1, error.getMessage());
--- a/src/test/java/lineward/discovery/DiscoveryClientTest.java
+++ b/src/test/java/lineward/discovery/DiscoveryClientTest.java
@@ -32,7 +32,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The client on real sockets: services that fail in each way, a configuration file cut at each length. */
+/** The client on real sockets, with services that fail in each way and a file truncated at each length. */
 public class DiscoveryClientTest {
     private static final int TICK_MS = 5;
 
@@ -44,7 +44,7 @@
         ANSWERS_MALFORMED
     }
 
-    /** A service that answers each client at once with its one event, or fails in the given way. */
+    /** A service that answers each client at once with its only event, or fails in the given way. */
     private static final class Service implements AutoCloseable {
         final ServerSocket server;
         final List<Socket> sockets = new CopyOnWriteArrayList<>();
@@ -75,7 +75,7 @@
                         try {
                             task.run();
                         } catch (IOException e) {
-                            // The peer, or this service, has gone.
+                            // The client has disconnected or this service is closed.
                         }
                     },
                     "service");
@@ -141,7 +141,7 @@
 
     @BeforeMethod
     public void makeFile() throws IOException {
-        file = Files.createTempFile("journal", ".txt");
+        file = Files.createTempFile("discovery", ".txt");
         list = new EndpointList(List.of(), List.of(), (fullSnapshot, endpoints) -> {});
     }
 
@@ -163,7 +163,7 @@
         return service;
     }
 
-    /** The file holds an address and an end mark, without which it counts as incomplete. */
+    /** The file contains an address and an end marker, without which it counts as incomplete. */
     private void write(String text) throws IOException {
         Files.writeString(file, text);
     }
@@ -220,7 +220,7 @@
         awaitEvent(3);
     }
 
-    /** The old service is gone or silent and the signal is lost: the file is read all the same. */
+    /** The old service is gone or silent and the signal is lost: its failure causes a read of the file. */
     @Test(dataProvider = "faults")
     public void aServiceThatFailsLaterIsReplacedByTheOneInTheFile(Behaviour fault) throws IOException {
         Service old = service(3, Behaviour.ANSWERS);
--- a/src/test/java/lineward/discovery/DiscoverySimulation.java
+++ b/src/test/java/lineward/discovery/DiscoverySimulation.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * A poll policy in simulated time, between three services with faults and a configuration file that names one
- * of them. Measures for how long no poll waited at the named service although the file was complete and the
+ * A poll policy in simulated time, with three services that fail and a configuration file that names one of
+ * them. Measures the longest time without a poll at the named service while the file was complete and the
  * service healthy.
  */
 final class DiscoverySimulation implements PollStep.Handler {
@@ -26,7 +26,9 @@
         SENDS_SLOWLY
     }
 
-    /** One service: what it does to connections; one that is open during a fault keeps it to its end. */
+    /**
+     * One service and its behaviour; a connection that is open during a fault keeps the fault until it ends.
+     */
     static final class Service {
         Behaviour behaviour = Behaviour.HEALTHY;
         final Map<Integer, Behaviour> open = new HashMap<>();
@@ -62,7 +64,7 @@
         return ADDRESSES.get(random.nextInt(ADDRESSES.size()));
     }
 
-    /** Returns any behaviour but the healthy one. */
+    /** Returns a random faulty behaviour. */
     Behaviour randomFault() {
         Behaviour[] all = Behaviour.values();
         return all[1 + random.nextInt(all.length - 1)];
@@ -72,7 +74,7 @@
         tasks.computeIfAbsent(atMs, key -> new ArrayList<>()).add(task);
     }
 
-    /** A reload as the platform makes it: the file changes, the old service falls silent and closes. */
+    /** A reload by the platform: the file changes, the old service becomes silent and closes. */
     void reload(double atMs, boolean signalled) {
         String target = randomAddress();
         double brokenMs = random.nextInt(3) == 0 ? random.nextDouble() * 3000 : 0;
@@ -100,7 +102,7 @@
         }
     }
 
-    /** A service that the file does not name has moved away: it does not come back. */
+    /** Heals the service if the file names it; otherwise it has moved and stays faulty. */
     void heal(String name) {
         if (name.equals(file)) {
             services.get(name).behaviour = Behaviour.HEALTHY;
@@ -133,7 +135,7 @@
         }
     }
 
-    /** A poll that waits at a healthy service would be answered as soon as there is an event. */
+    /** Records the time without a poll at the healthy service, in which no event can be received. */
     private void measure() {
         boolean available = file != null && services.get(file).behaviour == Behaviour.HEALTHY;
         boolean polled = available && connections.keySet().stream().anyMatch(this::isPollAtNamedService);
--- a/src/test/java/lineward/discovery/EndpointListTest.java
+++ b/src/test/java/lineward/discovery/EndpointListTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The journal's responses: full snapshots, incremental updates, and what is not in the journal's form. */
+/** Responses of service discovery: full snapshots, incremental updates and malformed ones. */
 public class EndpointListTest {
     private static final String ENTRY = "{'instanceId':'s-1','hostPort':'127.0.0.1:9','zone':'b',"
             + "'machineType':'std','cell':2,'lifecycle':'ready','weight':4,'startedAtMs':7}";
@@ -66,7 +66,7 @@
     public void aMalformedResponseLeavesTheListUnchanged(String text) throws JsonProcessingException {
         long before = list.lastEventNumber();
         JsonNode response = json(text);
-        assertThrows(IllegalArgumentException.class, () -> list.apply(response));
+        assertThrows(DiscoveryFormatException.class, () -> list.apply(response));
         assertEquals(list.lastEventNumber(), before);
     }
 }
--- a/src/test/java/lineward/discovery/PollPolicyTest.java
+++ b/src/test/java/lineward/discovery/PollPolicyTest.java
@@ -9,8 +9,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Seeded schedules of reloads, broken files and faulty services: a poll always waits at the service again
- * soon.
+ * Seeded schedules of reloads, broken files and faulty services: after each fault a poll soon waits at the
+ * service again.
  */
 public class PollPolicyTest {
     private static final double MAX_UNPOLLED_MS = 2000;
@@ -52,10 +52,10 @@
             int work = simulation.connects + simulation.fileReads;
             assertTrue(work < 1500, "seed " + seed + ": " + work + " connections and file reads");
         }
-        assertTrue(longestUnpolledMs > 500, "the schedules hold faults at all");
+        assertTrue(longestUnpolledMs > 500, "the schedules contain faults");
     }
 
-    /** A file that appears long after its signal, or with none, is found by the old service's silence. */
+    /** The silence of the old service causes a read of a file that was replaced without a signal. */
     @Test
     public void aFileReplacedWithoutASignalIsReadOnceTheOldServiceIsSilent() {
         for (int seed = 0; seed < 20; seed++) {
--- a/src/test/java/lineward/gossip/GossipSocketTest.java
+++ b/src/test/java/lineward/gossip/GossipSocketTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Gossip over real datagrams: whose messages are received, and how long a message may be. */
+/** Gossip over real datagrams: accepted senders and the limit on the length of a message. */
 public class GossipSocketTest {
     private final List<String> received = new CopyOnWriteArrayList<>();
     private EventLoopGroup loop;
@@ -61,7 +61,7 @@
     }
 
     @Test
-    public void onlyMessagesOfMembersThatAreShortEnoughAreReceived() throws IOException {
+    public void onlyShortMessagesOfMembersAreReceived() throws IOException {
         send(nonMember, 4, 1);
         send(member, GossipSocket.MAX_MESSAGE_BYTES + 1, 2);
         send(member, 4000, 3);
@@ -87,7 +87,7 @@
         assertEquals(message, new byte[GossipSocket.MAX_MESSAGE_BYTES]);
     }
 
-    /** Two processes of one front end at a hot restart: both have the address. */
+    /** Two processes of one front end have the same address during a hot restart. */
     @Test
     public void aSecondProcessOpensTheSameAddress() {
         GossipSocket second = new GossipSocket(Map.of(), socketAddress, (senderNumber, message) -> {});
--- /dev/null
+++ b/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
@@ -0,0 +1,96 @@
+package lineward.lifecycle;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import java.util.List;
+import lineward.lifecycle.HotRestartPolicy.PeerStatus;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** Which orders are in effect, what a peer's age says of it, and this process's quota. */
+public class HotRestartPolicyTest {
+    private static final double NOW_MS = 1_000_000;
+
+    private static MaintenanceOrder order(boolean excluded, double sinceMs) {
+        return new MaintenanceOrder("s-1", excluded, sinceMs);
+    }
+
+    /** Age of a peer's file in milliseconds, negative in the future, and the peer's status. */
+    @DataProvider
+    public Object[][] ages() {
+        return new Object[][] {
+            {0, PeerStatus.RUNNING},
+            {2_999, PeerStatus.RUNNING},
+            {-2_999, PeerStatus.RUNNING},
+            {3_000, PeerStatus.ENDED},
+            {-3_000, PeerStatus.ENDED},
+            {10_000, PeerStatus.ENDED},
+            {10_001, PeerStatus.EXPIRED},
+            {-10_001, PeerStatus.EXPIRED}
+        };
+    }
+
+    @Test(dataProvider = "ages")
+    public void ageOfItsFileDecidesAPeersStatus(int ageMs, PeerStatus status) {
+        PeerState peer = new PeerState(NOW_MS - ageMs, List.of());
+        assertEquals(new HotRestartPolicy().statusOf(peer, NOW_MS), status);
+    }
+
+    @Test
+    public void unusableFileCountsAsExpired() {
+        PeerStatus status = new HotRestartPolicy().statusOf(PeerState.UNUSABLE, NOW_MS);
+        assertEquals(status, PeerStatus.EXPIRED);
+    }
+
+    /** First order, second order; whether the second changes the exclusion, and the exclusion then. */
+    @DataProvider
+    public Object[][] orders() {
+        return new Object[][] {
+            {order(true, 10), order(false, 20), true, false},
+            {order(true, 10), order(false, 10), false, true},
+            {order(true, 10), order(false, 9), false, true},
+            {order(true, 10), order(true, 20), false, true},
+            {order(false, 10), order(true, 20), true, true}
+        };
+    }
+
+    @Test(dataProvider = "orders")
+    public void laterOrderIsInEffect(
+            MaintenanceOrder first, MaintenanceOrder second, boolean changes, boolean excluded) {
+        HotRestartPolicy policy = new HotRestartPolicy();
+        assertTrue(policy.apply(first));
+        assertEquals(policy.apply(second), changes);
+        assertEquals(policy.isExcluded("s-1"), excluded);
+    }
+
+    @Test
+    public void orderFromTheFutureIsNotCredible() {
+        HotRestartPolicy policy = new HotRestartPolicy();
+        assertTrue(policy.isCredible(order(true, NOW_MS + 999), NOW_MS));
+        assertFalse(policy.isCredible(order(true, NOW_MS + 1_000), NOW_MS));
+    }
+
+    @Test
+    public void snapshotDropsOrdersRevokedLongAgo() {
+        HotRestartPolicy policy = new HotRestartPolicy();
+        policy.apply(order(false, NOW_MS - 60_000));
+        policy.apply(new MaintenanceOrder("s-2", true, 0));
+        assertEquals(policy.snapshot(NOW_MS).orders().size(), 2);
+        PeerState later = policy.snapshot(NOW_MS + 1);
+        assertEquals(later, new PeerState(NOW_MS + 1, List.of(new MaintenanceOrder("s-2", true, 0))));
+    }
+
+    @Test
+    public void quotaIsSharedByRunningProcesses() {
+        HotRestartPolicy policy = new HotRestartPolicy();
+        assertEquals(policy.quota(), 1.0);
+        assertFalse(policy.setRunningPeers(0));
+        assertTrue(policy.setRunningPeers(1));
+        assertEquals(policy.quota(), 0.5);
+        assertFalse(policy.setRunningPeers(1));
+        assertTrue(policy.setRunningPeers(0));
+        assertEquals(policy.quota(), 1.0);
+    }
+}
--- a/src/test/java/lineward/lifecycle/HotRestartTest.java
+++ b/src/test/java/lineward/lifecycle/HotRestartTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Maintenance orders reach the other process; files that can't be trusted do no harm. */
+/** Maintenance orders reach the other process; expired and malformed files have no effect. */
 public class HotRestartTest {
     private static final class RecordingListener implements HotRestart.Listener {
         private final List<String> events = new ArrayList<>();
@@ -33,6 +33,8 @@
         }
     }
 
+    private static final String ODD_ENGINE = "engine 7/\"a\" \u00e9";
+
     private Path directory;
     private double now = 1_000_000;
 
@@ -50,12 +52,12 @@
     }
 
     private HotRestart process(RecordingListener listener) {
-        now++; // Each process has a file of its own, named after its start.
+        now++; // Each process has its own file, whose name contains its start time.
         return new HotRestart(directory, "n1", () -> now, listener);
     }
 
     @Test
-    public void theLaterOrderIsInEffectInBothProcessesAndOutlivesTheFirst() {
+    public void laterOrderIsInEffectInBothProcessesAndSurvivesTheFirst() {
         RecordingListener first = new RecordingListener();
         HotRestart old = process(first);
         old.setMaintenance("s-1", true);
@@ -77,7 +79,7 @@
         assertEquals(second.events.subList(3, 5), List.of("s-1 back", "quota 1.0"));
     }
 
-    /** Contents of another process's file, and whether the order on s-1 in it is accepted. */
+    /** Content of another process's file, and whether its order on s-1 is accepted. */
     @DataProvider
     public Object[][] files() {
         String order = "\"engines\":{\"s-1\":{\"out\":true,\"since\":999000}}}";
@@ -108,28 +110,82 @@
         HotRestart next = process(listener);
         next.readPeers();
         assertEquals(next.isExcluded("s-1"), accepted);
-        assertFalse(next.isExcluded("s-2"), "another front end's");
+        assertFalse(next.isExcluded("s-2"), "an order of another front end");
         next.setMaintenance("s-1", true);
         assertTrue(next.isExcluded("s-1"));
     }
 
-    /** The file was made by the form of the version before this one. */
-    @Test
-    public void theFileOfTheVersionBeforeIsReadAndKeepsItsForm() throws IOException {
-        String content;
-        try (InputStream resource = getClass().getResourceAsStream("hot-restart-1.engines.json")) {
-            content = new String(resource.readAllBytes(), StandardCharsets.UTF_8);
-        }
+    /** A file of an earlier version, the time at which it is read, and the events of the listener. */
+    @DataProvider
+    public Object[][] storedFiles() {
+        List<String> oddEvents = List.of(ODD_ENGINE + " out", "s-3 back", "quota 0.5");
+        return new Object[][] {
+            {"hot-restart-1.engines.json", 1.7646540005e12, List.of("s-1 out", "s-2 back", "quota 0.5")},
+            {"hot-restart-2.engines.json", 1.764654102e12, oddEvents},
+            {"hot-restart-3.engines.json", 1.764654102e12, List.of("quota 0.5")}
+        };
+    }
+
+    @Test(dataProvider = "storedFiles")
+    public void fileOfAnEarlierVersionIsReadAndKeepsItsForm(String name, double readAtMs, List<String> events)
+            throws IOException {
+        String content = stored(name);
         Files.writeString(directory.resolve("lineward-n1-77-99.engines.json"), content);
-        now = 1.7646540005e12;
+        now = readAtMs;
         RecordingListener listener = new RecordingListener();
         process(listener).readPeers();
-        assertEquals(listener.events, List.of("s-1 out", "s-2 back", "quota 0.5"));
+        assertEquals(listener.events, events);
         assertEquals(PeerStateCodec.encode(PeerStateCodec.decode(content)), content);
     }
 
+    /** The same orders are written to the same bytes as by the version of commit 3520411. */
+    @Test
+    public void stateIsWrittenAsTheEarlierVersionWroteIt() throws IOException {
+        writeState(directory, "n1", true);
+        writeState(directory, "n2", false);
+        assertEquals(written("lineward-n1-"), stored("hot-restart-2.engines.json"));
+        assertEquals(written("lineward-n2-"), stored("hot-restart-3.engines.json"));
+    }
+
+    private String written(String prefix) throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
+            Path file = files.filter(path -> path.getFileName().toString().startsWith(prefix))
+                    .findFirst()
+                    .orElseThrow();
+            return Files.readString(file);
+        }
+    }
+
+    private static String stored(String name) throws IOException {
+        try (InputStream resource = HotRestartTest.class.getResourceAsStream(name)) {
+            return new String(resource.readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+
+    /** Writes the state of a process that has had several orders, or none. */
+    private static void writeState(Path folder, String name, boolean hasOrders) {
+        double[] clock = {1.764654100e12};
+        HotRestart process = new HotRestart(folder, name, () -> clock[0], new RecordingListener());
+        if (hasOrders) {
+            process.setMaintenance(ODD_ENGINE, true);
+            clock[0] += 0.25;
+            process.setMaintenance("s-3", true);
+            clock[0] += 1000;
+            process.setMaintenance("s-3", false);
+        }
+        process.writeState();
+    }
+
+    /**
+     * Writes files 2 and 3 into the folder given; was run once, with the version whose files stay readable.
+     */
+    public static void main(String[] args) {
+        writeState(Path.of(args[0]), "n1", true);
+        writeState(Path.of(args[0]), "n2", false);
+    }
+
     @Test
-    public void withoutADirectoryOrdersAreInEffectInThisProcessAlone() {
+    public void withoutADirectoryOrdersAreInEffectInThisProcessOnly() {
         for (Path none : new Path[] {null, directory.resolve("missing")}) {
             RecordingListener listener = new RecordingListener();
             HotRestart alone = new HotRestart(none, "n1", () -> now, listener);
--- a/src/test/java/lineward/operations/AdminClient.java
+++ b/src/test/java/lineward/operations/AdminClient.java
@@ -7,21 +7,21 @@
 import java.util.concurrent.TimeUnit;
 import lineward.Program;
 
-/** A client of a program's admin endpoint. */
+/** A client of the admin endpoint. */
 public final class AdminClient {
-    /** A response: its status, 0 where the connection was closed without one, and its body. */
+    /** A response with its body; the status is 0 if the connection was closed without a response. */
     public record Answer(int status, String body) {}
 
     private static final String HEADERS_END = "\r\n\r\n";
 
     private final int port;
 
-    /** Creates a client for that program. */
+    /** Creates a client of one program. */
     public AdminClient(Program program) {
         this.port = program.operations();
     }
 
-    /** Sends these bytes and returns the response, complete at the close of the connection. */
+    /** Sends these bytes and returns the response, which ends with the connection. */
     Answer raw(String bytes) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(10_000);
--- a/src/test/java/lineward/operations/AdminServerTest.java
+++ b/src/test/java/lineward/operations/AdminServerTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The admin endpoint replies correctly and in time, whatever other clients do. */
+/** The admin endpoint replies correctly and in time while other clients are silent or malformed. */
 public class AdminServerTest {
     private Platform platform;
     private AdminClient operator;
--- /dev/null
+++ b/src/test/java/lineward/spool/ResultFileStateTest.java
@@ -0,0 +1,43 @@
+package lineward.spool;
+
+import static lineward.spool.ResultFileState.ABSENT;
+import static lineward.spool.ResultFileState.GROWING;
+import static lineward.spool.ResultFileState.SEALED;
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertThrows;
+
+import java.util.function.Supplier;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** The transition table of the file of a result. */
+public class ResultFileStateTest {
+    /** State; next state after: block written, sealed. Null: the transition does not exist. */
+    @DataProvider
+    public Object[][] transitions() {
+        return new Object[][] {
+            {ABSENT, GROWING, null},
+            {GROWING, GROWING, SEALED},
+            {SEALED, null, null}
+        };
+    }
+
+    @Test(dataProvider = "transitions")
+    public void eventLeadsToState(ResultFileState state, ResultFileState written, ResultFileState sealed) {
+        assertTransition(state::writeBlock, written);
+        assertTransition(state::seal, sealed);
+    }
+
+    private static void assertTransition(Supplier<ResultFileState> event, ResultFileState next) {
+        if (next == null) {
+            assertThrows(IllegalStateException.class, () -> assertEquals(event.get(), next));
+        } else {
+            assertEquals(event.get(), next);
+        }
+    }
+
+    @Test
+    public void tableCoversEveryState() {
+        assertEquals(transitions().length, ResultFileState.values().length);
+    }
+}
--- a/src/test/java/lineward/spool/SpoolPolicyTest.java
+++ b/src/test/java/lineward/spool/SpoolPolicyTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What the spool stores, where, for how long and for whom: by tables and by seeds, in simulated time. */
+/** Admission, placement, backpressure and leases, by tables and seeds in simulated time. */
 public class SpoolPolicyTest {
     private static final long MB = 1 << 20;
 
@@ -63,7 +63,7 @@
         assertEquals(policy.statistics().memoryBytes(), MB);
         assertEquals(policy.statistics().fileBytes(), 0);
         assertEquals(policy.allocate(id, MB, 10), Placement.MEMORY);
-        assertEquals(policy.allocate(id, MB, FileBackoff.PAUSE_MS), Placement.FILE);
+        assertEquals(policy.allocate(id, MB, FileBackoff.BACKOFF_MS), Placement.FILE);
     }
 
     @Test
@@ -109,7 +109,7 @@
         policy.release(read, 1901);
         assertEquals(policy.expire(5001), List.of(keyed));
         policy.release(keyed, 5001);
-        assertEquals(policy.expire(1e9), List.of(), "a growing result has its attempt's timeout");
+        assertEquals(policy.expire(1e9), List.of(), "the attempt's timeout limits a growing result");
         policy.release(growing, 1e9);
         assertEquals(policy.statistics().expired(), 2);
     }
@@ -164,7 +164,7 @@
             all.add(id);
         }
         policy.readerOpened(all.get(0), 10);
-        assertEquals(policy.selectForReclaim("a"), OptionalLong.of(all.get(1)), "files are at their bound");
+        assertEquals(policy.selectForReclaim("a"), OptionalLong.of(all.get(1)), "limit on files reached");
         policy.release(all.get(1), 11);
         assertEquals(policy.selectForReclaim("a"), OptionalLong.empty());
     }
--- a/src/test/java/lineward/spool/SpoolTest.java
+++ b/src/test/java/lineward/spool/SpoolTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Results that are written and read at once, on an event loop that this thread runs. */
+/** Results that are written and read concurrently, on an event loop that the test's thread runs. */
 public class SpoolTest {
     private static final long MB = 1 << 20;
     private final LinkedBlockingQueue<Runnable> eventLoop = new LinkedBlockingQueue<>();
@@ -70,8 +70,8 @@
     }
 
     private static void append(SpooledResult result, byte[] bytes, boolean row) {
-        int at = result.reserve(bytes.length);
-        System.arraycopy(bytes, 0, result.buffer(), at, bytes.length);
+        int offset = result.reserve(bytes.length);
+        System.arraycopy(bytes, 0, result.buffer(), offset, bytes.length);
         result.commit(bytes.length, row, false);
     }
 
@@ -116,7 +116,7 @@
                 read.writeBytes(drain(reader));
                 assertEquals(reader.readState(), ReadState.END);
                 assertEquals(read.toByteArray(), wrote.toByteArray(), "seed " + seed);
-                // Every block has reached its file and been released before the reader leaves.
+                // Every block has been written and released before the reader is closed.
                 for (Runnable task = eventLoop.poll(200, TimeUnit.MILLISECONDS);
                         task != null;
                         task = eventLoop.poll(200, TimeUnit.MILLISECONDS)) {
@@ -157,7 +157,7 @@
         }
         try (Spool second = spool(true)) {
             assertNull(second.find("other", "k"));
-            assertNull(second.find("u", "half"), "an incomplete result is dropped");
+            assertNull(second.find("u", "half"), "an incomplete result is deleted");
             SpooledResult found = second.find("u", "k");
             assertEquals(found.statement(), "digest");
             SpoolReader reader = found.read(() -> {});
@@ -184,7 +184,7 @@
     }
 
     /**
-     * The folder goes away under the writer, as a full or lost disk does: no byte is lost, the engine waits.
+     * Writes fail as on a full or lost disk: no byte in memory is lost, and backpressure reaches the engine.
      */
     @Test
     public void resultStaysInMemoryWhenWritesFail() throws IOException, InterruptedException {
@@ -210,16 +210,16 @@
             }
             assertTrue(rows < 100, "backpressure reaches the engine");
             SpoolReader reader = result.read(() -> {});
-            int got = 0;
+            int readBytes = 0;
             while (reader.readState() == ReadState.MORE) {
                 ResultChunk chunk = reader.poll();
                 if (chunk == null) {
                     break;
                 }
-                got += chunk.bytes().length;
+                readBytes += chunk.bytes().length;
             }
-            // The first block on file is gone with its file; what lies before it has been read.
-            assertTrue(got >= row.length, got + " bytes");
+            // The first block on file is lost with its file; the blocks before it have been read.
+            assertTrue(readBytes >= row.length, readBytes + " bytes");
             result.release();
             assertEquals(spool.statistics().memoryBytes(), 0);
         }
@@ -245,7 +245,7 @@
     }
 
     @Test
-    public void failedResultIsReportedBehindItsLastByte() throws IOException {
+    public void failedResultIsReportedAfterItsLastByte() throws IOException {
         try (Spool spool = spool(false)) {
             SpooledResult result = spool.begin("u", "", "");
             SpoolReader reader = result.read(() -> {});
--- a/src/test/java/lineward/spool/store/SegmentTest.java
+++ b/src/test/java/lineward/spool/store/SegmentTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Segments that were truncated, corrupted, replaced or written by others: none serves a wrong byte. */
+/** Segments that are truncated, corrupt, replaced or foreign: no wrong byte is served. */
 public class SegmentTest {
     private Path folder;
 
@@ -60,7 +60,7 @@
         return segment.path();
     }
 
-    /** Returns whether the file is taken in and every block that can be read is right. */
+    /** Returns whether the file is accepted and a block is read that differs from what was written. */
     private static boolean servesWrongBytes(Path file, List<byte[]> blocks) {
         Segment.Found found;
         try {
@@ -74,7 +74,7 @@
                     return true;
                 }
             } catch (IOException e) {
-                // Reported, not served.
+                // Reported and not served.
             }
         }
         return found.blocks().size() != blocks.size();
@@ -114,7 +114,7 @@
             assertTrue(!servesWrongBytes(file, blocks), "seed " + seed);
             injected += Arrays.equals(bytes, corrupt) ? 0 : 1;
         }
-        assertTrue(injected > 900, "faults were injected at all: " + injected);
+        assertTrue(injected > 900, "injected faults: " + injected);
     }
 
     @Test
@@ -137,13 +137,13 @@
     }
 
     @Test(dataProvider = "foreign")
-    public void foreignFileIsRecognisedByItsHeader(byte[] bytes, String why) throws IOException {
+    public void foreignFileIsRecognisedByItsHeader(byte[] bytes, String reason) throws IOException {
         Path file = folder.resolve("x" + SpoolFolder.SEGMENT_SUFFIX);
         Files.write(file, bytes);
         SpoolFolder.Recovered recovered = SpoolFolder.inspect(folder);
         assertEquals(recovered.complete().size(), 0);
         assertTrue(
-                recovered.unusable().get(0).reason().contains(why),
+                recovered.unusable().get(0).reason().contains(reason),
                 recovered.unusable().get(0).reason());
     }
 
--- a/src/test/java/lineward/telemetry/OutcomeAttributeTest.java
+++ b/src/test/java/lineward/telemetry/OutcomeAttributeTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The exported outcomes, which dashboards read, stay as they are when constants are renamed. */
+/** The exported outcomes, which dashboards read, do not depend on the names of constants. */
 public class OutcomeAttributeTest {
     @DataProvider
     public Object[][] attemptOutcomes() {
--- a/src/test/java/lineward/telemetry/TelemetryTest.java
+++ b/src/test/java/lineward/telemetry/TelemetryTest.java
@@ -80,7 +80,7 @@
     @Test
     public void requestsAndAttemptsAreExportedAsSpansAndMetrics() throws IOException {
         HttpServer collector = collector(new CountDownLatch(0));
-        // Spans that another test's program exported late are not this one's.
+        // Ignores spans that another test's program exported late.
         spans.clear();
         metrics.clear();
         try (Platform platform = new Platform(variables(collector))) {
@@ -106,7 +106,7 @@
         }
     }
 
-    /** The collector accepts connections and never responds: requests must not wait for it. */
+    /** Requests do not wait for a collector that accepts connections and never responds. */
     @Test
     public void anUnresponsiveCollectorDelaysNoRequestAndSpansAreDropped() throws IOException {
         CountDownLatch release = new CountDownLatch(1);
