--- a/src/main/java/lineward/app/AdminWiring.java
+++ b/src/main/java/lineward/app/AdminWiring.java
@@ -27,7 +27,7 @@
         }
         AdminServer server = new AdminServer(lifecycle);
         ChannelFuture binding = server.listen(context.eventLoopGroup(), address);
-        LOG.info("operators call at {}", FrontEndContext.awaitBound(binding));
+        LOG.info("admin endpoint listening: address={}", FrontEndContext.awaitBound(binding));
         context.ticker().every(UNRESPONSIVE_INTERVAL_MS, server::closeUnresponsive);
     }
 }
--- a/src/main/java/lineward/discovery/DiscoveryClient.java
+++ b/src/main/java/lineward/discovery/DiscoveryClient.java
@@ -120,7 +120,7 @@
         public void readFailed(String reason) {
             if (!reason.equals(lastReason)) {
                 lastReason = reason;
-                LOG.warn("the configuration stays as it was: cause={}", reason);
+                LOG.warn("configuration not reloaded: cause={}", reason);
             }
             policy.fileUnreadable(clock.getAsDouble());
         }
--- a/src/main/java/lineward/lifecycle/HotRestart.java
+++ b/src/main/java/lineward/lifecycle/HotRestart.java
@@ -74,8 +74,8 @@
 
     private void apply(MaintenanceOrder order) {
         if (policy.apply(order)) {
-            String change = order.excluded() ? "is held out" : "is used again";
-            LOG.info("query engine {} {}", order.engine(), change);
+            String event = order.excluded() ? "started" : "ended";
+            LOG.info("engine maintenance {}: engine={}", event, order.engine());
             listener.maintenanceChanged(order.engine(), order.excluded(), order.sinceMs());
         }
     }
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -162,7 +162,7 @@
             Thread.currentThread().interrupt();
         }
         loop.submit(hotRestart::leave).syncUninterruptibly();
-        LOG.info("all is answered");
+        LOG.info("graceful shutdown complete: openRequests=0");
     }
 
     private void beginShutdown() {
--- a/src/main/java/lineward/spool/ResultFile.java
+++ b/src/main/java/lineward/spool/ResultFile.java
@@ -56,7 +56,7 @@
 
     /** Returns whether its manifest may be written now: no block is being written, and it has none yet. */
     boolean maySeal() {
-        return pendingWrites == 0 && state == ResultFileState.GROWING;
+        return pendingWrites == 0 && state != ResultFileState.SEALED;
     }
 
     /** Writes manifest and index, after which the result survives this process. */
--- a/src/main/java/lineward/spool/ResultFileState.java
+++ b/src/main/java/lineward/spool/ResultFileState.java
@@ -17,10 +17,10 @@
         return GROWING;
     }
 
-    /** The manifest is written; a file without blocks can't be sealed, nor one that is sealed. */
+    /** The manifest is written, which also creates the file of a result without blocks. */
     ResultFileState seal() {
-        if (this != GROWING) {
-            throw new IllegalStateException("a file that is " + this + " can't be sealed");
+        if (this == SEALED) {
+            throw new IllegalStateException("file sealed twice");
         }
         return SEALED;
     }
