--- a/src/main/java/lineward/core/ActionExecutor.java
+++ b/src/main/java/lineward/core/ActionExecutor.java
@@ -6,13 +6,13 @@
 import lineward.scheduling.SchedulerEvent;
 
 /**
- * Turns the scheduler's actions into commands and deadlines. Actions on requests that are no more are
- * ignored.
+ * Turns the scheduler's actions into commands and deadlines. Actions on requests that have been released are
+ * ignored. The coordinator calls it, on the event loop.
  *
  * @param <X> the protocol's own record of a request
  */
 final class ActionExecutor<X> implements SchedulerAction.Handler {
-    /** An attempt's timeout lies so far ahead of the client's, so that the answer still finds it waiting. */
+    /** An attempt times out this long before the client does, so that the answer still reaches the client. */
     private static final double ANSWER_MARGIN_MS = 10;
 
     private final Coordinator<X> coordinator;
@@ -24,6 +24,7 @@
         this.cancelDurationMs = cancelDurationMs;
     }
 
+    /** Executes the actions in order, all at the same time. */
     void execute(List<SchedulerAction> actions, double now) {
         nowMs = now;
         actions.forEach(action -> action.dispatchTo(this));
@@ -35,97 +36,92 @@
         if (request == null) {
             return;
         }
-        int index = request.attempts.size();
         String engine = coordinator.engines().idOf(start.engine());
-        TrackedRequest.Attempt attempt = new TrackedRequest.Attempt(engine);
-        request.attempts.add(attempt);
-        request.attemptsInFlight++;
+        TrackedAttempt attempt = request.addAttempt(engine);
         double timeoutAtMs = timeoutAtMs(request, start);
-        if (request.completed || timeoutAtMs <= nowMs) {
-            coordinator.attemptEnded(request.id, index, AttemptOutcome.NOT_STARTED);
+        if (request.isCompleted() || timeoutAtMs <= nowMs) {
+            coordinator.attemptEnded(request.id(), attempt.number(), AttemptOutcome.NOT_STARTED);
             return;
         }
-        attempt.deadline = coordinator.deadlines().add(timeoutAtMs, atMs -> expire(request, index));
-        coordinator.tracer().attemptStarted(request.exchange, index, engine);
-        coordinator.addCommand(startCommand(request, index, timeoutAtMs - nowMs, start.startWithinMs()));
+        attempt.setDeadline(coordinator.deadlines().add(timeoutAtMs, atMs -> expire(request, attempt)));
+        coordinator.tracer().attemptStarted(request.exchange(), attempt.number(), engine);
+        coordinator.addCommand(startCommand(request, attempt, timeoutAtMs - nowMs, start.startWithinMs()));
     }
 
     private double timeoutAtMs(TrackedRequest<X> request, SchedulerAction.StartAttempt start) {
-        double atMs = request.deadlineMs - ANSWER_MARGIN_MS;
+        double atMs = request.deadlineMs() - ANSWER_MARGIN_MS;
         return start.timeoutMs() > 0 ? Math.min(atMs, nowMs + start.timeoutMs()) : atMs;
     }
 
-    private Command<X> startCommand(TrackedRequest<X> request, int index, double timeoutMs, double withinMs) {
+    private Command<X> startCommand(
+            TrackedRequest<X> request, TrackedAttempt attempt, double timeoutMs, double startWithinMs) {
         return new Command.StartAttempt<>(
-                request.exchange,
-                request.id,
-                index,
-                request.attempts.get(index).engine,
+                request.exchange(),
+                request.id(),
+                attempt.number(),
+                attempt.engine(),
                 Math.max(1, Math.round(timeoutMs)),
-                (long) Math.min(timeoutMs, withinMs),
-                request.grantMb,
-                request.priority);
+                (long) Math.min(timeoutMs, startWithinMs),
+                request.grantMb(),
+                request.priority());
     }
 
-    private void expire(TrackedRequest<X> request, int index) {
-        coordinator.addCommand(cancelCommand(request, index));
-        coordinator.attemptEnded(request.id, index, AttemptOutcome.TIMEOUT);
+    private void expire(TrackedRequest<X> request, TrackedAttempt attempt) {
+        coordinator.addCommand(cancelCommand(request, attempt));
+        coordinator.attemptEnded(request.id(), attempt.number(), AttemptOutcome.TIMEOUT);
     }
 
-    private Command<X> cancelCommand(TrackedRequest<X> request, int index) {
-        String engine = request.attempts.get(index).engine;
-        return new Command.CancelAttempt<>(request.exchange, request.id, index, engine);
+    private Command<X> cancelCommand(TrackedRequest<X> request, TrackedAttempt attempt) {
+        int number = attempt.number();
+        return new Command.CancelAttempt<>(request.exchange(), request.id(), number, attempt.engine());
     }
 
     @Override
     public void cancelAttempt(SchedulerAction.CancelAttempt cancel) {
         TrackedRequest<X> request = coordinator.request(cancel.request());
-        TrackedRequest.Attempt attempt = request == null ? null : request.inFlight(cancel.attempt());
-        if (attempt == null || attempt.cancelled) {
+        TrackedAttempt attempt = request == null ? null : request.attemptInFlight(cancel.attempt());
+        if (attempt == null || !attempt.cancel()) {
             return;
         }
-        attempt.cancelled = true;
-        coordinator.addCommand(cancelCommand(request, cancel.attempt()));
-        coordinator.deadlines().cancel(attempt.deadline);
-        int index = cancel.attempt();
+        coordinator.addCommand(cancelCommand(request, attempt));
+        coordinator.deadlines().cancel(attempt.deadline());
         double endsAtMs = nowMs + cancelDurationMs;
-        attempt.deadline = coordinator.deadlines().add(endsAtMs, atMs -> endCancelled(request, index));
+        attempt.setDeadline(coordinator.deadlines().add(endsAtMs, atMs -> endCancelled(request, attempt)));
     }
 
-    private void endCancelled(TrackedRequest<X> request, int index) {
-        coordinator.attemptEnded(request.id, index, AttemptOutcome.CANCELLED);
+    private void endCancelled(TrackedRequest<X> request, TrackedAttempt attempt) {
+        coordinator.attemptEnded(request.id(), attempt.number(), AttemptOutcome.CANCELLED);
     }
 
     @Override
     public void setResourceLimits(SchedulerAction.SetResourceLimits limits) {
         TrackedRequest<X> request = coordinator.request(limits.request());
-        if (request == null) {
-            return;
-        }
-        request.grantMb = limits.grantMb();
-        if (request.priority != limits.priority()) {
-            request.priority = limits.priority();
+        if (request != null && request.setResourceLimits(limits.grantMb(), limits.priority())) {
             changePriorityOfRunning(request);
         }
     }
 
     private void changePriorityOfRunning(TrackedRequest<X> request) {
-        for (int i = 0; i < request.attempts.size(); i++) {
-            TrackedRequest.Attempt attempt = request.attempts.get(i);
+        for (TrackedAttempt attempt : request.attempts()) {
             if (attempt.isRunning()) {
-                coordinator.addCommand(new Command.ChangePriority<>(
-                        request.exchange, request.id, i, attempt.engine, request.priority));
+                coordinator.addCommand(priorityCommand(request, attempt));
             }
         }
     }
 
+    private Command<X> priorityCommand(TrackedRequest<X> request, TrackedAttempt attempt) {
+        int number = attempt.number();
+        String engine = attempt.engine();
+        int priority = request.priority();
+        return new Command.ChangePriority<>(request.exchange(), request.id(), number, engine, priority);
+    }
+
     @Override
     public void reject(SchedulerAction.Reject reject) {
         TrackedRequest<X> request = coordinator.request(reject.request());
-        if (request != null && !request.completed) {
+        if (request != null && coordinator.complete(request, Tracer.Ending.REJECTED)) {
             long retryAfterMs = Math.round(reject.retryAfterMs());
-            coordinator.addCommand(new Command.Reject<>(request.exchange, retryAfterMs));
-            coordinator.complete(request, Tracer.Ending.REJECTED);
+            coordinator.addCommand(new Command.Reject<>(request.exchange(), retryAfterMs));
             coordinator.releaseIfDone(request);
         }
     }
@@ -133,9 +129,8 @@
     @Override
     public void fail(SchedulerAction.Fail fail) {
         TrackedRequest<X> request = coordinator.request(fail.request());
-        if (request != null && !request.completed) {
-            coordinator.addCommand(new Command.Fail<>(request.exchange));
-            coordinator.complete(request, Tracer.Ending.FAILED);
+        if (request != null && coordinator.complete(request, Tracer.Ending.FAILED)) {
+            coordinator.addCommand(new Command.Fail<>(request.exchange()));
             coordinator.releaseIfDone(request);
         }
     }
@@ -160,7 +155,7 @@
         coordinator.deadlines().add(atMs, now -> coordinator.addEvent(fired));
     }
 
-    /** Discovery pushes endpoints here: there is nothing to ask for. */
+    /** Does nothing: service discovery pushes endpoints to the coordinator. */
     @Override
     public void watchEndpoints(SchedulerAction.WatchEndpoints watch) {}
 
--- a/src/main/java/lineward/core/ByteBudget.java
+++ b/src/main/java/lineward/core/ByteBudget.java
@@ -1,16 +1,16 @@
 package lineward.core;
 
-/** A bound on bytes held in one place. */
+/** A bound on the bytes held for one purpose. Used on the event loop only. */
 public final class ByteBudget {
     private final long capacity;
     private long used;
 
-    /** @param most bytes held at once */
-    public ByteBudget(long most) {
-        this.capacity = most;
+    /** @param capacity maximum of bytes reserved at once */
+    public ByteBudget(long capacity) {
+        this.capacity = capacity;
     }
 
-    /** Returns whether that many bytes more may be held; if so they count until {@link #release}. */
+    /** Reserves that many bytes until {@link #release}; returns false if the budget does not allow it. */
     public boolean reserve(long bytes) {
         if (used + bytes > capacity) {
             return false;
@@ -19,12 +19,12 @@
         return true;
     }
 
-    /** Returns bytes held now. */
+    /** Returns the bytes that are reserved. */
     public long used() {
         return used;
     }
 
-    /** Gives bytes back. */
+    /** Releases bytes that were reserved. */
     public void release(long bytes) {
         used -= bytes;
     }
--- a/src/main/java/lineward/core/Command.java
+++ b/src/main/java/lineward/core/Command.java
@@ -1,20 +1,22 @@
 package lineward.core;
 
 /**
- * What a coordinator asks of a forwarder.
+ * A command of a coordinator to its forwarder. Immutable.
  *
  * @param <X> the protocol's own record of a request
  */
 public sealed interface Command<X> {
-    /** Hands this command to the method of the forwarder that takes its type. */
+    /** Calls the method of the forwarder for this type of command. */
     void executeBy(Forwarder<X> forwarder);
 
     /**
-     * Start an attempt and report its end to {@link Coordinator#attemptEnded}.
+     * Starts an attempt; its end is reported to {@link Coordinator#attemptEnded}.
      *
+     * @param engine id of the engine; null if the engine is no longer known
      * @param timeoutMs how long the attempt may take
-     * @param startWithinMs later than this it must not reach the engine any more, and counts as never run
+     * @param startWithinMs time after which it must not be sent any more; it counts as never run then
      * @param grantMb memory to grant; 0 leaves it to the engine
+     * @param priority from 0, the lowest, to 3
      */
     record StartAttempt<X>(
             X exchange,
@@ -32,7 +34,7 @@
         }
     }
 
-    /** Cancel an attempt; the coordinator itself books its end. */
+    /** Cancels an attempt. The coordinator records the end itself, after the time that a cancel takes. */
     record CancelAttempt<X>(X exchange, long request, int attempt, String engine) implements Command<X> {
         @Override
         public void executeBy(Forwarder<X> forwarder) {
@@ -40,7 +42,7 @@
         }
     }
 
-    /** Give an attempt in flight a new priority. */
+    /** Changes the priority of an attempt in flight. */
     record ChangePriority<X>(X exchange, long request, int attempt, String engine, int priority /* 0 to 3 */)
             implements Command<X> {
         @Override
@@ -49,7 +51,7 @@
         }
     }
 
-    /** Check an engine's health; its answer goes to {@link Coordinator#healthCheckCompleted}. */
+    /** Checks an engine's health; the answer goes to {@link Coordinator#healthCheckCompleted}. */
     record CheckHealth<X>(String engine) implements Command<X> {
         @Override
         public void executeBy(Forwarder<X> forwarder) {
@@ -57,8 +59,8 @@
         }
     }
 
-    /** Send these bytes to every other front end of the tier; they may be lost. */
-    @SuppressWarnings("ArrayRecordComponent") // handed on once, never compared
+    /** Sends bytes to every other front end of the tier; they may be lost. */
+    @SuppressWarnings("ArrayRecordComponent") // read once, never compared
     record BroadcastGossip<X>(byte[] payload) implements Command<X> {
         @Override
         public void executeBy(Forwarder<X> forwarder) {
@@ -66,15 +68,22 @@
         }
     }
 
-    /** Final answer: rejected, harmless to retry after the time given (0: no advice). */
+    /**
+     * Answers a request as rejected; a retry is harmless.
+     *
+     * @param retryAfterMs the time after which the client should retry, or {@link #NO_RETRY_AFTER}
+     */
     record Reject<X>(X exchange, long retryAfterMs) implements Command<X> {
+        /** Value of {@link #retryAfterMs} of an answer without advice on a retry. */
+        public static final long NO_RETRY_AFTER = 0;
+
         @Override
         public void executeBy(Forwarder<X> forwarder) {
             forwarder.reject(this);
         }
     }
 
-    /** Final answer: failed. */
+    /** Answers a request as failed; it may have run. */
     record Fail<X>(X exchange) implements Command<X> {
         @Override
         public void executeBy(Forwarder<X> forwarder) {
--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -2,6 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalDouble;
+import java.util.OptionalLong;
 import lineward.scheduling.AttemptOutcome;
 import lineward.scheduling.Endpoint;
 import lineward.scheduling.ProgressKind;
@@ -10,9 +12,9 @@
 import lineward.scheduling.SchedulerEvent;
 
 /**
- * Drives the scheduler of one pool of engines: takes events in, batches them until the next tick and hands
- * the scheduler's actions out as commands. It knows no protocol; the clock comes with each call and never
- * goes back.
+ * Drives the scheduler of one pool of engines. It batches events until the next tick and returns the
+ * scheduler's actions as commands. It is independent of the protocol, and has no clock: callers pass the
+ * time in milliseconds, which never goes back. All methods are called on the event loop.
  *
  * @param <X> the protocol's own record of a request
  */
@@ -29,15 +31,15 @@
     private List<SchedulerEvent> events = new ArrayList<>();
     private List<Command<X>> commands = new ArrayList<>();
     private int openRequests;
-    private double shutdownDeadlineMs = Double.POSITIVE_INFINITY;
+    private OptionalDouble shutdownDeadlineMs = OptionalDouble.empty();
 
     /**
-     * Creates a coordinator that knows no engines yet.
+     * Creates a coordinator without engines.
      *
-     * @param scheduler decides for this pool alone
-     * @param capacity the most requests in progress at once; what comes beyond is rejected
-     * @param cancelDurationMs longest from a cancel to the attempt's end: a relaunch must not overtake it
-     * @param tracer is notified of what becomes of requests and attempts
+     * @param scheduler serves this pool only
+     * @param capacity maximum of requests in the table; further requests are rejected
+     * @param cancelDurationMs longest time from a cancel to the end of the attempt; a relaunch waits for it
+     * @param tracer is notified of the progress and end of requests and attempts
      */
     public Coordinator(Scheduler scheduler, int capacity, double cancelDurationMs, Tracer<X> tracer) {
         this.scheduler = scheduler;
@@ -49,119 +51,134 @@
     /**
      * Admits a request.
      *
-     * @return the request's id, or {@link GenerationalTable#FULL} if there is no room and it must be rejected
+     * @return the request's id, or {@link GenerationalTable#FULL} if the table is full and the caller must
+     *     reject the request
      */
     public long admit(double nowMs, RequestAttributes attributes, X exchange) {
-        double timeLeftMs = Math.min(attributes.timeLeftMs(), shutdownDeadlineMs - nowMs);
+        double timeLeftMs = boundedTimeLeftMs(attributes, nowMs);
         TrackedRequest<X> request = new TrackedRequest<>(exchange, nowMs + timeLeftMs);
-        request.id = requests.add(request);
-        if (request.id != GenerationalTable.FULL) {
+        long id = requests.add(request);
+        if (id != GenerationalTable.FULL) {
+            request.setId(id);
             openRequests++;
             tracer.requestAdmitted(exchange);
-            addEvent(attributes.toEvent(request.id, timeLeftMs));
+            addEvent(attributes.toEvent(id, timeLeftMs));
         }
-        return request.id;
+        return id;
     }
 
-    /** Requests admitted from now on must complete by then: others are rejected and may succeed elsewhere. */
+    private double boundedTimeLeftMs(RequestAttributes attributes, double nowMs) {
+        double timeLeftMs = attributes.timeLeftMs();
+        return shutdownDeadlineMs.isPresent()
+                ? Math.min(timeLeftMs, shutdownDeadlineMs.getAsDouble() - nowMs)
+                : timeLeftMs;
+    }
+
+    /**
+     * Bounds the time of requests that are admitted from now on. The scheduler rejects a request that cannot
+     * complete by then, so that its client retries at another front end.
+     */
     public void setShutdownDeadline(double atMs) {
-        shutdownDeadlineMs = atMs;
+        shutdownDeadlineMs = OptionalDouble.of(atMs);
     }
 
-    /** The client of a request has gone; no answer is owed any more. A completed request is ignored. */
+    /** Cancels a request whose client has disconnected. A completed request is ignored. */
     public void cancelRequest(long requestId) {
         TrackedRequest<X> request = requests.get(requestId);
-        if (request != null && !request.completed) {
-            cancel(request);
+        if (request != null) {
+            cancel(request, Tracer.Ending.CANCELLED);
         }
     }
 
-    private void cancel(TrackedRequest<X> request) {
-        complete(request, Tracer.Ending.CANCELLED);
-        addEvent(new SchedulerEvent.RequestCancelled(request.id));
+    /** Completes the request and cancels its attempts; returns false where it was completed before. */
+    private boolean cancel(TrackedRequest<X> request, Tracer.Ending ending) {
+        if (!complete(request, ending)) {
+            return false;
+        }
+        addEvent(new SchedulerEvent.RequestCancelled(request.id()));
         releaseIfDone(request);
+        return true;
     }
 
     /** Answers all open requests as failed. */
     public void failOpenRequests() {
         requests.forEach(request -> {
-            if (!request.completed) {
-                commands.add(new Command.Fail<>(request.exchange));
-                complete(request, Tracer.Ending.FAILED);
-                addEvent(new SchedulerEvent.RequestCancelled(request.id));
-                releaseIfDone(request);
+            if (cancel(request, Tracer.Ending.FAILED)) {
+                commands.add(new Command.Fail<>(request.exchange()));
             }
         });
     }
 
     /**
-     * An attempt has ended.
+     * Records the end of an attempt. An attempt that has ended before, or an unknown one, is ignored.
      *
-     * @return whether the caller now owes the client the answer 'served': true once at most for a request
+     * @return whether the caller must now send the attempt's result to the client; true at most once for a
+     *     request
      */
     public boolean attemptEnded(long requestId, int attempt, AttemptOutcome outcome) {
         TrackedRequest<X> request = requests.get(requestId);
-        TrackedRequest.Attempt ended = request == null ? null : request.inFlight(attempt);
+        TrackedAttempt ended = request == null ? null : request.attemptInFlight(attempt);
         if (ended == null) {
             return false;
         }
-        ended.inFlight = false;
-        request.attemptsInFlight--;
-        deadlines.cancel(ended.deadline);
-        tracer.attemptEnded(request.exchange, attempt, outcome);
-        boolean served = outcome == AttemptOutcome.OK && !request.completed;
-        if (served) {
-            complete(request, Tracer.Ending.SERVED);
-        } else if (request.streaming == ended && !request.completed) {
+        request.endAttempt(ended);
+        deadlines.cancel(ended.deadline());
+        tracer.attemptEnded(request.exchange(), attempt, outcome);
+        boolean served = outcome == AttemptOutcome.OK && complete(request, Tracer.Ending.SERVED);
+        if (!served && request.isResponding(ended)) {
             complete(request, Tracer.Ending.FAILED);
         }
-        boolean completed = request.completed;
+        boolean completed = request.isCompleted();
         addEvent(new SchedulerEvent.AttemptEnded(requestId, attempt, outcome, completed, 0, 0, NO_REPORT));
         releaseIfDone(request);
         return served;
     }
 
     /**
-     * The response has begun to reach the client: the attempt is the client's now, and no deadline counts for
-     * it.
+     * Records that an attempt's response has begun to reach the client. The attempt has no timeout from now
+     * on, and the request fails if the attempt does.
      *
      * @return false if the request is completed, or the attempt has ended or is being cancelled
      */
     public boolean responseStarted(long requestId, int attempt) {
         TrackedRequest<X> request = requests.get(requestId);
-        TrackedRequest.Attempt started = request == null ? null : request.inFlight(attempt);
-        if (started == null || started.cancelled || request.completed) {
+        TrackedAttempt started = request == null ? null : request.attemptInFlight(attempt);
+        if (started == null || !started.isRunning() || request.isCompleted()) {
             return false;
         }
-        request.streaming = started;
-        deadlines.cancel(started.deadline);
+        request.startResponse(started);
+        deadlines.cancel(started.deadline());
         addEvent(new SchedulerEvent.ResponseStarted(requestId, attempt));
         return true;
     }
 
-    /** An engine reports on an attempt; of one that has ended or is being cancelled it is ignored. */
+    /** Records an engine's progress report. It is ignored if the attempt has ended or was cancelled. */
     public void attemptProgressed(long requestId, int attempt, ProgressKind kind, double amount) {
         TrackedRequest<X> request = requests.get(requestId);
-        TrackedRequest.Attempt running = request == null ? null : request.inFlight(attempt);
-        if (running != null && !running.cancelled) {
+        TrackedAttempt reported = request == null ? null : request.attemptInFlight(attempt);
+        if (reported != null && reported.isRunning()) {
             addEvent(new SchedulerEvent.AttemptProgress(requestId, attempt, kind, amount));
         }
     }
 
-    /** An engine has answered a health check; late and unsolicited answers are ignored. */
+    /** Records an engine's answer to a health check. Late and unsolicited answers are ignored. */
     public void healthCheckCompleted(double nowMs, String engine, AttemptOutcome outcome, double[] report) {
-        Long number = engines.existingNumber(engine);
-        if (number != null) {
-            healthChecks.complete(nowMs, number, outcome, report);
+        OptionalLong number = engines.existingNumber(engine);
+        if (number.isPresent()) {
+            healthChecks.complete(nowMs, number.getAsLong(), outcome, report);
         }
     }
 
-    /** Another front end of the tier has sent gossip. */
+    /** Records gossip of another front end of the tier. */
     public void gossipReceived(int sender, byte[] payload) {
         addEvent(new SchedulerEvent.GossipReceived(sender, payload));
     }
 
-    /** Takes in the list of engines: a full snapshot, or what has changed. */
+    /**
+     * Applies an update of the endpoint list.
+     *
+     * @param fullSnapshot whether engines that are not among the endpoints are gone
+     */
     public void endpointsChanged(boolean fullSnapshot, List<EngineEndpoint> endpoints) {
         List<Endpoint> numbered = endpoints.stream()
                 .map(endpoint -> endpoint.toEndpoint(engines.numberOf(endpoint.id())))
@@ -175,13 +192,18 @@
         return engines.isKnown(engine);
     }
 
-    /** An operator takes an engine out, whatever the list says, or releases it. */
-    public void setMaintenance(String engine, boolean under, double sinceMs) {
-        addEvent(new SchedulerEvent.MaintenanceChanged(engines.numberOf(engine), under, sinceMs));
-        engines.setMaintenance(engine, under);
+    /**
+     * Puts an engine under maintenance, or releases it, independently of the endpoint list.
+     *
+     * @param sinceMs when the operator gave the order, in Unix milliseconds
+     */
+    public void setMaintenance(String engine, boolean underMaintenance, double sinceMs) {
+        long number = engines.numberOf(engine);
+        addEvent(new SchedulerEvent.MaintenanceChanged(number, underMaintenance, sinceMs));
+        engines.setMaintenance(engine, underMaintenance);
     }
 
-    /** The ratio of this front end's work that falls to this process from now on. */
+    /** Sets the ratio of this front end's work that this process does from now on. */
     public void setQuota(double ratio) {
         addEvent(new SchedulerEvent.QuotaChanged(ratio));
     }
@@ -191,23 +213,24 @@
         return engines.listedCount();
     }
 
-    /** Returns the number of listed engines that the scheduler sends nothing to now. */
+    /** Returns the number of listed engines that get no attempts at present. */
     public int excludedEngines() {
         return scheduler.excludedEngines();
     }
 
-    /** Returns the number of requests that are still owed an answer. */
+    /** Returns the number of requests without a final answer. */
     public int openRequests() {
         return openRequests;
     }
 
-    /** Returns whether something has come in since the last tick. */
+    /** Returns whether events wait for the next tick. */
     public boolean hasPendingEvents() {
         return !events.isEmpty();
     }
 
     /**
-     * Runs what is due, lets the scheduler decide on all that came in, and hands out its commands in order.
+     * Runs the deadlines that are due, passes the collected events to the scheduler, and returns the
+     * commands in the order in which the forwarder must execute them.
      */
     public List<Command<X>> tick(double nowMs) {
         deadlines.runDue(nowMs);
@@ -250,17 +273,20 @@
         commands.add(command);
     }
 
-    /** The request has its final answer, or needs none. */
-    void complete(TrackedRequest<X> request, Tracer.Ending ending) {
-        request.completed = true;
+    /** Completes the request and returns true; returns false where it was completed before. */
+    boolean complete(TrackedRequest<X> request, Tracer.Ending ending) {
+        if (!request.complete()) {
+            return false;
+        }
         openRequests--;
-        tracer.requestEnded(request.exchange, ending);
+        tracer.requestEnded(request.exchange(), ending);
+        return true;
     }
 
-    /** Frees the request's slot once nothing of it is in flight. */
+    /** Frees the slot of a completed request once no attempt is in flight. */
     void releaseIfDone(TrackedRequest<X> request) {
         if (request.isReleasable()) {
-            requests.release(request.id);
+            requests.release(request.id());
         }
     }
 }
--- a/src/main/java/lineward/core/DeadlineQueue.java
+++ b/src/main/java/lineward/core/DeadlineQueue.java
@@ -4,43 +4,52 @@
 import java.util.TreeSet;
 import java.util.function.DoubleConsumer;
 
-/** All that is due at some time, in one ordered structure; equal times run in the order they came. */
+/**
+ * Deadlines in the order of their times; equal times run in the order in which they were added. Times are
+ * milliseconds of the caller's clock. Used on the event loop only.
+ */
 public final class DeadlineQueue {
-    /** A deadline that can be taken back. */
+    /** The handle of a deadline, by which it can be cancelled. */
     public static final class Entry {
-        private final double at;
+        private final double atMs;
         private final long sequence;
         private final DoubleConsumer task;
 
-        private Entry(double at, long sequence, DoubleConsumer task) {
-            this.at = at;
+        private Entry(double atMs, long sequence, DoubleConsumer task) {
+            this.atMs = atMs;
             this.sequence = sequence;
             this.task = task;
         }
     }
 
-    private final TreeSet<Entry> entries =
-            new TreeSet<>(Comparator.<Entry>comparingDouble(e -> e.at).thenComparingLong(e -> e.sequence));
+    private static final Comparator<Entry> ORDER =
+            Comparator.<Entry>comparingDouble(entry -> entry.atMs).thenComparingLong(entry -> entry.sequence);
+
+    private final TreeSet<Entry> entries = new TreeSet<>(ORDER);
     private long nextSequence;
 
-    /** Returns the handle by which {@link #cancel} finds it. */
-    public Entry add(double at, DoubleConsumer task) {
-        Entry entry = new Entry(at, nextSequence++, task);
+    /**
+     * Adds a deadline.
+     *
+     * @param task is called once with the time at which it runs, unless the deadline is cancelled first
+     */
+    public Entry add(double atMs, DoubleConsumer task) {
+        Entry entry = new Entry(atMs, nextSequence++, task);
         entries.add(entry);
         return entry;
     }
 
-    /** Takes a deadline back; one that has run, or null, is passed over. */
+    /** Cancels a deadline; null, or a deadline that has run, is ignored. */
     public void cancel(Entry entry) {
         if (entry != null) {
             entries.remove(entry);
         }
     }
 
-    /** Runs all that is due; each task gets the clock. */
-    public void runDue(double now) {
-        while (!entries.isEmpty() && entries.first().at <= now) {
-            entries.pollFirst().task.accept(now);
+    /** Runs all deadlines that are due, and passes them the time. */
+    public void runDue(double nowMs) {
+        while (!entries.isEmpty() && entries.first().atMs <= nowMs) {
+            entries.pollFirst().task.accept(nowMs);
         }
     }
 }
--- a/src/main/java/lineward/core/EngineNumbers.java
+++ b/src/main/java/lineward/core/EngineNumbers.java
@@ -4,20 +4,22 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalLong;
 import java.util.Set;
 import lineward.scheduling.EndpointState;
 
 /**
- * The scheduler's numbers of engines, and which engines are known: listed, or under maintenance. A number is
- * the same at every front end, as the turns at a cold engine go by these numbers. Numbers of engines that are
- * no longer known are forgotten: engines come under ever new ids.
+ * The scheduler's numbers of the engines that are known: listed, or under maintenance. A number is a hash of
+ * the id and so the same at every front end, because the front ends take turns at an engine in slow start by
+ * its number. Engines restart under new ids, so numbers of engines that are no longer known are removed. The
+ * coordinator calls it, on the event loop.
  */
 final class EngineNumbers {
-    /** FNV-1a. */
+    // The hash is FNV-1a.
     private static final long FNV_SEED = 0xcbf29ce484222325L;
 
     private static final long FNV_PRIME = 0x100000001b3L;
-    /** The simulator's protocol has six bytes for a number. */
+    /** The simulator's protocol encodes a number in six bytes. */
     private static final int UNUSED_BITS = 16;
 
     private final Map<String, Long> numbers = new HashMap<>();
@@ -25,7 +27,7 @@
     private final Set<String> listed = new HashSet<>();
     private final Set<String> underMaintenance = new HashSet<>();
 
-    /** Returns the engine's number, which is given if it has none yet. */
+    /** Returns the engine's number, and assigns one if it has none. */
     long numberOf(String id) {
         return numbers.computeIfAbsent(id, this::freeNumber);
     }
@@ -42,17 +44,18 @@
         return number;
     }
 
-    /** Returns the number of an engine that has one, else null. */
-    Long existingNumber(String id) {
-        return numbers.get(id);
+    /** Returns the engine's number; empty if it has none. */
+    OptionalLong existingNumber(String id) {
+        Long number = numbers.get(id);
+        return number == null ? OptionalLong.empty() : OptionalLong.of(number);
     }
 
-    /** Returns the id of the engine with that number, or null. */
+    /** Returns the id of the engine with that number; null if there is none. */
     String idOf(long number) {
         return ids.get(number);
     }
 
-    /** Takes in a full snapshot of the list, or changes to it. */
+    /** Applies a full snapshot of the endpoint list, or an incremental update. */
     void update(boolean fullSnapshot, List<EngineEndpoint> endpoints) {
         if (fullSnapshot) {
             listed.clear();
@@ -64,18 +67,19 @@
                 listed.add(endpoint.id());
             }
         }
-        forgetUnknown();
+        removeUnknown();
     }
 
-    void setMaintenance(String id, boolean under) {
-        if (under) {
+    void setMaintenance(String id, boolean isUnderMaintenance) {
+        if (isUnderMaintenance) {
             underMaintenance.add(id);
         } else {
             underMaintenance.remove(id);
-            forgetUnknown();
+            removeUnknown();
         }
     }
 
+    /** Returns whether the engine is listed or under maintenance. */
     boolean isKnown(String id) {
         return listed.contains(id) || underMaintenance.contains(id);
     }
@@ -84,7 +88,7 @@
         return listed.size();
     }
 
-    private void forgetUnknown() {
+    private void removeUnknown() {
         numbers.keySet().removeIf(id -> !isKnown(id));
         ids.values().removeIf(id -> !isKnown(id));
     }
--- a/src/main/java/lineward/core/Forwarder.java
+++ b/src/main/java/lineward/core/Forwarder.java
@@ -1,7 +1,8 @@
 package lineward.core;
 
 /**
- * Carries out what a coordinator asks for and decides nothing itself.
+ * Executes the commands of a coordinator, one method for each type. It is called on the event loop and holds
+ * no decision of its own.
  *
  * @param <X> the protocol's own record of a request
  */
@@ -16,17 +17,17 @@
     void changePriority(Command.ChangePriority<X> command);
 
     /**
-     * Checks an engine's health; its answer goes to {@link Coordinator#healthCheckCompleted}, silence
-     * nowhere.
+     * Checks an engine's health. The answer goes to {@link Coordinator#healthCheckCompleted}; without an
+     * answer nothing is reported, because the coordinator has a timeout for the check.
      */
     void checkHealth(Command.CheckHealth<X> command);
 
-    /** Sends bytes to the other front ends; theirs go to {@link Coordinator#gossipReceived}. */
+    /** Sends bytes to the other front ends, whose own go to {@link Coordinator#gossipReceived}. */
     void broadcastGossip(Command.BroadcastGossip<X> command);
 
-    /** Gives the final answer 'rejected'. */
+    /** Answers the request as rejected. */
     void reject(Command.Reject<X> command);
 
-    /** Gives the final answer 'failed'. */
+    /** Answers the request as failed. */
     void fail(Command.Fail<X> command);
 }
--- a/src/main/java/lineward/core/GenerationalTable.java
+++ b/src/main/java/lineward/core/GenerationalTable.java
@@ -7,27 +7,29 @@
 import java.util.function.Consumer;
 
 /**
- * A bounded table of numbered slots. An id holds the slot's number and its generation, so that an id kept
- * past its release finds nothing, even when the slot is in use again.
+ * A bounded table of numbered slots. An id is made of the slot's number and its generation, so an id that is
+ * used after its release finds nothing, even if the slot is in use again. Used on the event loop only.
  *
  * @param <T> what the slots hold
  */
 public final class GenerationalTable<T> {
     private record Slot<T>(int generation, T value) {}
 
-    /** What {@link #add} answers when the table is full; never an id. */
+    /** Returned by {@link #add} if the table is full; never an id. */
     public static final long FULL = -1;
 
     private final int capacity;
+    /** A free slot has the value null. */
     private final List<Slot<T>> slots = new ArrayList<>();
+
     private final Deque<Integer> free = new ArrayDeque<>();
 
-    /** @param capacity the most slots in use at once */
+    /** @param capacity maximum of slots in use at once */
     public GenerationalTable(int capacity) {
         this.capacity = capacity;
     }
 
-    /** Returns the id of the slot that now holds the value, or {@link #FULL}. */
+    /** Adds the value and returns its id, or {@link #FULL} if every slot is in use. */
     public long add(T value) {
         if (size() >= capacity) {
             return FULL;
@@ -42,7 +44,7 @@
         return (long) generation << 32 | number;
     }
 
-    /** Returns what the slot holds, or null if the id is stale or was never given. */
+    /** Returns the value with that id; null if the id is stale or was never assigned. */
     public T get(long id) {
         int number = (int) id;
         if (id < 0 || number < 0 || number >= slots.size()) {
@@ -52,7 +54,7 @@
         return slot.generation() == (int) (id >>> 32) ? slot.value() : null;
     }
 
-    /** Frees the slot; a stale id is passed over. */
+    /** Frees the slot of that id; a stale id is ignored. */
     public void release(long id) {
         if (get(id) != null) {
             slots.set((int) id, new Slot<>((int) (id >>> 32), null));
@@ -60,12 +62,12 @@
         }
     }
 
-    /** Returns the slots in use. */
+    /** Returns the number of slots in use. */
     public int size() {
         return slots.size() - free.size();
     }
 
-    /** Shows the visitor every value, in the order of the slots. */
+    /** Passes every value to the visitor, in the order of the slots. The visitor may release slots. */
     public void forEach(Consumer<? super T> visitor) {
         for (Slot<T> slot : List.copyOf(slots)) {
             if (slot.value() != null) {
--- a/src/main/java/lineward/core/HealthChecks.java
+++ b/src/main/java/lineward/core/HealthChecks.java
@@ -6,7 +6,10 @@
 import lineward.scheduling.AttemptOutcome;
 import lineward.scheduling.SchedulerEvent;
 
-/** The health checks in flight: one an engine at most, each with a timeout. */
+/**
+ * The health checks in flight: at most one for each engine, each with a timeout. The coordinator calls it, on
+ * the event loop.
+ */
 final class HealthChecks {
     private static final double TIMEOUT_MS = 250;
     private static final double[] NO_REPORT = new double[0];
@@ -20,14 +23,14 @@
     /**
      * Creates an empty set of checks.
      *
-     * @param events takes what becomes of the checks
+     * @param events receives the end of each check
      */
     HealthChecks(DeadlineQueue deadlines, Consumer<SchedulerEvent> events) {
         this.deadlines = deadlines;
         this.events = events;
     }
 
-    /** Starts the timeout of a check; returns false if one of that engine is in flight already. */
+    /** Records a check that starts now; returns false if one of that engine is already in flight. */
     boolean start(long engine, double nowMs) {
         if (inFlight.containsKey(engine)) {
             return false;
@@ -41,7 +44,7 @@
         complete(nowMs, engine, AttemptOutcome.TIMEOUT, NO_REPORT);
     }
 
-    /** Takes in the end of a check; late and unsolicited ones are ignored. */
+    /** Records the end of a check; late and unsolicited answers are ignored. */
     void complete(double nowMs, long engine, AttemptOutcome outcome, double[] loadReport) {
         Check check = inFlight.remove(engine);
         if (check != null) {
--- a/src/main/java/lineward/core/SqlTokens.java
+++ b/src/main/java/lineward/core/SqlTokens.java
@@ -1,130 +1,139 @@
 package lineward.core;
 
-/** Walks over the tokens of an SQL text. Comments are passed over, strings are told apart from names. */
+/**
+ * Iterates over the tokens of an SQL statement. It skips comments and distinguishes strings from names. Not
+ * thread-safe.
+ */
 public final class SqlTokens {
-    /** What a token is. An executable comment runs as if its text stood there bare. */
+    /** Kinds of token. */
     public enum Kind {
+        /** A keyword or an unquoted name. */
         WORD,
+        /** A name in double quotes or backticks. */
         NAME,
+        /** Text in single quotes. */
         STRING,
+        /** A word that begins with a digit. */
         NUMBER,
+        /** One character of any other kind. */
         SYMBOL,
+        /** A comment whose text a MySQL or MariaDB server executes. */
         EXECUTABLE_COMMENT
     }
 
     private final String text;
-    private int at;
-    private int began;
+    private int position;
+    private int tokenStart;
     private Kind kind;
     private String token = "";
 
-    /** @param text one statement */
+    /** @param text one SQL statement */
     public SqlTokens(CharSequence text) {
         this.text = text.toString();
     }
 
-    /** Returns whether there is a further token, which {@link #kind} and {@link #text} then tell. */
+    /** Advances to the next token and returns true; returns false at the end of the statement. */
     public boolean next() {
-        while (at < text.length()) {
-            char c = text.charAt(at);
-            if (Character.isWhitespace(c)) {
-                at++;
-            } else if (c == '#' || isDashComment(c)) {
+        while (position < text.length()) {
+            char character = text.charAt(position);
+            if (Character.isWhitespace(character)) {
+                position++;
+            } else if (character == '#' || isDashComment(character)) {
                 skipTo("\n");
-            } else if (c == '/' && peek(1) == '*') {
+            } else if (character == '/' && peek(1) == '*') {
                 boolean runs = peek(2) == '!' || (Character.toUpperCase(peek(2)) == 'M' && peek(3) == '!');
                 skipTo("*/");
                 if (runs) {
                     return found(Kind.EXECUTABLE_COMMENT, "");
                 }
             } else {
-                return read(c);
+                return read(character);
             }
         }
         return false;
     }
 
-    /** Returns the kind of the token that {@link #next} found. */
+    /** Returns the kind of the current token; null before the first one. */
     public Kind kind() {
         return kind;
     }
 
-    /** Returns a word, name or symbol as it stands; empty for strings and comments. */
+    /** Returns the text of a word, number, name or symbol, without quotes; empty for strings and comments. */
     public String text() {
         return token;
     }
 
-    /** Returns where the token begins in the text. */
+    /** Returns the offset of the first character of the current token. */
     public int start() {
-        return began;
+        return tokenStart;
     }
 
-    /** Returns where the token ends in the text. */
+    /** Returns the offset after the last character of the current token. */
     public int end() {
-        return at;
+        return position;
     }
 
-    /** Returns whether the token is this word, in capitals or not. */
-    public boolean is(String word) {
-        return kind != Kind.NAME && token.equalsIgnoreCase(word);
+    /** Returns whether the current token is this keyword or symbol, in upper or lower case. */
+    public boolean is(String keyword) {
+        return kind != Kind.NAME && token.equalsIgnoreCase(keyword);
     }
 
-    private boolean read(char c) {
-        int from = at;
-        began = at;
-        if (c == '\'') {
-            skipQuoted(c);
+    private boolean read(char character) {
+        int from = position;
+        tokenStart = position;
+        if (character == '\'') {
+            skipQuoted(character);
             return found(Kind.STRING, "");
         }
-        if (c == '"' || c == '`') {
-            skipQuoted(c);
-            return found(Kind.NAME, text.substring(from + 1, Math.max(from + 1, at - 1)));
+        if (character == '"' || character == '`') {
+            skipQuoted(character);
+            return found(Kind.NAME, text.substring(from + 1, Math.max(from + 1, position - 1)));
         }
-        if (!isIdentifierPart(c)) {
-            at++;
-            return found(Kind.SYMBOL, String.valueOf(c));
+        if (!isIdentifierPart(character)) {
+            position++;
+            return found(Kind.SYMBOL, String.valueOf(character));
         }
-        while (at < text.length() && isIdentifierPart(text.charAt(at))) {
-            at++;
+        while (position < text.length() && isIdentifierPart(text.charAt(position))) {
+            position++;
         }
-        return found(Character.isDigit(c) ? Kind.NUMBER : Kind.WORD, text.substring(from, at));
+        return found(Character.isDigit(character) ? Kind.NUMBER : Kind.WORD, text.substring(from, position));
     }
 
-    private boolean found(Kind what, String as) {
-        kind = what;
-        token = as;
+    private boolean found(Kind foundKind, String foundText) {
+        kind = foundKind;
+        token = foundText;
         return true;
     }
 
-    private boolean isDashComment(char c) {
-        return c == '-' && peek(1) == '-' && peek(2) <= ' ';
+    private boolean isDashComment(char character) {
+        return character == '-' && peek(1) == '-' && peek(2) <= ' ';
     }
 
     private char peek(int ahead) {
-        return at + ahead < text.length() ? text.charAt(at + ahead) : '\n';
+        return position + ahead < text.length() ? text.charAt(position + ahead) : '\n';
     }
 
     private void skipTo(String end) {
-        int found = text.indexOf(end, at + end.length());
-        at = found < 0 ? text.length() : found + end.length();
+        int found = text.indexOf(end, position + end.length());
+        position = found < 0 ? text.length() : found + end.length();
     }
 
     private void skipQuoted(char quote) {
-        for (at++; at < text.length(); at++) {
-            char c = text.charAt(at);
-            if (c == '\\' && quote != '`') {
-                at++;
-            } else if (c == quote && peek(1) == quote) {
-                at++;
-            } else if (c == quote) {
-                at++;
+        for (position++; position < text.length(); position++) {
+            char character = text.charAt(position);
+            if (character == '\\' && quote != '`') {
+                position++;
+            } else if (character == quote && peek(1) == quote) {
+                position++;
+            } else if (character == quote) {
+                position++;
                 return;
             }
         }
-        at = text.length();
+        position = text.length();
     }
 
-    private static boolean isIdentifierPart(char c) {
-        return Character.isLetterOrDigit(c) || c == '_' || c == '$';
+    private static boolean isIdentifierPart(char character) {
+        return Character.isLetterOrDigit(character) || character == '_' || character == '$';
     }
 }
--- a/src/main/java/lineward/core/TableGroups.java
+++ b/src/main/java/lineward/core/TableGroups.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Finds the group of tables that a statement reads or writes: the number in its schema's name. */
+/** Finds the group of tables that a statement uses: the number at the end of a schema's name. */
 public final class TableGroups {
     private static final Set<String> BEFORE_TABLES = Set.of("from", "join", "into", "update", "table", ",");
     private static final int MAX_DIGITS = 6;
@@ -11,12 +11,14 @@
     private TableGroups() {}
 
     /**
-     * Returns the number behind the underscore of the first schema named where tables stand, else of the
-     *     first name with such a number before a dot; 0 if there is none.
+     * Returns the number after the last underscore of a schema's name. The first numbered schema in a table
+     * reference counts; without one, the first numbered name before a dot does.
+     *
+     * @return the number, or {@link RequestAttributes#NO_TABLE_GROUP}
      */
     public static int of(CharSequence statement) {
         SqlTokens tokens = new SqlTokens(statement);
-        int fallback = 0;
+        int fallback = RequestAttributes.NO_TABLE_GROUP;
         String name = null;
         boolean tablesNext = false;
         boolean isTable = false;
@@ -51,6 +53,6 @@
                 && !digits.isEmpty()
                 && digits.length() <= MAX_DIGITS
                 && digits.chars().allMatch(c -> c >= '0' && c <= '9');
-        return numbered ? Integer.parseInt(digits) : 0;
+        return numbered ? Integer.parseInt(digits) : RequestAttributes.NO_TABLE_GROUP;
     }
 }
--- a/src/main/java/lineward/core/Tracer.java
+++ b/src/main/java/lineward/core/Tracer.java
@@ -3,27 +3,28 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * Is notified of what becomes of requests and attempts, for logs, spans and metrics.
+ * Is notified of the progress and end of requests and attempts, for logs, spans and metrics. The coordinator
+ * calls it on the event loop.
  *
  * @param <X> the protocol's own record of a request
  */
 public interface Tracer<X> {
     /** How a request ended. */
     enum Ending {
-        /** Its client got the engine's answer. */
+        /** An engine's answer was sent to its client. */
         SERVED,
-        /** It was rejected; a retry is harmless. */
+        /** It was rejected, so a retry is harmless. */
         REJECTED,
-        /** It failed, and may have run. */
+        /** It failed; it may have run. */
         FAILED,
-        /** Its client went. */
+        /** Its client disconnected or cancelled it. */
         CANCELLED
     }
 
     /** A request was admitted. */
     void requestAdmitted(X exchange);
 
-    /** An attempt goes out to an engine. */
+    /** An attempt was started at an engine. */
     void attemptStarted(X exchange, int attempt, String engine);
 
     /** An attempt has ended. */
@@ -32,6 +33,6 @@
     /** A request has completed. */
     void requestEnded(X exchange, Ending ending);
 
-    /** A line of the scheduler for those on call. */
+    /** The scheduler logs a line for the on-call engineer. */
     void log(String text);
 }
--- /dev/null
+++ b/src/test/java/lineward/core/CoordinatorTest.java
@@ -0,0 +1,227 @@
+package lineward.core;
+
+import static lineward.scheduling.AttemptOutcome.CANCELLED;
+import static lineward.scheduling.AttemptOutcome.ERROR;
+import static lineward.scheduling.AttemptOutcome.OK;
+import static lineward.scheduling.AttemptOutcome.TIMEOUT;
+import static lineward.scheduling.EndpointState.DRAINING;
+import static lineward.scheduling.EndpointState.GONE;
+import static lineward.scheduling.EndpointState.READY;
+import static lineward.scheduling.ProgressKind.RATIO_DONE;
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertNotEquals;
+import static org.testng.Assert.assertNull;
+import static org.testng.Assert.assertTrue;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.stream.LongStream;
+import lineward.scheduling.AttemptOutcome;
+import lineward.scheduling.EndpointState;
+import lineward.scheduling.Scheduler;
+import lineward.scheduling.SchedulerAction;
+import lineward.scheduling.SchedulerEvent;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+
+/** The coordinator with a scripted scheduler: requests, attempts, timeouts, health checks and engines. */
+public class CoordinatorTest {
+    /** Records the events and returns the actions that the test has set. */
+    private static final class ScriptedScheduler implements Scheduler {
+        final List<SchedulerEvent> events = new ArrayList<>();
+        List<SchedulerAction> next = List.of();
+
+        @Override
+        public int excludedEngines() {
+            return 0;
+        }
+
+        @Override
+        public List<SchedulerAction> decide(double nowMs, List<? extends SchedulerEvent> batch) {
+            events.addAll(batch);
+            List<SchedulerAction> actions = next;
+            next = List.of();
+            return actions;
+        }
+
+        <E> E last(Class<E> kind) {
+            return events.stream()
+                    .filter(kind::isInstance)
+                    .map(kind::cast)
+                    .reduce((earlier, later) -> later)
+                    .orElse(null);
+        }
+    }
+
+    private ScriptedScheduler scheduler;
+    private Coordinator<String> coordinator;
+
+    @BeforeMethod
+    public void begin() {
+        scheduler = new ScriptedScheduler();
+        coordinator = new Coordinator<>(scheduler, 2, 6, new SilentTracer<>());
+    }
+
+    private long admitAndStart(double nowMs, double timeLeftMs) {
+        coordinator.endpointsChanged(true, List.of(engine("s-1", READY)));
+        long id = coordinator.admit(nowMs, new RequestAttributes(0, 0, timeLeftMs, 0, 0, 0, false), "r");
+        coordinator.tick(nowMs);
+        scheduler.next = List.of(
+                new SchedulerAction.SetResourceLimits(id, 64, 2),
+                new SchedulerAction.StartAttempt(
+                        id,
+                        scheduler
+                                .last(SchedulerEvent.EndpointsChanged.class)
+                                .endpoints()
+                                .get(0)
+                                .engine(),
+                        0));
+        coordinator.endpointsChanged(false, List.of());
+        List<Command<String>> commands = coordinator.tick(nowMs);
+        Command.StartAttempt<String> start = (Command.StartAttempt<String>) commands.get(0);
+        assertEquals(
+                start,
+                new Command.StartAttempt<>(
+                        "r", id, 0, "s-1", Math.round(timeLeftMs - 10), (long) (timeLeftMs - 10), 64, 2));
+        return id;
+    }
+
+    @Test
+    public void requestIsServedOnceAndThenReleasesItsSlot() {
+        long id = admitAndStart(1000, 500);
+        assertEquals(coordinator.openRequests(), 1);
+        assertTrue(coordinator.attemptEnded(id, 0, OK));
+        assertFalse(coordinator.attemptEnded(id, 0, OK));
+        assertEquals(coordinator.openRequests(), 0);
+        coordinator.cancelRequest(id);
+        coordinator.tick(1001);
+        assertTrue(scheduler.last(SchedulerEvent.AttemptEnded.class).requestCompleted());
+        assertNull(scheduler.last(SchedulerEvent.RequestCancelled.class));
+    }
+
+    @Test
+    public void attemptTimesOutAheadOfItsClient() {
+        long id = admitAndStart(2000, 300);
+        coordinator.tick(2289);
+        assertNull(last(TIMEOUT));
+        List<Command<String>> commands = coordinator.tick(2290);
+        assertEquals(commands, List.of(new Command.CancelAttempt<>("r", id, 0, "s-1")));
+        assertEquals(last(TIMEOUT).request(), id);
+        scheduler.next = List.of(new SchedulerAction.Reject(id, 125));
+        coordinator.endpointsChanged(false, List.of());
+        assertEquals(coordinator.tick(2291), List.of(new Command.Reject<>("r", 125)));
+    }
+
+    @Test
+    public void requestFailsWithTheAttemptThatResponds() {
+        long id = admitAndStart(2000, 300);
+        assertTrue(coordinator.responseStarted(id, 0));
+        assertEquals(coordinator.tick(2299), List.of(), "a response that has begun has no timeout");
+        assertFalse(coordinator.attemptEnded(id, 0, ERROR));
+        assertFalse(coordinator.responseStarted(id, 0));
+        assertEquals(coordinator.openRequests(), 0);
+        coordinator.tick(2300);
+        assertTrue(last(ERROR).requestCompleted());
+    }
+
+    /** The end is reported after the time that a cancel takes, so that no relaunch overtakes the cancel. */
+    @Test
+    public void cancelledAttemptEndsOnceTheCancelHasReachedItsEngine() {
+        long id = admitAndStart(3000, 5000);
+        scheduler.next = Collections.nCopies(2, new SchedulerAction.CancelAttempt(id, 0));
+        coordinator.endpointsChanged(false, List.of());
+        assertEquals(coordinator.tick(3100), List.of(new Command.CancelAttempt<>("r", id, 0, "s-1")));
+        coordinator.tick(3105);
+        assertNull(last(CANCELLED));
+        coordinator.tick(3106);
+        assertEquals(last(CANCELLED).request(), id);
+    }
+
+    @Test
+    public void progressIsReportedOnlyWhileItsAttemptIsRunning() {
+        long id = admitAndStart(4000, 5000);
+        coordinator.attemptProgressed(id, 0, RATIO_DONE, 0.5);
+        coordinator.attemptProgressed(id, 1, RATIO_DONE, 0.6);
+        coordinator.tick(4001);
+        assertEquals(
+                scheduler.last(SchedulerEvent.AttemptProgress.class),
+                new SchedulerEvent.AttemptProgress(id, 0, RATIO_DONE, 0.5));
+        scheduler.next = List.of(new SchedulerAction.CancelAttempt(id, 0));
+        coordinator.endpointsChanged(false, List.of());
+        coordinator.tick(4002);
+        coordinator.attemptProgressed(id, 0, RATIO_DONE, 0.7);
+        coordinator.tick(4003);
+        double lastAmount = scheduler.last(SchedulerEvent.AttemptProgress.class).amount();
+        assertEquals(lastAmount, 0.5, "not after a cancel");
+    }
+
+    /** At most one check of an engine is in flight; the first answer or the timeout ends it. */
+    @Test
+    public void healthCheckEndsOnceByItsAnswerOrItsTimeout() {
+        coordinator.endpointsChanged(true, List.of(engine("s-1", READY)));
+        coordinator.tick(1000);
+        long number = scheduler
+                .last(SchedulerEvent.EndpointsChanged.class)
+                .endpoints()
+                .get(0)
+                .engine();
+        List<Command<String>> commands = startHealthChecks(1000, number, number);
+        assertEquals(commands, List.of(new Command.CheckHealth<>("s-1")));
+        coordinator.healthCheckCompleted(1040, "s-1", OK, new double[] {3});
+        coordinator.healthCheckCompleted(1050, "s-1", ERROR, new double[0]);
+        coordinator.healthCheckCompleted(1050, "s-2", ERROR, new double[0]);
+        coordinator.tick(2000);
+        SchedulerEvent.HealthCheckCompleted first = scheduler.last(SchedulerEvent.HealthCheckCompleted.class);
+        assertEquals(first.outcome() + " " + first.latencyMs() + " " + first.loadReport()[0], "OK 40.0 3.0");
+        startHealthChecks(3000, number);
+        coordinator.tick(3249);
+        assertEquals(scheduler.last(SchedulerEvent.HealthCheckCompleted.class), first);
+        coordinator.tick(3250);
+        assertEquals(scheduler.last(SchedulerEvent.HealthCheckCompleted.class).outcome(), TIMEOUT);
+    }
+
+    private List<Command<String>> startHealthChecks(double nowMs, long... engines) {
+        scheduler.next = LongStream.of(engines)
+                .<SchedulerAction>mapToObj(SchedulerAction.StartHealthCheck::new)
+                .toList();
+        coordinator.endpointsChanged(false, List.of());
+        return coordinator.tick(nowMs);
+    }
+
+    @Test
+    public void goneEnginesAreNoLongerListed() {
+        for (int i = 0; i < 100; i++) {
+            coordinator.endpointsChanged(false, List.of(engine("a" + i, READY)));
+            coordinator.endpointsChanged(false, List.of(engine("a" + i, GONE)));
+        }
+        assertEquals(coordinator.listedEngines(), 0);
+        coordinator.endpointsChanged(false, List.of(engine("b", READY)));
+        coordinator.endpointsChanged(true, List.of(engine("c", DRAINING)));
+        assertEquals(coordinator.listedEngines(), 1);
+    }
+
+    private static EngineEndpoint engine(String id, EndpointState state) {
+        return new EngineEndpoint(id, "127.0.0.1:1", 0, 1, 0, state, 0, 0);
+    }
+
+    @Test
+    public void fullTableAdmitsNoRequestUntilOneIsReleased() {
+        RequestAttributes attributes = new RequestAttributes(0, 0, 100, 0, 0, 0, false);
+        long first = coordinator.admit(0, attributes, "a");
+        coordinator.admit(0, attributes, "b");
+        assertEquals(coordinator.admit(0, attributes, "c"), GenerationalTable.FULL);
+        coordinator.cancelRequest(first);
+        assertNotEquals(coordinator.admit(0, attributes, "d"), GenerationalTable.FULL);
+    }
+
+    private SchedulerEvent.AttemptEnded last(AttemptOutcome outcome) {
+        return scheduler.events.stream()
+                .filter(SchedulerEvent.AttemptEnded.class::isInstance)
+                .map(SchedulerEvent.AttemptEnded.class::cast)
+                .filter(ended -> ended.outcome() == outcome)
+                .reduce((earlier, later) -> later)
+                .orElse(null);
+    }
+}
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -33,10 +33,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Holds every command of the coordinator and its order: digests over seeded days, as recorded of one
- * version. */
+/**
+ * Compares the digest of every command of the coordinator, in order, over seeded days with the recorded one.
+ */
 public class PlannerDigestTest {
-    private static final double STOP_TAKES_MS = 6;
+    private static final double CANCEL_DURATION_MS = 6;
     private static final double TICK_MS = 5;
     private static final int DAY_MS = 12_000;
     private static final int ENGINES = 6;
@@ -49,23 +50,6 @@
         }
     }
 
-    private static final class SilentTracer implements Tracer<Exchange> {
-        @Override
-        public void requestAdmitted(Exchange exchange) {}
-
-        @Override
-        public void attemptStarted(Exchange exchange, int attempt, String engine) {}
-
-        @Override
-        public void attemptEnded(Exchange exchange, int attempt, AttemptOutcome outcome) {}
-
-        @Override
-        public void requestEnded(Exchange exchange, Ending ending) {}
-
-        @Override
-        public void log(String text) {}
-    }
-
     private record Due(double at, long order, Runnable step) {}
 
     @DataProvider
@@ -78,44 +62,44 @@
     }
 
     @Test(dataProvider = "days")
-    public void theCommandsOfADayAreThoseRecorded(int fronts, long seed, String recorded) {
+    public void commandsOfADayMatchTheRecordedDigest(int fronts, long seed, String recorded) {
         Day day = new Day(fronts, seed);
         String digest = day.play();
         assertTrue(day.commands > 500, "only " + day.commands + " commands");
         assertEquals(digest, recorded);
     }
 
-    private static final class Day {
+    private static final class Day implements Forwarder<Exchange> {
         private final Random random;
-        private final Coordinator<Exchange> planner;
+        private final Coordinator<Exchange> coordinator;
         private final ActionDigest digest = new ActionDigest();
         private final PriorityQueue<Due> queue =
                 new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
-        private final List<Long> taken = new ArrayList<>();
+        private final List<Long> admittedIds = new ArrayList<>();
         private long order;
         private double now = 1_000;
         private int commands;
 
         Day(int fronts, long seed) {
             random = new Random(seed);
-            planner = new Coordinator<>(
-                    new SpeculativeScheduler(settings(fronts), seed), 64, STOP_TAKES_MS, new SilentTracer());
+            SpeculativeScheduler scheduler = new SpeculativeScheduler(settings(fronts), seed);
+            coordinator = new Coordinator<>(scheduler, 64, CANCEL_DURATION_MS, new SilentTracer<>());
         }
 
         String play() {
-            planner.endpointsChanged(true, engines(READY));
+            coordinator.endpointsChanged(true, engines(READY));
             scheduleDay();
             for (double end = now + DAY_MS + 8_000; now < end; now += TICK_MS) {
                 while (!queue.isEmpty() && queue.peek().at() <= now) {
                     queue.poll().step().run();
                 }
-                planner.tick(now).forEach(this::carryOut);
+                coordinator.tick(now).forEach(this::execute);
                 digest.add(
                         'N',
-                        planner.openRequests(),
-                        planner.listedEngines(),
-                        planner.excludedEngines(),
-                        planner.hasPendingEvents() ? 1 : 0);
+                        coordinator.openRequests(),
+                        coordinator.listedEngines(),
+                        coordinator.excludedEngines(),
+                        coordinator.hasPendingEvents() ? 1 : 0);
             }
             return digest.toHex();
         }
@@ -133,26 +117,26 @@
                 schedule(now + random.nextInt(DAY_MS), this::abortOne);
                 schedule(
                         now + random.nextInt(DAY_MS),
-                        () -> planner.gossipReceived(1, new byte[] {1, 2, 3, 4, 5, 6, 7, 8}));
+                        () -> coordinator.gossipReceived(1, new byte[] {1, 2, 3, 4, 5, 6, 7, 8}));
             }
             for (int i = 0; i < 10; i++) {
-                EndpointState condition = List.of(EndpointState.values()).get(random.nextInt(3));
-                EngineEndpoint entry = engines(condition).get(random.nextInt(ENGINES));
+                EndpointState state = List.of(EndpointState.values()).get(random.nextInt(3));
+                EngineEndpoint entry = engines(state).get(random.nextInt(ENGINES));
                 double at = now + random.nextInt(DAY_MS);
-                schedule(at, () -> planner.endpointsChanged(false, List.of(entry)));
-                schedule(at + 800, () -> planner.endpointsChanged(true, engines(READY)));
+                schedule(at, () -> coordinator.endpointsChanged(false, List.of(entry)));
+                schedule(at + 800, () -> coordinator.endpointsChanged(true, engines(READY)));
             }
-            schedule(now + 4_000, () -> planner.setMaintenance("engine-1", true, now));
-            schedule(now + 5_000, () -> planner.setMaintenance("engine-1", false, now));
-            schedule(now + 6_000, () -> planner.setQuota(0.5));
-            schedule(now + 9_000, () -> planner.setShutdownDeadline(now + 1_500));
-            schedule(now + 10_000, planner::failOpenRequests);
+            schedule(now + 4_000, () -> coordinator.setMaintenance("engine-1", true, now));
+            schedule(now + 5_000, () -> coordinator.setMaintenance("engine-1", false, now));
+            schedule(now + 6_000, () -> coordinator.setQuota(0.5));
+            schedule(now + 9_000, () -> coordinator.setShutdownDeadline(now + 1_500));
+            schedule(now + 10_000, coordinator::failOpenRequests);
         }
 
         private void admit(int number) {
             double timeLeft = random.nextInt(20) == 0 ? 3 : 500 + random.nextInt(3_000);
             double cost = random.nextInt(3) == 0 ? 0 : 50 + random.nextInt(400);
-            RequestAttributes demand = new RequestAttributes(
+            RequestAttributes attributes = new RequestAttributes(
                     random.nextInt(3),
                     random.nextInt(2),
                     timeLeft,
@@ -160,98 +144,122 @@
                     random.nextInt(900),
                     random.nextInt(5),
                     random.nextInt(8) == 0);
-            long id = planner.admit(now, demand, new Exchange(number));
+            long id = coordinator.admit(now, attributes, new Exchange(number));
             digest.add('I', (double) id);
             if (id != GenerationalTable.FULL) {
-                taken.add(id);
+                admittedIds.add(id);
             }
         }
 
         private void abortOne() {
-            if (!taken.isEmpty()) {
-                planner.cancelRequest(taken.get(random.nextInt(taken.size())));
+            if (!admittedIds.isEmpty()) {
+                coordinator.cancelRequest(admittedIds.get(random.nextInt(admittedIds.size())));
             }
         }
 
-        private void carryOut(Command<Exchange> command) {
+        private void execute(Command<Exchange> command) {
             commands++;
-            if (command instanceof Command.StartAttempt<Exchange> c) {
-                digest.add(
-                        'S',
-                        c.exchange().number,
-                        (double) c.request(),
-                        c.attempt(),
-                        engineNumber(c.engine()),
-                        (double) c.timeoutMs(),
-                        (double) c.startWithinMs(),
-                        c.grantMb(),
-                        c.priority());
-                start(c);
-            } else if (command instanceof Command.CancelAttempt<Exchange> c) {
-                double request = c.request();
-                digest.add('C', c.exchange().number, request, c.attempt(), engineNumber(c.engine()));
-                schedule(now + random.nextInt(12), () -> end(c.request(), c.attempt(), CANCELLED));
-            } else if (command instanceof Command.Reject<Exchange> c) {
-                digest.add('R', c.exchange().number, (double) c.retryAfterMs());
-            } else if (command instanceof Command.Fail<Exchange> c) {
-                digest.add('F', c.exchange().number);
-            } else if (command instanceof Command.ChangePriority<Exchange> c) {
-                digest.add('Q', c.exchange().number, (double) c.request(), c.attempt(), c.priority());
-            } else if (command instanceof Command.CheckHealth<Exchange> c) {
-                digest.add('P', engineNumber(c.engine()));
-                answerProbe(c.engine());
-            } else if (command instanceof Command.BroadcastGossip<Exchange> c) {
-                digest.add('A', c.payload());
-            }
+            command.executeBy(this);
         }
 
-        private void start(Command.StartAttempt<Exchange> c) {
-            double service = 20 + random.nextInt(random.nextInt(10) == 0 ? 4_000 : 300);
+        @Override
+        public void startAttempt(Command.StartAttempt<Exchange> command) {
+            digest.add(
+                    'S',
+                    command.exchange().number,
+                    (double) command.request(),
+                    command.attempt(),
+                    engineNumber(command.engine()),
+                    (double) command.timeoutMs(),
+                    (double) command.startWithinMs(),
+                    command.grantMb(),
+                    command.priority());
+            double serviceMs = 20 + random.nextInt(random.nextInt(10) == 0 ? 4_000 : 300);
             AttemptOutcome[] outcomes = {OK, OK, OK, OK, ERROR, REJECTED, CONNECT_FAILED, RESET};
             AttemptOutcome outcome = outcomes[random.nextInt(outcomes.length)];
+            long request = command.request();
+            int attempt = command.attempt();
             if (random.nextInt(4) == 0) {
-                schedule(now + service / 2, () -> reportProgress(c));
+                schedule(now + serviceMs / 2, () -> reportProgress(request, attempt));
             }
             if (random.nextInt(10) == 0) {
-                schedule(
-                        now + service - 1,
-                        () -> digest.add('O', planner.responseStarted(c.request(), c.attempt()) ? 1 : 0));
+                schedule(now + serviceMs - 1, () -> startResponse(request, attempt));
             }
-            schedule(now + service, () -> end(c.request(), c.attempt(), outcome));
+            schedule(now + serviceMs, () -> end(request, attempt, outcome));
         }
 
-        private void reportProgress(Command.StartAttempt<Exchange> c) {
-            planner.attemptProgressed(c.request(), c.attempt(), RATIO_DONE, 0.5);
+        private void reportProgress(long request, int attempt) {
+            coordinator.attemptProgressed(request, attempt, RATIO_DONE, 0.5);
         }
 
-        private void end(long request, int attempt, AttemptOutcome outcome) {
-            digest.add('E', planner.attemptEnded(request, attempt, outcome) ? 1 : 0);
+        private void startResponse(long request, int attempt) {
+            digest.add('O', coordinator.responseStarted(request, attempt) ? 1 : 0);
+        }
+
+        @Override
+        public void cancelAttempt(Command.CancelAttempt<Exchange> command) {
+            double request = command.request();
+            int engine = engineNumber(command.engine());
+            digest.add('C', command.exchange().number, request, command.attempt(), engine);
+            schedule(now + random.nextInt(12), () -> end(command.request(), command.attempt(), CANCELLED));
         }
 
-        private void answerProbe(String engine) {
+        @Override
+        public void reject(Command.Reject<Exchange> command) {
+            digest.add('R', command.exchange().number, (double) command.retryAfterMs());
+        }
+
+        @Override
+        public void fail(Command.Fail<Exchange> command) {
+            digest.add('F', command.exchange().number);
+        }
+
+        @Override
+        public void changePriority(Command.ChangePriority<Exchange> command) {
+            double request = command.request();
+            digest.add('Q', command.exchange().number, request, command.attempt(), command.priority());
+        }
+
+        @Override
+        public void checkHealth(Command.CheckHealth<Exchange> command) {
+            String engine = command.engine();
+            digest.add('P', engineNumber(engine));
             double[] report = {random.nextInt(6), random.nextDouble()};
-            schedule(now + random.nextInt(400), () -> planner.healthCheckCompleted(now, engine, OK, report));
+            schedule(now + random.nextInt(400), () -> completeHealthCheck(engine, report));
+        }
+
+        private void completeHealthCheck(String engine, double[] report) {
+            coordinator.healthCheckCompleted(now, engine, OK, report);
+        }
+
+        @Override
+        public void broadcastGossip(Command.BroadcastGossip<Exchange> command) {
+            digest.add('A', command.payload());
+        }
+
+        private void end(long request, int attempt, AttemptOutcome outcome) {
+            digest.add('E', coordinator.attemptEnded(request, attempt, outcome) ? 1 : 0);
         }
 
         private static int engineNumber(String engine) {
             return Integer.parseInt(engine.substring("engine-".length()));
         }
 
-        private static List<EngineEndpoint> engines(EndpointState condition) {
+        private static List<EngineEndpoint> engines(EndpointState state) {
             List<EngineEndpoint> entries = new ArrayList<>();
             for (int i = 0; i < ENGINES; i++) {
-                entries.add(new EngineEndpoint("engine-" + i, "", i % 2, 1, 0, condition, i % 2, 0));
+                entries.add(new EngineEndpoint("engine-" + i, "", i % 2, 1, 0, state, i % 2, 0));
             }
             return entries;
         }
 
         private static SchedulerSettings settings(int fronts) {
-            RequestClass look = new RequestClass(
+            RequestClass interactive = new RequestClass(
                     new RequestClass.Objective(800, 1, 4_000, 1, 0),
                     new RequestClass.Repeatability(IDEMPOTENT, ALL, 0, false),
                     new RequestClass.Placement(null, null),
                     new RequestClass.Workload(false, true, 1));
-            RequestClass load = new RequestClass(
+            RequestClass loading = new RequestClass(
                     new RequestClass.Objective(2_000, 2, 6_000, 3, 0.5),
                     new RequestClass.Repeatability(NON_IDEMPOTENT, ALL, 0, false),
                     new RequestClass.Placement(null, null),
@@ -271,7 +279,7 @@
                     300,
                     new SchedulerSettings.RetryBudget(5_000, 3, 0.2));
             return new SchedulerSettings(
-                    List.of(look, load, keyed),
+                    List.of(interactive, loading, keyed),
                     List.of(new EngineKind(8, 16_000), new EngineKind(4, 8_000)),
                     new SchedulerSettings.FleetPosition(2, 0, fronts, 0),
                     limits,
--- /dev/null
+++ b/src/test/java/lineward/core/SilentTracer.java
@@ -0,0 +1,25 @@
+package lineward.core;
+
+import lineward.scheduling.AttemptOutcome;
+
+/**
+ * Ignores all events.
+ *
+ * @param <X> the test's own record of a request
+ */
+final class SilentTracer<X> implements Tracer<X> {
+    @Override
+    public void requestAdmitted(X exchange) {}
+
+    @Override
+    public void attemptStarted(X exchange, int attempt, String engine) {}
+
+    @Override
+    public void attemptEnded(X exchange, int attempt, AttemptOutcome outcome) {}
+
+    @Override
+    public void requestEnded(X exchange, Ending ending) {}
+
+    @Override
+    public void log(String text) {}
+}
