--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -55,7 +55,7 @@
      * @return how this process ends and is told from others
      */
     LifecycleWiring.Instance connect(TelemetryWiring telemetry, DiscoveryWiring discovery, ConfigFile file) {
-        Coordinator<Call> coordinator = coordinator(config.seed(), telemetry.tracer(Call::op));
+        Coordinator<Call> coordinator = coordinator(config.seed(), telemetry.tracer(Call::requestClass));
         EngineCluster cluster = cluster();
         context.metrics().registerClasses(names.classes());
         context.runOnEventLoop(() -> warmUp(cluster));
--- a/src/main/java/lineward/engine/AttemptEnd.java
+++ b/src/main/java/lineward/engine/AttemptEnd.java
@@ -3,38 +3,42 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * How an attempt can end on the wire, and what that proves. This is the only table that says whether a
- * request may have run: a class that is not idempotent is retried only after an end whose outcome excludes
- * it.
+ * How an attempt can end at the engine's connection, with its outcome. No other code decides whether a
+ * request may have run. A request that is not idempotent is retried only after an outcome that excludes it.
  */
 enum AttemptEnd {
     /** All rows have been received. */
     COMPLETED(AttemptOutcome.OK),
-    /** The engine replied that it has no capacity: nothing ran. */
+    /** The engine had no capacity for the request: nothing ran. */
     REJECTED(AttemptOutcome.REJECTED),
-    /** The engine replied that the request's timeout had passed when it came: nothing ran. */
+    /** The engine received the request after its timeout: nothing ran. */
     EXPIRED(AttemptOutcome.REJECTED),
-    /** The engine replied with an error, or no longer knows a page or the query. */
+    /** The engine replied with an error, or has already dropped the query or its result. */
     ENGINE_ERROR(AttemptOutcome.ERROR),
-    /** A reply could not be decoded, and so nothing that follows it on the connection. */
+    /** A reply could not be decoded, so all later replies on the connection are unreadable too. */
     MALFORMED_REPLY(AttemptOutcome.ERROR),
-    /** No connection came up through the engine's fault, or the endpoint list no longer has the engine. */
+    /** The engine is at fault that no connection came up, or it is no longer on the endpoint list. */
     ENGINE_UNREACHABLE(AttemptOutcome.CONNECT_FAILED),
-    /** No connection was free, or the attempt was cancelled before one came up. */
+    /** No connection had capacity, or the attempt was cancelled before one came up. */
     NOT_SENT(AttemptOutcome.REJECTED),
-    /** The connection broke before the request was sent to its last byte: no engine runs half a request. */
+    /** The connection broke before the last byte was sent: an engine runs complete requests only. */
     PARTIALLY_SENT(AttemptOutcome.REJECTED),
-    /** The connection broke after the request was sent, while others to the engine are up. */
+    /** The connection broke after the request was sent, and another one to the engine is up. */
     CONNECTION_BROKEN(AttemptOutcome.CANCELLED),
     /**
-     * The connection broke or fell silent after the request was sent, and no other is up: the process ended.
+     * The connection broke or was unresponsive after the request was sent, and no other one to the engine is
+     * up: its process has probably ended.
      */
     ENGINE_LOST(AttemptOutcome.RESET);
 
-    /** The outcome that the scheduler is notified of. */
-    final AttemptOutcome outcome;
+    private final AttemptOutcome outcome;
 
     AttemptEnd(AttemptOutcome outcome) {
         this.outcome = outcome;
     }
+
+    /** Returns the outcome that is reported to the scheduler. */
+    AttemptOutcome outcome() {
+        return outcome;
+    }
 }
--- a/src/main/java/lineward/engine/ConnectionListener.java
+++ b/src/main/java/lineward/engine/ConnectionListener.java
@@ -2,23 +2,23 @@
 
 import java.util.List;
 
-/** Is notified of what happens to a connection. */
+/** Is notified of the events of a connection, on the event loop. */
 interface ConnectionListener {
-    /** The connection is of no more use. */
+    /** The connection is closed, or about to be, and accepts no more attempts. */
     void closed(EngineConnection connection);
 
-    /** A request has been sent to its last byte. */
+    /** The socket has taken the last byte of a request. */
     void requestSent();
 
-    /** The connection has come up. */
+    /** The connection is established. */
     void connected(EngineConnection connection);
 
     /** The engine has sent a reply. */
     void replyReceived();
 
-    /** The connection broke under attempts whose requests were written: the listener ends them. */
+    /** The connection broke after the requests of these attempts were written. The listener ends them. */
     void attemptsLost(List<QueryAttempt> attempts);
 
-    /** No connection came up for these attempts: the listener ends them or starts them elsewhere. */
+    /** The connection was not established. The listener ends these attempts or starts them elsewhere. */
     void attemptsNotSent(List<QueryAttempt> attempts, Throwable cause);
 }
--- a/src/main/java/lineward/engine/ConnectionState.java
+++ b/src/main/java/lineward/engine/ConnectionState.java
@@ -5,35 +5,35 @@
  * #CLOSED} is final.
  */
 enum ConnectionState {
-    /** Being established; attempts may wait for it. */
+    /** The connection is being established; attempts may wait for it. */
     CONNECTING,
-    /** Should have come up by now: it still may, but nothing waits for it any more. */
+    /** The connect timeout has passed; the connection may still come up, but no attempt waits for it. */
     CONNECT_OVERDUE,
-    /** Up, with no heartbeat out. */
+    /** Established, with no heartbeat in flight. */
     READY,
-    /** Up; a heartbeat is out that no reply has followed. */
+    /** Established; a heartbeat was sent and no reply has followed. */
     HEARTBEAT_PENDING,
-    /** Up; an attempt was cancelled here and no reply has followed: it gets nothing new until one does. */
+    /** Established; an attempt was cancelled and no reply has followed. New attempts wait for a reply. */
     AWAITING_RESPONSE,
-    /** Of no more use. */
+    /** The connection accepts nothing any more. */
     CLOSED;
 
-    /** The time in which it should have come up has passed. */
+    /** The connect timeout has passed. */
     ConnectionState connectOverdue() {
         return this == CONNECTING ? CONNECT_OVERDUE : this;
     }
 
-    /** The connection has come up. */
+    /** The connection is established. */
     ConnectionState connected() {
         return isConnecting() ? READY : this;
     }
 
-    /** A heartbeat went out. */
+    /** A heartbeat was sent. */
     ConnectionState heartbeatSent() {
         return this == READY ? HEARTBEAT_PENDING : this;
     }
 
-    /** An attempt whose request was written has been cancelled, with a heartbeat out behind it. */
+    /** An attempt whose request was written was cancelled, and a heartbeat was sent after the cancel. */
     ConnectionState attemptCancelled() {
         return isUp() ? AWAITING_RESPONSE : this;
     }
@@ -43,22 +43,22 @@
         return isUp() ? READY : this;
     }
 
-    /** The connection broke, did not come up or was closed here. */
+    /** The connection broke, was not established or was closed by this front end. */
     ConnectionState closed() {
         return CLOSED;
     }
 
-    /** Returns whether it is not up yet. */
+    /** Returns whether the connection is not established yet. */
     boolean isConnecting() {
         return this == CONNECTING || this == CONNECT_OVERDUE;
     }
 
-    /** Returns whether requests can be written. */
+    /** Returns whether the connection is established, so that requests can be written. */
     boolean isUp() {
         return this == READY || isHeartbeatPending();
     }
 
-    /** Returns whether a heartbeat is out that no reply has followed. */
+    /** Returns whether a heartbeat was sent and no reply has followed. */
     boolean isHeartbeatPending() {
         return this == HEARTBEAT_PENDING || this == AWAITING_RESPONSE;
     }
--- a/src/main/java/lineward/engine/EndedAttempts.java
+++ b/src/main/java/lineward/engine/EndedAttempts.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * Ids of attempts that ended on a connection while a reply to them may still come, a duplicate perhaps.
- * Until their timeouts pass these ids must not be used again there.
+ * Attempts that have ended on a connection, while a late or duplicate reply to them may still arrive. Their
+ * ids must not be used again on the connection until their timeouts have passed. Used on the event loop only.
  */
 final class EndedAttempts {
-    /** An engine that rejects everything must not let ids pile up; a full connection accepts no attempts. */
+    /** Bounds the ids at an engine that rejects every request; a full connection accepts no attempts. */
     static final int MAX_ATTEMPTS = 1024;
 
     private final Map<String, QueryAttempt> attempts = new HashMap<>();
 
     void add(QueryAttempt attempt) {
-        attempts.put(attempt.id, attempt);
+        attempts.put(attempt.id(), attempt);
     }
 
     boolean contains(String id) {
--- a/src/main/java/lineward/engine/EngineCluster.java
+++ b/src/main/java/lineward/engine/EngineCluster.java
@@ -14,25 +14,42 @@
 import java.util.function.BooleanSupplier;
 import lineward.core.EngineEndpoint;
 import lineward.scheduling.AttemptOutcome;
+import lineward.scheduling.Endpoint;
 import lineward.scheduling.EndpointState;
 
-/** The engines on the endpoint list, each with the pool of connections to it. */
+/**
+ * The engines on the endpoint list, each with the pool of connections to it. All methods are called on the
+ * event loop. An engine whose id is null or unknown has no pool.
+ */
 public final class EngineCluster {
     /**
-     * Idle connections are closed at this ratio of the engines' idle timeout: closed by the engine, one
-     * could break under a request that is being sent.
+     * Idle connections are closed at this ratio of the engines' idle timeout. A connection that the engine
+     * closes could break while a request is being sent.
      */
     private static final double IDLE_TIMEOUT_RATIO = 0.7;
 
+    /** One engine, its listing and its pool. */
     private static final class Member {
-        final EnginePool pool;
-        double startedAtMs;
-        EndpointState state = EndpointState.READY;
+        private final EnginePool pool;
+        private double startedAtUnixMs = Endpoint.STARTED_LONG_AGO;
+        private EndpointState state = EndpointState.READY;
 
         Member(EnginePool pool) {
             this.pool = pool;
         }
 
+        void update(EngineEndpoint endpoint) {
+            state = endpoint.state();
+            if (endpoint.startedAtMs() != startedAtUnixMs) {
+                startedAtUnixMs = endpoint.startedAtMs();
+                pool.engineStarted(startedAtUnixMs);
+            }
+        }
+
+        void unlist() {
+            state = EndpointState.GONE;
+        }
+
         boolean isGone() {
             return state == EndpointState.GONE;
         }
@@ -45,11 +62,11 @@
     /**
      * Bounds of the connections to engines.
      *
-     * @param connectTimeoutMs a connection that is not up by then is overdue
-     * @param engineIdleTimeoutMs after which engines close idle connections
-     * @param maxAttemptsPerConnection most attempts in flight on one connection
-     * @param maxConnections most connections to all engines
-     * @param loadReports whether a health check asks for a report of the engine's load
+     * @param connectTimeoutMs time after which a connection that is not established is overdue
+     * @param engineIdleTimeoutMs time after which engines close idle connections
+     * @param maxAttemptsPerConnection maximum of attempts in flight on one connection
+     * @param maxConnections maximum of connections to all engines
+     * @param loadReports whether a health check requests a load report
      */
     public record Limits(
             int connectTimeoutMs,
@@ -58,13 +75,13 @@
             int maxConnections,
             boolean loadReports) {}
 
-    /** Is notified of the answer to a health check. */
+    /** Is notified of the answer to a health check, on the event loop. */
     @FunctionalInterface
     public interface HealthCheckListener {
         /**
          * The engine answered.
          *
-         * @param loadReport the figures of the engine's load, empty where there are none
+         * @param loadReport the figures of the load report, empty if the answer has none
          */
         void answered(AttemptOutcome outcome, double[] loadReport);
     }
@@ -78,7 +95,7 @@
      * Creates a cluster without engines.
      *
      * @param loop runs all connections
-     * @param onRequestSent is called when a request has been sent to its last byte
+     * @param onRequestSent is called once a socket has taken the last byte of a request
      */
     public EngineCluster(EventLoopGroup loop, Limits limits, Runnable onRequestSent) {
         this.onRequestSent = onRequestSent;
@@ -98,10 +115,10 @@
      */
     public void updateEndpoints(boolean fullSnapshot, List<EngineEndpoint> endpoints) {
         if (fullSnapshot) {
-            members.values().forEach(member -> member.state = EndpointState.GONE);
+            members.values().forEach(Member::unlist);
         }
         endpoints.forEach(this::updateEndpoint);
-        // A connection may come up long after this update, when its address is another engine's.
+        // A connection that comes up later could lead to another engine with the same address.
         List.copyOf(members.values()).stream()
                 .filter(member -> !member.isReady())
                 .forEach(member -> member.pool.cancelWaiting());
@@ -109,15 +126,10 @@
     }
 
     private void updateEndpoint(EngineEndpoint endpoint) {
-        Member member = memberAt(endpoint.id(), parse(endpoint.address()));
-        member.state = endpoint.state();
-        if (endpoint.startedAtMs() != member.startedAtMs) {
-            member.startedAtMs = endpoint.startedAtMs();
-            member.pool.engineStarted(endpoint.startedAtMs());
-        }
+        memberAt(endpoint.id(), parse(endpoint.address())).update(endpoint);
     }
 
-    /** Returns the engine of that id; where it had another address it gets a new pool. */
+    /** Returns the engine with that id; it gets a new pool if it is new or its address has changed. */
     private Member memberAt(String engine, InetSocketAddress address) {
         Member member = members.get(engine);
         if (member != null && member.pool.address().equals(address)) {
@@ -132,7 +144,7 @@
         return added;
     }
 
-    /** Starts an attempt; its listener is notified of the end, perhaps before this returns. */
+    /** Starts an attempt. Its listener is notified of the end, possibly before this method returns. */
     public void start(String engine, QueryAttempt attempt) {
         Member member = members.get(engine);
         if (member == null) {
@@ -142,7 +154,7 @@
         }
     }
 
-    /** Checks an engine's health; the listener is not notified where the engine is silent or out of reach. */
+    /** Checks an engine's health. The listener is notified only if the engine answers. */
     public void checkHealth(String engine, HealthCheckListener listener) {
         Member member = members.get(engine);
         if (member != null) {
@@ -158,7 +170,7 @@
         listener.answered(outcome, answer.numbers(LineProtocol.LOAD_FIELD));
     }
 
-    /** Cancels an attempt; its listener is not notified any more. */
+    /** Cancels an attempt without notifying its listener. */
     public void cancel(String engine, QueryAttempt attempt) {
         Member member = members.get(engine);
         if (member != null) {
@@ -166,7 +178,7 @@
         }
     }
 
-    /** Ends the attempts that wait for a connection to that engine, as not sent. */
+    /** Ends the attempts that wait for a connection to that engine as not sent. */
     public void cancelWaiting(String engine) {
         Member member = members.get(engine);
         if (member != null) {
@@ -174,33 +186,34 @@
         }
     }
 
-    /** Changes an attempt's priority, also at the engine. */
+    /** Changes an attempt's priority and sends it to the engine. */
     public void changePriority(String engine, QueryAttempt attempt, int priority) {
-        attempt.priority = priority;
+        attempt.setPriority(priority);
         Member member = members.get(engine);
         if (member != null) {
             member.pool.sendPriority(attempt);
         }
     }
 
-    /** Closes connections that have been idle for long, and all idle ones of engines that are gone. */
+    /** Closes connections past their idle timeout, and all idle connections to engines that are gone. */
     public void closeIdle() {
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         double idleMs = limits.engineIdleTimeoutMs() * IDLE_TIMEOUT_RATIO;
-        long usedBefore = now - TimeUnit.MICROSECONDS.toNanos(Math.round(idleMs * 1000));
-        members.values().forEach(member -> member.pool.closeIdle(member.isGone() ? now : usedBefore));
+        long usedBeforeNanos = nowNanos - TimeUnit.MICROSECONDS.toNanos(Math.round(idleMs * 1000));
+        for (Member member : members.values()) {
+            member.pool.closeIdle(member.isGone() ? nowNanos : usedBeforeNanos);
+        }
         members.values().removeIf(member -> member.isGone() && member.pool.size() == 0);
     }
 
-    /** Called ten times a second: sends and checks heartbeats on all connections. */
+    /** Sends and checks heartbeats on all connections; called ten times a second. */
     public void keepAlive() {
         members.values().forEach(member -> member.pool.keepAlive());
     }
 
     /**
-     * Returns whether one more connection may be opened. With more engines than connections allowed, idle
-     * ones would keep every other engine out of reach until their timeout: the one that has been idle
-     * longest is evicted.
+     * Returns whether one more connection may be opened. At the limit the connection that has been idle
+     * longest is evicted; otherwise idle connections would block new ones until their timeout.
      */
     private boolean acquireConnectionQuota() {
         int connections =
--- a/src/main/java/lineward/engine/EngineConnection.java
+++ b/src/main/java/lineward/engine/EngineConnection.java
@@ -10,33 +10,43 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One connection to an engine and the attempts in flight on it. Runs on its channel's event loop. */
+/**
+ * One connection to an engine and the attempts in flight on it. The pool and the channel call it on the
+ * channel's event loop.
+ */
 final class EngineConnection extends SimpleChannelInboundHandler<Reply> {
     private static final Logger LOGGER = LoggerFactory.getLogger(EngineConnection.class);
     private static final RateLimitedLog LOG = new RateLimitedLog(LOGGER);
-    /** With attempts in flight and no reply for so long, a heartbeat goes out. */
+    /** A heartbeat is sent after this time without a reply while attempts are in flight. */
     private static final long HEARTBEAT_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
-    /** An engine that replied within this time is alive. */
+    /** A connection counts as alive for this time after a reply. */
     private static final long ALIVE_WITHIN_NANOS = TimeUnit.SECONDS.toNanos(1);
     /**
-     * Calls of {@link #keepAlive} by which a heartbeat has to be answered: an engine may stand still for
-     * half a second. Calls count, not time: after a stall of this process the answer may be here unread.
+     * Calls of {@link #keepAlive} after which an unanswered heartbeat has timed out. An engine may pause for
+     * half a second. Calls are counted, not time: after a pause of this process the answer may be unread.
      */
     private static final int HEARTBEAT_TIMEOUT_TICKS = 7;
-    /** A close reaches its engine within this time. */
+
+    private static final String HEARTBEAT_TAG_PREFIX = "t";
+    private static final String HEALTH_CHECK_TAG_PREFIX = "p";
+    /** Time within which a close reaches the engine. */
     static final int CLOSE_DELAY_MS = 6;
 
     private final InFlightAttempts attempts = new InFlightAttempts();
     private final long openedAtUnixMs = System.currentTimeMillis();
     private final ConnectionListener listener;
     private ConnectionState state = ConnectionState.CONNECTING;
+    /** Null until {@link #connecting}, as is the writer. */
     private Channel channel;
+
     private RequestWriter writer;
+    /** Null until the connection is established. */
     private ReplyDecoder decoder;
+
     private long lastUsedNanos = System.nanoTime();
     private long lastReplyNanos = lastUsedNanos;
     private int ticksSinceHeartbeat;
-    /** The last health check here without an answer, or null: at most one is out at an engine. */
+    /** The health check without an answer; null if there is none. An engine has at most one in flight. */
     private HealthCheck healthCheck;
 
     EngineConnection(ConnectionListener listener) {
@@ -48,7 +58,7 @@
         return state.isUp();
     }
 
-    /** Returns whether it is up and has shown so recently: one to a machine that vanished stays open. */
+    /** Returns whether it is up and had a reply recently; a connection to a dead machine stays open. */
     boolean isAlive() {
         return isUp() && System.nanoTime() - lastReplyNanos < ALIVE_WITHIN_NANOS;
     }
@@ -59,20 +69,18 @@
         writer = new RequestWriter(connectingChannel);
     }
 
-    /** Returns whether an attempt of this id may be started here, with so many in flight at most. */
+    /** Returns whether an attempt of this id may be started here, given the maximum in flight. */
     boolean accepts(String id, int maxAttempts) {
         boolean channelIsUsable = isReadable() && isWritable();
         return state.acceptsAttempts() && channelIsUsable && attempts.accepts(id, maxAttempts);
     }
 
-    /**
-     * Returns false once part of a reply has come that belongs to no attempt: what follows can't be decoded.
-     */
+    /** Returns false if part of a reply has arrived while no attempt is in flight: the stream is corrupt. */
     private boolean isReadable() {
         return !attempts.isEmpty() || decoder == null || !decoder.hasPartialReply();
     }
 
-    /** Returns whether the channel takes more; one that is not up yet counts as such. */
+    /** Returns whether the channel accepts writes, or is not up yet and queues them. */
     private boolean isWritable() {
         return !isUp() || (channel.isOpen() && channel.isWritable());
     }
@@ -97,7 +105,7 @@
         return attempts.contains(attempt);
     }
 
-    /** Starts an attempt: its request goes out now, or once the connection is up. */
+    /** Starts an attempt. Its request is sent now, or once the connection is up. */
     void start(QueryAttempt attempt) {
         attempts.add(attempt);
         lastUsedNanos = System.nanoTime();
@@ -115,10 +123,10 @@
         }
     }
 
-    /** Sends the attempt's priority to the engine, unless the result is on its way. */
+    /** Sends the attempt's priority to the engine, unless the result has begun to arrive. */
     void sendPriority(QueryAttempt attempt) {
-        if (attempt.requestWritten && !attempt.hasFirstPage()) {
-            writer.changePriority(attempt.id, attempt.priority);
+        if (attempt.isRequestWritten() && !attempt.hasFirstPage()) {
+            writer.changePriority(attempt.id(), attempt.priority());
         }
     }
 
@@ -126,16 +134,16 @@
         return isUp() && channel.isWritable();
     }
 
-    /** Checks the engine's health, once the connection is up; one that breaks gives no answer. */
+    /** Checks the engine's health once the connection is up. There is no answer if the connection breaks. */
     void checkHealth(HealthCheck.Kind kind, Consumer<Reply> answerListener) {
-        healthCheck = new HealthCheck(kind, "p" + System.nanoTime(), answerListener);
+        healthCheck = new HealthCheck(kind, HEALTH_CHECK_TAG_PREFIX + System.nanoTime(), answerListener);
         lastUsedNanos = System.nanoTime();
         if (isUp()) {
             writer.healthCheck(healthCheck);
         }
     }
 
-    /** Called ten times a second: sends a heartbeat where it is due, and closes where it was not answered. */
+    /** Sends a heartbeat if one is due, or closes if one was not answered; called ten times a second. */
     void keepAlive() {
         long now = System.nanoTime();
         if (state.isHeartbeatPending()) {
@@ -154,22 +162,22 @@
         return isSilent || !isReadable();
     }
 
-    /** A reply may be lost with its connection, which stays open and silent: a heartbeat shows that. */
+    /** Sends a heartbeat, which detects a broken connection that the socket still reports as open. */
     private void sendHeartbeat() {
         if (!state.isHeartbeatPending()) {
             ticksSinceHeartbeat = 0;
             state = state.heartbeatSent();
-            writer.ping("t" + System.nanoTime());
+            writer.ping(HEARTBEAT_TAG_PREFIX + System.nanoTime());
         }
     }
 
     private void closeUnresponsive() {
-        LOG.info("engine connection closed", "engine=" + channel.remoteAddress(), "heartbeat not answered");
+        LOG.info("engine connection closed", "engine", channel.remoteAddress(), "heartbeat timeout");
         closeChannel();
         release(listener::attemptsLost);
     }
 
-    /** Closes the channel; its attempts end once that is reported. */
+    /** Closes the channel. The attempts end once the channel reports the close. */
     void close() {
         if (channel != null) {
             closeChannel();
@@ -180,26 +188,24 @@
         channel.close().addListener(FailureLog.CHANNEL);
     }
 
-    /** Closes an idle connection and frees its place in the pool at once, before the close is reported. */
+    /** Closes an idle connection and removes it from the pool before the channel reports the close. */
     void evict() {
         close();
         release(none -> {});
     }
 
-    /** Returns the attempts that wait for the connection to come up; the caller becomes their owner. */
+    /** Removes and returns the attempts that wait for the connection; the caller becomes their owner. */
     List<QueryAttempt> removeWaiting() {
         return state.isConnecting() ? attempts.removeAll() : List.of();
     }
 
-    /**
-     * Returns whether the connection is not up though its time has passed: from now on nothing waits for it.
-     */
+    /** Records that the connect timeout has passed; returns whether the connection is not up by then. */
     boolean setConnectOverdue() {
         state = state.connectOverdue();
         return state == ConnectionState.CONNECT_OVERDUE;
     }
 
-    /** Ends the attempts that wait for the connection to come up, as not sent, and closes it. */
+    /** Ends the attempts that wait for the connection as not sent, and closes it if it is not up. */
     void cancelWaiting() {
         if (state.isConnecting()) {
             release(waiting -> endAll(waiting, AttemptEnd.NOT_SENT));
@@ -207,7 +213,7 @@
         }
     }
 
-    /** The connection is up: the attempts that waited for it are sent. */
+    /** The connection is up. Sends the attempts that waited for it. */
     @Override
     public void channelActive(ChannelHandlerContext context) {
         state = state.connected();
@@ -229,7 +235,7 @@
         listener.replyReceived();
         completeHealthCheck(reply);
         if (state == ConnectionState.CLOSED) {
-            // It follows a reply that could not be decoded.
+            // The reply was decoded in the same read as an earlier one that is malformed.
             reply.body().release();
         } else {
             attempts.handle(reply, writer);
@@ -244,12 +250,12 @@
         }
     }
 
-    /** Nothing behind a malformed reply can be decoded: all attempts here end with it. */
+    /** Closes the connection. A malformed reply ends all attempts, as no later reply can be decoded. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        LOG.info("engine connection failed", "engine=" + context.channel().remoteAddress(), cause);
+        LOG.info("engine connection failed", "engine", context.channel().remoteAddress(), cause);
         if (cause instanceof MalformedReplyException || cause.getCause() instanceof MalformedReplyException) {
-            // A retry must not overtake the close.
+            // The engine must see the close before a retry arrives.
             release(lost -> {
                 Runnable endLost = () -> endAll(lost, AttemptEnd.MALFORMED_REPLY);
                 context.executor()
@@ -269,12 +275,12 @@
         release(listener::attemptsLost);
     }
 
-    /** The connection did not come up, which proves that nothing ran. */
+    /** The connection was not established, so none of its attempts was sent. */
     void connectFailed(Throwable cause) {
         release(waiting -> listener.attemptsNotSent(waiting, cause));
     }
 
-    /** Marks the connection closed and hands its attempts on; does nothing where that has happened before. */
+    /** Marks the connection as closed and passes its attempts on; only the first call has an effect. */
     private void release(Consumer<List<QueryAttempt>> successor) {
         if (state != ConnectionState.CLOSED) {
             state = state.closed();
--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -16,13 +16,16 @@
 import lineward.frontend.RateLimitedLog;
 import org.slf4j.LoggerFactory;
 
-/** The connections to one engine. A new engine at the address of an earlier one gets a pool of its own. */
+/**
+ * The connections to one engine. A new engine at the address of an earlier one gets a pool of its own. The
+ * cluster calls it on the event loop, on which also its connections run.
+ */
 final class EnginePool implements ConnectionListener {
-    /** Most connections to one engine: more attempts than that go to one engine only under heavy load. */
+    /** Maximum of connections to one engine; under heavy load attempts share connections. */
     private static final int MAX_CONNECTIONS = 16;
-    /** After this fraction of the connect timeout, what waits for a connection moves to one that is up. */
+    /** After this fraction of the connect timeout, waiting attempts migrate to a connection that is up. */
     private static final int MIGRATE_AFTER_DIVISOR = 4;
-    /** A connection may still come up, and serve others, until this multiple of the connect timeout. */
+    /** A connection attempt is abandoned after this multiple of the connect timeout. */
     static final int CONNECT_ABANDON_FACTOR = 8;
 
     private static final RateLimitedLog LOG = new RateLimitedLog(LoggerFactory.getLogger(EnginePool.class));
@@ -38,7 +41,7 @@
      * Creates a pool without connections.
      *
      * @param connectionQuota returns whether one more connection may be opened
-     * @param onRequestSent is called when a request has been sent to its last byte
+     * @param onRequestSent is called once a socket has taken the last byte of a request
      */
     EnginePool(
             Bootstrap bootstrap,
@@ -58,8 +61,8 @@
     }
 
     /**
-     * Starts an attempt. Each gets a connection of its own while there are enough of them: with one that
-     * turns out corrupt, all attempts on it fail.
+     * Starts an attempt, if possible on a connection without other attempts: a malformed reply fails all
+     * attempts of its connection.
      */
     void start(QueryAttempt attempt) {
         EngineConnection connection = leastLoaded(candidate -> accepts(candidate, attempt));
@@ -74,14 +77,14 @@
     }
 
     private boolean accepts(EngineConnection connection, QueryAttempt attempt) {
-        return connection.accepts(attempt.id, limits.maxAttemptsPerConnection());
+        return connection.accepts(attempt.id(), limits.maxAttemptsPerConnection());
     }
 
     private boolean mayConnect() {
         return connections.size() < MAX_CONNECTIONS && connectionQuota.getAsBoolean();
     }
 
-    /** Returns the connection with the fewest attempts of those that match, or null. */
+    /** Returns the matching connection with the fewest attempts; null if none matches. */
     private EngineConnection leastLoaded(Predicate<EngineConnection> condition) {
         return connections.stream()
                 .filter(condition)
@@ -123,7 +126,7 @@
                 .addListener(FailureLog.TASK);
     }
 
-    /** Moves what waits for a slow connection to others that work; without one it goes on waiting. */
+    /** Migrates attempts from a slow connection to others that are alive; without one they keep waiting. */
     private void migrateWaiting(EngineConnection slow) {
         for (QueryAttempt attempt : slow.removeWaiting()) {
             EngineConnection target = leastLoaded(other -> other.isAlive() && accepts(other, attempt));
@@ -131,12 +134,12 @@
         }
     }
 
-    /** Some connections come up late, or never, to engines that are well: what waits for one ends. */
+    /** Ends the attempts that wait for a connection whose connect timeout has passed. */
     private void endOverdue(EngineConnection connection) {
         if (connection.setConnectOverdue()) {
             faults.connectOverdue();
-            String cause = "overdue=" + faults.overdueConnections();
-            LOG.info("no connection yet to engine", "engine=" + address, cause);
+            String cause = "connect timeout overdueConnections=" + faults.overdueConnections();
+            LOG.info("no connection to engine yet", "engine", address, cause);
             AttemptEnd end = faults.endOfOverdue();
             connection.removeWaiting().forEach(attempt -> attempt.end(end));
         }
@@ -162,7 +165,7 @@
         faults.replyReceived();
     }
 
-    /** Ends lost attempts after a moment: by then all connections that broke together have been reported. */
+    /** Ends the attempts after a short delay, when all connections that broke together are reported. */
     @Override
     public void attemptsLost(List<QueryAttempt> attempts) {
         if (!attempts.isEmpty()) {
@@ -173,17 +176,19 @@
 
     private void endLost(List<QueryAttempt> attempts) {
         AttemptEnd endOfSent = faults.endOfLost(connections.stream().anyMatch(EngineConnection::isUp));
-        attempts.forEach(attempt -> attempt.end(attempt.requestSent ? endOfSent : AttemptEnd.PARTIALLY_SENT));
+        for (QueryAttempt attempt : attempts) {
+            attempt.end(attempt.isRequestSent() ? endOfSent : AttemptEnd.PARTIALLY_SENT);
+        }
     }
 
-    /** Ends attempts where the failure is the engine's fault; otherwise starts them on another connection. */
+    /** Ends the attempts if the failure is the engine's fault, else starts them on another connection. */
     @Override
     public void attemptsNotSent(List<QueryAttempt> attempts, Throwable cause) {
         if (attempts.isEmpty()) {
             return;
         }
         boolean isEngineFault = faults.connectFailed(cause);
-        LOG.info("no connection to engine", "engine=" + address, cause);
+        LOG.info("no connection to engine", "engine", address, cause);
         if (isEngineFault) {
             attempts.forEach(attempt -> attempt.end(AttemptEnd.ENGINE_UNREACHABLE));
         } else {
@@ -191,7 +196,7 @@
         }
     }
 
-    /** Checks the engine's health on a connection that is up or a new one; with no quota nothing is sent. */
+    /** Checks the engine's health on a connection that is up, or on a new one if the quota allows it. */
     void checkHealth(HealthCheck.Kind kind, Consumer<Reply> answerListener) {
         EngineConnection connection = leastLoaded(EngineConnection::acceptsHealthCheck);
         if (connection == null && mayConnect()) {
@@ -226,7 +231,7 @@
         connections.stream().filter(condition).toList().forEach(EngineConnection::close);
     }
 
-    /** Returns the idle connection that was used longest ago, or null. */
+    /** Returns the idle connection that was used longest ago; null if none is idle. */
     EngineConnection longestIdle() {
         return connections.stream()
                 .filter(connection -> connection.isIdleSince(System.nanoTime()))
@@ -235,8 +240,10 @@
     }
 
     /**
-     * Closes connections from before the engine's start: they lead to a process that has ended. What waits
-     * for one was meant for that process, not for one that is warming up.
+     * Closes connections that were opened before the engine's start, as their process has ended. Waiting
+     * attempts end too: they were placed on the earlier process, not on one that is warming up.
+     *
+     * @param unixMs when the engine's process started
      */
     void engineStarted(double unixMs) {
         List<EngineConnection> stale = connections.stream()
@@ -248,12 +255,12 @@
         });
     }
 
-    /** Called ten times a second: sends and checks heartbeats. */
+    /** Sends and checks heartbeats on all connections; called ten times a second. */
     void keepAlive() {
         List.copyOf(connections).forEach(EngineConnection::keepAlive);
     }
 
-    /** Ends all attempts that wait for a connection, as not sent. */
+    /** Ends all attempts that wait for a connection as not sent. */
     void cancelWaiting() {
         List.copyOf(connections).forEach(EngineConnection::cancelWaiting);
     }
--- a/src/main/java/lineward/engine/EngineWarmup.java
+++ b/src/main/java/lineward/engine/EngineWarmup.java
@@ -9,8 +9,8 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * Runs attempts through a connection in memory, so that the JVM has loaded and compiled their code at the
- * start.
+ * Runs attempts through a connection in memory, so that the JVM has loaded and compiled their code before the
+ * first request. Called once, on the event loop.
  */
 public final class EngineWarmup {
     private static final int ATTEMPTS = 60;
@@ -39,7 +39,7 @@
 
     private EngineWarmup() {}
 
-    /** Runs some attempts of two pages each. */
+    /** Runs attempts of two pages each. */
     public static void run() {
         EngineConnection connection = new EngineConnection(NO_LISTENER);
         EmbeddedChannel channel = new EmbeddedChannel(new ReplyDecoder(), connection);
@@ -59,8 +59,8 @@
 
     private static void reply(EmbeddedChannel channel, String id, String type, String fields) {
         String page = "a\tb\tc\n";
-        String line = String.join(" ", id, type, fields, String.valueOf(page.length()));
-        String reply = line + LineProtocol.LINE_END + page + LineProtocol.LINE_END;
+        String header = String.join(" ", id, type, fields, String.valueOf(page.length()));
+        String reply = header + LineProtocol.LINE_TERMINATOR + page + LineProtocol.LINE_TERMINATOR;
         channel.writeInbound(Unpooled.copiedBuffer(reply, StandardCharsets.US_ASCII));
     }
 
--- a/src/main/java/lineward/engine/FaultAttribution.java
+++ b/src/main/java/lineward/engine/FaultAttribution.java
@@ -4,19 +4,20 @@
 import java.net.ConnectException;
 
 /**
- * Decides whether a connection's failure is its engine's fault. One failure alone may be the network's;
- * failures that repeat with no reply between them are the engine's.
+ * Decides whether failures of connections are their engine's fault. A single failure may be caused by the
+ * network; failures that repeat without a reply between them are attributed to the engine. The pool calls it
+ * on the event loop.
  */
 final class FaultAttribution {
-    /** Lost or failed connections, with no reply between them, from which on the engine is at fault. */
+    /** The engine is at fault after this many lost or failed connections without a reply between them. */
     static final int REPEATED_FAILURES = 4;
-    /** Overdue connections, with no reply and none established between them, that make it unreachable. */
+    /** The engine is unreachable after this many overdue connections without an established one between. */
     static final int REPEATED_OVERDUE = 2;
 
     private int failedConnections;
     private int overdueConnections;
 
-    /** A connection has come up. */
+    /** A connection is established. */
     void connected() {
         overdueConnections = 0;
     }
@@ -27,16 +28,17 @@
         overdueConnections = 0;
     }
 
-    /** A connection broke under attempts. */
+    /** A connection with attempts in flight broke. */
     void connectionLost() {
         failedConnections++;
     }
 
-    /** A connection is overdue: that proves that nothing ran, and alone tells nothing of the engine. */
+    /** A connection is overdue. Nothing was sent on it, and the cause may be the network. */
     void connectOverdue() {
         overdueConnections++;
     }
 
+    /** Returns the number of consecutive overdue connections. */
     int overdueConnections() {
         return overdueConnections;
     }
@@ -60,7 +62,7 @@
 
     /**
      * Returns the end of attempts whose connection broke after their request was sent. A process that ends
-     * resets all its connections, so while another is up this one broke for itself, unless that repeats.
+     * resets all its connections, so a single failure is the connection's own if another connection is up.
      *
      * @param otherIsUp whether another connection to the engine is up
      */
--- a/src/main/java/lineward/engine/HealthCheck.java
+++ b/src/main/java/lineward/engine/HealthCheck.java
@@ -3,25 +3,32 @@
 import java.util.function.Consumer;
 
 /**
- * A health check that is out on a connection.
+ * A health check in flight on a connection. Immutable.
  *
- * @param tag what the answer has to carry in place of an id
+ * @param tag the id that the answer must carry
+ * @param listener receives the answer, on the event loop
  */
 record HealthCheck(Kind kind, String tag, Consumer<Reply> listener) {
-    /** What the engine is asked for. */
+    /** Kinds of health check. */
     enum Kind {
-        /** Whether it works. */
+        /** Checks whether the engine is healthy. */
         PING(LineProtocol.PING),
-        /** Whether it works, and a report of its load. */
+        /** Checks whether the engine is healthy, and requests a load report. */
         LOAD_REPORT(LineProtocol.LOAD_REPORT);
 
-        final String token;
+        private final String token;
 
         Kind(String token) {
             this.token = token;
         }
+
+        /** Returns the request's word in the line protocol. */
+        String token() {
+            return token;
+        }
     }
 
+    /** Returns whether the reply is the answer to this check. */
     boolean isAnsweredBy(Reply reply) {
         boolean isAnswer = reply.type() == ReplyType.HEALTHY || reply.type() == ReplyType.UNHEALTHY;
         return isAnswer && reply.id().equals(tag);
--- a/src/main/java/lineward/engine/InFlightAttempts.java
+++ b/src/main/java/lineward/engine/InFlightAttempts.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** The attempts that one connection carries, and what each reply means to them. */
+/** The attempts in flight on one connection. It applies each reply to its attempt, on the event loop. */
 final class InFlightAttempts {
     /** Attempts by id, in the order of their start; the pool bounds their number. */
     private final Map<String, QueryAttempt> attempts = new LinkedHashMap<>();
 
     private final EndedAttempts endedAttempts = new EndedAttempts();
 
-    /** Returns whether an attempt of this id may be added, with so many in flight at most. */
+    /** Returns whether an attempt of this id may be added, given the maximum of attempts in flight. */
     boolean accepts(String id, int maxAttempts) {
         boolean idIsFree = !attempts.containsKey(id) && !endedAttempts.contains(id);
         return idIsFree && attempts.size() < maxAttempts && !endedAttempts.isFull();
@@ -26,58 +26,59 @@
     }
 
     boolean contains(QueryAttempt attempt) {
-        return attempts.get(attempt.id) == attempt;
+        return attempts.get(attempt.id()) == attempt;
     }
 
     void add(QueryAttempt attempt) {
-        attempts.put(attempt.id, attempt);
+        attempts.put(attempt.id(), attempt);
     }
 
     /**
-     * Sends the request of an attempt that was added, or ends it where it is too late.
+     * Sends the request of an attempt, or ends the attempt if it is past its start deadline.
      *
-     * @param onSent is called once the socket has taken the request's last byte
+     * @param onSent is called once the socket has taken the last byte of the request
      */
     void send(QueryAttempt attempt, RequestWriter writer, Runnable onSent) {
         if (attempt.isPastStartDeadline(System.nanoTime())) {
-            attempts.remove(attempt.id);
+            attempts.remove(attempt.id());
             attempt.end(AttemptEnd.NOT_SENT);
             return;
         }
-        attempt.requestWritten = true;
+        attempt.requestWritten();
         writer.startQuery(attempt, () -> {
-            attempt.requestSent = true;
+            attempt.requestSent();
             onSent.run();
         });
     }
 
-    /** Sends the requests of all attempts, as {@link #send}. */
+    /** Calls {@link #send} for every attempt. */
     void sendAll(RequestWriter writer, Runnable onSent) {
         List.copyOf(attempts.values()).forEach(attempt -> send(attempt, writer, onSent));
     }
 
-    /** Cancels an attempt without notifying its listener; returns whether the engine was notified. */
+    /** Cancels an attempt without notifying its listener; returns whether a cancel was sent to the engine. */
     boolean cancel(QueryAttempt attempt, RequestWriter writer) {
-        attempts.remove(attempt.id);
-        if (attempt.requestWritten) {
+        attempts.remove(attempt.id());
+        boolean isWritten = attempt.isRequestWritten();
+        if (isWritten) {
             endedAttempts.add(attempt);
             sendCancel(attempt, writer);
         }
         attempt.discard();
-        return attempt.requestWritten;
+        return isWritten;
     }
 
     private static void sendCancel(QueryAttempt attempt, RequestWriter writer) {
         if (attempt.hasFirstPage()) {
-            writer.closeResult(attempt.id);
+            writer.closeResult(attempt.id());
         } else {
-            writer.cancelQuery(attempt.id);
+            writer.cancelQuery(attempt.id());
         }
     }
 
     /**
-     * Handles a reply, and owns its body. Replies under an id that is not in flight and duplicates are
-     * ignored.
+     * Handles a reply and becomes the owner of its body. Duplicates, and replies to attempts that are not in
+     * flight, are ignored.
      *
      * @throws MalformedReplyException if a page was not requested or is not acceptable
      */
@@ -111,23 +112,23 @@
     }
 
     private void addFirstPage(QueryAttempt attempt, Reply reply, RequestWriter writer) {
-        attempt.addFirstPage(reply.integer(LineProtocol.PAGE_COUNT_FIELD, -1), reply.body());
+        attempt.addFirstPage(reply.integer(LineProtocol.PAGE_COUNT_FIELD), reply.body());
         for (int page = 1; page < attempt.pageCount(); page++) {
-            writer.readPage(attempt.id, page);
+            writer.readPage(attempt.id(), page);
         }
         completeIfAllPages(attempt, writer);
     }
 
     private void addPage(QueryAttempt attempt, Reply reply, RequestWriter writer) {
-        attempt.addPage(reply.integer(LineProtocol.PAGE_INDEX_FIELD, -1), reply.body());
+        attempt.addPage(reply.integer(LineProtocol.PAGE_INDEX_FIELD), reply.body());
         completeIfAllPages(attempt, writer);
     }
 
     private void completeIfAllPages(QueryAttempt attempt, RequestWriter writer) {
         if (attempt.hasAllPages()) {
-            attempts.remove(attempt.id);
+            attempts.remove(attempt.id());
             if (attempt.pageCount() > 1) {
-                writer.closeResult(attempt.id);
+                writer.closeResult(attempt.id());
             }
             attempt.end(AttemptEnd.COMPLETED);
         }
@@ -135,7 +136,7 @@
 
     private void endWithoutResult(QueryAttempt attempt, Reply reply, AttemptEnd end) {
         reply.body().release();
-        attempts.remove(attempt.id);
+        attempts.remove(attempt.id());
         endedAttempts.add(attempt);
         attempt.end(end);
     }
@@ -147,7 +148,7 @@
         return removed;
     }
 
-    /** Frees the ids of ended attempts whose timeouts have passed. */
+    /** Allows the ids of ended attempts again whose timeouts have passed. */
     void freeExpiredIds(long nowNanos) {
         endedAttempts.removeExpired(nowNanos);
     }
--- a/src/main/java/lineward/engine/LineProtocol.java
+++ b/src/main/java/lineward/engine/LineProtocol.java
@@ -1,12 +1,12 @@
 package lineward.engine;
 
 /**
- * The words of the line protocol. They stand here alone; all other code uses the names of these constants.
+ * The words of the line protocol. All other code uses these constants, whose names are the field's terms.
  */
 final class LineProtocol {
-    /** Ends a line and a body. */
-    static final String LINE_END = "\r\n";
-    /** Stands in place of fields where a reply has none. */
+    /** Terminates a line, and the body after it. */
+    static final String LINE_TERMINATOR = "\r\n";
+    /** The value of the fields of a reply that has none. */
     static final String NO_FIELDS = "-";
 
     // Requests.
--- a/src/main/java/lineward/engine/ProgressReports.java
+++ b/src/main/java/lineward/engine/ProgressReports.java
@@ -6,9 +6,9 @@
 import lineward.engine.QueryAttempt.Listener;
 import lineward.scheduling.ProgressKind;
 
-/** Parses an engine's progress reports on a query. Unknown kinds and unusable amounts are ignored. */
+/** Parses an engine's progress reports on a query. Unknown kinds and invalid amounts are ignored. */
 final class ProgressReports {
-    /** As many digits as any ratio or number of megabytes needs. */
+    /** A decimal number without sign or exponent; the digits suffice for a ratio or megabytes. */
     private static final Pattern AMOUNT = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,18})?");
 
     private static final int WAITING_FOR_MEMORY = 1;
--- a/src/main/java/lineward/engine/QueryAttempt.java
+++ b/src/main/java/lineward/engine/QueryAttempt.java
@@ -1,26 +1,30 @@
 package lineward.engine;
 
 import io.netty.buffer.ByteBuf;
+import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
 import lineward.scheduling.AttemptOutcome;
 import lineward.scheduling.ProgressKind;
 
-/** One attempt to run a query at an engine: the request, the pages received and the listener to notify. */
+/**
+ * One attempt to run a query at an engine: the request, the pages received and the listener to notify. It
+ * owns a reference to its statement, and the pages, until it ends. Used on the event loop only.
+ */
 public final class QueryAttempt {
-    /** Is notified of an attempt's progress and end. */
+    /** Is notified of an attempt's progress and end, on the event loop. */
     @FunctionalInterface
     public interface Listener {
         /**
-         * The attempt has ended; called once at most.
+         * The attempt has ended; called at most once.
          *
-         * @param result all rows where the outcome is OK, else null; the listener releases it
+         * @param result all rows if the outcome is OK, else null; the listener becomes its owner
          */
         void ended(AttemptOutcome outcome, ByteBuf result);
 
         /**
          * The engine reported progress.
          *
-         * @param amount the ratio done, or the megabytes missing, or a reason's number, by kind
+         * @param amount depends on the kind: the ratio done, the megabytes missing, or the number of a reason
          */
         default void progressed(ProgressKind kind, double amount) {}
     }
@@ -29,36 +33,32 @@
      * Bounds of an attempt in time, counted from its creation.
      *
      * @param timeoutMs how long the attempt may take
-     * @param startWithinMs after which it must no longer be sent
+     * @param startWithinMs time after which its request must not be sent any more
      */
     public record Timing(long timeoutMs, long startWithinMs) {}
 
-    final String id;
-    final String requestClass;
-    final ByteBuf statement;
-    final long memoryGrantMb;
+    private final String id;
+    private final String requestClass;
+    private final ByteBuf statement;
+    private final long memoryGrantMb;
     private final long deadlineNanos;
     private final long startByNanos;
     private final Listener listener;
-    int priority;
-    /** Whether the request was passed to the channel: a part of it may have gone out. */
-    boolean requestWritten;
-    /** Whether the socket has taken the request's last byte. */
-    boolean requestSent;
-
-    private boolean ended;
-    /** The result as far as it has come, or null before the first page and after the end. */
+    private int priority;
+    private QueryAttemptState state = QueryAttemptState.WAITING;
+    /** The pages received; null before the first page and after the end. */
     private ResultPages pages;
 
     /**
      * Creates an attempt that has not been sent.
      *
      * @param id the request's id, forwarded unchanged
-     * @param requestClass the class's name
-     * @param statement the bytes to run. Retained until the attempt ends: its request may end, and release
-     *     them, in the same event loop run in which the connection comes up that the attempt waits for
-     * @param timing how long it may take, and by when it must have been sent
-     * @param memoryGrantMb memory reserved at the engine, rounded up; 0 for none
+     * @param requestClass name of the class
+     * @param statement the statement to run. It is retained until the attempt ends: the request may end, and
+     *     release it, in the same event loop run in which the connection comes up
+     * @param timing how long the attempt may take, and until when its request may be sent
+     * @param memoryGrantMb memory to reserve at the engine, rounded up; 0 leaves it to the engine
+     * @param priority from 0, the lowest, to 3
      */
     public QueryAttempt(
             String id,
@@ -80,42 +80,96 @@
         this.listener = listener;
     }
 
-    /** Returns the time left until the timeout, 1 ms at least. */
+    /** Returns the request's id. */
+    String id() {
+        return id;
+    }
+
+    /** Returns the name of the class. */
+    String requestClass() {
+        return requestClass;
+    }
+
+    /** Returns the statement, which this attempt owns until it ends. */
+    ByteBuf statement() {
+        return statement;
+    }
+
+    /** Returns the memory to reserve at the engine in megabytes; empty if the engine decides. */
+    OptionalLong memoryGrantMb() {
+        return memoryGrantMb > 0 ? OptionalLong.of(memoryGrantMb) : OptionalLong.empty();
+    }
+
+    /** Returns the priority, from 0, the lowest, to 3. */
+    int priority() {
+        return priority;
+    }
+
+    /** Sets the priority; the caller notifies the engine. */
+    void setPriority(int next) {
+        priority = next;
+    }
+
+    /** Records that the request was passed to the channel. */
+    void requestWritten() {
+        state = state.requestWritten();
+    }
+
+    /** Records that the socket has taken the last byte of the request. */
+    void requestSent() {
+        state = state.requestSent();
+    }
+
+    /** Returns whether a part of the request may have been sent and the attempt has not ended. */
+    boolean isRequestWritten() {
+        return state.isRequestWritten();
+    }
+
+    /** Returns whether the engine may have received the complete request and the attempt has not ended. */
+    boolean isRequestSent() {
+        return state == QueryAttemptState.SENT;
+    }
+
+    /** Returns the time left until the timeout, at least 1 ms. */
     long remainingMs(long nowNanos) {
         return Math.max(1, TimeUnit.NANOSECONDS.toMillis(deadlineNanos - nowNanos));
     }
 
-    /** Returns whether it is too late to send the request. */
+    /** Returns whether the request must not be sent any more. */
     boolean isPastStartDeadline(long nowNanos) {
         return startByNanos - nowNanos < 0;
     }
 
-    /** Returns whether the timeout has passed, so that the id will not be used again. */
+    /** Returns whether the timeout has passed, after which no request with this id is sent again. */
     boolean isExpired(long nowNanos) {
         return deadlineNanos - nowNanos < 0;
     }
 
-    /** Returns whether the reply repeats a page that is here. */
+    /**
+     * Returns whether the reply repeats a page that was received before.
+     *
+     * @throws MalformedReplyException if the reply has no valid page index
+     */
     boolean isDuplicate(Reply reply) {
         if (pages == null) {
             return false;
         }
         return switch (reply.type()) {
             case FIRST_PAGE -> true;
-            case NEXT_PAGE -> pages.contains(reply.integer(LineProtocol.PAGE_INDEX_FIELD, -1));
+            case NEXT_PAGE -> pages.contains(reply.integer(LineProtocol.PAGE_INDEX_FIELD));
             default -> false;
         };
     }
 
-    /** Returns whether the first page has been received, and the end has not come. */
+    /** Returns whether the first page was received and the attempt has not ended. */
     boolean hasFirstPage() {
         return pages != null;
     }
 
     /**
-     * Adds the first page, and becomes its owner.
+     * Adds the first page and becomes its owner.
      *
-     * @throws MalformedReplyException if the count or the page is not acceptable; the page stays the caller's
+     * @throws MalformedReplyException if the count or the page is not acceptable; the caller keeps the page
      */
     void addFirstPage(int pageCount, ByteBuf page) {
         pages = ResultPages.ofCount(pageCount);
@@ -123,27 +177,29 @@
     }
 
     /**
-     * Adds a page that is not here yet, and becomes its owner.
+     * Adds a page that was not received before and becomes its owner.
      *
-     * @throws MalformedReplyException if the page was not requested or is not acceptable; it stays
-     *     the caller's
+     * @throws MalformedReplyException if the page was not requested or is not acceptable; the caller keeps
+     *     the page
      */
     void addPage(int index, ByteBuf page) {
         if (pages == null || !pages.accepts(index, page)) {
-            throw new MalformedReplyException("page " + index + " was not requested or holds no rows");
+            throw new MalformedReplyException("page " + index + " was not requested or has invalid rows");
         }
         pages.add(index, page);
     }
 
+    /** Returns whether the result is complete; the first page must have been received. */
     boolean hasAllPages() {
         return pages.isComplete();
     }
 
+    /** Returns the number of pages of the result; the first page must have been received. */
     int pageCount() {
         return pages.count();
     }
 
-    /** Ends the attempt and notifies the listener; ends after the first are ignored. */
+    /** Ends the attempt and notifies the listener; ignored if it has already ended. */
     void end(AttemptEnd end) {
         if (!endOnce()) {
             return;
@@ -154,12 +210,12 @@
             pages = null;
         }
         releasePages();
-        listener.ended(end.outcome, result);
+        listener.ended(end.outcome(), result);
     }
 
-    /** Passes a progress report on to the listener; ignored after the end. */
+    /** Notifies the listener of a progress report; ignored if the attempt has ended. */
     void progressed(Reply report) {
-        if (!ended) {
+        if (state != QueryAttemptState.ENDED) {
             ProgressReports.notify(report.fields(), listener);
         }
     }
@@ -171,12 +227,12 @@
         }
     }
 
-    /** Returns whether the attempt had not ended before. */
+    /** Ends the attempt and returns true; returns false if it has already ended. */
     private boolean endOnce() {
-        if (ended) {
+        if (state == QueryAttemptState.ENDED) {
             return false;
         }
-        ended = true;
+        state = state.ended();
         statement.release();
         return true;
     }
--- a/src/main/java/lineward/engine/Reply.java
+++ b/src/main/java/lineward/engine/Reply.java
@@ -4,15 +4,20 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** One reply of an engine; the receiver releases the body. */
+/**
+ * One reply of an engine. The receiver owns the body.
+ *
+ * @param id id of the attempt, or tag of the heartbeat or health check, that it answers
+ * @param fields by the names of {@link LineProtocol}; absent fields have no entry
+ */
 record Reply(String id, ReplyType type, Map<String, String> fields, ByteBuf body) {
     private static final Pattern NUMBER_LIST =
             Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?([;:|/][0-9]{1,9}(\\.[0-9]{1,9})?){0,15}");
     private static final Pattern NUMBER_SEPARATOR = Pattern.compile("[^0-9.]+");
 
     /**
-     * Returns the numbers in the field, whatever separates them; none where the field is not a list of
-     * numbers.
+     * Returns the numbers in the field, whose separators vary; empty if the field is absent or is not a list
+     * of numbers.
      */
     double[] numbers(String field) {
         String text = fields.getOrDefault(field, "");
@@ -27,19 +32,19 @@
     }
 
     /**
-     * Returns the integer in the field, or the fallback where the field is absent.
+     * Returns the integer in the field.
      *
-     * @throws MalformedReplyException if the field is not an integer
+     * @throws MalformedReplyException if the field is absent or is not an integer
      */
-    int integer(String field, int fallback) {
+    int integer(String field) {
         String text = fields.get(field);
         if (text == null) {
-            return fallback;
+            throw new MalformedReplyException("field " + field + " is absent");
         }
         try {
             return Integer.parseInt(text);
         } catch (NumberFormatException e) {
-            throw new MalformedReplyException("field " + field + " is no number", e);
+            throw new MalformedReplyException("field " + field + " is not a number", e);
         }
     }
 }
--- a/src/main/java/lineward/engine/ReplyDecoder.java
+++ b/src/main/java/lineward/engine/ReplyDecoder.java
@@ -9,23 +9,26 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Decodes replies: a line of id, type, fields and body length, then the body and a line end. */
+/**
+ * Decodes replies: a line of id, type, fields and body length, then the body and a line terminator. Runs on
+ * its channel's event loop.
+ */
 final class ReplyDecoder extends ByteToMessageDecoder {
-    /** Longest header line; ids and fields are short. */
+    /** Maximum length of a header line. */
     private static final int MAX_HEADER_BYTES = 1024;
-    /** Largest body: a page has 6,000 bytes at most, an error's text may be longer. */
+    /** Maximum length of a body; the text of an error may be longer than a page. */
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
     private static final int HEADER_PARTS = 4;
-    private static final int LINE_END_BYTES = LineProtocol.LINE_END.length();
+    private static final int LINE_TERMINATOR_BYTES = LineProtocol.LINE_TERMINATOR.length();
     private static final Pattern FIELD_SEPARATOR = Pattern.compile(",");
 
-    /** The header of the reply whose body is still awaited, or null. */
+    /** The header of the reply whose body has not arrived completely; null if there is none. */
     private Header header;
 
     private record Header(String id, ReplyType type, Map<String, String> fields, int bodyBytes) {}
 
-    /** Returns whether bytes of an incomplete reply have been received. */
+    /** Returns whether part of an incomplete reply was received. */
     boolean hasPartialReply() {
         return header != null || actualReadableBytes() > 0;
     }
@@ -35,39 +38,38 @@
         if (header == null) {
             header = readHeader(in);
         }
-        if (header == null || in.readableBytes() < header.bodyBytes + LINE_END_BYTES) {
+        if (header == null || in.readableBytes() < header.bodyBytes + LINE_TERMINATOR_BYTES) {
             return;
         }
         int bodyEnd = in.readerIndex() + header.bodyBytes;
         if (in.getByte(bodyEnd) != '\r' || in.getByte(bodyEnd + 1) != '\n') {
-            throw new MalformedReplyException("no line end after a body");
+            throw new MalformedReplyException("no line terminator after a body");
         }
         ByteBuf body = in.readRetainedSlice(header.bodyBytes);
         output.add(new Reply(header.id, header.type, header.fields, body));
-        in.skipBytes(LINE_END_BYTES);
+        in.skipBytes(LINE_TERMINATOR_BYTES);
         header = null;
     }
 
     /** Returns the next header, or null while its line is incomplete. */
     private static Header readHeader(ByteBuf in) {
-        int lineFeed = in.bytesBefore((byte) '\n');
-        if (lineFeed < 0 || lineFeed > MAX_HEADER_BYTES) {
+        int lineFeedOffset = in.bytesBefore((byte) '\n');
+        if (lineFeedOffset < 0 || lineFeedOffset > MAX_HEADER_BYTES) {
             if (in.readableBytes() > MAX_HEADER_BYTES) {
                 throw new MalformedReplyException("line too long");
             }
             return null;
         }
-        if (lineFeed < 1 || in.getByte(in.readerIndex() + lineFeed - 1) != '\r') {
+        if (lineFeedOffset < 1 || in.getByte(in.readerIndex() + lineFeedOffset - 1) != '\r') {
             throw new MalformedReplyException("line feed without carriage return");
         }
-        String line =
-                in.readCharSequence(lineFeed - 1, StandardCharsets.ISO_8859_1).toString();
-        in.skipBytes(LINE_END_BYTES);
-        return parseHeader(line);
+        CharSequence header = in.readCharSequence(lineFeedOffset - 1, StandardCharsets.ISO_8859_1);
+        in.skipBytes(LINE_TERMINATOR_BYTES);
+        return parseHeader(header.toString());
     }
 
-    private static Header parseHeader(String line) {
-        String[] parts = line.split(" ", -1);
+    private static Header parseHeader(String text) {
+        String[] parts = text.split(" ", -1);
         if (parts.length != HEADER_PARTS || parts[0].isEmpty()) {
             throw new MalformedReplyException("line of " + parts.length + " words");
         }
@@ -80,7 +82,7 @@
         try {
             bytes = Integer.parseInt(text);
         } catch (NumberFormatException e) {
-            throw new MalformedReplyException("body length is no number", e);
+            throw new MalformedReplyException("body length is not a number", e);
         }
         if (bytes < 0 || bytes > MAX_BODY_BYTES) {
             throw new MalformedReplyException("body of " + bytes + " bytes");
--- a/src/main/java/lineward/engine/ReplyType.java
+++ b/src/main/java/lineward/engine/ReplyType.java
@@ -9,19 +9,19 @@
 enum ReplyType {
     /** The first page of a result. */
     FIRST_PAGE(LineProtocol.FIRST_PAGE),
-    /** A further page of a result. */
+    /** A later page of a result. */
     NEXT_PAGE(LineProtocol.NEXT_PAGE),
     /** The engine has no capacity; the query did not start. */
     REJECTED(LineProtocol.REJECTED),
-    /** The query's timeout had passed when it came; it did not start. */
+    /** The engine received the query after its timeout; it did not start. */
     EXPIRED(LineProtocol.EXPIRED),
-    /** The query failed, or the engine no longer knows it or its page. */
+    /** The query failed, or the engine has already dropped the query or its result. */
     ERROR(LineProtocol.ERROR),
     /** Progress of a query that has not ended. */
     PROGRESS(LineProtocol.PROGRESS),
-    /** Answer to a ping or a health check. */
+    /** The answer to a heartbeat, or to a health check of a healthy engine. */
     HEALTHY(LineProtocol.HEALTHY),
-    /** Answer to a health check that failed. */
+    /** The answer to a health check of an unhealthy engine. */
     UNHEALTHY(LineProtocol.UNHEALTHY);
 
     private static final Map<String, ReplyType> BY_TOKEN =
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Returns the type that this word of the protocol stands for.
+     * Returns the type with this word in the line protocol.
      *
      * @throws MalformedReplyException if the protocol has no such word
      */
--- a/src/main/java/lineward/engine/RequestWriter.java
+++ b/src/main/java/lineward/engine/RequestWriter.java
@@ -4,7 +4,7 @@
 import io.netty.channel.Channel;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes requests to an engine and writes them to its channel. */
+/** Encodes requests to an engine and writes them to its channel, on the channel's event loop. */
 final class RequestWriter {
     private final Channel channel;
 
@@ -15,27 +15,26 @@
     /**
      * Sends the query of an attempt.
      *
-     * @param onSent is called once the socket has taken the last byte
+     * @param onSent is called once the socket has taken the last byte; never if a write fails
      */
     void startQuery(QueryAttempt attempt, Runnable onSent) {
-        channel.write(encode(startLine(attempt))).addListener(FailureLog.CHANNEL);
-        channel.write(attempt.statement.retainedDuplicate()).addListener(FailureLog.CHANNEL);
-        channel.writeAndFlush(encode(LineProtocol.LINE_END)).addListener(done -> {
+        channel.write(encode(encodeQueryHeader(attempt))).addListener(FailureLog.CHANNEL);
+        channel.write(attempt.statement().retainedDuplicate()).addListener(FailureLog.CHANNEL);
+        channel.writeAndFlush(encode(LineProtocol.LINE_TERMINATOR)).addListener(done -> {
             if (done.isSuccess()) {
                 onSent.run();
             }
         });
     }
 
-    private static String startLine(QueryAttempt attempt) {
+    private static String encodeQueryHeader(QueryAttempt attempt) {
         StringBuilder fields = new StringBuilder();
-        appendField(fields, LineProtocol.REQUEST_CLASS_FIELD, attempt.requestClass);
+        appendField(fields, LineProtocol.REQUEST_CLASS_FIELD, attempt.requestClass());
         appendField(fields, LineProtocol.TIMEOUT_MS_FIELD, attempt.remainingMs(System.nanoTime()));
-        if (attempt.memoryGrantMb > 0) {
-            appendField(fields, LineProtocol.MEMORY_MB_FIELD, attempt.memoryGrantMb);
-        }
-        appendField(fields, LineProtocol.PRIORITY_FIELD, attempt.priority);
-        return line(LineProtocol.START_QUERY, attempt.id, fields, attempt.statement.readableBytes());
+        attempt.memoryGrantMb().ifPresent(grant -> appendField(fields, LineProtocol.MEMORY_MB_FIELD, grant));
+        appendField(fields, LineProtocol.PRIORITY_FIELD, attempt.priority());
+        int statementBytes = attempt.statement().readableBytes();
+        return encodeLine(LineProtocol.START_QUERY, attempt.id(), fields, statementBytes);
     }
 
     private static void appendField(StringBuilder fields, String name, Object value) {
@@ -66,14 +65,14 @@
     }
 
     void healthCheck(HealthCheck check) {
-        send(check.kind().token, check.tag());
+        send(check.kind().token(), check.tag());
     }
 
     private void send(Object... tokens) {
-        channel.writeAndFlush(encode(line(tokens))).addListener(FailureLog.CHANNEL);
+        channel.writeAndFlush(encode(encodeLine(tokens))).addListener(FailureLog.CHANNEL);
     }
 
-    private static String line(Object... tokens) {
+    private static String encodeLine(Object... tokens) {
         StringBuilder line = new StringBuilder();
         for (Object token : tokens) {
             if (line.length() > 0) {
@@ -81,7 +80,7 @@
             }
             line.append(token);
         }
-        return line.append(LineProtocol.LINE_END).toString();
+        return line.append(LineProtocol.LINE_TERMINATOR).toString();
     }
 
     private ByteBuf encode(String text) {
--- a/src/main/java/lineward/engine/ResultPages.java
+++ b/src/main/java/lineward/engine/ResultPages.java
@@ -4,13 +4,14 @@
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
 
-/** The pages of one result. It owns those that it has accepted until they are detached or released. */
+/** The pages of one result, which it owns until they are detached or released. Not thread-safe. */
 final class ResultPages {
-    /** Most bytes of one result, and of one page of it. */
+    /** Maximum bytes of a result. */
     private static final int MAX_RESULT_BYTES = 48_000;
 
+    /** Maximum bytes of a page. */
     private static final int MAX_PAGE_BYTES = 6_000;
-    /** Most pages of one result: short rows, each on a page of its own. */
+    /** Maximum pages of a result, enough for short rows that each have a page of their own. */
     private static final int MAX_PAGES = 1024;
 
     private final ByteBuf[] pages;
@@ -23,9 +24,9 @@
     }
 
     /**
-     * Returns an empty result of that many pages.
+     * Returns a result of that many pages, all missing.
      *
-     * @throws MalformedReplyException if no result may have that many
+     * @throws MalformedReplyException if the count is out of range
      */
     static ResultPages ofCount(int count) {
         if (count < 1 || count > MAX_PAGES) {
@@ -42,11 +43,12 @@
         return missingPages == 0;
     }
 
+    /** Returns whether the page at that index was added. */
     boolean contains(int index) {
         return index >= 0 && index < pages.length && pages[index] != null;
     }
 
-    /** Returns whether this page may be added: it is in range, within the bounds and holds complete rows. */
+    /** Returns whether the index is in range, the size within the bounds and each row complete. */
     boolean accepts(int index, ByteBuf page) {
         int bytes = page.readableBytes();
         boolean inRange = index >= 0 && index < pages.length;
@@ -54,20 +56,21 @@
         return inRange && withinBounds && Rows.areComplete(page);
     }
 
-    /** Adds a page that is acceptable and not here yet, and becomes its owner. */
+    /** Adds a page that is acceptable and missing, and becomes its owner. */
     void add(int index, ByteBuf page) {
         pages[index] = page;
         receivedBytes += page.readableBytes();
         missingPages--;
     }
 
-    /** Returns all pages of a complete result in one buffer, which the caller releases. */
+    /** Returns all pages of a complete result in one buffer, whose owner is the caller. */
     ByteBuf detach() {
         CompositeByteBuf result = Unpooled.compositeBuffer(pages.length);
         result.addComponents(true, pages);
         return result;
     }
 
+    /** Releases the pages that were added. */
     void release() {
         for (ByteBuf page : pages) {
             if (page != null) {
--- a/src/main/java/lineward/engine/Rows.java
+++ b/src/main/java/lineward/engine/Rows.java
@@ -3,20 +3,20 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.util.ByteProcessor;
 
-/** Checks that a page consists of complete rows of three columns, so that corrupt bytes are not served. */
+/** Checks that a page consists of complete rows of three columns, so that clients get no corrupt bytes. */
 final class Rows implements ByteProcessor {
     private static final int TABS_PER_ROW = 2;
-    /** Bytes that UTF-8 never uses: the two that would begin an overlong form, and all from this one on. */
+    // Bytes that are invalid in UTF-8: two that begin an overlong encoding, and all from BEYOND_UNICODE on.
     private static final int OVERLONG = 0xc0;
-
     private static final int OVERLONG_ASCII = 0xc1;
     private static final int BEYOND_UNICODE = 0xf5;
+
     private int tabs;
     private boolean inRow;
 
     private Rows() {}
 
-    /** Returns whether the page holds complete rows and nothing else. */
+    /** Returns whether the page consists of complete rows only. */
     static boolean areComplete(ByteBuf page) {
         Rows rows = new Rows();
         return page.forEachByte(rows) < 0 && !rows.inRow;
--- a/src/main/java/lineward/frontend/Channels.java
+++ b/src/main/java/lineward/frontend/Channels.java
@@ -5,7 +5,8 @@
 import io.netty.channel.socket.DuplexChannel;
 
 /**
- * Operations on channels whose result nobody waits for: Netty releases the descriptor also where they fail.
+ * Operations on channels whose result is ignored, because Netty releases the descriptor even if they fail.
+ * May be called from any thread.
  */
 public final class Channels {
     private Channels() {}
--- a/src/main/java/lineward/frontend/ClientRegistry.java
+++ b/src/main/java/lineward/frontend/ClientRegistry.java
@@ -11,8 +11,8 @@
 
 /**
  * The connections of a protocol's clients, by state: silent (has never sent a request), awaiting a response,
- * idle, or closing. When the registry is full, a silent or idle connection is evicted; one that awaits a
- * response never is. Used on the event loop alone.
+ * idle, or closing. When the registry is full, a silent or idle connection is evicted, but never one that
+ * awaits a response. Used on the event loop only.
  *
  * @param <C> a connection
  */
@@ -22,19 +22,19 @@
     private final Consumer<C> closer;
     private final Consumer<C> gracefulCloser;
 
-    /** Each map holds the time since when a connection is in that state, in nanoseconds; the oldest first. */
+    /** Each map holds the time at which a connection entered the state, in nanoseconds, the oldest first. */
     private final Map<C, Long> silent = new LinkedHashMap<>();
 
     private final Map<C, Long> awaitingResponse = new LinkedHashMap<>();
     private final Map<C, Long> idle = new LinkedHashMap<>();
-    /** Each disconnects soon, or sends a request and leaves this state. */
+    /** A closing connection disconnects soon, or leaves the state because it sends a request. */
     private final Map<C, Long> closing = new LinkedHashMap<>();
 
     /**
      * Creates an empty registry.
      *
-     * @param capacity connections held at once, without those that are closing
-     * @param clock in nanoseconds, has the origin and the rate of {@link System#nanoTime}
+     * @param capacity maximum of connections, not counting closing ones
+     * @param clock the time in nanoseconds, as of {@link System#nanoTime}
      * @param closer closes a connection at once
      * @param gracefulCloser closes a connection unless it sends a request first
      */
@@ -45,7 +45,7 @@
         this.gracefulCloser = gracefulCloser;
     }
 
-    /** Registers a new connection; if the registry is full, one is closed, perhaps this one. */
+    /** Registers a new connection. If the registry is full, one connection is closed, possibly this one. */
     public void connected(C client) {
         changeState(client, silent);
         if (size() - closing.size() > capacity) {
@@ -79,18 +79,18 @@
         closing.remove(client);
     }
 
-    /** Closes a connection that awaits no response, unless it sends a request first. */
+    /** Closes a connection without an open request, unless it sends one first. */
     public void closeGracefully(C client) {
         changeState(client, closing);
         gracefulCloser.accept(client);
     }
 
-    /** Returns the number of connections, those that are closing included. */
+    /** Returns the number of connections, including closing ones. */
     public int size() {
         return silent.size() + awaitingResponse.size() + idle.size() + closing.size();
     }
 
-    /** Returns all connections but those that are closing. */
+    /** Returns all connections except closing ones. */
     public List<C> all() {
         List<C> all = new ArrayList<>(silent.keySet());
         all.addAll(awaitingResponse.keySet());
@@ -99,7 +99,7 @@
     }
 
     /**
-     * Closes each of these connections with this probability, so that they don't all reconnect at once.
+     * Closes each of these connections with this probability, so that not all clients reconnect at once.
      *
      * @param probability in [0, 1]; 1 closes all
      */
@@ -109,7 +109,7 @@
                 .forEach(closer);
     }
 
-    /** Closes connections gracefully that have been silent for so long. */
+    /** Gracefully closes connections that have been silent for at least that long. */
     public void closeSilent(long silentNanos) {
         long latestNanos = nanoClock.getAsLong() - silentNanos;
         while (!silent.isEmpty() && silent.values().iterator().next() <= latestNanos) {
--- a/src/main/java/lineward/frontend/LingeringClose.java
+++ b/src/main/java/lineward/frontend/LingeringClose.java
@@ -10,35 +10,31 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Closes an idle connection so that no request or response is lost. What the peer has sent by then is read
- * first, and may keep the connection open. Otherwise the sending half is shut down, and what still arrives is
- * read and dropped until the peer closes too: a close over unread bytes would reset the connection and drop
- * responses on their way.
+ * Closes an idle connection so that no request or response is lost. Bytes that the peer has already sent are
+ * read first, and a request among them keeps the connection open. Otherwise the sending half is shut down,
+ * and later bytes are read and dropped until the peer closes too: a close with unread bytes would reset the
+ * connection and drop responses in flight. Used on the channel's event loop.
  */
 public final class LingeringClose extends ChannelInboundHandlerAdapter {
     private static final String HANDLER_NAME = "lingering-close";
-    /**
-     * Gives the event loop a turn in which it reads what has arrived, between the decision and the shutdown.
-     */
+    /** Delay between decision and shutdown, in which the event loop reads the bytes that have arrived. */
     private static final int READ_AHEAD_MS = 1;
-    /**
-     * A peer that reads closes within a round trip; one that does not must not hold a descriptor for long.
-     */
+    /** Time until a connection is closed whose peer does not close; other peers close within a round trip. */
     private static final int LINGER_MS = 500;
 
     private LingeringClose() {}
 
     /**
-     * Closes the connection unless a request arrives first; one that is closing already is skipped.
+     * Closes the connection unless a request arrives first. A connection that is already closing is ignored.
      *
-     * @param idle whether the connection is still idle once all that has arrived is read
-     * @param staysOpen is called where it is not
+     * @param idle returns whether the connection is still idle after the bytes that have arrived were read
+     * @param staysOpen is called if it is not
      */
     public static void begin(Channel channel, BooleanSupplier idle, Runnable staysOpen) {
         afterRead(channel, idle, staysOpen, () -> shutdownAndLinger(channel));
     }
 
-    /** Does the same for a peer that has never sent anything and awaits no response: nothing lingers. */
+    /** Does the same for a peer that has never sent anything, but closes at once instead of lingering. */
     public static void closeSilent(Channel channel, BooleanSupplier idle, Runnable staysOpen) {
         afterRead(channel, idle, staysOpen, () -> Channels.close(channel));
     }
--- a/src/main/java/lineward/frontend/ProtocolServer.java
+++ b/src/main/java/lineward/frontend/ProtocolServer.java
@@ -5,24 +5,28 @@
 import lineward.core.Coordinator;
 import lineward.scheduling.decision.ServerAdmissionPolicy;
 
-/** A client protocol as the program steers it. All but {@link #listen} runs on the event loop. */
+/** The program's interface to a client protocol. All methods but {@link #listen} run on the event loop. */
 public interface ProtocolServer {
-    /** Starts to listen. */
+    /** Starts to accept clients, whose connections run on the loop. May be called from any thread. */
     ChannelFuture listen(EventLoopGroup loop);
 
-    /** Lets the scheduler decide on what has arrived, and carries its commands out. */
+    /** Lets the scheduler decide on the events since the last tick, and executes its commands. */
     void tick();
 
-    /** Sets how clients are met from now on. */
+    /** Sets which clients and requests are admitted from now on. */
     void setAdmission(ServerAdmissionPolicy.Phase phase);
 
-    /** Bounds the time of requests that arrive from now on, whatever deadline their clients set. */
+    /**
+     * Bounds the time of requests that arrive from now on, even if their clients set a later deadline.
+     *
+     * @param deadlineMs time from now
+     */
     void setShutdownDeadline(int deadlineMs);
 
-    /** Fails all open requests, where the process is about to be killed. */
+    /** Fails all open requests, because the process is about to be killed. */
     void failOpenRequests();
 
-    /** Closes the listening socket, or leaves it to the processes that share it. */
+    /** Closes the listening socket; a socket that other processes share stays open there. */
     void stopListening();
 
     /**
@@ -32,19 +36,19 @@
      */
     void closeIdleClients(double probability);
 
-    /** Closes connections that are silent or whose message stays incomplete; called ten times a second. */
+    /** Closes connections that are silent or whose message stays incomplete. Called ten times a second. */
     void closeUnresponsive();
 
-    /** Closes connections to engines that have been idle for long. */
+    /** Closes connections to engines that have been idle past their timeout. */
     void closeIdleEngineConnections();
 
     /**
-     * Carries out an operator's order on an engine.
+     * Puts an engine under maintenance, or releases it.
      *
-     * @param excluded true: the engine gets no requests from now on; false: it is used again
-     * @param sinceMs when the order was given, in Unix milliseconds
+     * @param underMaintenance true: the engine gets no requests from now on; false: it gets requests again
+     * @param sinceMs when the operator gave the order, in Unix milliseconds
      */
-    void setMaintenance(String engine, boolean excluded, double sinceMs);
+    void setMaintenance(String engine, boolean underMaintenance, double sinceMs);
 
     /** Returns the coordinator of this server's requests. */
     Coordinator<?> coordinator();
--- a/src/main/java/lineward/frontend/RateLimitedLog.java
+++ b/src/main/java/lineward/frontend/RateLimitedLog.java
@@ -3,9 +3,14 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 
-/** Logs one line a second at most and counts the rest, so that malformed input at full speed costs little. */
+/**
+ * Logs at most one line a second and counts the others, so that malformed input at full speed does not slow
+ * the program down. Used on the event loop only.
+ */
 public final class RateLimitedLog {
     private static final long INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final String FORMAT = "{}: {}={} cause={} suppressedLines={}";
+
     private final Logger log;
     private long nextLogNanos = System.nanoTime();
     private int suppressedLines;
@@ -23,17 +28,17 @@
      * Logs a line, unless one was logged within the last second.
      *
      * @param event what happened
-     * @param subject what it happened to
-     * @param cause why; logged without its stack trace
+     * @param key key of the subject, as {@code engine} or {@code client}
+     * @param subject the engine or client that the event concerns
+     * @param cause logged without its stack trace
      */
-    public void info(String event, Object subject, Object cause) {
+    public void info(String event, String key, Object subject, Object cause) {
         long nowNanos = System.nanoTime();
         if (nowNanos - nextLogNanos < 0) {
             suppressedLines++;
             return;
         }
-        String format = "{} {}: {} ({} lines like this passed over)";
-        log.info(format, event, subject, cause.toString(), suppressedLines);
+        log.info(FORMAT, event, key, subject, cause.toString(), suppressedLines);
         nextLogNanos = nowNanos + INTERVAL_NANOS;
         suppressedLines = 0;
     }
--- a/src/main/java/lineward/thrift/Call.java
+++ b/src/main/java/lineward/thrift/Call.java
@@ -1,16 +1,21 @@
 package lineward.thrift;
 
 import io.netty.buffer.ByteBuf;
+import lineward.core.GenerationalTable;
 import lineward.engine.QueryAttempt;
 
-/** One request of a client: where its response goes, its statement, and its latest attempt. */
+/**
+ * One request of a client: its connection, its statement and its latest attempt. Used on the event loop only;
+ * outside this package only its id and class are read.
+ */
 public final class Call {
     private static final int NO_ATTEMPT = -1;
+    private static final long NOT_ADMITTED = GenerationalTable.FULL;
 
     private enum State {
-        /** Its statement is held and a final response is owed. */
+        /** It awaits its final response and holds its statement. */
         OPEN,
-        /** Its final response is settled and its statement released. */
+        /** Its final response is sent or no longer needed, and its statement is released. */
         COMPLETED
     }
 
@@ -19,11 +24,13 @@
     private final CallFields fields;
     private final ByteBuf statement;
     private State state = State.OPEN;
-    private long requestId;
+    private long requestId = NOT_ADMITTED;
+    /** The latest attempt; null before the first one. */
     private QueryAttempt attempt;
+
     private int attemptNumber = NO_ATTEMPT;
 
-    /** @param statement a slice of the client's frame; whoever admits the call retains it */
+    /** @param statement a slice of the client's frame, retained when the call is admitted */
     Call(ClientHandler client, int sequenceNumber, CallFields fields, ByteBuf statement) {
         this.client = client;
         this.sequenceNumber = sequenceNumber;
@@ -32,7 +39,7 @@
     }
 
     /** Returns the name of the request's class. */
-    public String op() {
+    public String requestClass() {
         return fields.requestClass();
     }
 
@@ -41,44 +48,48 @@
         return fields.id();
     }
 
+    /** Returns the connection of its client. */
     ClientHandler client() {
         return client;
     }
 
-    /** Returns the number under which the client waits for the response, unique on its connection. */
+    /** Returns the sequence number of its response, unique on the connection. */
     int sequenceNumber() {
         return sequenceNumber;
     }
 
+    /** Returns its validated fields. */
     CallFields fields() {
         return fields;
     }
 
+    /** Returns its statement, valid until the call is complete. */
     ByteBuf statement() {
         return statement;
     }
 
-    /** Returns the coordinator's id of the request. */
+    /** Returns the coordinator's id of the request; the call must have been admitted. */
     long requestId() {
         return requestId;
     }
 
+    /** The coordinator has admitted the call under that id. */
     void admitted(long id) {
         requestId = id;
     }
 
-    /** The coordinator has started an attempt; it takes the place of the one before. */
+    /** The coordinator has started an attempt, which replaces the previous one. */
     void attemptStarted(int number, QueryAttempt started) {
         attemptNumber = number;
         attempt = started;
     }
 
-    /** Returns the attempt of that number, or null if a later one has taken its place. */
+    /** Returns the attempt with that number; null if it is not the latest one. */
     QueryAttempt attempt(int number) {
         return number == attemptNumber ? attempt : null;
     }
 
-    /** Returns whether the call was open until now. */
+    /** Completes the call and returns true; returns false if it was completed before. */
     boolean complete() {
         boolean wasOpen = state == State.OPEN;
         state = State.COMPLETED;
--- a/src/main/java/lineward/thrift/CallField.java
+++ b/src/main/java/lineward/thrift/CallField.java
@@ -1,18 +1,44 @@
 package lineward.thrift;
 
-/** The fields of a request that the front end reads, under their names on the wire. */
+import java.util.Arrays;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Function;
+import java.util.stream.Collectors;
+
+/** The fields of a request that the front end reads, with their names on the wire. */
 enum CallField {
+    /** The request's id. */
     ID("call"),
+    /** The name of the request class. */
     REQUEST_CLASS("op"),
+    /** The name of the tenant. */
     TENANT("org"),
+    /** How long the client still waits, in milliseconds. */
     TIME_LEFT_MS("ttl"),
+    /** The client's estimate of the work, in milliseconds on one core. */
     ESTIMATED_WORK_MS("work"),
+    /** The client's estimate of the memory, in megabytes. */
     ESTIMATED_MEMORY_MB("mem"),
+    /** Whether the request is the client's retry of an earlier one. */
     CLIENT_RETRY("rep");
 
-    final String wireName;
+    private static final Map<String, CallField> BY_WIRE_NAME =
+            Arrays.stream(values()).collect(Collectors.toMap(CallField::wireName, Function.identity()));
+
+    private final String wireName;
 
     CallField(String wireName) {
         this.wireName = wireName;
     }
+
+    /** Returns the field's name on the wire. */
+    String wireName() {
+        return wireName;
+    }
+
+    /** Returns the field with that name on the wire; empty for fields that the front end ignores. */
+    static Optional<CallField> ofWireName(String name) {
+        return Optional.ofNullable(BY_WIRE_NAME.get(name));
+    }
 }
--- a/src/main/java/lineward/thrift/CallForwarder.java
+++ b/src/main/java/lineward/thrift/CallForwarder.java
@@ -3,47 +3,30 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import java.util.function.Consumer;
-import java.util.function.DoubleSupplier;
 import lineward.core.Command;
-import lineward.core.Coordinator;
 import lineward.core.Forwarder;
 import lineward.engine.EngineCluster;
 import lineward.engine.QueryAttempt;
+import lineward.frontend.CoordinatorDriver;
 import lineward.scheduling.AttemptOutcome;
 import lineward.scheduling.ProgressKind;
 
-/** Carries out the coordinator's commands: attempts at engines, and final responses to clients. */
+/**
+ * Executes the coordinator's commands: starts attempts at engines and sends final responses to clients. Used
+ * on the event loop only.
+ */
 final class CallForwarder implements Forwarder<Call> {
-    private final Coordinator<Call> coordinator;
+    private final CoordinatorDriver<Call> driver;
     private final EngineCluster engines;
     private final OpenCalls calls;
-    private final DoubleSupplier clock;
-    private final Runnable wakeUp;
-    private final Consumer<byte[]> gossip;
-
-    /**
-     * @param clock milliseconds
-     * @param wakeUp is called when the coordinator has something to decide on
-     * @param gossip sends a datagram to the other front ends
-     */
-    CallForwarder(
-            Coordinator<Call> coordinator,
-            EngineCluster engines,
-            OpenCalls calls,
-            DoubleSupplier clock,
-            Runnable wakeUp,
-            Consumer<byte[]> gossip) {
-        this.coordinator = coordinator;
+    private final Consumer<byte[]> peers;
+
+    /** @param peers sends a datagram to the other front ends */
+    CallForwarder(CoordinatorDriver<Call> driver, EngineCluster engines, OpenCalls calls, Consumer<byte[]> peers) {
+        this.driver = driver;
         this.engines = engines;
         this.calls = calls;
-        this.clock = clock;
-        this.wakeUp = wakeUp;
-        this.gossip = gossip;
-    }
-
-    /** Lets the coordinator decide, and carries its commands out. */
-    void tick() {
-        coordinator.tick(clock.getAsDouble()).forEach(command -> command.executeBy(this));
+        this.peers = peers;
     }
 
     @Override
@@ -51,7 +34,7 @@
         Call call = command.exchange();
         QueryAttempt attempt = new QueryAttempt(
                 call.id(),
-                call.op(),
+                call.requestClass(),
                 call.statement(),
                 new QueryAttempt.Timing(command.timeoutMs(), command.startWithinMs()),
                 command.grantMb(),
@@ -79,15 +62,15 @@
 
     @Override
     public void checkHealth(Command.CheckHealth<Call> command) {
-        engines.checkHealth(command.engine(), (outcome, report) -> {
-            coordinator.healthCheckCompleted(clock.getAsDouble(), command.engine(), outcome, report);
-            wakeUp.run();
-        });
+        String engine = command.engine();
+        EngineCluster.HealthCheckListener listener =
+                (outcome, loadReport) -> driver.healthCheckCompleted(engine, outcome, loadReport);
+        engines.checkHealth(engine, listener);
     }
 
     @Override
     public void broadcastGossip(Command.BroadcastGossip<Call> command) {
-        gossip.accept(command.payload());
+        peers.accept(command.payload());
     }
 
     @Override
@@ -112,7 +95,7 @@
         return call.client().channel().alloc();
     }
 
-    /** Reports to the coordinator how an attempt goes, and gives the client the result that it accepts. */
+    /** Reports an attempt's progress and end, and sends the result that the coordinator accepts. */
     private final class AttemptListener implements QueryAttempt.Listener {
         private final Call call;
         private final int attemptNumber;
@@ -124,18 +107,16 @@
 
         @Override
         public void ended(AttemptOutcome outcome, ByteBuf result) {
-            if (coordinator.attemptEnded(call.requestId(), attemptNumber, outcome)) {
+            if (driver.attemptEnded(call.requestId(), attemptNumber, outcome)) {
                 respond(call, ThriftWriter.result(allocator(call), call.sequenceNumber(), result));
             } else if (result != null) {
                 result.release();
             }
-            wakeUp.run();
         }
 
         @Override
         public void progressed(ProgressKind kind, double amount) {
-            coordinator.attemptProgressed(call.requestId(), attemptNumber, kind, amount);
-            wakeUp.run();
+            driver.attemptProgressed(call.requestId(), attemptNumber, kind, amount);
         }
     }
 }
--- a/src/main/java/lineward/thrift/CallIds.java
+++ b/src/main/java/lineward/thrift/CallIds.java
@@ -6,32 +6,33 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** The ids of calls that are open or ended a moment ago, by which a duplicate call is known. */
+/** The ids of calls that are open or ended recently, to detect duplicates. Used on the event loop only. */
 final class CallIds {
-    /** An id is new with every call; one that comes again so soon after its end is a duplicate. */
+    /** Clients use an id once; an id that returns this soon after its call ended marks a duplicate. */
     private static final long QUARANTINE_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private record EndedId(String id, long endedAtNanos) {}
 
     private final Set<String> inUse = new HashSet<>();
-    /** The earliest end first. */
+    /** In the order of their ends. */
     private final Deque<EndedId> ended = new ArrayDeque<>();
 
+    /** Returns whether a call with that id is open or ended recently. */
     boolean isInUse(String id) {
         return inUse.contains(id);
     }
 
-    /** A call of that id is open. */
+    /** A call with that id is admitted. */
     void opened(String id) {
         inUse.add(id);
     }
 
-    /** The call of that id has ended; the id stays in use for a while. */
+    /** The call with that id has ended; the id stays in use for {@link #QUARANTINE_NANOS}. */
     void ended(String id, long nowNanos) {
         ended.add(new EndedId(id, nowNanos));
     }
 
-    /** Frees the ids whose calls ended long enough ago. */
+    /** Allows the ids again whose calls ended at least {@link #QUARANTINE_NANOS} ago. */
     void expire(long nowNanos) {
         long endedBefore = nowNanos - QUARANTINE_NANOS;
         while (!ended.isEmpty() && ended.peek().endedAtNanos() <= endedBefore) {
--- a/src/main/java/lineward/thrift/ClientHandler.java
+++ b/src/main/java/lineward/thrift/ClientHandler.java
@@ -16,13 +16,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One client's connection: takes its messages apart, and keeps the calls that it still owes a response. */
+/**
+ * One client's connection: decodes its messages and holds the calls that await a response. Runs on its
+ * channel's event loop.
+ */
 final class ClientHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private static final Logger LOGGER = LoggerFactory.getLogger(ClientHandler.class);
     private static final RateLimitedLog LOG = new RateLimitedLog(LOGGER);
-    /** Calls that a connection carries at once, those with a response on its way to the client included. */
+    /** Maximum of calls open on a connection, including those whose response is being written. */
     private static final int MAX_OPEN_CALLS = 32;
-    /** Advice to a client whose call finds this front end full. */
+    /** Retry-After of a call that is rejected because this front end is full. */
     private static final long RETRY_AFTER_MS = 500;
 
     private final ClientRegistry<ClientHandler> clients;
@@ -32,13 +35,13 @@
     private final Map<Integer, Call> openCalls = new HashMap<>();
     private Channel channel;
     private long unreadBytes;
-    /** Responses of which the socket has not taken the last byte: their calls are open to the client. */
+    /** Responses whose last byte the socket has not taken. The client still regards their calls as open. */
     private int unsentResponses;
 
     private boolean receivedMessage;
     private int lastSequenceNumber;
 
-    /** @param frameDecoder brings this handler its frames */
+    /** @param frameDecoder the decoder before this handler in the pipeline */
     ClientHandler(
             ClientRegistry<ClientHandler> clients,
             OpenCalls calls,
@@ -58,12 +61,12 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-        // Frames may follow the one that made this end close the connection.
+        // The same read may deliver frames after the one on which this handler closed the connection.
         if (!ctx.channel().isActive()) {
             return;
         }
         receivedMessage = true;
-        // A client that sends and reads nothing would fill the memory; reading on shows when it closes.
+        // A client that sends but does not read would fill the memory.
         if (unsentResponses >= MAX_OPEN_CALLS) {
             throw new DecoderException("more than " + MAX_OPEN_CALLS + " responses not read");
         }
@@ -82,17 +85,17 @@
         switch (header.method()) {
             case ThriftProtocol.INVOKE -> invoke(sequenceNumber, ThriftReader.readInvocation(frame));
             case ThriftProtocol.PING -> {
-                markIdleUnlessWaiting();
+                becomeIdleIfNoCallIsOpen();
                 send(ThriftWriter.pong(channel.alloc(), sequenceNumber, calls.acceptsClients()));
             }
             default -> {
-                markIdleUnlessWaiting();
+                becomeIdleIfNoCallIsOpen();
                 send(ThriftWriter.unknownMethod(channel.alloc(), header.method(), sequenceNumber));
             }
         }
     }
 
-    /** A response may cross the abort of its call; the abort of a call that was never made is malformed. */
+    /** Ignores the abort of a completed call. The abort of a call that was never made is malformed. */
     private void abort(OptionalInt sequenceNumber) {
         if (sequenceNumber.isEmpty() || sequenceNumber.getAsInt() > lastSequenceNumber) {
             throw new DecoderException("abort of a request that was never made");
@@ -100,18 +103,18 @@
         Call call = openCalls.remove(sequenceNumber.getAsInt());
         if (call != null) {
             calls.cancel(call);
-            markIdleUnlessWaiting();
+            becomeIdleIfNoCallIsOpen();
         }
     }
 
     private void invoke(int sequenceNumber, ThriftReader.Invocation invocation) {
         requireWithinLimits(sequenceNumber);
-        markIdleUnlessWaiting();
+        becomeIdleIfNoCallIsOpen();
         CallFields fields;
         try {
             fields = calls.validate(invocation);
         } catch (InvalidCallException e) {
-            calls.recordUnusable(invocation);
+            calls.recordInvalid(invocation);
             send(ThriftWriter.protocolError(channel.alloc(), sequenceNumber, e.getMessage()));
             return;
         }
@@ -125,7 +128,7 @@
     }
 
     private void requireWithinLimits(int sequenceNumber) {
-        // Two calls of one number can't be told apart, so the client does not keep to the protocol.
+        // A client that reuses a number violates the protocol, as the responses would be ambiguous.
         if (sequenceNumber <= lastSequenceNumber) {
             throw new DecoderException("sequence number " + sequenceNumber + " does not rise");
         }
@@ -135,17 +138,17 @@
         }
     }
 
-    private void markIdleUnlessWaiting() {
+    private void becomeIdleIfNoCallIsOpen() {
         if (openCalls.isEmpty()) {
             clients.becameIdle(this);
         }
     }
 
-    /** Sends a call's only response, which is released unless the client still waits for it. */
+    /** Sends a call's only response, or releases it if the client no longer waits for it. */
     void respond(Call call, ByteBuf response) {
         if (openCalls.remove(call.sequenceNumber(), call)) {
             send(response);
-            markIdleUnlessWaiting();
+            becomeIdleIfNoCallIsOpen();
         } else {
             response.release();
         }
@@ -155,22 +158,22 @@
         responses.send(this, frame);
     }
 
-    /** Returns whether part of a frame has been waiting for its rest for more than that many nanoseconds. */
+    /** Returns whether a frame has been incomplete for more than that many nanoseconds. */
     boolean isStalled(long nanos) {
         return frameDecoder.isStalled(nanos);
     }
 
-    /** Returns whether no call is open or on its way here, and every response has been sent. */
+    /** Returns whether no call is open or partly received, and every response has been written. */
     boolean isIdle() {
         return openCalls.isEmpty() && unsentResponses == 0 && !frameDecoder.hasPartialFrame();
     }
 
-    /** Closes the connection after what is on its way, unless a call comes first. */
+    /** Closes the connection once the responses are written, unless a call arrives first. */
     void closeGracefully() {
         if (receivedMessage) {
-            LingeringClose.begin(channel, this::isIdle, this::markIdleUnlessWaiting);
+            LingeringClose.begin(channel, this::isIdle, this::becomeIdleIfNoCallIsOpen);
         } else {
-            LingeringClose.closeSilent(channel, this::isIdle, this::markIdleUnlessWaiting);
+            LingeringClose.closeSilent(channel, this::isIdle, this::becomeIdleIfNoCallIsOpen);
         }
     }
 
@@ -179,34 +182,35 @@
         ChannelFuture unused = channel.close();
     }
 
-    /** A response of that many bytes goes out. */
+    /** A response of that many bytes is being written. */
     void responseStarted(long bytes) {
         unreadBytes += bytes;
         unsentResponses++;
     }
 
-    /** The socket has taken all of a response, or never will. */
+    /** The socket has taken the last byte of a response, or the write has failed. */
     void responseEnded(long bytes) {
         unreadBytes -= bytes;
         unsentResponses--;
     }
 
-    /** Returns the bytes of responses that the socket has not taken yet. */
+    /** Returns the bytes of responses that the socket has not taken. */
     long unreadBytes() {
         return unreadBytes;
     }
 
+    /** Returns the channel; null before the connection is active. */
     Channel channel() {
         return channel;
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        LOG.info("closed the connection of client", ctx.channel().remoteAddress(), cause);
+        LOG.info("client connection closed", "client", ctx.channel().remoteAddress(), cause);
         ChannelFuture unused = ctx.close();
     }
 
-    /** A client that has hung up waits for no response. */
+    /** Cancels the open calls, as their client has disconnected. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         clients.disconnected(this);
--- a/src/main/java/lineward/thrift/FrameDecoder.java
+++ b/src/main/java/lineward/thrift/FrameDecoder.java
@@ -3,18 +3,21 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
+import java.util.OptionalLong;
 
-/** Splits a client's bytes into frames, and knows since when a partial frame waits for its rest. */
+/**
+ * Splits a client's bytes into frames, and records since when a frame is incomplete. Runs on its channel's
+ * event loop.
+ */
 final class FrameDecoder extends LengthFieldBasedFrameDecoder {
-    /** Largest frame of a client: a statement and its fields. */
+    /** Maximum size of a client's frame, which holds a statement and its fields. */
     private static final int MAX_FRAME_BYTES = 64 * 1024;
 
     private static final int LENGTH_OFFSET = 0;
     private static final int LENGTH_BYTES = 4;
     private static final int LENGTH_ADJUSTMENT = 0;
 
-    private long partialSinceNanos;
-    private boolean partial;
+    private OptionalLong incompleteSinceNanos = OptionalLong.empty();
 
     FrameDecoder() {
         super(MAX_FRAME_BYTES, LENGTH_OFFSET, LENGTH_BYTES, LENGTH_ADJUSTMENT, LENGTH_BYTES);
@@ -23,17 +26,18 @@
     @Override
     protected Object decode(ChannelHandlerContext ctx, ByteBuf in) throws Exception {
         Object frame = super.decode(ctx, in);
-        partial &= frame == null;
+        if (frame != null) {
+            incompleteSinceNanos = OptionalLong.empty();
+        }
         return frame;
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) throws Exception {
-        if (actualReadableBytes() == 0) {
-            partial = false;
-        } else if (!partial) {
-            partial = true;
-            partialSinceNanos = System.nanoTime();
+        if (!hasPartialFrame()) {
+            incompleteSinceNanos = OptionalLong.empty();
+        } else if (incompleteSinceNanos.isEmpty()) {
+            incompleteSinceNanos = OptionalLong.of(System.nanoTime());
         }
         super.channelReadComplete(ctx);
     }
@@ -43,8 +47,9 @@
         return actualReadableBytes() > 0;
     }
 
-    /** Returns whether part of a frame has been waiting for its rest for more than that many nanoseconds. */
+    /** Returns whether a frame has been incomplete for more than that many nanoseconds. */
     boolean isStalled(long nanos) {
-        return partial && System.nanoTime() - partialSinceNanos > nanos;
+        long nowNanos = System.nanoTime();
+        return incompleteSinceNanos.isPresent() && nowNanos - incompleteSinceNanos.getAsLong() > nanos;
     }
 }
--- a/src/main/java/lineward/thrift/InvalidCallException.java
+++ b/src/main/java/lineward/thrift/InvalidCallException.java
@@ -1,6 +1,6 @@
 package lineward.thrift;
 
-/** A call that can't be served as it stands. Its connection goes on; the client is told the message. */
+/** A call that is invalid. The response carries the message, and the connection stays open. */
 final class InvalidCallException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -8,17 +8,17 @@
         super(message);
     }
 
-    /** Returns the error of a field that is absent, malformed or out of its range. */
+    /** Returns the error for a field that is absent, malformed or out of range. */
     static InvalidCallException invalid(CallField field) {
-        return new InvalidCallException("field " + field.wireName + " is missing or can't be used");
+        return new InvalidCallException("field " + field.wireName() + " is missing or can't be used");
     }
 
-    /** Returns the error of a request whose id belongs to another one that is open or has just ended. */
+    /** Returns the error for an id of a request that is open or ended recently. */
     static InvalidCallException idInUse() {
-        return new InvalidCallException("field " + CallField.ID.wireName + " is in use already");
+        return new InvalidCallException("field " + CallField.ID.wireName() + " is in use already");
     }
 
-    /** Returns the error of a request that has nothing to run. */
+    /** Returns the error for a request without a statement. */
     static InvalidCallException noStatement() {
         return new InvalidCallException("no statement");
     }
--- a/src/main/java/lineward/thrift/OpenCalls.java
+++ b/src/main/java/lineward/thrift/OpenCalls.java
@@ -1,52 +1,48 @@
 package lineward.thrift;
 
-import java.util.function.DoubleSupplier;
-import lineward.core.Coordinator;
-import lineward.core.GenerationalTable;
+import java.util.OptionalLong;
+import lineward.frontend.CoordinatorDriver;
 import lineward.operations.Metrics;
 import lineward.scheduling.decision.ServerAdmissionPolicy;
+import lineward.thrift.ThriftServer.Names;
 
-/** Admits calls to the coordinator, and holds their statements and ids until they are complete. */
+/**
+ * Admits calls to the coordinator, and holds their statements and ids until they are complete. Used on the
+ * event loop only.
+ */
 final class OpenCalls {
-    private final ThriftServer.Names names;
+    private final Names names;
     private final ServerAdmissionPolicy admission;
-    private final Coordinator<Call> coordinator;
-    private final DoubleSupplier clock;
-    private final Runnable wakeUp;
+    private final CoordinatorDriver<Call> driver;
     private final Metrics metrics;
     private final CallIds ids = new CallIds();
 
     /**
-     * @param maxStatementBytes bytes of statements held at once; calls beyond are rejected
-     * @param clock milliseconds
-     * @param wakeUp is called when the coordinator has something to decide on
+     * @param maxStatementBytes maximum bytes of the statements of open calls; further calls are rejected
      * @param metrics count the calls that end before the coordinator has admitted them
      */
-    OpenCalls(
-            ThriftServer.Names names,
-            long maxStatementBytes,
-            Coordinator<Call> coordinator,
-            DoubleSupplier clock,
-            Runnable wakeUp,
-            Metrics metrics) {
+    OpenCalls(Names names, long maxStatementBytes, CoordinatorDriver<Call> driver, Metrics metrics) {
         this.names = names;
         this.admission = new ServerAdmissionPolicy(maxStatementBytes);
-        this.coordinator = coordinator;
-        this.clock = clock;
-        this.wakeUp = wakeUp;
+        this.driver = driver;
         this.metrics = metrics;
     }
 
+    /** Sets the phase of admission from now on. */
     void setAdmission(ServerAdmissionPolicy.Phase next) {
         admission.enter(next);
     }
 
-    /** Returns whether clients that have a choice of front ends are welcome here. */
+    /** Returns whether this front end accepts clients that could use another one. */
     boolean acceptsClients() {
         return admission.welcomesClients();
     }
 
-    /** Returns the fields of an invocation that can be served. */
+    /**
+     * Returns the validated fields of an invocation.
+     *
+     * @throws InvalidCallException if a field is invalid or the id is in use
+     */
     CallFields validate(ThriftReader.Invocation invocation) throws InvalidCallException {
         CallFields fields = CallFields.parse(invocation, names);
         if (ids.isInUse(fields.id())) {
@@ -55,49 +51,49 @@
         return fields;
     }
 
-    /** Counts a call that can't be served, as a failure of the class that it names. */
-    void recordUnusable(ThriftReader.Invocation invocation) {
-        String requestClass = invocation.fields().get(CallField.REQUEST_CLASS.wireName);
+    /** Counts an invalid call as failed, under the class that it names. */
+    void recordInvalid(ThriftReader.Invocation invocation) {
+        String requestClass = invocation.fields().get(CallField.REQUEST_CLASS);
         metrics.countEnded(requestClass, Metrics.RequestStatus.FAILED);
     }
 
-    /** Returns whether the call is admitted; if not, there is no capacity for it and it must be rejected. */
+    /**
+     * Admits the call and retains its statement; returns false if there is no capacity and the caller must
+     * reject it.
+     */
     boolean admit(Call call) {
-        if (!tryAdmit(call)) {
-            metrics.countEnded(call.op(), Metrics.RequestStatus.REJECTED);
+        if (!admitWithinBounds(call)) {
+            metrics.countEnded(call.requestClass(), Metrics.RequestStatus.REJECTED);
             return false;
         }
         call.statement().retain();
         ids.opened(call.id());
-        wakeUp.run();
         return true;
     }
 
-    private boolean tryAdmit(Call call) {
+    private boolean admitWithinBounds(Call call) {
         int bytes = call.statement().readableBytes();
         if (!admission.mayAdmit(bytes)) {
             return false;
         }
-        long requestId = coordinator.admit(clock.getAsDouble(), call.fields().attributes(), call);
-        if (requestId == GenerationalTable.FULL) {
+        OptionalLong requestId = driver.admit(call.fields().attributes(), call);
+        if (requestId.isEmpty()) {
             return false;
         }
         admission.recordAdmitted(bytes);
-        call.admitted(requestId);
+        call.admitted(requestId.getAsLong());
         return true;
     }
 
     /** Cancels a call whose client no longer waits for it. */
     void cancel(Call call) {
-        coordinator.cancelRequest(call.requestId());
+        driver.cancel(call.requestId());
         complete(call);
-        wakeUp.run();
     }
 
     /**
-     * Releases what is held for the call. A client may hang up between the decision that its call has failed
-     * and the response, so this can come twice; only the first time counts, for bytes released twice would be
-     * another call's.
+     * Releases the call's statement and id. Only the first call has an effect: a client may disconnect
+     * between the decision that its request has failed and the response.
      */
     void complete(Call call) {
         if (call.complete()) {
@@ -107,7 +103,7 @@
         }
     }
 
-    /** Frees the ids of calls that ended long enough ago. */
+    /** Allows the ids of calls again that ended long enough ago. */
     void expireIds() {
         ids.expire(System.nanoTime());
     }
--- a/src/main/java/lineward/thrift/ProtocolWarmup.java
+++ b/src/main/java/lineward/thrift/ProtocolWarmup.java
@@ -14,24 +14,24 @@
 import lineward.thrift.ThriftServer.Services;
 
 /**
- * Plays requests through a server of its own, with no socket and no engine, before the program listens. A
- * cold virtual machine took some 80 ms for its first request: enough to answer a short one too late.
+ * Runs requests through a server without sockets and engines, before the program listens. The JVM then has
+ * loaded and compiled the code of a request, which would otherwise delay the first one by many milliseconds.
  */
 public final class ProtocolWarmup {
     private static final int REQUESTS = 60;
-    /** Requests that the coordinator queues stay open, and a connection carries only so many. */
+    /** Below the maximum of open calls on a connection, as queued requests stay open. */
     private static final int REQUESTS_PER_CONNECTION = 25;
 
     private static final int TIME_LEFT_MS = 2_000;
-    private static final String STATEMENT = "select a from rehearsal_1.t where b = 'c'";
+    private static final String STATEMENT = "select a from warmup_1.t where b = 'c'";
 
     private ProtocolWarmup() {}
 
     /**
-     * Plays the requests; returns when the last one is through.
+     * Runs the requests and returns after the last one. Called on the event loop.
      *
-     * @param coordinator of the warmup alone
-     * @param engines with no engine in it: attempts end at once
+     * @param coordinator a coordinator that serves nothing else
+     * @param engines a cluster without engines, at which attempts end at once
      * @param clock milliseconds
      */
     public static void run(
@@ -41,7 +41,7 @@
             EngineCluster engines,
             DoubleSupplier clock) {
         coordinator.endpointsChanged(
-                true, List.of(new EngineEndpoint("rehearsal", "", 0, 1, 0, EndpointState.READY, 0, 0)));
+                true, List.of(new EngineEndpoint("warmup", "", 0, 1, 0, EndpointState.READY, 0, 0)));
         Services services = new Services(clock, () -> {}, new Metrics(), datagram -> {});
         ThriftServer server = new ThriftServer(names, bounds, null, coordinator, engines, services);
         EmbeddedChannel channel = new EmbeddedChannel(server.clientHandlers());
@@ -50,7 +50,7 @@
                 close(channel);
                 channel = new EmbeddedChannel(server.clientHandlers());
             }
-            Map<String, String> fields = fields(names, number);
+            Map<CallField, String> fields = fields(names, number);
             channel.writeInbound(ThriftWriter.invocation(channel.alloc(), number, fields, STATEMENT));
             server.tick();
             server.tick();
@@ -60,17 +60,17 @@
         server.tick();
     }
 
-    private static Map<String, String> fields(ThriftServer.Names names, int number) {
+    private static Map<CallField, String> fields(ThriftServer.Names names, int number) {
         String requestClass = names.classes().get(number % names.classes().size());
         String tenant = names.tenants().isEmpty() ? "" : names.tenants().get(0);
         return Map.of(
-                CallField.REQUEST_CLASS.wireName,
+                CallField.REQUEST_CLASS,
                 requestClass,
-                CallField.ID.wireName,
+                CallField.ID,
                 String.format("%016x", number),
-                CallField.TIME_LEFT_MS.wireName,
+                CallField.TIME_LEFT_MS,
                 Integer.toString(TIME_LEFT_MS),
-                CallField.TENANT.wireName,
+                CallField.TENANT,
                 tenant);
     }
 
--- a/src/main/java/lineward/thrift/ResponseSender.java
+++ b/src/main/java/lineward/thrift/ResponseSender.java
@@ -6,23 +6,23 @@
 import lineward.core.ByteBudget;
 import lineward.frontend.ClientRegistry;
 
-/** Sends responses within a bound on the bytes that clients have not read yet. */
+/** Sends responses and bounds the bytes that clients have not read. Used on the event loop only. */
 final class ResponseSender {
     private final ClientRegistry<ClientHandler> clients;
     private final ByteBudget unreadBytes;
 
-    /** @param maxUnreadBytes of all clients; beyond it the one with most unread bytes is closed */
+    /** @param maxUnreadBytes maximum for all clients; beyond it the slowest reader is closed */
     ResponseSender(ClientRegistry<ClientHandler> clients, long maxUnreadBytes) {
         this.clients = clients;
         this.unreadBytes = new ByteBudget(maxUnreadBytes);
     }
 
-    /** Returns the bytes of responses that clients have not read yet. */
+    /** Returns the bytes of responses that clients have not read. */
     long unreadBytes() {
         return unreadBytes.used();
     }
 
-    /** Sends the frame, which is released here in any case; closes the client if there is no room for it. */
+    /** Sends the frame and becomes its owner; closes the client if the bound does not allow the frame. */
     void send(ClientHandler client, ByteBuf frame) {
         int bytes = frame.readableBytes();
         if (!reserve(client.channel(), bytes)) {
--- a/src/main/java/lineward/thrift/ThriftProtocol.java
+++ b/src/main/java/lineward/thrift/ThriftProtocol.java
@@ -1,6 +1,9 @@
 package lineward.thrift;
 
-/** The words of the platform's Thrift service on the wire: kinds of message and value, methods, field ids. */
+/**
+ * The constants of the platform's Thrift service on the wire: kinds of message and value, methods, field ids.
+ * The names of a request's fields are in {@link CallField}.
+ */
 final class ThriftProtocol {
     /** Version of the strict binary protocol, in the upper half of a message's first word. */
     static final int VERSION = 0x80010000;
@@ -57,7 +60,7 @@
 
     /** Field id of a declared exception's struct. */
     static final int DECLARED_FIELDS = 1;
-    /** The declared exception's field with the time in milliseconds after which a retry is welcome. */
+    /** The declared exception's field with the time in milliseconds after which the client should retry. */
     static final String RETRY_AFTER_FIELD = "pushback";
 
     /** Field ids of an application exception. */
@@ -70,5 +73,10 @@
 
     static final int PROTOCOL_ERROR = 7;
 
+    /** Values of a request's field that is a flag. */
+    static final String FIELD_FALSE = "0";
+
+    static final String FIELD_TRUE = "1";
+
     private ThriftProtocol() {}
 }
--- a/src/main/java/lineward/thrift/ThriftReader.java
+++ b/src/main/java/lineward/thrift/ThriftReader.java
@@ -3,11 +3,15 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.CorruptedFrameException;
 import java.nio.charset.StandardCharsets;
-import java.util.HashMap;
+import java.util.EnumMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.OptionalInt;
 
-/** Reads the messages of the platform's service. Malformed ones raise a {@link CorruptedFrameException}. */
+/**
+ * Decodes the messages of the platform's service. Every method throws a {@link CorruptedFrameException} if
+ * the message is malformed.
+ */
 final class ThriftReader {
     private static final int MAX_CALL_FIELDS = 64;
     private static final int MAX_METHOD_NAME_BYTES = 128;
@@ -30,10 +34,10 @@
     /**
      * The arguments of an invocation.
      *
-     * @param fields by their names on the wire
-     * @param statement a slice of the frame, or null if there is none
+     * @param fields the values of the fields that are present
+     * @param statement a slice of the frame; null if it is absent
      */
-    record Invocation(Map<String, String> fields, ByteBuf statement) {}
+    record Invocation(Map<CallField, String> fields, ByteBuf statement) {}
 
     private ThriftReader() {}
 
@@ -55,15 +59,15 @@
         }
     }
 
-    /** Returns the arguments of an invocation; unknown ones are skipped. */
+    /** Returns the arguments of an invocation; other arguments and fields are skipped. */
     static Invocation readInvocation(ByteBuf in) {
-        Map<String, String> fields = Map.of();
+        Map<CallField, String> fields = Map.of();
         ByteBuf statement = null;
         try {
             for (byte type = in.readByte(); type != ThriftProtocol.STOP; type = in.readByte()) {
                 short id = in.readShort();
                 if (id == ThriftProtocol.ARGUMENT_FIELDS && type == ThriftProtocol.MAP) {
-                    fields = readStringMap(in);
+                    fields = readFields(in);
                 } else if (id == ThriftProtocol.ARGUMENT_STATEMENT && type == ThriftProtocol.STRING) {
                     statement = in.readSlice(ThriftValues.readLength(in));
                 } else {
@@ -77,7 +81,7 @@
         return new Invocation(fields, statement);
     }
 
-    /** Returns the sequence number that an abort names, if it names one. */
+    /** Returns the sequence number of the call that an abort cancels; empty if it is absent. */
     static OptionalInt readAbortedSequenceNumber(ByteBuf in) {
         OptionalInt found = OptionalInt.empty();
         try {
@@ -96,14 +100,14 @@
         return found;
     }
 
-    /** A wrong length may leave arguments that read well: only the end of the message then shows it. */
+    /** Detects a wrong length that leaves valid arguments, but not at the end of the message. */
     private static void requireEnd(ByteBuf in) {
         if (in.isReadable()) {
-            throw new CorruptedFrameException(in.readableBytes() + " bytes behind the arguments");
+            throw new CorruptedFrameException(in.readableBytes() + " bytes after the arguments");
         }
     }
 
-    private static Map<String, String> readStringMap(ByteBuf in) {
+    private static Map<CallField, String> readFields(ByteBuf in) {
         byte keyType = in.readByte();
         byte valueType = in.readByte();
         int size = in.readInt();
@@ -112,10 +116,11 @@
         if (!sizeInRange || (size > 0 && !ofStrings)) {
             throw new CorruptedFrameException("not a small map of strings");
         }
-        Map<String, String> fields = new HashMap<>();
+        Map<CallField, String> fields = new EnumMap<>(CallField.class);
         for (int i = 0; i < size; i++) {
-            String name = readString(in);
-            fields.put(name, readString(in));
+            Optional<CallField> field = CallField.ofWireName(readString(in));
+            String value = readString(in);
+            field.ifPresent(known -> fields.put(known, value));
         }
         return fields;
     }
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -16,65 +16,70 @@
 import lineward.core.Coordinator;
 import lineward.engine.EngineCluster;
 import lineward.frontend.ClientRegistry;
+import lineward.frontend.CoordinatorDriver;
 import lineward.frontend.Listener;
 import lineward.frontend.ProtocolServer;
 import lineward.operations.Metrics;
 import lineward.scheduling.decision.ServerAdmissionPolicy;
 
-/** The platform's front end: listens for clients that speak Thrift, and ends their connections. */
+/**
+ * The platform's front end: accepts clients that speak Thrift, and closes their connections. All but the
+ * constructors and {@link #listen} is called on the event loop.
+ */
 public final class ThriftServer implements ProtocolServer {
     private static final int LISTEN_BACKLOG = 1024;
-    /** Bytes read from one connection in a turn of the loop: a client at full speed waits for the others. */
+    /** Bytes read from one connection in one run of the event loop, so that no client starves the others. */
     private static final int MIN_READ_BYTES = 512;
 
     private static final int INITIAL_READ_BYTES = 2 * 1024;
     private static final int MAX_READ_BYTES = 16 * 1024;
-    /** A client that has connected, or begun a frame, and then sends nothing for so long is closed. */
+    /** A client that sends nothing for this time after its connect, or within a frame, is closed. */
     private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
-    /** Time of the last responses to go out before the process is killed. */
+    /** Time for the last responses to be written before the process is killed. */
     private static final long FLUSH_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
     /**
-     * What the settings name, each list in their order.
+     * Names and deadlines in the order of the settings.
      *
      * @param classes names of the request classes
      * @param tenants names of the tenants
-     * @param deadlines of the classes, in milliseconds
+     * @param deadlines deadlines of the classes, in milliseconds
      */
     public record Names(List<String> classes, List<String> tenants, List<Double> deadlines) {}
 
     /**
-     * The bounds of what is held for clients.
+     * Bounds of the resources of clients.
      *
-     * @param clients connections of clients held at once
-     * @param statements bytes of statements held at once; requests beyond are rejected
-     * @param answers bytes of responses that clients have not read yet; beyond, the slowest is closed
+     * @param clients maximum of client connections
+     * @param statementBytes maximum bytes of the statements of open requests; further requests are rejected
+     * @param unreadBytes maximum bytes of responses that clients have not read; beyond it the client with
+     *     most unread bytes is closed
      */
-    public record Bounds(int clients, long statements, long answers) {}
+    public record Bounds(int clients, long statementBytes, long unreadBytes) {}
 
     /**
-     * What the program gives every protocol server.
+     * The parts of the program that a protocol server uses.
      *
      * @param clock milliseconds, never going back
-     * @param wakeUp is called when the coordinator has something to decide on
+     * @param tick arranges that {@link ThriftServer#tick} is called soon
      * @param metrics count the requests that end before the coordinator has admitted them
      * @param gossip sends a datagram to the other front ends
      */
-    public record Services(DoubleSupplier clock, Runnable wakeUp, Metrics metrics, Consumer<byte[]> gossip) {}
+    public record Services(DoubleSupplier clock, Runnable tick, Metrics metrics, Consumer<byte[]> gossip) {}
 
     private final Listener listener;
-    private final Coordinator<Call> coordinator;
+    private final CoordinatorDriver<Call> driver;
     private final EngineCluster engines;
-    private final DoubleSupplier clock;
-    private final Runnable wakeUp;
     private final ClientRegistry<ClientHandler> clients;
     private final OpenCalls calls;
     private final ResponseSender responses;
     private final CallForwarder forwarder;
+    /** Null until {@link #listen}. */
     private Channel listeningChannel;
+
     private OptionalLong openRequestsFailedAtNanos = OptionalLong.empty();
 
-    /** The same with the program's services one by one. */
+    /** Creates the front end from the program's services one by one. */
     public ThriftServer( // CHECKSTYLE:OFF ParameterNumber: the program's wiring calls it
             Names names,
             Bounds bounds,
@@ -82,16 +87,16 @@
             Coordinator<Call> coordinator,
             EngineCluster engines,
             DoubleSupplier clock,
-            Runnable wakeUp,
+            Runnable tick,
             Metrics metrics,
             Consumer<byte[]> gossip) {
-        this(names, bounds, listener, coordinator, engines, new Services(clock, wakeUp, metrics, gossip));
+        this(names, bounds, listener, coordinator, engines, new Services(clock, tick, metrics, gossip));
     }
 
     /**
-     * Puts the front end together; it serves nobody before {@link #listen}.
+     * Creates the front end, which accepts clients from {@link #listen} on.
      *
-     * @param listener opens the listening socket
+     * @param listener opens the listening socket; null if {@link #listen} is never called
      */
     public ThriftServer(
             Names names,
@@ -101,16 +106,14 @@
             EngineCluster engines,
             Services services) {
         this.listener = listener;
-        this.coordinator = coordinator;
+        this.driver = new CoordinatorDriver<>(coordinator, services.clock(), services.tick());
         this.engines = engines;
-        this.clock = services.clock();
-        this.wakeUp = services.wakeUp();
         this.clients = new ClientRegistry<>(
                 bounds.clients(), System::nanoTime, ClientHandler::close, ClientHandler::closeGracefully);
         Metrics metrics = services.metrics();
-        this.calls = new OpenCalls(names, bounds.statements(), coordinator, clock, wakeUp, metrics);
-        this.responses = new ResponseSender(clients, bounds.answers());
-        this.forwarder = new CallForwarder(coordinator, engines, calls, clock, wakeUp, services.gossip());
+        this.calls = new OpenCalls(names, bounds.statementBytes(), this.driver, metrics);
+        this.responses = new ResponseSender(clients, bounds.unreadBytes());
+        this.forwarder = new CallForwarder(this.driver, engines, calls, services.gossip());
         metrics.setUnreadBytes(responses::unreadBytes);
     }
 
@@ -134,7 +137,7 @@
         return bound;
     }
 
-    /** Returns new handlers of one client's connection. */
+    /** Returns new handlers for the connection of one client. */
     ChannelHandler[] clientHandlers() {
         FrameDecoder decoder = new FrameDecoder();
         return new ChannelHandler[] {decoder, new ClientHandler(clients, calls, responses, decoder)};
@@ -142,24 +145,23 @@
 
     @Override
     public void tick() {
-        forwarder.tick();
+        driver.tick(forwarder);
     }
 
     @Override
-    public void setAdmission(ServerAdmissionPolicy.Phase admission) {
-        calls.setAdmission(admission);
+    public void setAdmission(ServerAdmissionPolicy.Phase phase) {
+        calls.setAdmission(phase);
     }
 
     @Override
-    public void setShutdownDeadline(int ms) {
-        coordinator.setShutdownDeadline(clock.getAsDouble() + ms);
+    public void setShutdownDeadline(int deadlineMs) {
+        driver.setShutdownDeadline(deadlineMs);
     }
 
     @Override
     public void failOpenRequests() {
-        coordinator.failOpenRequests();
+        driver.failOpenRequests();
         openRequestsFailedAtNanos = OptionalLong.of(System.nanoTime());
-        wakeUp.run();
     }
 
     @Override
@@ -175,16 +177,16 @@
     }
 
     @Override
-    public void closeIdleClients(double chance) {
+    public void closeIdleClients(double probability) {
         List<ClientHandler> idle =
                 clients.all().stream().filter(ClientHandler::isIdle).toList();
-        ClientRegistry.closeSome(idle, chance, clients::closeGracefully);
-        if (isFlushTimedOut()) {
+        ClientRegistry.closeSome(idle, probability, clients::closeGracefully);
+        if (isFlushDeadlinePassed()) {
             clients.all().forEach(ClientHandler::close);
         }
     }
 
-    private boolean isFlushTimedOut() {
+    private boolean isFlushDeadlinePassed() {
         return openRequestsFailedAtNanos.isPresent()
                 && System.nanoTime() - openRequestsFailedAtNanos.getAsLong() > FLUSH_TIMEOUT_NANOS;
     }
@@ -200,21 +202,20 @@
     }
 
     @Override
-    public void setMaintenance(String engine, boolean out, double at) {
-        coordinator.setMaintenance(engine, out, at);
-        if (out) {
+    public void setMaintenance(String engine, boolean underMaintenance, double sinceMs) {
+        driver.setMaintenance(engine, underMaintenance, sinceMs);
+        if (underMaintenance) {
             engines.cancelWaiting(engine);
         }
-        wakeUp.run();
     }
 
     @Override
     public Coordinator<?> coordinator() {
-        return coordinator;
+        return driver.coordinator();
     }
 
     @Override
     public boolean isDrained() {
-        return coordinator.openRequests() == 0 && clients.size() == 0;
+        return driver.openRequests() == 0 && clients.size() == 0;
     }
 }
--- a/src/main/java/lineward/thrift/ThriftValues.java
+++ b/src/main/java/lineward/thrift/ThriftValues.java
@@ -7,12 +7,12 @@
 final class ThriftValues {
     private static final int MAX_NESTING = 32;
     private static final int FIELD_ID_BYTES = 2;
-    /** The type of values in a collection that is no map. */
+    /** The type of values in a collection that is not a map. */
     private static final byte NO_VALUES = ThriftProtocol.STOP;
 
     private ThriftValues() {}
 
-    /** Returns the length of the value that follows, which the message holds in full. */
+    /** Returns the length of the next value, which the message contains completely. */
     static int readLength(ByteBuf in) {
         int length = in.readInt();
         if (length < 0 || length > in.readableBytes()) {
@@ -28,7 +28,7 @@
 
     private static void skip(ByteBuf in, byte type, int depth) {
         if (depth > MAX_NESTING) {
-            throw new CorruptedFrameException("nested too deep");
+            throw new CorruptedFrameException("nested too deeply");
         }
         switch (type) {
             case ThriftProtocol.BOOL, ThriftProtocol.BYTE -> in.skipBytes(Byte.BYTES);
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Skips the elements of a collection. Each takes a byte at least, so the bytes at hand bound their count.
+     * Skips the elements of a collection. Each has at least one byte, so the bytes left bound their count.
      *
-     * @param valueType {@link #NO_VALUES} where the collection is no map
+     * @param valueType {@link #NO_VALUES} if the collection is not a map
      */
     private static void skipElements(ByteBuf in, byte elementType, byte valueType, int depth) {
         int count = in.readInt();
--- a/src/test/java/lineward/engine/AttemptEndTest.java
+++ b/src/test/java/lineward/engine/AttemptEndTest.java
@@ -29,10 +29,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How attempts end on the wire, and whether the request may have run by then. */
+/** The outcome of each end of an attempt, and whether the request may have run. */
 public class AttemptEndTest {
     private static final EngineCluster.Limits LIMITS = new EngineCluster.Limits(250, 30_000, 10, 100, false);
-    /** Only after these may a request be retried that is not idempotent. */
+    /** The only ends after which a request that is not idempotent may be retried. */
     private static final Set<AttemptEnd> NEVER_RAN = EnumSet.of(
             AttemptEnd.REJECTED,
             AttemptEnd.EXPIRED,
@@ -43,7 +43,7 @@
     @Test
     public void endsProveWhetherTheRequestMayHaveRun() {
         for (AttemptEnd end : AttemptEnd.values()) {
-            assertEquals(end.outcome.mayHaveRun(), !NEVER_RAN.contains(end), end.name());
+            assertEquals(end.outcome().mayHaveRun(), !NEVER_RAN.contains(end), end.name());
         }
     }
 
@@ -87,10 +87,7 @@
         return new Object[][] {{0, false}, {1, false}, {2, false}, {3, true}};
     }
 
-    /**
-     * A request is written in three pieces; the engine can have all of it only once the socket took the
-     * last.
-     */
+    /** A request is written in three parts; the engine has it only once the socket has taken the last. */
     @Test(dataProvider = "writes")
     public void requestCountsAsSentOnceTheSocketHasItsLastByte(int succeedingWrites, boolean sent) {
         RecordingListener listener = new RecordingListener();
@@ -110,7 +107,7 @@
             }
         });
         connection.start(listener.attempt);
-        assertEquals(listener.attempt.requestSent, sent);
+        assertEquals(listener.attempt.isRequestSent(), sent);
         channel.finishAndReleaseAll();
     }
 
@@ -123,7 +120,10 @@
     public void brokenConnectionProvesNothingOnceTheRequestWasSent(boolean sent, AttemptOutcome outcome)
             throws IOException {
         RecordingListener listener = new RecordingListener();
-        listener.attempt.requestSent = sent;
+        listener.attempt.requestWritten();
+        if (sent) {
+            listener.attempt.requestSent();
+        }
         withPool(pool -> pool.attemptsLost(List.of(listener.attempt)), listener);
         assertEquals(listener.outcomes, List.of(outcome));
     }
--- a/src/test/java/lineward/engine/HealthCheckTest.java
+++ b/src/test/java/lineward/engine/HealthCheckTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What a health check sends to an engine, and which replies answer it. */
+/** The request of a health check, and the replies that answer it. */
 public class HealthCheckTest {
     private final List<String> received = new ArrayList<>();
 
@@ -58,8 +58,8 @@
     public void onlyTheFirstAnswerWithItsTagCounts(
             HealthCheck.Kind kind, String verb, String answer, List<String> expected) {
         EmbeddedChannel channel = channelWithCheck(kind);
-        String line = tag(channel, verb) + answer + "\r\n\r\n";
-        channel.writeInbound(Unpooled.copiedBuffer(line + line, StandardCharsets.US_ASCII));
+        String reply = tag(channel, verb) + answer + "\r\n\r\n";
+        channel.writeInbound(Unpooled.copiedBuffer(reply + reply, StandardCharsets.US_ASCII));
         assertEquals(received, expected);
         channel.finishAndReleaseAll();
     }
--- a/src/test/java/lineward/engine/InFlightAttemptsTest.java
+++ b/src/test/java/lineward/engine/InFlightAttemptsTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Who owns the body of a reply. */
+/** Ownership of the body of a reply. */
 public class InFlightAttemptsTest {
     private static final QueryAttempt.Timing TIMING = new QueryAttempt.Timing(1000, 1000);
 
--- a/src/test/java/lineward/engine/ProgressReportsTest.java
+++ b/src/test/java/lineward/engine/ProgressReportsTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Which progress reports are passed on, and which are ignored. */
+/** Which progress reports notify the listener, and which are ignored. */
 public class ProgressReportsTest {
     @DataProvider
     public Object[][] reports() {
--- /dev/null
+++ b/src/test/java/lineward/engine/QueryAttemptStateTest.java
@@ -0,0 +1,38 @@
+package lineward.engine;
+
+import static org.testng.Assert.assertEquals;
+
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** The transition table of an attempt's states. */
+public class QueryAttemptStateTest {
+    private static final QueryAttemptState WAITING = QueryAttemptState.WAITING;
+    private static final QueryAttemptState WRITTEN = QueryAttemptState.WRITTEN;
+    private static final QueryAttemptState SENT = QueryAttemptState.SENT;
+    private static final QueryAttemptState ENDED = QueryAttemptState.ENDED;
+
+    /** A state, its targets (request written, request sent, ended), and whether its request is written. */
+    @DataProvider
+    public Object[][] transitions() {
+        return new Object[][] {
+            {WAITING, WRITTEN, WAITING, ENDED, false},
+            {WRITTEN, WRITTEN, SENT, ENDED, true},
+            {SENT, SENT, SENT, ENDED, true},
+            {ENDED, ENDED, ENDED, ENDED, false}
+        };
+    }
+
+    @Test(dataProvider = "transitions")
+    public void eachTransitionLeadsToItsTarget(
+            QueryAttemptState state,
+            QueryAttemptState written,
+            QueryAttemptState sent,
+            QueryAttemptState ended,
+            boolean isWritten) {
+        assertEquals(state.requestWritten(), written);
+        assertEquals(state.requestSent(), sent);
+        assertEquals(state.ended(), ended);
+        assertEquals(state.isRequestWritten(), isWritten);
+    }
+}
--- a/src/test/java/lineward/engine/ReplyDecoderTest.java
+++ b/src/test/java/lineward/engine/ReplyDecoderTest.java
@@ -22,7 +22,7 @@
             channel.writeInbound(Unpooled.copiedBuffer(bytes, split, bytes.length - split));
             Reply firstPage = channel.readInbound();
             assertEquals(firstPage.type(), ReplyType.FIRST_PAGE);
-            assertEquals(firstPage.integer("total", 1), 2);
+            assertEquals(firstPage.integer("total"), 2);
             assertEquals(firstPage.body().toString(StandardCharsets.UTF_8), "r\r\n");
             firstPage.body().release();
             Reply rejection = channel.readInbound();
--- a/src/test/java/lineward/engine/RequestWriterTest.java
+++ b/src/test/java/lineward/engine/RequestWriterTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The bytes of each request, as the line protocol gives them. */
+/** The bytes of each request in the line protocol. */
 public class RequestWriterTest {
     private static String written(Consumer<RequestWriter> request) {
         EmbeddedChannel channel = new EmbeddedChannel();
@@ -26,7 +26,7 @@
     }
 
     @Test
-    public void requestsOnAnAttemptAreOneLineEach() {
+    public void requestsOnAnAttemptAreEncoded() {
         assertEquals(written(writer -> writer.cancelQuery("00aa")), "never_mind 00aa\r\n");
         assertEquals(written(writer -> writer.changePriority("00aa", 3)), "hurry 00aa 3\r\n");
         assertEquals(written(writer -> writer.readPage("00aa", 7)), "turn 00aa 7\r\n");
--- a/src/test/java/lineward/thrift/ThriftReaderTest.java
+++ b/src/test/java/lineward/thrift/ThriftReaderTest.java
@@ -24,7 +24,7 @@
                 + "0f 0005 0b 00000002 00000001 41 00000000"
                 + "0d 0001 0b 0b 00000001 00000002 6f70 00000001 78"
                 + "0a 0006 0000000000000000 0b 0002 00000003 616263 00"));
-        assertEquals(invocation.fields().get("op"), "x");
+        assertEquals(invocation.fields().get(CallField.REQUEST_CLASS), "x");
         assertEquals(invocation.statement().toString(StandardCharsets.UTF_8), "abc");
         assertEquals(ThriftReader.readAbortedSequenceNumber(hex("08 0001 0000002a 00")), OptionalInt.of(42));
         ThriftReader.Header header = ThriftReader.readHeader(hex("80010001 00000001 61 00000005"));
