--- a/src/main/java/lineward/thrift/CallForwarder.java
+++ b/src/main/java/lineward/thrift/CallForwarder.java
@@ -10,6 +10,7 @@
 import lineward.frontend.CoordinatorDriver;
 import lineward.scheduling.AttemptOutcome;
 import lineward.scheduling.ProgressKind;
+import lineward.thrift.ThriftServer.Services;
 
 /**
  * Executes the coordinator's commands: starts attempts at engines and sends final responses to clients. Used
@@ -21,12 +22,12 @@
     private final OpenCalls calls;
     private final Consumer<byte[]> peers;
 
-    /** @param peers sends a datagram to the other front ends */
-    CallForwarder(CoordinatorDriver<Call> driver, EngineCluster engines, OpenCalls calls, Consumer<byte[]> peers) {
+    /** @param services sends datagrams to the other front ends */
+    CallForwarder(CoordinatorDriver<Call> driver, EngineCluster engines, OpenCalls calls, Services services) {
         this.driver = driver;
         this.engines = engines;
         this.calls = calls;
-        this.peers = peers;
+        this.peers = services.gossip();
     }
 
     @Override
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -113,7 +113,7 @@
         Metrics metrics = services.metrics();
         this.calls = new OpenCalls(names, bounds.statementBytes(), this.driver, metrics);
         this.responses = new ResponseSender(clients, bounds.unreadBytes());
-        this.forwarder = new CallForwarder(this.driver, engines, calls, services.gossip());
+        this.forwarder = new CallForwarder(this.driver, engines, calls, services);
         metrics.setUnreadBytes(responses::unreadBytes);
     }
 
