--- a/src/test/java/lineward/StartTest.java
+++ b/src/test/java/lineward/StartTest.java
@@ -6,6 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import lineward.testing.Program;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -34,7 +35,7 @@
     }
 
     @Test(dataProvider = "bad")
-    public void badConfigurationEndsTheStart(String command, String content, String says)
+    public void invalidConfigurationEndsTheStart(String command, String content, String says)
             throws IOException, InterruptedException {
         Path file = Files.createTempFile("bad", ".conf");
         Files.writeString(file, content);
--- a/src/test/java/lineward/engine/AttemptEndTest.java
+++ b/src/test/java/lineward/engine/AttemptEndTest.java
@@ -24,8 +24,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import lineward.Program;
 import lineward.scheduling.AttemptOutcome;
+import lineward.testing.Program;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
--- a/src/test/java/lineward/frontend/LingeringCloseTest.java
+++ b/src/test/java/lineward/frontend/LingeringCloseTest.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import lineward.Program;
+import lineward.testing.Program;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
--- a/src/test/java/lineward/gossip/GossipSocketTest.java
+++ b/src/test/java/lineward/gossip/GossipSocketTest.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
-import lineward.Program;
+import lineward.testing.Program;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
--- a/src/test/java/lineward/mysql/DriverTest.java
+++ b/src/test/java/lineward/mysql/DriverTest.java
@@ -14,7 +14,7 @@
 import java.sql.SQLException;
 import java.sql.Statement;
 import java.util.Map;
-import lineward.Program;
+import lineward.testing.Program;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
--- a/src/test/java/lineward/operations/AdminServerTest.java
+++ b/src/test/java/lineward/operations/AdminServerTest.java
@@ -10,8 +10,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import lineward.Program;
-import lineward.thrift.Platform;
+import lineward.testing.AdminClient;
+import lineward.testing.Program;
+import lineward.testing.TestingPlatform;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
@@ -19,12 +20,12 @@
 
 /** The admin endpoint replies correctly and in time, whatever other clients do. */
 public class AdminServerTest {
-    private Platform platform;
+    private TestingPlatform platform;
     private AdminClient operator;
 
     @BeforeClass
     public void start() throws IOException {
-        platform = new Platform(Map.of());
+        platform = new TestingPlatform(Map.of());
         operator = new AdminClient(platform.program());
         Program.await("it is ready", operator::isReady);
     }
--- a/src/test/java/lineward/telemetry/TelemetryTest.java
+++ b/src/test/java/lineward/telemetry/TelemetryTest.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Executors;
 import java.util.function.Predicate;
-import lineward.Program;
-import lineward.thrift.Platform;
+import lineward.testing.Program;
+import lineward.testing.TestingPlatform;
 import org.testng.annotations.Test;
 
 /** The export over OTLP, against a fake collector. */
@@ -83,7 +83,7 @@
         // Spans that another test's program exported late are not this one's.
         spans.clear();
         metrics.clear();
-        try (Platform platform = new Platform(variables(collector))) {
+        try (TestingPlatform platform = new TestingPlatform(variables(collector))) {
             platform.exercise(1);
             Program.await("three spans", () -> spans.size() >= 3);
             Span attempt = spans.stream()
@@ -112,7 +112,7 @@
         CountDownLatch release = new CountDownLatch(1);
         HttpServer collector = collector(release);
         spans.clear();
-        try (Platform platform = new Platform(variables(collector))) {
+        try (TestingPlatform platform = new TestingPlatform(variables(collector))) {
             long start = System.nanoTime();
             platform.exercise(200);
             assertTrue((System.nanoTime() - start) / 1e9 < 10, "200 requests in " + start);
--- a/src/test/java/lineward/operations/AdminClient.java
+++ b/src/test/java/lineward/testing/AdminClient.java
@@ -1,11 +1,10 @@
-package lineward.operations;
+package lineward.testing;
 
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import lineward.Program;
 
 /** A client of a program's admin endpoint. */
 public final class AdminClient {
@@ -22,7 +21,7 @@
     }
 
     /** Sends these bytes and returns the response, complete at the close of the connection. */
-    Answer raw(String bytes) throws IOException {
+    public Answer raw(String bytes) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
@@ -57,7 +56,7 @@
         }
     }
 
-    static long millisSince(long startNanos) {
+    public static long millisSince(long startNanos) {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 }
--- a/src/test/java/lineward/thrift/LateListener.java
+++ b/src/test/java/lineward/testing/FullBacklogListener.java
@@ -1,4 +1,4 @@
-package lineward.thrift;
+package lineward.testing;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -10,18 +10,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import lineward.Program;
 
-/** An engine's address where connections don't come up until it opens: its backlog is full. */
-final class LateListener implements AutoCloseable {
+/** An engine address with a full backlog: connections are not established until it opens. */
+public final class FullBacklogListener implements AutoCloseable {
     private static final int CONNECTS_MS = 200;
     private static final String SYN_SENT = "02";
 
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final List<Socket> fillers = new ArrayList<>();
-    private StandInLines engine;
+    private TestingEngine engine;
 
-    LateListener() throws IOException {
+    public FullBacklogListener() throws IOException {
         while (fillers.size() < 8) {
             Socket filler = new Socket();
             try {
@@ -35,17 +34,17 @@
         throw new IOException("the backlog is never full");
     }
 
-    int port() {
+    public int port() {
         return server.getLocalPort();
     }
 
-    /** Waits until somebody's connection here is on its way up. */
-    void awaitConnecting() {
-        Program.await("a connection on its way", this::isConnecting);
+    /** Waits until a client tries to connect. */
+    public void awaitConnecting() {
+        Program.await("a connection attempt", this::isConnecting);
     }
 
-    /** Returns whether somebody's connection here is on its way up. */
-    boolean isConnecting() {
+    /** Returns whether a client tries to connect. */
+    public boolean isConnecting() {
         String end = String.format(":%04X %s", port(), SYN_SENT);
         try {
             return Stream.concat(
@@ -57,12 +56,12 @@
         }
     }
 
-    /** From now on connections come up, those that wait within a second or two. */
-    StandInLines open() throws IOException {
+    /** Accepts connections from now on; pending ones are established within two seconds. */
+    public TestingEngine open() throws IOException {
         for (Socket filler : fillers) {
             filler.close();
         }
-        engine = new StandInLines(server);
+        engine = new TestingEngine(server, new ConcurrentRuns());
         return engine;
     }
 
--- a/src/test/java/lineward/Program.java
+++ b/src/test/java/lineward/testing/Program.java
@@ -1,4 +1,4 @@
-package lineward;
+package lineward.testing;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,33 +9,33 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** The program as it is run: a process of its own, found by what it logs. */
+/** The program as a child process. Its ports and states are read from its log. */
 public final class Program implements AutoCloseable {
     private static final String LISTENS = "listening on ";
     private static final String OPERATIONS = "operators call at ";
-    /** Null where it was started by somebody else. */
+    /** Null if a {@link SocketActivator} started the program. */
     private final Process process;
 
     private final ProcessHandle handle;
     private final Path log;
 
-    public Program(Map<String, String> environment, String... words) throws IOException {
+    public Program(Map<String, String> environment, String... arguments) throws IOException {
         log = Files.createTempFile("program", ".log");
         ProcessBuilder builder =
-                new ProcessBuilder(command(words)).redirectErrorStream(true).redirectOutput(log.toFile());
+                new ProcessBuilder(command(arguments)).redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().putAll(environment);
         process = builder.start();
         handle = process.toHandle();
     }
 
-    /** A program that inherits the holder's socket. */
-    public Program(SocketHolder holder, String environment) throws IOException {
+    /** Starts a program that inherits the activator's socket. */
+    public Program(SocketActivator activator, String environment) throws IOException {
         log = Files.createTempFile("program", ".log");
         process = null;
-        handle = holder.start(log.toString(), environment + ";RELAY_ACCEPT_FD=0", command("serve"));
+        handle = activator.start(log.toString(), environment + ";RELAY_ACCEPT_FD=0", command("serve"));
     }
 
-    private static List<String> command(String... words) {
+    private static List<String> command(String... arguments) {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
@@ -43,7 +43,7 @@
                 "-cp",
                 System.getProperty("java.class.path"),
                 "lineward.app.Main"));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         return command;
     }
 
@@ -52,15 +52,15 @@
         return portIn(LISTENS);
     }
 
-    /** Returns the port where operators call. */
+    /** Returns the port of the admin endpoint. */
     public int operations() {
         return portIn(OPERATIONS);
     }
 
-    private int portIn(String words) {
-        await(words, () -> log().contains(words) || !isAlive());
+    private int portIn(String message) {
+        await(message, () -> log().contains(message) || !isAlive());
         String text = log();
-        String line = text.substring(text.indexOf(words)).lines().findFirst().orElseThrow();
+        String line = text.substring(text.indexOf(message)).lines().findFirst().orElseThrow();
         return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).strip());
     }
 
@@ -76,12 +76,12 @@
         return handle.isAlive();
     }
 
-    /** Returns the descriptors that it holds. */
+    /** Returns the number of its open descriptors. */
     public int descriptors() {
         return Path.of("/proc/" + handle.pid() + "/fd").toFile().list().length;
     }
 
-    /** Returns the memory that it holds, in MB. */
+    /** Returns its resident memory in MB. */
     public int memoryMb() throws IOException {
         return Files.readAllLines(Path.of("/proc/" + handle.pid() + "/status")).stream()
                 .filter(line -> line.startsWith("VmRSS"))
@@ -100,7 +100,7 @@
         signal("HUP");
     }
 
-    /** Sends that signal: STOP holds the process where it is, CONT lets it go on. */
+    /** Sends a signal: STOP suspends the process, CONT resumes it. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(handle.pid()))
                 .start()
--- /dev/null
+++ b/src/test/java/lineward/testing/ProgramMetrics.java
@@ -0,0 +1,42 @@
+package lineward.testing;
+
+import static org.testng.Assert.assertEquals;
+
+import java.io.IOException;
+import java.util.Map;
+import java.util.TreeMap;
+
+/** Reads the metrics that a program exports at its admin endpoint. */
+public final class ProgramMetrics {
+    /** The outcome of served requests, as a label of the metrics. */
+    public static final String SERVED = "fulfilled";
+    /** The outcome of rejected requests, as a label of the metrics. */
+    public static final String REJECTED = "throttled";
+    /** The outcome of failed requests, as a label of the metrics. */
+    public static final String FAILED = "faulted";
+
+    private ProgramMetrics() {}
+
+    /** Returns all metrics by name and labels. */
+    public static Map<String, Integer> read(Program program) throws IOException {
+        AdminClient.Answer answer = new AdminClient(program).get("/ops/stats");
+        assertEquals(answer.status(), 200);
+        Map<String, Integer> all = new TreeMap<>();
+        answer.body()
+                .lines()
+                .filter(line -> !line.startsWith("#"))
+                .forEach(line -> all.put(
+                        line.substring(0, line.lastIndexOf(' ')),
+                        Integer.valueOf(line.substring(line.lastIndexOf(' ') + 1))));
+        return all;
+    }
+
+    /** Returns one metric; a program that can't be reached fails the test. */
+    public static int value(Program program, String name) {
+        try {
+            return read(program).get(name);
+        } catch (IOException e) {
+            throw new AssertionError(e);
+        }
+    }
+}
--- a/src/test/java/lineward/SocketHolder.java
+++ b/src/test/java/lineward/testing/SocketActivator.java
@@ -1,4 +1,4 @@
-package lineward;
+package lineward.testing;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -6,10 +6,10 @@
 import java.util.List;
 
 /**
- * Holds a listening socket as a platform does and starts programs that inherit it as descriptor 0. Java can't
- * pass a socket on, so this is a few lines of Perl, which every Debian has.
+ * Owns a listening socket and starts programs that inherit it as descriptor 0, as a platform does. Java can't
+ * hand over a socket, so this is a Perl script.
  */
-public final class SocketHolder implements AutoCloseable {
+public final class SocketActivator implements AutoCloseable {
     private static final String SCRIPT = """
             use Socket; use Fcntl; use POSIX (); $| = 1; $SIG{CHLD} = 'IGNORE';
             socket(my $s, PF_INET, SOCK_STREAM, 0); setsockopt($s, SOL_SOCKET, SO_REUSEADDR, 1);
@@ -34,20 +34,20 @@
     private final Process process;
     private final int port;
 
-    public SocketHolder() throws IOException {
+    public SocketActivator() throws IOException {
         process = new ProcessBuilder("perl", "-e", SCRIPT)
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
-        port = number();
+        port = readNumber();
     }
 
-    private int number() throws IOException {
+    private int readNumber() throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = process.getInputStream().read();
                 c != '\n';
                 c = process.getInputStream().read()) {
             if (c < 0) {
-                throw new IOException("the holder has ended");
+                throw new IOException("the script has ended");
             }
             line.append((char) c);
         }
@@ -59,18 +59,18 @@
         return port;
     }
 
-    /** Clears the flag that keeps an accept from waiting, for all that share the socket. */
+    /** Makes the socket blocking, for all processes that share it. */
     public void makeBlocking() throws IOException {
-        say("blocking");
+        send("blocking");
     }
 
     /** Starts a program; its output goes to the file. */
     public ProcessHandle start(String out, String environment, List<String> command) throws IOException {
-        say(out + '\t' + environment + '\t' + String.join("\t", command));
-        return ProcessHandle.of(number()).orElseThrow(() -> new IOException("it has ended at once"));
+        send(out + '\t' + environment + '\t' + String.join("\t", command));
+        return ProcessHandle.of(readNumber()).orElseThrow(() -> new IOException("it has ended at once"));
     }
 
-    private void say(String line) throws IOException {
+    private void send(String line) throws IOException {
         OutputStream to = process.getOutputStream();
         to.write((line + '\n').getBytes(StandardCharsets.UTF_8));
         to.flush();
--- a/src/test/java/lineward/thrift/StandInCaller.java
+++ b/src/test/java/lineward/testing/TestingClient.java
@@ -1,4 +1,4 @@
-package lineward.thrift;
+package lineward.testing;
 
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -15,23 +15,20 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A small client of the platform's service. */
-final class StandInCaller implements AutoCloseable {
-    /** An answer: the message's kind, which field of the result was set, what stood in it. */
-    record Answer(int seqid, int kind, int field, String body, Map<String, String> fields, boolean good) {}
-
+/** A client of the Thrift protocol. It is used by one thread. */
+public final class TestingClient implements AutoCloseable {
     private static final AtomicLong IDS = new AtomicLong(0xabcd_0000_0000L);
-    final Socket socket;
+    private final Socket socket;
     private final DataInputStream in;
     private final DataOutputStream out;
     private int seqid;
 
-    StandInCaller(int port) throws IOException {
+    public TestingClient(int port) throws IOException {
         this(port, 0);
     }
 
-    /** @param receiveBuffer bytes that it takes unread, about; 0: as usual */
-    StandInCaller(int port, int receiveBuffer) throws IOException {
+    /** Creates a client that buffers about that many unread bytes; 0: the default. */
+    public TestingClient(int port, int receiveBuffer) throws IOException {
         socket = new Socket();
         if (receiveBuffer > 0) {
             socket.setReceiveBufferSize(receiveBuffer);
@@ -43,33 +40,41 @@
         out = new DataOutputStream(socket.getOutputStream());
     }
 
-    static String newId() {
+    private static String newId() {
         return String.format("%016x", IDS.incrementAndGet());
     }
 
-    /** The fields of a request that can be used. */
-    static Map<String, String> fields(int ttl) {
-        String timeLeftMs = Integer.toString(ttl);
-        return new LinkedHashMap<>(Map.of("op", "look", "call", newId(), "ttl", timeLeftMs, "org", "west"));
+    /** Returns valid fields of a new request. */
+    public static Map<String, String> fields(int timeoutMs) {
+        String timeLeftMs = Integer.toString(timeoutMs);
+        return new LinkedHashMap<>(Map.of(
+                RequestFields.REQUEST_CLASS,
+                "look",
+                RequestFields.REQUEST_ID,
+                newId(),
+                RequestFields.TIME_LEFT_MS,
+                timeLeftMs,
+                RequestFields.TENANT,
+                "west"));
     }
 
-    /** The next request gets this number. */
-    void renumber(int next) {
+    /** Sets the sequence number of the next request. */
+    public void renumber(int next) {
         seqid = next - 1;
     }
 
-    int send(Map<String, String> fields, String statement) throws IOException {
+    public int send(Map<String, String> fields, String statement) throws IOException {
         return send(fields, statement, new byte[0]);
     }
 
-    /** @param behind bytes behind the message, in its frame */
-    int send(Map<String, String> fields, String statement, byte[] behind) throws IOException {
-        frame(message(fields, statement, behind));
+    /** Sends a request with these bytes after the message, in its frame. */
+    public int send(Map<String, String> fields, String statement, byte[] trailer) throws IOException {
+        sendFrame(message(fields, statement, trailer));
         return seqid;
     }
 
-    /** Returns the next request, whole with its length. */
-    byte[] bytes(Map<String, String> fields, String statement) throws IOException {
+    /** Returns the next request with its length. */
+    public byte[] encode(Map<String, String> fields, String statement) throws IOException {
         byte[] message = message(fields, statement, new byte[0]);
         return framed(message);
     }
@@ -81,7 +86,7 @@
                 .array();
     }
 
-    private byte[] message(Map<String, String> fields, String statement, byte[] behind) throws IOException {
+    private byte[] message(Map<String, String> fields, String statement, byte[] trailer) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream message = begin(bytes, 1, "invoke", ++seqid);
         message.write(new byte[] {13, 0, 1, 11, 11});
@@ -93,47 +98,47 @@
         message.write(new byte[] {11, 0, 2});
         text(message, statement);
         message.write(0);
-        message.write(behind);
+        message.write(trailer);
         return bytes.toByteArray();
     }
 
-    Answer call(Map<String, String> fields, String statement) throws IOException {
+    public Answer call(Map<String, String> fields, String statement) throws IOException {
         send(fields, statement);
         return read();
     }
 
-    void abort(int which) throws IOException {
+    public void abort(int sequenceNumber) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream message = begin(bytes, 4, "abort", ++seqid);
         message.write(new byte[] {8, 0, 1});
-        message.writeInt(which);
+        message.writeInt(sequenceNumber);
         message.write(0);
-        frame(bytes.toByteArray());
+        sendFrame(bytes.toByteArray());
     }
 
-    Answer simple(String method) throws IOException {
+    public Answer callMethod(String method) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         begin(bytes, 1, method, ++seqid).write(new byte[] {2, 0, 1, 1, 0});
-        frame(bytes.toByteArray());
+        sendFrame(bytes.toByteArray());
         return read();
     }
 
-    void raw(byte[] bytes) throws IOException {
+    public void sendRaw(byte[] bytes) throws IOException {
         out.write(bytes);
     }
 
-    /** Returns whether the connection has ended, or does so before an answer and the time-out. */
-    boolean isClosed() throws IOException {
+    /** Returns whether the connection ends before a response and the timeout. */
+    public boolean isClosed() throws IOException {
         try {
             return in.read() < 0;
         } catch (SocketTimeoutException e) {
             return false;
         } catch (SocketException e) {
-            return true; // A reset tells the end as well as a close does.
+            return true; // A reset ends the connection as well.
         }
     }
 
-    void frame(byte[] bytes) throws IOException {
+    public void sendFrame(byte[] bytes) throws IOException {
         out.write(framed(bytes));
     }
 
@@ -158,7 +163,7 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    Answer read() throws IOException {
+    public Answer read() throws IOException {
         in.readInt();
         int kind = in.readInt() & 0xff;
         text();
@@ -166,12 +171,12 @@
         String body = "";
         Map<String, String> fields = new LinkedHashMap<>();
         boolean good = false;
-        int which = -1;
+        int resultField = -1;
         int type = in.readByte();
         int field = in.readShort();
         boolean nested = type == 12;
         if (nested) {
-            which = field;
+            resultField = field;
             type = in.readByte();
             field = type == 0 ? 0 : in.readShort();
         }
@@ -182,7 +187,7 @@
                 case 11 -> body = text();
                 default -> {
                     in.readShort();
-                    for (int left = in.readInt(); left > 0; left--) {
+                    for (int remaining = in.readInt(); remaining > 0; remaining--) {
                         fields.put(text(), text());
                     }
                 }
@@ -193,7 +198,12 @@
         if (nested) {
             in.readByte();
         }
-        return new Answer(number, kind, which, body, fields, good);
+        return new Answer(number, kind, resultField, body, fields, good);
+    }
+
+    /** Returns the connection, for tests that end or configure it. */
+    public Socket socket() {
+        return socket;
     }
 
     @Override
--- /dev/null
+++ b/src/test/java/lineward/testing/TestingPlatform.java
@@ -0,0 +1,207 @@
+package lineward.testing;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import java.util.function.UnaryOperator;
+import java.util.stream.IntStream;
+import java.util.stream.Stream;
+
+/** The program on a small platform: two engines, a service discovery and a configuration file. */
+public final class TestingPlatform implements AutoCloseable {
+    private static final String SETTINGS = """
+            {"az":0,"classes":[{"name":"look","aim":500,"aim-stretch":2,"deadline":2500,"value":1,
+             "effect":"retryable","dedup-scope":"all","late-share":0.1}],"peers-total":2,"ordinal":0,
+             "limits":{"cancel":true,"max-attempts":6,"retry-after":true,"max-retry-after":2000,
+             "connect-timeout":250,"conn-idle":30000,"streams-per-conn":100},
+             "obligations":{"drain-grace":1000,"cold":15000,"cold-share":0.34,"overload-factor":2.5,
+             "fall":1500},
+             "specifics":{"cpu-of-kind":[8],"ram-of-kind-mb":[16384],"grants":true,"lanes-count":true,
+             "threads-by-class":[1]},"skus":["std"],"zones":["east"],
+             "tenants":[{"name":"west","quota-rps":50}]}""";
+
+    private final TestingServiceDiscovery discovery = new TestingServiceDiscovery();
+    private final ConcurrentRuns concurrentRuns = new ConcurrentRuns();
+    private final TestingEngine first = new TestingEngine(concurrentRuns);
+    private final TestingEngine second = new TestingEngine(concurrentRuns);
+    private final Program program;
+    private final SocketActivator activator;
+    private final int sockets;
+    private final String settings;
+    private final Path folder = Files.createTempDirectory("shared");
+    private final Path config = folder.resolve("config.json");
+
+    public TestingPlatform(Map<String, String> environment) throws IOException {
+        this(environment, null);
+    }
+
+    /** @param activator owns the clients' socket; null: the program binds one */
+    public TestingPlatform(Map<String, String> environment, SocketActivator activator) throws IOException {
+        this(environment, activator, 2, 2, 1024);
+    }
+
+    /** Creates a platform whose settings are changed by that function. */
+    public TestingPlatform(UnaryOperator<String> change) throws IOException {
+        this(Map.of(), null, 2, 2, 1024, change);
+    }
+
+    public TestingPlatform(
+            Map<String, String> environment, SocketActivator activator, int fronts, int engines, int sockets)
+            throws IOException {
+        this(environment, activator, fronts, engines, sockets, text -> text);
+    }
+
+    /** @param engines number of endpoints: s-1, s-2 and so on, which alternate between both engines */
+    private TestingPlatform(
+            Map<String, String> environment,
+            SocketActivator activator,
+            int fronts,
+            int engines,
+            int sockets,
+            UnaryOperator<String> change)
+            throws IOException {
+        this.activator = activator;
+        this.sockets = sockets;
+        this.settings = change.apply(SETTINGS.replace("\"peers-total\":2", "\"peers-total\":" + fronts));
+        discovery.publish(true, engines(1, engines, "ready"));
+        configure(discovery);
+        Map<String, String> all = new HashMap<>(environment);
+        all.put("RELAY_CONFIG", config.toString());
+        all.put("TMPDIR", folder.toString());
+        program = activator == null ? new Program(all, "serve") : startAgain();
+        program.port();
+    }
+
+    /** Returns an endpoint update: id, port and state for each engine of that range. */
+    public String[] engines(int from, int to, String state) {
+        return IntStream.rangeClosed(from, to)
+                .boxed()
+                .flatMap(i -> Stream.of("s-" + i, "" + (i % 2 == 1 ? first : second).port(), state))
+                .toArray(String[]::new);
+    }
+
+    /** Starts the program again on the same socket. */
+    public Program startAgain() throws IOException {
+        return new Program(activator, "RELAY_CONFIG=" + config + ";TMPDIR=" + folder);
+    }
+
+    /** Returns settings with long connection timeouts and deadlines. */
+    public static String withLongTimeouts(String settings) {
+        return settings.replace("\"connect-timeout\":250", "\"connect-timeout\":8000")
+                .replace("\"deadline\":2500", "\"deadline\":20000")
+                .replace("\"aim\":500", "\"aim\":15000");
+    }
+
+    /** Returns settings with one more class, "load", whose requests are not idempotent. */
+    public static String withUnsafeClass(String settings) {
+        return settings.replace(
+                        "\"classes\":[",
+                        "\"classes\":[{\"name\":\"load\",\"aim\":2000,"
+                                + "\"aim-stretch\":2,\"deadline\":4000,\"value\":3,\"effect\":\"fragile\","
+                                + "\"late-share\":0.5},")
+                .replace("\"threads-by-class\":[1]", "\"threads-by-class\":[1,1]");
+    }
+
+    /** Returns the number of attempts that have come to both engines. */
+    public long requests() {
+        return first.requests() + second.requests();
+    }
+
+    /** Publishes the state of both engines and waits until the program has received it. */
+    public void publishBoth(String state) {
+        discovery.publish(false, engines(1, 2, state));
+        awaitNotified();
+    }
+
+    /** Publishes a full snapshot with this engine only. */
+    public void publishOnly(String id, TestingEngine engine) {
+        discovery.publish(true, id, "" + engine.port(), "ready");
+        awaitNotified();
+    }
+
+    /** Waits until the program has received all events. */
+    public void awaitNotified() {
+        BooleanSupplier isNotified = () -> discovery.lastDelivered() == discovery.lastPublished();
+        Program.await("the program is notified", isNotified);
+    }
+
+    /** Starts a second program with the current configuration. */
+    public Program startAnother() throws IOException {
+        return new Program(Map.of("RELAY_CONFIG", config.toString()), "serve");
+    }
+
+    /** Writes a configuration with this service discovery. */
+    public void configure(TestingServiceDiscovery service) throws IOException {
+        configure("{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"1f\",\"limits\":"
+                + "{\"sockets\":" + sockets + "},\"journal\":\"" + service.address()
+                + "\",\"management\":\"127.0.0.1:0\",\"known\":" + service.eventsAfter(0)
+                + ",\"settings\":" + settings + "}");
+    }
+
+    public void configure(String text) throws IOException {
+        Files.writeString(config, text);
+    }
+
+    /** Sets the behavior of both engines. */
+    public void setBehavior(EngineBehavior behavior) {
+        first.setBehavior(behavior);
+        second.setBehavior(behavior);
+    }
+
+    public TestingClient client() throws IOException {
+        return new TestingClient(activator == null ? program.port() : activator.port());
+    }
+
+    /** Sends requests that are served, and one that is rejected. */
+    public void exercise(int served) throws IOException {
+        try (TestingClient client = client()) {
+            for (int i = 0; i < served; i++) {
+                client.call(TestingClient.fields(2000), "select 1");
+            }
+            client.call(TestingClient.fields(20), "select 1");
+        }
+    }
+
+    public Program program() {
+        return program;
+    }
+
+    public TestingServiceDiscovery discovery() {
+        return discovery;
+    }
+
+    /** Returns the engine of odd endpoints, s-1 among them. */
+    public TestingEngine first() {
+        return first;
+    }
+
+    /** Returns the engine of even endpoints, s-2 among them. */
+    public TestingEngine second() {
+        return second;
+    }
+
+    /** Returns the requests that both engines have run at the same time. */
+    public ConcurrentRuns concurrentRuns() {
+        return concurrentRuns;
+    }
+
+    /** Returns the configuration file. */
+    public Path config() {
+        return config;
+    }
+
+    @Override
+    public void close() throws IOException {
+        program.close();
+        first.close();
+        second.close();
+        discovery.close();
+        try (Stream<Path> files = Files.list(folder)) {
+            files.forEach(file -> file.toFile().delete());
+        }
+        Files.deleteIfExists(folder);
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/testing/TestingServiceDiscovery.java
@@ -0,0 +1,127 @@
+package lineward.testing;
+
+import com.sun.net.httpserver.HttpExchange;
+import com.sun.net.httpserver.HttpServer;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.Executors;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/** A service discovery: numbered events, and a long poll that waits for later ones. */
+public final class TestingServiceDiscovery implements AutoCloseable {
+    private final HttpServer server;
+    private final List<String> events = new ArrayList<>();
+    /** Polls get an error. */
+    private volatile boolean broken;
+    /** Polls get no response, and their connections stay open. */
+    private volatile boolean unresponsive;
+
+    private final AtomicInteger polls = new AtomicInteger();
+    private volatile int lastDelivered;
+
+    public TestingServiceDiscovery() throws IOException {
+        server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
+        server.setExecutor(Executors.newCachedThreadPool(task -> {
+            Thread thread = new Thread(task, "journal");
+            thread.setDaemon(true);
+            return thread;
+        }));
+        server.createContext("/journal", this::poll);
+        server.start();
+    }
+
+    public String address() {
+        return "127.0.0.1:" + server.getAddress().getPort();
+    }
+
+    /** Sets whether polls get an error. */
+    public void setBroken(boolean broken) {
+        this.broken = broken;
+    }
+
+    /** Sets whether polls get no response, with their connections left open. */
+    public void setUnresponsive(boolean unresponsive) {
+        this.unresponsive = unresponsive;
+    }
+
+    /** Returns the number of received polls. */
+    public int polls() {
+        return polls.get();
+    }
+
+    /** Returns the number of the last event that the program has received, as its last poll says. */
+    public int lastDelivered() {
+        return lastDelivered;
+    }
+
+    /** Returns the number of the last published event. */
+    public synchronized int lastPublished() {
+        return events.size();
+    }
+
+    /** Publishes an event. Each endpoint is its id, its port and its state. */
+    public synchronized void publish(boolean fullSnapshot, String... endpoints) {
+        StringBuilder list = new StringBuilder();
+        for (int i = 0; i < endpoints.length; i += 3) {
+            list.append(i == 0 ? "" : ",")
+                    .append("{\"instanceId\":\"")
+                    .append(endpoints[i])
+                    .append("\",\"hostPort\":\"127.0.0.1:")
+                    .append(endpoints[i + 1])
+                    .append("\",\"zone\":\"east\",\"machineType\":\"std\",\"cell\":0,\"lifecycle\":\"")
+                    .append(endpoints[i + 2])
+                    .append("\",\"weight\":1,\"startedAtMs\":0}");
+        }
+        int number = events.size() + 1;
+        events.add("{\"pos\":" + number + ",\"hosts\":{\"generation\":1,\"reset\":" + fullSnapshot
+                + ",\"instances\":[" + list + "]}}");
+        notifyAll();
+    }
+
+    /** Returns the response with the events after that number. */
+    synchronized String eventsAfter(int number) {
+        return "{\"pos\":" + events.size() + ",\"entries\":["
+                + String.join(",", events.subList(Math.min(number, events.size()), events.size())) + "]}";
+    }
+
+    private synchronized String awaitEventsAfter(int number, int millis) throws InterruptedException {
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        while (events.size() <= number && System.nanoTime() < until) {
+            TimeUnit.NANOSECONDS.timedWait(this, until - System.nanoTime());
+        }
+        return eventsAfter(number);
+    }
+
+    private void poll(HttpExchange exchange) throws IOException {
+        String[] query = exchange.getRequestURI().getQuery().split("[=&]", -1);
+        polls.incrementAndGet();
+        lastDelivered = Integer.parseInt(query[1]);
+        if (unresponsive) {
+            return;
+        }
+        try (exchange) {
+            int after = Integer.parseInt(query[1]);
+            String response = broken ? "{" : awaitEventsAfter(after, Integer.parseInt(query[3]));
+            byte[] bytes = response.getBytes(StandardCharsets.UTF_8);
+            exchange.sendResponseHeaders(broken ? 500 : 200, bytes.length);
+            exchange.getResponseBody().write(bytes);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Closes the server and its connections. */
+    public void stop() {
+        server.stop(0);
+    }
+
+    @Override
+    public void close() {
+        stop();
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/thrift/ClientDisconnectTest.java
@@ -0,0 +1,207 @@
+package lineward.thrift;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CountDownLatch;
+import lineward.testing.EngineBehavior;
+import lineward.testing.FullBacklogListener;
+import lineward.testing.Program;
+import lineward.testing.ProgramMetrics;
+import lineward.testing.RequestFields;
+import lineward.testing.TestingClient;
+import lineward.testing.TestingEngine;
+import lineward.testing.TestingPlatform;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** Starts no attempt for a client that closed or reset its connection, or aborted the request. */
+public class ClientDisconnectTest {
+    private static final int SERVED = 0;
+    private static final int MAX_OPEN_REQUESTS = 32;
+
+    /** How the client disconnects. */
+    private enum Disconnect {
+        FIN,
+        RESET,
+        ABORT
+    }
+
+    private TestingPlatform platform;
+
+    @AfterMethod(alwaysRun = true)
+    public void stop() throws IOException {
+        platform.close();
+    }
+
+    @DataProvider
+    public Object[][] disconnects() {
+        return new Object[][] {{Disconnect.FIN}, {Disconnect.RESET}, {Disconnect.ABORT}};
+    }
+
+    /** Disconnects and waits until the program has processed it, as another client's ping shows. */
+    private void go(TestingClient client, int seqid, Disconnect how) throws IOException {
+        Socket socket = client.socket();
+        switch (how) {
+            case FIN -> socket.shutdownOutput();
+            case RESET -> {
+                socket.setSoLinger(true, 0);
+                socket.close();
+            }
+            default -> client.abort(seqid);
+        }
+        try (TestingClient other = platform.client()) {
+            assertTrue(other.callMethod("ping").good());
+            assertTrue(other.callMethod("ping").good());
+        }
+    }
+
+    /** Returns the id of a request that is served now, after all that could be forwarded before it. */
+    private String serveAnother() throws IOException {
+        try (TestingClient other = platform.client()) {
+            Map<String, String> fields = TestingClient.fields(9000);
+            assertEquals(other.call(fields, "select 2").field(), SERVED);
+            return fields.get(RequestFields.REQUEST_ID);
+        }
+    }
+
+    private List<String> ids() {
+        return List.of(platform.first(), platform.second()).stream()
+                .flatMap(e -> e.requestIds().stream())
+                .toList();
+    }
+
+    @Test(dataProvider = "disconnects")
+    public void cancelsARequestQueuedWithoutAnEngine(Disconnect how) throws IOException {
+        platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
+        platform.publishBoth("draining");
+        try (TestingClient client = platform.client()) {
+            int seqid = client.send(TestingClient.fields(9000), "select 1");
+            assertTrue(client.callMethod("ping").good(), "it is taken and held");
+            go(client, seqid, how);
+            platform.publishBoth("ready");
+            String next = serveAnother();
+            assertEquals(ids(), List.of(next));
+        }
+    }
+
+    @Test(dataProvider = "disconnects")
+    public void cancelsARequestThatAwaitsAnEngineConnection(Disconnect how) throws IOException {
+        platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
+        try (FullBacklogListener late = new FullBacklogListener();
+                TestingClient client = platform.client()) {
+            platform.discovery().publish(true, "s-9", "" + late.port(), "ready");
+            platform.awaitNotified();
+            int seqid = client.send(TestingClient.fields(9000), "select 1");
+            late.awaitConnecting();
+            go(client, seqid, how);
+            TestingEngine engine = late.open();
+            String next = serveAnother();
+            assertEquals(engine.requestIds(), List.of(next));
+        }
+    }
+
+    @Test(dataProvider = "disconnects")
+    public void cancelsARequestBetweenTwoAttempts(Disconnect how) throws IOException {
+        platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
+        CountDownLatch drained = new CountDownLatch(1);
+        for (TestingEngine engine : List.of(platform.first(), platform.second())) {
+            engine.setBehavior(EngineBehavior.REJECT);
+            engine.onRequest(() -> {
+                platform.publishBoth("draining");
+                drained.countDown();
+            });
+        }
+        try (TestingClient client = platform.client()) {
+            Map<String, String> fields = TestingClient.fields(9000);
+            int seqid = client.send(fields, "select 1");
+            Program.await("it has come", () -> drained.getCount() == 0);
+            Program.await("its attempt has ended", () -> open() == 1 && enginesAreIdle());
+            go(client, seqid, how);
+            platform.setBehavior(EngineBehavior.SERVE);
+            platform.first().onRequest(() -> {});
+            platform.second().onRequest(() -> {});
+            platform.publishBoth("ready");
+            assertEquals(ids().size(), 1);
+            String next = serveAnother();
+            assertEquals(
+                    ids().stream()
+                            .filter(fields.get(RequestFields.REQUEST_ID)::equals)
+                            .count(),
+                    1);
+            assertTrue(ids().contains(next));
+        }
+    }
+
+    /** An engine rejects a request before it reads anything else. */
+    private boolean enginesAreIdle() {
+        return platform.first().isIdle() && platform.second().isIdle();
+    }
+
+    private int open() {
+        try {
+            return ProgramMetrics.read(platform.program()).get("edge_relay_open_requests");
+        } catch (IOException e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    @Test(dataProvider = "disconnects")
+    public void cancelsARequestQueuedAtTheLimitOfOpenRequests(Disconnect how) throws IOException {
+        platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
+        platform.setBehavior(EngineBehavior.NO_RESPONSE);
+        try (TestingClient client = platform.client()) {
+            for (int i = 1; i < MAX_OPEN_REQUESTS; i++) {
+                client.send(TestingClient.fields(9000), "select 1");
+            }
+            Map<String, String> last = TestingClient.fields(9000);
+            int seqid = client.send(last, "select 1");
+            assertTrue(client.callMethod("ping").good(), "all are taken");
+            go(client, seqid, how);
+            int out = ProgramMetrics.read(platform.program()).get("edge_relay_relayed_total");
+            assertTrue(out > 0 && out < MAX_OPEN_REQUESTS, out + " are out, the others held");
+            Program.await("they have come", () -> platform.requests() == out);
+            platform.setBehavior(EngineBehavior.SERVE);
+            String next = serveAnother();
+            assertFalse(ids().contains(last.get(RequestFields.REQUEST_ID)));
+            if (how != Disconnect.ABORT) {
+                assertEquals(ids().size(), out + 1, "none of the others went out either");
+            }
+            assertTrue(ids().contains(next));
+        }
+    }
+
+    /** The client reads no responses and all buffers are full; its disconnect is still detected. */
+    @Test(dataProvider = "disconnects")
+    public void cancelsARequestOfAClientThatReadsNoResponses(Disconnect how) throws IOException {
+        platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
+        platform.setBehavior(EngineBehavior.LARGE_RESULT);
+        try (TestingClient client = new TestingClient(platform.program().port(), 4096)) {
+            for (int i = 1; unread() < 300_000; i++) {
+                assertTrue(i < 200, "all buffers take more than that");
+                client.send(TestingClient.fields(9000), "select 1");
+                int asked = i;
+                Program.await("it runs", () -> platform.requests() >= asked && open() == 0);
+            }
+            platform.publishBoth("draining");
+            Map<String, String> last = TestingClient.fields(9000);
+            int seqid = client.send(last, "select 1");
+            Program.await("it is taken", () -> open() == 1);
+            go(client, seqid, how);
+            platform.setBehavior(EngineBehavior.SERVE);
+            platform.publishBoth("ready");
+            serveAnother();
+            assertFalse(ids().contains(last.get(RequestFields.REQUEST_ID)));
+        }
+    }
+
+    private int unread() throws IOException {
+        return ProgramMetrics.read(platform.program()).get("edge_relay_unread_answer_bytes");
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/thrift/EndpointListPollTest.java
@@ -0,0 +1,105 @@
+package lineward.thrift;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.io.IOException;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import lineward.testing.Program;
+import lineward.testing.TestingClient;
+import lineward.testing.TestingPlatform;
+import lineward.testing.TestingServiceDiscovery;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** The poll of the endpoint list while the service is unresponsive, failing or unreachable. */
+public class EndpointListPollTest {
+    private static final int SERVED = 0;
+    /** The front end has to follow an event within this time, and a drain has 1 s of grace. */
+    private static final long MAX_NOTIFICATION_MS = 7000;
+
+    /** The open poll gets no response and no close; an engine then starts to drain. */
+    @Test
+    public void receivesADrainInTimeAfterAnUnresponsivePoll() throws IOException {
+        try (TestingPlatform platform = new TestingPlatform(Map.of())) {
+            int polls = platform.discovery().polls();
+            platform.discovery().setUnresponsive(true);
+            Program.await(
+                    "a watch is open that will say nothing",
+                    () -> platform.discovery().polls() > polls);
+            long publishedNanos = System.nanoTime();
+            platform.discovery().publish(false, platform.engines(1, 1, "draining"));
+            platform.discovery().setUnresponsive(false);
+            platform.awaitNotified();
+            long maxNanos = TimeUnit.MILLISECONDS.toNanos(MAX_NOTIFICATION_MS);
+            assertTrue(System.nanoTime() - publishedNanos < maxNanos, "in time");
+            assertOneGetsNothing(platform);
+        }
+    }
+
+    private static void assertOneGetsNothing(TestingPlatform platform) throws IOException {
+        long before = platform.first().requests();
+        try (TestingClient caller = platform.client()) {
+            for (int i = 0; i < 10; i++) {
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+            }
+        }
+        assertEquals(platform.first().requests(), before);
+    }
+
+    /** Events repeat and states come in any order; the last event counts. */
+    @Test
+    public void appliesTheLastOfRepeatedDrainEvents() throws IOException {
+        try (TestingPlatform platform = new TestingPlatform(Map.of())) {
+            platform.discovery().publish(false, platform.engines(1, 1, "draining"));
+            platform.discovery().publish(false, platform.engines(1, 1, "draining"));
+            platform.discovery().publish(false, platform.engines(1, 1, "gone"));
+            platform.discovery().publish(false, platform.engines(1, 1, "draining"));
+            platform.awaitNotified();
+            assertOneGetsNothing(platform);
+            long before = platform.first().requests();
+            platform.discovery().publish(false, platform.engines(1, 1, "ready"));
+            platform.discovery().publish(false, platform.engines(2, 2, "gone"));
+            platform.awaitNotified();
+            try (TestingClient caller = platform.client()) {
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+            }
+            assertTrue(platform.first().requests() > before, "used again");
+        }
+    }
+
+    /** What the service does while the program starts. */
+    @DataProvider
+    public Object[][] starts() {
+        return new Object[][] {{"gone"}, {"broken"}, {"silent"}};
+    }
+
+    /** The configured list suffices to start; later events arrive once the service responds. */
+    @Test(dataProvider = "starts")
+    public void startsWithoutServiceDiscovery(String state) throws IOException {
+        try (TestingPlatform platform = new TestingPlatform(Map.of());
+                TestingServiceDiscovery other = new TestingServiceDiscovery()) {
+            other.publish(true, platform.engines(1, 2, "ready"));
+            other.setBroken(state.equals("broken"));
+            other.setUnresponsive(state.equals("silent"));
+            platform.configure(other);
+            if (state.equals("gone")) {
+                other.stop();
+            }
+            long start = System.nanoTime();
+            try (Program again = platform.startAnother();
+                    TestingClient caller = new TestingClient(again.port())) {
+                assertTrue(caller.callMethod("ping").good());
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+                assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(10), "ready in time");
+                if (!state.equals("gone")) {
+                    other.publish(false, platform.engines(1, 1, "gone"));
+                    other.setBroken(false);
+                    other.setUnresponsive(false);
+                    Program.await("it is told", () -> other.lastDelivered() == 2);
+                }
+            }
+        }
+    }
+}
--- a/src/test/java/lineward/thrift/EngineConnectionTest.java
+++ b/src/test/java/lineward/thrift/EngineConnectionTest.java
@@ -8,18 +8,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lineward.Program;
-import lineward.thrift.StandInLines.Mode;
+import lineward.testing.EngineBehavior;
+import lineward.testing.FullBacklogListener;
+import lineward.testing.Program;
+import lineward.testing.RequestFields;
+import lineward.testing.TestingClient;
+import lineward.testing.TestingEngine;
+import lineward.testing.TestingPlatform;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** What crosses on connections to engines, on real sockets. */
 public class EngineConnectionTest {
-    private static final int REFUSED = 1;
+    private static final int REJECTED = 1;
     private static final int FAILED = 2;
-    private static final String ROWS = String.join("", StandInLines.PAGES);
-    private Platform platform;
+    private static final String ROWS = String.join("", TestingEngine.PAGES);
+    private TestingPlatform platform;
 
     @AfterMethod(alwaysRun = true)
     public void stop() throws IOException {
@@ -28,139 +33,139 @@
 
     /** Each end of an attempt, and whether it proves that nothing ran. */
     @DataProvider
-    public Object[][] ends() {
+    public Object[][] attemptEnds() {
         return new Object[][] {
-            {Mode.SHED, true},
-            {Mode.LATE, true},
-            {Mode.FAULT, false},
-            {Mode.RESET, false},
-            {Mode.CLOSE, false},
-            {Mode.RESET_AMID, false},
-            {Mode.GARBAGE, false},
-            {Mode.NOISE, false},
-            {Mode.NO_TOTAL, false},
-            {Mode.SHORT, false},
-            {Mode.ENDLESS, false},
-            {Mode.LOSE_PAGES, false},
-            {Mode.DEAD, false}
+            {EngineBehavior.REJECT, true},
+            {EngineBehavior.EXPIRED, true},
+            {EngineBehavior.ERROR, false},
+            {EngineBehavior.RESET, false},
+            {EngineBehavior.CLOSE, false},
+            {EngineBehavior.RESET_MID_REQUEST, false},
+            {EngineBehavior.MALFORMED_REPLY, false},
+            {EngineBehavior.CONTROL_CHARACTER, false},
+            {EngineBehavior.MISSING_PAGE_COUNT, false},
+            {EngineBehavior.TRUNCATED_REPLY, false},
+            {EngineBehavior.ENDLESS_REPLY, false},
+            {EngineBehavior.ERROR_ON_NEXT_PAGE, false},
+            {EngineBehavior.UNRESPONSIVE, false}
         };
     }
 
-    /** What is unsafe to repeat goes out again only where it surely never ran; else it has failed. */
-    @Test(dataProvider = "ends")
-    public void anUnsafeRequestRunsOnceAtMost(Mode mode, boolean neverRan) throws IOException {
-        platform = new Platform(Platform::unsafe);
-        platform.both(mode);
-        try (StandInCaller caller = platform.caller()) {
-            Map<String, String> fields = StandInCaller.fields(3000);
-            fields.put("op", "load");
+    /** An unsafe request is retried only if it never ran; otherwise it fails. */
+    @Test(dataProvider = "attemptEnds")
+    public void runsAnUnsafeRequestAtMostOnce(EngineBehavior mode, boolean neverRan) throws IOException {
+        platform = new TestingPlatform(TestingPlatform::withUnsafeClass);
+        platform.setBehavior(mode);
+        try (TestingClient caller = platform.client()) {
+            Map<String, String> fields = TestingClient.fields(3000);
+            fields.put(RequestFields.REQUEST_CLASS, "load");
             int field = caller.call(fields, "insert into t select 1").field();
-            assertEquals(field, neverRan ? REFUSED : FAILED);
-            long attempts = platform.wants();
+            assertEquals(field, neverRan ? REJECTED : FAILED);
+            long attempts = platform.requests();
             assertTrue(neverRan ? attempts > 1 : attempts == 1, attempts + " attempts");
-            assertTrue(caller.simple("ping").good(), "and no second answer");
+            assertTrue(caller.callMethod("ping").good(), "and no second answer");
         }
     }
 
-    /** The same at one engine of two: what is safe is served by the other, once, and by one at a time. */
-    @Test(dataProvider = "ends")
-    public void aSafeRequestIsServedByAnother(Mode mode, boolean neverRan) throws IOException {
-        platform = new Platform(Map.of());
-        StandInLines.TWICE.clear();
-        platform.tellOnly("s-1", platform.one);
-        platform.one.mode = mode;
-        platform.one.atWant = () -> {
-            platform.one.atWant = () -> {};
-            platform.journal.tell(false, platform.engines(2, 2, "ready"));
-            platform.awaitTold();
-        };
-        if (mode == Mode.RESET_AMID) {
-            platform.journal.tell(false, platform.engines(2, 2, "ready"));
-            platform.awaitTold();
+    /** One of two engines fails the attempt; the other serves the request, once and not concurrently. */
+    @Test(dataProvider = "attemptEnds")
+    public void retriesASafeRequestAtAnotherEngine(EngineBehavior mode, boolean neverRan) throws IOException {
+        platform = new TestingPlatform(Map.of());
+        platform.publishOnly("s-1", platform.first());
+        platform.first().setBehavior(mode);
+        platform.first().onRequest(() -> {
+            platform.first().onRequest(() -> {});
+            platform.discovery().publish(false, platform.engines(2, 2, "ready"));
+            platform.awaitNotified();
+        });
+        if (mode == EngineBehavior.RESET_MID_REQUEST) {
+            platform.discovery().publish(false, platform.engines(2, 2, "ready"));
+            platform.awaitNotified();
         }
-        try (StandInCaller caller = platform.caller()) {
-            assertEquals(caller.call(StandInCaller.fields(2400), "select 1").body(), ROWS);
-            assertTrue(caller.simple("ping").good(), "and no second answer");
+        try (TestingClient caller = platform.client()) {
+            assertEquals(caller.call(TestingClient.fields(2400), "select 1").body(), ROWS);
+            assertTrue(caller.callMethod("ping").good(), "and no second answer");
         }
-        assertEquals(StandInLines.TWICE, Set.of());
+        assertEquals(platform.concurrentRuns().duplicates(), Set.of());
     }
 
-    /** The only engine says SHED twice, the second time when the request is out there again. */
+    /** The only engine rejects twice, the second time when the retry is in flight. */
     @Test
-    public void aSecondAnswerEndsNoLaterAttempt() throws IOException {
-        platform = new Platform(Map.of());
-        platform.tellOnly("s-1", platform.one);
-        platform.one.mode = Mode.SHED_TWICE;
-        try (StandInCaller caller = platform.caller()) {
-            assertEquals(caller.call(StandInCaller.fields(2000), "select 1").body(), ROWS);
-            assertEquals(platform.one.count("want"), 2);
+    public void aDuplicateResponseDoesNotEndTheNextAttempt() throws IOException {
+        platform = new TestingPlatform(Map.of());
+        platform.publishOnly("s-1", platform.first());
+        platform.first().setBehavior(EngineBehavior.REJECT_TWICE);
+        try (TestingClient caller = platform.client()) {
+            assertEquals(caller.call(TestingClient.fields(2000), "select 1").body(), ROWS);
+            assertEquals(platform.first().requests(), 2);
         }
     }
 
     @Test
-    public void anAnswerThatCrossesItsCancelReachesNobody() throws IOException {
-        platform = new Platform(Map.of());
-        platform.both(Mode.CROSS);
-        try (StandInCaller caller = platform.caller()) {
-            int seqid = caller.send(StandInCaller.fields(2000), "select 1");
-            Program.await("it runs", () -> platform.wants() == 1);
+    public void ignoresAResponseAfterCancel() throws IOException {
+        platform = new TestingPlatform(Map.of());
+        platform.setBehavior(EngineBehavior.RESPOND_AFTER_CANCEL);
+        try (TestingClient caller = platform.client()) {
+            int seqid = caller.send(TestingClient.fields(2000), "select 1");
+            Program.await("it runs", () -> platform.requests() == 1);
             caller.abort(seqid);
             Program.await(
                     "the engine is told",
-                    () -> platform.one.count("never_mind") + platform.two.count("never_mind") == 1);
-            platform.both(Mode.SERVE);
-            assertEquals(caller.call(StandInCaller.fields(2000), "select 2").body(), ROWS);
-            assertEquals(platform.wants(), 2);
+                    () -> platform.first().cancels() + platform.second().cancels() == 1);
+            platform.setBehavior(EngineBehavior.SERVE);
+            assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), ROWS);
+            assertEquals(platform.requests(), 2);
         }
     }
 
     /** Returns what the program has logged since it listens: its rehearsal is no engine's matter. */
     private String logged() {
-        String log = platform.program.log();
+        String log = platform.program().log();
         return log.substring(log.indexOf("listening on"));
     }
 
     /** How the engine leaves while a connection to it is coming up. */
     @DataProvider
-    public Object[][] leavings() {
+    public Object[][] leavingStates() {
         return new Object[][] {{"draining"}, {"gone"}};
     }
 
-    /** Danger: a connection that comes up late takes it to an engine that drains, or to its successor. */
-    @Test(dataProvider = "leavings")
-    public void whatWaitsForALateConnectionMovesOnceItsEngineLeaves(String state) throws IOException {
-        platform = new Platform(Platform::patient);
-        try (LateListener late = new LateListener();
-                StandInCaller caller = platform.caller()) {
-            platform.journal.tell(true, "s-9", "" + late.port(), "ready");
-            platform.awaitTold();
-            caller.send(StandInCaller.fields(9000), "select 1");
+    /** A slow connection must not carry the request to a draining engine or to its successor. */
+    @Test(dataProvider = "leavingStates")
+    public void migratesARequestThatAwaitsAConnectionOfALeavingEngine(String state) throws IOException {
+        platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
+        try (FullBacklogListener late = new FullBacklogListener();
+                TestingClient caller = platform.client()) {
+            platform.discovery().publish(true, "s-9", "" + late.port(), "ready");
+            platform.awaitNotified();
+            caller.send(TestingClient.fields(9000), "select 1");
             late.awaitConnecting();
-            String portOfTwo = "" + platform.two.port();
-            platform.journal.tell(false, "s-9", "" + late.port(), state, "s-2", portOfTwo, "ready");
+            String portOfTwo = "" + platform.second().port();
+            platform.discovery().publish(false, "s-9", "" + late.port(), state, "s-2", portOfTwo, "ready");
             assertEquals(caller.read().body(), ROWS, "served by the other");
-            assertEquals(platform.two.count("want"), 1);
-            StandInLines engine = late.open();
-            platform.journal.tell(false, "s-2", portOfTwo, "gone", "s-10", "" + late.port(), "ready");
-            platform.awaitTold();
-            Map<String, String> fields = StandInCaller.fields(9000);
+            assertEquals(platform.second().requests(), 1);
+            TestingEngine engine = late.open();
+            platform.discovery().publish(false, "s-2", portOfTwo, "gone", "s-10", "" + late.port(), "ready");
+            platform.awaitNotified();
+            Map<String, String> fields = TestingClient.fields(9000);
             assertEquals(caller.call(fields, "select 2").body(), ROWS);
-            assertEquals(engine.ids(), List.of(fields.get("call")), "only what was meant for it");
+            String id = fields.get(RequestFields.REQUEST_ID);
+            assertEquals(engine.requestIds(), List.of(id), "only what was meant for it");
         }
     }
 
-    /** One late connection moves its request on and says nothing of the engine; it serves once it is up. */
+    /** A slow connection migrates its request; the engine is not ejected and serves once it is connected. */
     @Test
-    public void aLateConnectionIsNoFaultOfItsEngine() throws IOException {
-        platform = new Platform(Map.of());
-        try (LateListener late = new LateListener();
-                StandInCaller caller = platform.caller()) {
-            String portOfTwo = "" + platform.two.port();
-            platform.journal.tell(true, "s-9", "" + late.port(), "ready", "s-2", portOfTwo, "ready");
-            platform.awaitTold();
+    public void oneSlowConnectionDoesNotEjectTheEngine() throws IOException {
+        platform = new TestingPlatform(Map.of());
+        try (FullBacklogListener late = new FullBacklogListener();
+                TestingClient caller = platform.client()) {
+            String portOfTwo = "" + platform.second().port();
+            platform.discovery().publish(true, "s-9", "" + late.port(), "ready", "s-2", portOfTwo, "ready");
+            platform.awaitNotified();
             Program.await("a connection is tried", () -> {
                 try {
-                    return caller.call(StandInCaller.fields(2400), "select 1")
+                    return caller.call(TestingClient.fields(2400), "select 1")
                                     .body()
                                     .equals(ROWS)
                             && late.isConnecting();
@@ -168,13 +173,13 @@
                     throw new AssertionError(e);
                 }
             });
-            StandInLines engine = late.open();
+            TestingEngine engine = late.open();
             Program.await("the engine serves", () -> {
                 try {
-                    return caller.call(StandInCaller.fields(2400), "select 1")
+                    return caller.call(TestingClient.fields(2400), "select 1")
                                     .body()
                                     .equals(ROWS)
-                            && engine.count("want") > 0;
+                            && engine.requests() > 0;
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
@@ -183,18 +188,18 @@
         }
     }
 
-    /** Two late in a row, with no word between: the engine is out of reach, and others get its part. */
+    /** Two slow connections in a row, without a reply between them, eject the engine. */
     @Test
-    public void connectionsThatAreAllLateMakeTheEngineSuspected() throws IOException {
-        platform = new Platform(Map.of());
-        try (LateListener late = new LateListener();
-                StandInCaller caller = platform.caller()) {
-            String portOfTwo = "" + platform.two.port();
-            platform.journal.tell(true, "s-9", "" + late.port(), "ready", "s-2", portOfTwo, "ready");
-            platform.awaitTold();
+    public void slowConnectionsInARowEjectTheEngine() throws IOException {
+        platform = new TestingPlatform(Map.of());
+        try (FullBacklogListener late = new FullBacklogListener();
+                TestingClient caller = platform.client()) {
+            String portOfTwo = "" + platform.second().port();
+            platform.discovery().publish(true, "s-9", "" + late.port(), "ready", "s-2", portOfTwo, "ready");
+            platform.awaitNotified();
             Program.await("it is ejected", () -> {
                 try {
-                    return caller.call(StandInCaller.fields(2400), "select 1")
+                    return caller.call(TestingClient.fields(2400), "select 1")
                                     .body()
                                     .equals(ROWS)
                             && logged().contains("cause=connect_failures");
@@ -205,18 +210,18 @@
         }
     }
 
-    /** Half a line on a resting connection: what comes behind it can't be read, so nothing goes out there. */
+    /** Replies after an incomplete line can't be parsed, so the connection gets no request. */
     @Test
-    public void halfALineOnARestingConnectionHarmsNoRequest() throws IOException {
-        platform = new Platform(Map.of());
-        platform.tellOnly("s-1", platform.one);
-        try (StandInCaller caller = platform.caller()) {
-            assertEquals(caller.call(StandInCaller.fields(2000), "select 1").body(), ROWS);
-            platform.one.sayToAll("00");
-            assertTrue(caller.simple("ping").good());
-            assertEquals(caller.call(StandInCaller.fields(2000), "select 2").body(), ROWS);
-            assertEquals(platform.one.count("want"), 2, "nothing had to go out again");
-            Program.await("the connection is asked", () -> platform.one.count("there") > 0);
+    public void anIncompleteLineOnAnIdleConnectionFailsNoRequest() throws IOException {
+        platform = new TestingPlatform(Map.of());
+        platform.publishOnly("s-1", platform.first());
+        try (TestingClient caller = platform.client()) {
+            assertEquals(caller.call(TestingClient.fields(2000), "select 1").body(), ROWS);
+            platform.first().writeToAll("00");
+            assertTrue(caller.callMethod("ping").good());
+            assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), ROWS);
+            assertEquals(platform.first().requests(), 2, "nothing had to go out again");
+            Program.await("the connection is asked", () -> platform.first().healthChecks() > 0);
         }
     }
 }
--- a/src/test/java/lineward/thrift/FrameDecoderTest.java
+++ b/src/test/java/lineward/thrift/FrameDecoderTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    public void framesAreCutWhereverTheBytesBreak() {
+    public void decodesFramesSplitAtAnyByte() {
         for (int first = 0; first <= TWO.length; first++) {
             for (int second = first; second <= TWO.length; second++) {
                 EmbeddedChannel channel = new EmbeddedChannel(new FrameDecoder());
@@ -40,7 +40,7 @@
     }
 
     @Test
-    public void halfAFrameIsStuckAndAWholeOneIsNot() {
+    public void onlyAnIncompleteFrameIsStalled() {
         FrameDecoder decoder = new FrameDecoder();
         EmbeddedChannel channel = new EmbeddedChannel(decoder);
         for (int i = 0; i < TWO.length; i++) {
--- a/src/test/java/lineward/thrift/DrainTest.java
+++ b/src/test/java/lineward/thrift/GracefulShutdownTest.java
@@ -9,33 +9,39 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import lineward.Program;
-import lineward.operations.AdminClient;
+import lineward.testing.AdminClient;
+import lineward.testing.Answer;
+import lineward.testing.EngineBehavior;
+import lineward.testing.Program;
+import lineward.testing.TestingClient;
+import lineward.testing.TestingPlatform;
 import org.testng.annotations.Test;
 
 /** A drain that operators start and stop. */
-public class DrainTest {
-    private static final int REFUSED = 1;
+public class GracefulShutdownTest {
+    private static final int REJECTED = 1;
 
     @Test
-    public void clientsAreSentAwayAndTakenAgain() throws IOException {
-        try (Platform platform = new Platform(Map.of())) {
+    public void rejectsClientsDuringTheDrainAndAdmitsThemAfterwards() throws IOException {
+        try (TestingPlatform platform = new TestingPlatform(Map.of())) {
             AdminClient operator = new AdminClient(platform.program());
             Program.await("it is ready", operator::isReady);
-            List<StandInCaller> resting = new ArrayList<>();
+            List<TestingClient> resting = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                resting.add(platform.caller());
-                assertTrue(resting.get(i).simple("ping").good());
+                resting.add(platform.client());
+                assertTrue(resting.get(i).callMethod("ping").good());
             }
-            platform.both(StandInLines.Mode.SILENT);
-            StandInCaller busy = platform.caller();
-            busy.send(StandInCaller.fields(2400), "select 1");
-            Program.await("it runs", () -> platform.one.count("want") + platform.two.count("want") > 0);
+            platform.setBehavior(EngineBehavior.NO_RESPONSE);
+            TestingClient busy = platform.client();
+            busy.send(TestingClient.fields(2400), "select 1");
+            Program.await(
+                    "it runs",
+                    () -> platform.first().requests() + platform.second().requests() > 0);
             long start = System.nanoTime();
             assertEquals(operator.post("/ops/drain/start", "").status(), 200);
             assertFalse(operator.isReady());
-            assertFalse(busy.simple("ping").good());
-            for (StandInCaller caller : resting) {
+            assertFalse(busy.callMethod("ping").good());
+            for (TestingClient caller : resting) {
                 assertTrue(caller.isClosed());
             }
             long closed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
@@ -45,27 +51,27 @@
             assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(4000));
             assertTrue(platform.program().isAlive());
 
-            platform.both(StandInLines.Mode.SERVE);
+            platform.setBehavior(EngineBehavior.SERVE);
             assertEquals(operator.post("/ops/drain/stop", "").status(), 200);
             assertTrue(operator.isReady());
-            try (StandInCaller again = platform.caller()) {
-                assertTrue(again.simple("ping").good());
-                assertEquals(again.call(StandInCaller.fields(2000), "select 1").field(), 0);
+            try (TestingClient again = platform.client()) {
+                assertTrue(again.callMethod("ping").good());
+                assertEquals(again.call(TestingClient.fields(2000), "select 1").field(), 0);
             }
         }
     }
 
-    private static boolean refuses(StandInCaller caller) {
+    private static boolean refuses(TestingClient caller) {
         try {
-            int seqid = caller.send(StandInCaller.fields(1500), "select 1");
-            StandInCaller.Answer answer = caller.read();
-            return answer.seqid() == seqid && answer.field() == REFUSED;
+            int seqid = caller.send(TestingClient.fields(1500), "select 1");
+            Answer answer = caller.read();
+            return answer.seqid() == seqid && answer.field() == REJECTED;
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    private static boolean isClosed(StandInCaller caller) {
+    private static boolean isClosed(TestingClient caller) {
         try {
             return caller.isClosed();
         } catch (IOException e) {
--- a/src/test/java/lineward/thrift/UpgradeTest.java
+++ b/src/test/java/lineward/thrift/HotRestartHandoverTest.java
@@ -12,26 +12,30 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lineward.Program;
-import lineward.SocketHolder;
-import lineward.operations.AdminClient;
+import lineward.testing.AdminClient;
+import lineward.testing.EngineBehavior;
+import lineward.testing.Program;
+import lineward.testing.ProgramMetrics;
+import lineward.testing.SocketActivator;
+import lineward.testing.TestingClient;
+import lineward.testing.TestingPlatform;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** A new process takes over from the old one at a socket that both inherit. */
-public class UpgradeTest {
+public class HotRestartHandoverTest {
     private static final int SERVED = 0;
-    private SocketHolder holder;
-    private Platform platform;
+    private SocketActivator holder;
+    private TestingPlatform platform;
     private Program next;
     private AdminClient operator;
 
     @BeforeMethod
     public void start() throws IOException {
-        holder = new SocketHolder();
-        platform = new Platform(Map.of(), holder);
-        next = platform.again();
+        holder = new SocketActivator();
+        platform = new TestingPlatform(Map.of(), holder);
+        next = platform.startAgain();
         operator = new AdminClient(next);
         Program.await("the new one is ready", operator::isReady);
     }
@@ -43,34 +47,35 @@
         holder.close();
     }
 
-    private static boolean serves(StandInCaller caller) throws IOException {
-        return caller.call(StandInCaller.fields(2000), "select 1").field() == SERVED;
+    private static boolean serves(TestingClient caller) throws IOException {
+        return caller.call(TestingClient.fields(2000), "select 1").field() == SERVED;
     }
 
     @Test
-    public void everyRequestIsServedWhileTheOldProcessLeaves() throws IOException {
-        List<StandInCaller> kept = new ArrayList<>();
+    public void servesEachRequestDuringTheHotRestart() throws IOException {
+        List<TestingClient> kept = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            kept.add(platform.caller());
+            kept.add(platform.client());
             assertTrue(serves(kept.get(i)));
         }
-        int before = FiguresTest.figures(next).get("edge_relay_relayed_total");
-        platform.program.terminate();
-        Program.await("it has heard", () -> platform.program.log().contains("SIGTERM"));
-        for (StandInCaller caller : kept) {
+        int before = ProgramMetrics.read(next).get("edge_relay_relayed_total");
+        platform.program().terminate();
+        Program.await("it has heard", () -> platform.program().log().contains("SIGTERM"));
+        for (TestingClient caller : kept) {
             assertTrue(serves(caller), "a kept connection is served on");
         }
         for (int i = 0; i < 20; i++) {
-            try (StandInCaller caller = platform.caller()) {
+            try (TestingClient caller = platform.client()) {
                 assertTrue(serves(caller), "a new connection is served");
             }
         }
         assertTrue(
-                FiguresTest.figures(next).get("edge_relay_relayed_total") >= before + 20,
+                ProgramMetrics.read(next).get("edge_relay_relayed_total") >= before + 20,
                 "new connections go to the new process");
-        Program.await("the old one ends", () -> !platform.program.isAlive());
-        assertFalse(platform.program.log().contains("rror"), platform.program.log());
-        for (StandInCaller caller : kept) {
+        Program.await("the old one ends", () -> !platform.program().isAlive());
+        assertFalse(
+                platform.program().log().contains("rror"), platform.program().log());
+        for (TestingClient caller : kept) {
             caller.close();
         }
         assertTrue(next.isAlive());
@@ -78,23 +83,25 @@
     }
 
     @Test
-    public void aClientThatNeverRestsHoldsNoOldProcessUp() throws IOException {
-        platform.both(StandInLines.Mode.SILENT);
-        StandInCaller caller = platform.caller();
+    public void aBusyClientDoesNotDelayTheShutdown() throws IOException {
+        platform.setBehavior(EngineBehavior.NO_RESPONSE);
+        TestingClient caller = platform.client();
         Set<Integer> open = new HashSet<>();
         for (int i = 0; i < 5; i++) {
-            open.add(caller.send(StandInCaller.fields(9000), "select 1"));
+            open.add(caller.send(TestingClient.fields(9000), "select 1"));
         }
-        Program.await("they run", () -> platform.one.count("want") + platform.two.count("want") >= 5);
-        boolean nextHasRequests = FiguresTest.figures(next).get("edge_relay_open_requests") > 0;
-        Program first = nextHasRequests ? next : platform.program;
+        Program.await(
+                "they run",
+                () -> platform.first().requests() + platform.second().requests() >= 5);
+        boolean nextHasRequests = ProgramMetrics.read(next).get("edge_relay_open_requests") > 0;
+        Program first = nextHasRequests ? next : platform.program();
         first.terminate();
         int answered = 0;
         try {
             while (true) {
                 assertTrue(open.remove(caller.read().seqid()));
                 answered++;
-                open.add(caller.send(StandInCaller.fields(9000), "select 1"));
+                open.add(caller.send(TestingClient.fields(9000), "select 1"));
             }
         } catch (EOFException | SocketException e) {
             // Closed when nothing was open any more.
@@ -105,15 +112,15 @@
     }
 
     @Test
-    public void anAcceptThatFindsNothingHoldsNobodyUp() throws IOException {
+    public void anAcceptWithoutAConnectionBlocksNoClient() throws IOException {
         holder.makeBlocking();
         for (int i = 0; i < 200; i++) {
-            try (StandInCaller caller = platform.caller()) {
-                assertTrue(caller.simple("ping").good());
+            try (TestingClient caller = platform.client()) {
+                assertTrue(caller.callMethod("ping").good());
             }
         }
         assertTrue(operator.isReady());
-        assertTrue(new AdminClient(platform.program).isReady());
-        assertEquals(FiguresTest.figures(next).get("edge_relay_open_requests"), (Integer) 0);
+        assertTrue(new AdminClient(platform.program()).isReady());
+        assertEquals(ProgramMetrics.read(next).get("edge_relay_open_requests"), (Integer) 0);
     }
 }
--- a/src/test/java/lineward/thrift/LargeFleetTest.java
+++ b/src/test/java/lineward/thrift/LargeFleetTest.java
@@ -4,8 +4,12 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.Map;
-import lineward.Program;
-import lineward.operations.AdminClient;
+import lineward.testing.AdminClient;
+import lineward.testing.Program;
+import lineward.testing.ProgramMetrics;
+import lineward.testing.TestingClient;
+import lineward.testing.TestingPlatform;
+import lineward.testing.TestingServiceDiscovery;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -20,22 +24,22 @@
         return new Object[][] {{120, 300}, {1024, 1024}};
     }
 
-    /** Far more engines than connections allowed: those that rest make room for those that are wanted. */
+    /** There are more engines than allowed connections; idle connections close in favor of new ones. */
     @Test(dataProvider = "fleets")
-    public void aLongListIsTakenServedAndFollowed(int fronts, int engines) throws Exception {
+    public void servesALargeFleetAndFollowsItsUpdates(int fronts, int engines) throws Exception {
         Map<String, String> variables = Map.of("JAVA_TOOL_OPTIONS", LIMITS);
-        try (Platform platform = new Platform(variables, null, fronts, engines, SOCKETS);
-                StandInCaller caller = platform.caller();
-                StandInJournal next = new StandInJournal()) {
-            Program program = platform.program;
+        try (TestingPlatform platform = new TestingPlatform(variables, null, fronts, engines, SOCKETS);
+                TestingClient caller = platform.client();
+                TestingServiceDiscovery next = new TestingServiceDiscovery()) {
+            Program program = platform.program();
             for (int i = 1; i <= 2 * SOCKETS; i++) {
-                assertEquals(caller.call(StandInCaller.fields(2000), "select 1").field(), 0, "request " + i);
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "request " + i);
             }
-            int attempts = FiguresTest.figures(program).get("edge_relay_relayed_total");
+            int attempts = ProgramMetrics.read(program).get("edge_relay_relayed_total");
             assertTrue(attempts <= 2 * SOCKETS * 1.05, attempts + " attempts: a few are cut and run again");
             assertTrue(program.descriptors() <= SOCKETS, program.descriptors() + " descriptors");
             assertTrue(program.memoryMb() <= MEMORY_MB, program.memoryMb() + " MB");
-            platform.journal.tell(false, platform.engines(1, engines / 2, "gone"));
+            platform.discovery().publish(false, platform.engines(1, engines / 2, "gone"));
             awaitEngines(program, engines - engines / 2);
             for (int i = engines / 2 + 1; i <= engines; i++) {
                 assertEquals(
@@ -44,22 +48,22 @@
                                 .status(),
                         200);
             }
-            int outOfRotation = FiguresTest.figures(program).get("edge_relay_out_of_rotation");
+            int outOfRotation = ProgramMetrics.read(program).get("edge_relay_out_of_rotation");
             assertEquals(outOfRotation, engines - engines / 2);
-            next.tell(true);
-            next.tell(true);
-            next.tell(true, platform.engines(engines + 1, 2 * engines, "ready"));
+            next.publish(true);
+            next.publish(true);
+            next.publish(true, platform.engines(engines + 1, 2 * engines, "ready"));
             platform.configure(next);
             program.hangUp();
             awaitEngines(program, engines);
-            assertEquals(caller.call(StandInCaller.fields(2000), "select 1").field(), 0, "by the new list");
+            assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "by the new list");
         }
     }
 
     private static void awaitEngines(Program program, int count) {
         Program.await(count + " engines on the list", () -> {
             try {
-                return FiguresTest.figures(program).get("edge_relay_registry_entries") == count;
+                return ProgramMetrics.read(program).get("edge_relay_registry_entries") == count;
             } catch (java.io.IOException e) {
                 throw new AssertionError(e);
             }
--- a/src/test/java/lineward/thrift/MaintenanceTest.java
+++ b/src/test/java/lineward/thrift/MaintenanceTest.java
@@ -6,9 +6,13 @@
 import java.io.IOException;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import lineward.Program;
-import lineward.SocketHolder;
-import lineward.operations.AdminClient;
+import lineward.testing.AdminClient;
+import lineward.testing.Program;
+import lineward.testing.ProgramMetrics;
+import lineward.testing.SocketActivator;
+import lineward.testing.TestingClient;
+import lineward.testing.TestingEngine;
+import lineward.testing.TestingPlatform;
 import org.testng.annotations.Test;
 
 /** Operators hold an engine out and call it back. */
@@ -16,56 +20,56 @@
     private static final String DOWN = "/ops/query-engines/down";
     private static final String UP = "/ops/query-engines/up";
 
-    private static void serve(Platform platform, int many) throws IOException {
-        try (StandInCaller caller = platform.caller()) {
+    private static void serve(TestingPlatform platform, int many) throws IOException {
+        try (TestingClient caller = platform.client()) {
             for (int i = 0; i < many; i++) {
-                assertEquals(caller.call(StandInCaller.fields(2000), "select 1").field(), 0);
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0);
             }
         }
     }
 
     @Test
-    public void nothingNewGoesThereUntilTheCallBackWhateverTheListSays() throws IOException {
-        try (Platform platform = new Platform(Map.of())) {
-            AdminClient operator = new AdminClient(platform.program);
+    public void keepsAnEngineOutOfRotationUntilItIsReleased() throws IOException {
+        try (TestingPlatform platform = new TestingPlatform(Map.of())) {
+            AdminClient operator = new AdminClient(platform.program());
             Program.await("it is ready", operator::isReady);
             serve(platform, 30);
-            boolean first = platform.one.count("want") > 0;
-            StandInLines used = first ? platform.one : platform.two;
+            boolean first = platform.first().requests() > 0;
+            TestingEngine used = first ? platform.first() : platform.second();
             String id = first ? "s-1" : "s-2";
             assertEquals(operator.post(DOWN, "s-3").status(), 404);
             assertEquals(operator.post(UP, "s-3").status(), 404);
             assertEquals(operator.post(DOWN, "").status(), 404);
             assertEquals(operator.post(DOWN, id).status(), 200);
             assertEquals(operator.post(DOWN, id + "\n").status(), 200);
-            long before = used.count("want");
+            long before = used.requests();
             assertTrue(before > 0, "it was used");
             serve(platform, 30);
-            assertEquals((int) FiguresTest.figures(platform.program).get("edge_relay_out_of_rotation"), 1);
+            assertEquals((int) ProgramMetrics.read(platform.program()).get("edge_relay_out_of_rotation"), 1);
             for (String state : new String[] {"gone", "ready"}) {
-                platform.journal.tell(false, id, "" + used.port(), state);
-                long polls = platform.journal.polls();
-                Program.await("it has heard", () -> platform.journal.polls() > polls + 1);
+                platform.discovery().publish(false, id, "" + used.port(), state);
+                long polls = platform.discovery().polls();
+                Program.await("it has heard", () -> platform.discovery().polls() > polls + 1);
                 serve(platform, 30);
             }
-            assertEquals(used.count("want"), before);
+            assertEquals(used.requests(), before);
             assertEquals(operator.post(UP, id).status(), 200);
             long start = System.nanoTime();
             serve(platform, 1);
-            assertEquals(used.count("want"), before + 1, "the first request goes there");
+            assertEquals(used.requests(), before + 1, "the first request goes there");
             assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(5));
-            assertEquals((int) FiguresTest.figures(platform.program).get("edge_relay_out_of_rotation"), 0);
+            assertEquals((int) ProgramMetrics.read(platform.program()).get("edge_relay_out_of_rotation"), 0);
         }
     }
 
     @Test
-    public void eitherProcessOfAnUpgradeMayBeTold() throws IOException {
-        try (SocketHolder holder = new SocketHolder();
-                Platform platform = new Platform(Map.of(), holder)) {
-            AdminClient old = new AdminClient(platform.program);
+    public void bothProcessesOfAHotRestartShareMaintenanceOrders() throws IOException {
+        try (SocketActivator holder = new SocketActivator();
+                TestingPlatform platform = new TestingPlatform(Map.of(), holder)) {
+            AdminClient old = new AdminClient(platform.program());
             Program.await("it is ready", old::isReady);
             assertEquals(old.post(DOWN, "s-1").status(), 200);
-            try (Program next = platform.again()) {
+            try (Program next = platform.startAgain()) {
                 AdminClient operator = new AdminClient(next);
                 Program.await("the new one is ready", operator::isReady);
                 assertTrue(next.log().contains("s-1 is held out"), next.log());
@@ -73,13 +77,13 @@
                 assertEquals(operator.post(UP, "s-1").status(), 200);
                 Program.await(
                         "the old one has read it",
-                        () -> platform.program.log().contains("s-2 is held")
-                                && platform.program.log().contains("s-1 is used again"));
-                platform.program.terminate();
-                Program.await("the old one ends", () -> !platform.program.isAlive());
+                        () -> platform.program().log().contains("s-2 is held")
+                                && platform.program().log().contains("s-1 is used again"));
+                platform.program().terminate();
+                Program.await("the old one ends", () -> !platform.program().isAlive());
                 serve(platform, 20);
-                assertEquals(platform.two.count("want"), 0);
-                assertEquals(platform.one.count("want"), 20);
+                assertEquals(platform.second().requests(), 0);
+                assertEquals(platform.first().requests(), 20);
             }
         }
     }
--- /dev/null
+++ b/src/test/java/lineward/thrift/MetricsTest.java
@@ -0,0 +1,89 @@
+package lineward.thrift;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.io.IOException;
+import java.util.Map;
+import lineward.testing.EngineBehavior;
+import lineward.testing.Program;
+import lineward.testing.ProgramMetrics;
+import lineward.testing.RequestFields;
+import lineward.testing.TestingClient;
+import lineward.testing.TestingPlatform;
+import org.testng.annotations.Test;
+
+/** The figures agree with what the clients and engines saw. */
+public class MetricsTest {
+    private static final String ENDS = "edge_relay_operations_total{priority=\"look\",status=";
+
+    @Test
+    public void metricsAgreeWithClientsAndEngines() throws IOException {
+        try (TestingPlatform platform = new TestingPlatform(Map.of());
+                TestingClient caller = platform.client()) {
+            int[] answers = new int[3];
+            EngineBehavior[] modes = {
+                EngineBehavior.SERVE,
+                EngineBehavior.ERROR,
+                EngineBehavior.REJECT,
+                EngineBehavior.RESET,
+                EngineBehavior.SERVE
+            };
+            for (int i = 0; i < 100; i++) {
+                platform.first().setBehavior(modes[i / 20]);
+                answers[
+                        caller.call(TestingClient.fields(i % 10 == 0 ? 30 : 2000), "select 1")
+                                .field()]++;
+            }
+            Map<String, String> unusable = TestingClient.fields(1000);
+            unusable.put(RequestFields.TENANT, "nobody");
+            caller.call(unusable, "select 1");
+            Map<String, Integer> seen = ProgramMetrics.read(platform.program());
+            assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.SERVED + "\"}"), answers[0]);
+            assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.REJECTED + "\"}"), answers[1]);
+            assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.FAILED + "\"}"), answers[2] + 1);
+            assertTrue(answers[0] > 50 && answers[1] >= 10, "both kinds were there");
+            long wants = platform.first().requests() + platform.second().requests();
+            assertTrue(wants > answers[0], "some were attempted again");
+            assertEquals((int) seen.get("edge_relay_relayed_total"), wants);
+            assertEquals((int) seen.get("edge_relay_open_requests"), 0);
+            assertEquals((int) seen.get("edge_relay_registry_entries"), 2);
+            assertTrue(seen.get("edge_relay_list_age_ms") < 2000);
+        }
+    }
+
+    @Test
+    public void showsOpenRequestsAndEjectedEngines() throws IOException {
+        try (TestingPlatform platform = new TestingPlatform(Map.of());
+                TestingClient caller = platform.client()) {
+            platform.setBehavior(EngineBehavior.NO_RESPONSE);
+            for (int i = 0; i < 3; i++) {
+                caller.send(TestingClient.fields(2000), "select 1");
+            }
+            Program.await(
+                    "they run",
+                    () -> platform.first().requests() + platform.second().requests() == 3);
+            assertEquals((int) ProgramMetrics.read(platform.program()).get("edge_relay_open_requests"), 3);
+            platform.first().close();
+            platform.second().setBehavior(EngineBehavior.SERVE);
+            Program.await("a dead engine is avoided", () -> {
+                try {
+                    caller.call(TestingClient.fields(2000), "select 1");
+                    return ProgramMetrics.read(platform.program()).get("edge_relay_out_of_rotation") == 1;
+                } catch (IOException e) {
+                    throw new AssertionError(e);
+                }
+            });
+            platform.discovery().publish(false, "s-1", "" + platform.first().port(), "gone");
+            Program.await("it has left the list", () -> {
+                try {
+                    Map<String, Integer> seen = ProgramMetrics.read(platform.program());
+                    int outOfRotation = seen.get("edge_relay_out_of_rotation");
+                    return seen.get("edge_relay_registry_entries") == 1 && outOfRotation == 0;
+                } catch (IOException e) {
+                    throw new AssertionError(e);
+                }
+            });
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/thrift/OverloadTest.java
@@ -0,0 +1,126 @@
+package lineward.thrift;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.Socket;
+import java.net.SocketException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import lineward.testing.EngineBehavior;
+import lineward.testing.Program;
+import lineward.testing.ProgramMetrics;
+import lineward.testing.TestingClient;
+import lineward.testing.TestingPlatform;
+import org.testng.annotations.Test;
+
+/** Crowds and floods: others are served meanwhile, and nothing grows past its bound. */
+public class OverloadTest {
+    private static final int SERVED = 0;
+    private static final int FRAMES = 5000;
+    private static final int MAX_OPEN_REQUESTS = 32;
+    private static final int SOCKETS = 256;
+    /** What clients and engines may take of the descriptors; the rest is the program's own. */
+    private static final int MAX_PERCENT = 85;
+
+    private static final String LIMITS = "-Xmx64m -Xss512k -XX:MaxMetaspaceSize=48m";
+    private static final int MEMORY_MB = 192;
+
+    /** One connection sends thousands of frames at once and goes. */
+    @Test
+    public void releasesTheRequestsOfAClosedFlood() throws IOException {
+        try (TestingPlatform platform = new TestingPlatform(Map.of("JAVA_TOOL_OPTIONS", LIMITS));
+                TestingClient other = platform.client()) {
+            assertEquals(other.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+            for (int round = 0; round < 10; round++) {
+                try (TestingClient flood = platform.client()) {
+                    ByteArrayOutputStream all = new ByteArrayOutputStream();
+                    for (int i = 0; i < FRAMES; i++) {
+                        all.write(flood.encode(TestingClient.fields(2000), "select 1"));
+                    }
+                    flood.sendRaw(all.toByteArray());
+                    flood.socket().shutdownOutput();
+                } catch (SocketException e) {
+                    assertTrue(platform.program().isAlive(), "the front closed it amid the flood: " + e);
+                }
+                assertEquals(other.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+            }
+            Program.await("nothing stays open", () -> figure(platform, "edge_relay_open_requests") == 0);
+            assertTrue(platform.requests() <= 10 * MAX_OPEN_REQUESTS + 11, platform.requests() + " attempts");
+            assertTrue(
+                    platform.program().memoryMb() <= MEMORY_MB,
+                    platform.program().memoryMb() + " MB");
+            assertTrue(figure(platform, "edge_relay_unread_answer_bytes") == 0);
+        }
+    }
+
+    /**
+     * More connections than descriptors, first such as never speak, then such as rest, while the journal is
+     * down: the list, the engines and new clients are reached all the same.
+     */
+    @Test
+    public void idleClientsDoNotBlockOthers() throws IOException {
+        List<Socket> crowd = new ArrayList<>();
+        Map<String, String> variables = Map.of("JAVA_TOOL_OPTIONS", LIMITS);
+        try (TestingPlatform platform = new TestingPlatform(variables, null, 2, 2, SOCKETS)) {
+            platform.discovery().setBroken(true);
+            int most = platform.program().descriptors() + SOCKETS * MAX_PERCENT / 100;
+            for (int i = 0; i < 2 * SOCKETS; i++) {
+                crowd.add(new Socket(
+                        InetAddress.getLoopbackAddress(), platform.program().port()));
+                int now = platform.program().descriptors();
+                assertTrue(now <= most, now + " descriptors");
+            }
+            for (int i = 0; i < 2 * SOCKETS; i++) {
+                TestingClient resting = platform.client();
+                crowd.add(resting.socket());
+                assertEquals(
+                        resting.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+                int now = platform.program().descriptors();
+                assertTrue(now <= most, now + " descriptors");
+            }
+            platform.discovery().publish(false, platform.engines(1, 1, "draining"));
+            platform.discovery().setBroken(false);
+            platform.awaitNotified();
+            long before = platform.first().requests();
+            try (TestingClient late = platform.client()) {
+                assertEquals(late.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+            }
+            assertEquals(platform.first().requests(), before, "the drain was heard");
+            assertTrue(
+                    platform.program().memoryMb() <= MEMORY_MB,
+                    platform.program().memoryMb() + " MB");
+        } finally {
+            for (Socket socket : crowd) {
+                socket.close();
+            }
+        }
+    }
+
+    /** Endless replies on each connection fail only their own requests. */
+    @Test
+    public void endlessRepliesAreBounded() throws IOException {
+        try (TestingPlatform platform = new TestingPlatform(Map.of("JAVA_TOOL_OPTIONS", LIMITS));
+                TestingClient caller = platform.client()) {
+            platform.first().setBehavior(EngineBehavior.ENDLESS_REPLY);
+            for (int i = 0; i < 20; i++) {
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+            }
+            assertTrue(
+                    platform.program().memoryMb() <= MEMORY_MB,
+                    platform.program().memoryMb() + " MB");
+        }
+    }
+
+    private static int figure(TestingPlatform platform, String name) {
+        try {
+            return ProgramMetrics.read(platform.program()).get(name);
+        } catch (IOException e) {
+            throw new AssertionError(e);
+        }
+    }
+}
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/PlatformRulesTest.java
@@ -14,8 +14,15 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import lineward.Program;
-import lineward.thrift.StandInLines.Mode;
+import lineward.testing.Answer;
+import lineward.testing.EngineBehavior;
+import lineward.testing.Program;
+import lineward.testing.RequestFields;
+import lineward.testing.TestingClient;
+import lineward.testing.TestingEngine;
+import lineward.testing.TestingLineProtocol;
+import lineward.testing.TestingPlatform;
+import lineward.testing.TestingServiceDiscovery;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
@@ -26,29 +33,28 @@
     private static final int REPLY = 2;
     private static final int EXCEPTION = 3;
     private static final int SERVED = 0;
-    private static final int REFUSED = 1;
+    private static final int REJECTED = 1;
     private static final int FAILED = 2;
     private static final String[][] UNUSABLE = {
-        {"op", "unknown"},
-        {"call", "short"},
-        {"call", "zzzzzzzzzzzzzzzz"},
-        {"ttl", "0"},
-        {"ttl", "soon"},
-        {"org", "nobody"},
-        {"work", "-1"},
-        {"mem", "1e9"},
-        {"rep", "yes"},
-        {"ttl", "99999999"},
-        {"work", "99999999999"},
-        {"work", "NaN"},
-        {"mem", "99999999"}
+        {RequestFields.REQUEST_CLASS, "unknown"},
+        {RequestFields.REQUEST_ID, "short"},
+        {RequestFields.REQUEST_ID, "zzzzzzzzzzzzzzzz"},
+        {RequestFields.TIME_LEFT_MS, "0"},
+        {RequestFields.TIME_LEFT_MS, "soon"},
+        {RequestFields.TENANT, "nobody"},
+        {RequestFields.ESTIMATED_WORK_MS, "-1"},
+        {RequestFields.ESTIMATED_MEMORY_MB, "1e9"},
+        {RequestFields.CLIENT_RETRY, "yes"},
+        {RequestFields.TIME_LEFT_MS, "99999999"},
+        {RequestFields.ESTIMATED_WORK_MS, "99999999999"},
+        {RequestFields.ESTIMATED_WORK_MS, "NaN"},
+        {RequestFields.ESTIMATED_MEMORY_MB, "99999999"}
     };
-    private Platform platform;
+    private TestingPlatform platform;
 
     @BeforeMethod
     public void start() throws IOException {
-        StandInLines.TWICE.clear();
-        platform = new Platform(Map.of());
+        platform = new TestingPlatform(Map.of());
     }
 
     @AfterMethod(alwaysRun = true)
@@ -56,97 +62,100 @@
         platform.close();
     }
 
-    private StandInCaller.Answer ask(StandInCaller caller, int ttl) throws IOException {
-        return caller.call(StandInCaller.fields(ttl), "select * from sales_17.orders");
+    private Answer call(TestingClient caller, int ttl) throws IOException {
+        return caller.call(TestingClient.fields(ttl), "select * from sales_17.orders");
     }
 
-    private long wants() {
-        return platform.one.count("want") + platform.two.count("want");
+    private long requests() {
+        return platform.first().requests() + platform.second().requests();
     }
 
     @Test
-    public void allPagesComeInOrderAndTheStatementGoesUnchanged() throws IOException {
-        try (StandInCaller caller = platform.caller()) {
-            Map<String, String> fields = StandInCaller.fields(2000);
+    public void returnsAllPagesInOrderAndForwardsTheStatementUnchanged() throws IOException {
+        try (TestingClient caller = platform.client()) {
+            Map<String, String> fields = TestingClient.fields(2000);
             String statement = "select 'é' -- \r\n from t";
-            StandInCaller.Answer answer = caller.call(fields, statement);
+            Answer answer = caller.call(fields, statement);
             assertEquals(answer.field(), SERVED);
             assertTrue(answer.good());
-            assertEquals(answer.body(), String.join("", StandInLines.PAGES));
-            StandInLines engine = platform.one.heard.isEmpty() ? platform.two : platform.one;
-            assertTrue(engine.heard.get(0).startsWith("want " + fields.get("call") + " sort=look,patience="));
-            assertEquals(engine.heard.get(1), "body " + statement);
+            assertEquals(answer.body(), String.join("", TestingEngine.PAGES));
+            boolean firstIsUnused = platform.first().receivedLines().isEmpty();
+            TestingEngine engine = firstIsUnused ? platform.second() : platform.first();
+            String id = fields.get(RequestFields.REQUEST_ID);
+            List<String> received = engine.receivedLines();
+            assertTrue(received.get(0).startsWith(TestingLineProtocol.startQueryPrefix(id, "look")));
+            assertEquals(received.get(1), TestingLineProtocol.bodyLine(statement));
         }
     }
 
-    /** Notes, also such as nobody knows, and a sick word amid service: the run goes on where it is. */
+    /** Unknown progress reports and a failed health check leave the attempt in place. */
     @Test
-    public void notesDisturbNoRun() throws IOException {
-        platform.both(Mode.NOTES);
-        try (StandInCaller caller = platform.caller()) {
+    public void progressReportsDoNotDisturbARequest() throws IOException {
+        platform.setBehavior(EngineBehavior.PROGRESS_REPORTS);
+        try (TestingClient caller = platform.client()) {
             for (int i = 0; i < 10; i++) {
-                StandInCaller.Answer answer = ask(caller, 2000);
-                assertEquals(answer.body(), String.join("", StandInLines.PAGES));
+                Answer answer = call(caller, 2000);
+                assertEquals(answer.body(), String.join("", TestingEngine.PAGES));
             }
-            assertEquals(wants(), 10);
+            assertEquals(requests(), 10);
         }
     }
 
     @DataProvider
-    public Object[][] troubles() {
+    public Object[][] faults() {
         return new Object[][] {
-            {Mode.FAULT},
-            {Mode.SHED},
-            {Mode.RESET},
-            {Mode.GARBAGE},
-            {Mode.LOSE_PAGES},
-            {Mode.NOISE},
-            {Mode.NO_TOTAL},
-            {Mode.DEAD},
-            {Mode.SHORT}
+            {EngineBehavior.ERROR},
+            {EngineBehavior.REJECT},
+            {EngineBehavior.RESET},
+            {EngineBehavior.MALFORMED_REPLY},
+            {EngineBehavior.ERROR_ON_NEXT_PAGE},
+            {EngineBehavior.CONTROL_CHARACTER},
+            {EngineBehavior.MISSING_PAGE_COUNT},
+            {EngineBehavior.UNRESPONSIVE},
+            {EngineBehavior.TRUNCATED_REPLY}
         };
     }
 
-    @Test(dataProvider = "troubles")
-    public void anotherEngineServesWhatOneDoesNot(Mode mode) throws IOException {
-        platform.one.mode = mode;
-        try (StandInCaller caller = platform.caller()) {
-            while (platform.one.count("want") == 0) {
-                assertEquals(ask(caller, 2000).field(), SERVED);
+    @Test(dataProvider = "faults")
+    public void retriesAtAnotherEngine(EngineBehavior mode) throws IOException {
+        platform.first().setBehavior(mode);
+        try (TestingClient caller = platform.client()) {
+            while (platform.first().requests() == 0) {
+                assertEquals(call(caller, 2000).field(), SERVED);
             }
-            assertTrue(platform.two.count("want") > 0);
+            assertTrue(platform.second().requests() > 0);
         }
     }
 
     @Test
-    public void secondCopiesAndUnknownIdsArePassedOver() throws IOException {
-        platform.both(Mode.COPIES);
-        try (StandInCaller caller = platform.caller()) {
+    public void ignoresDuplicateAndUnknownResponses() throws IOException {
+        platform.setBehavior(EngineBehavior.DUPLICATE_RESPONSES);
+        try (TestingClient caller = platform.client()) {
             for (int i = 1; i <= 20; i++) {
-                assertEquals(ask(caller, 2000).body(), String.join("", StandInLines.PAGES));
-                assertEquals(wants(), i, "nothing runs again");
+                assertEquals(call(caller, 2000).body(), String.join("", TestingEngine.PAGES));
+                assertEquals(requests(), i, "nothing runs again");
             }
         }
     }
 
     private long cancels() {
-        return platform.one.count("never_mind") + platform.two.count("never_mind");
+        return platform.first().cancels() + platform.second().cancels();
     }
 
     private boolean oneRunsAtEach() {
-        return platform.one.count("want") == 1 && platform.two.count("want") == 1;
+        return platform.first().requests() == 1 && platform.second().requests() == 1;
     }
 
-    private void holdOneAtEach(StandInCaller caller) throws IOException {
-        platform.both(Mode.SILENT);
-        caller.send(StandInCaller.fields(2400), "select 1");
-        caller.send(StandInCaller.fields(2400), "select 1");
+    private void startOneAtEach(TestingClient caller) throws IOException {
+        platform.setBehavior(EngineBehavior.NO_RESPONSE);
+        caller.send(TestingClient.fields(2400), "select 1");
+        caller.send(TestingClient.fields(2400), "select 1");
         Program.await("one runs at each", this::oneRunsAtEach);
     }
 
-    private static void serveAtOnce(StandInCaller caller, int many) throws IOException {
+    private static void serveAtOnce(TestingClient caller, int many) throws IOException {
         for (int i = 0; i < many; i++) {
-            caller.send(StandInCaller.fields(2000), "select 1");
+            caller.send(TestingClient.fields(2000), "select 1");
         }
         for (int i = 0; i < many; i++) {
             assertEquals(caller.read().field(), SERVED);
@@ -154,134 +163,137 @@
     }
 
     @Test
-    public void anUnreadableReplyFailsNoRunOnAnotherConnection() throws IOException {
-        try (StandInCaller open = platform.caller();
-                StandInCaller caller = platform.caller()) {
-            holdOneAtEach(open);
-            platform.two.mode = Mode.SERVE;
-            platform.one.mode = Mode.GARBAGE_ONCE;
+    public void aMalformedReplyFailsNoRequestOfAnotherConnection() throws IOException {
+        try (TestingClient open = platform.client();
+                TestingClient caller = platform.client()) {
+            startOneAtEach(open);
+            platform.second().setBehavior(EngineBehavior.SERVE);
+            platform.first().setBehavior(EngineBehavior.MALFORMED_REPLY_ONCE);
             serveAtOnce(caller, 6);
-            assertEquals(platform.one.mode, Mode.SERVE, "one met the unreadable reply");
-            String first = platform.one.heard.get(0).split(" ", -1)[1];
-            assertEquals(platform.two.count("want " + first) + platform.one.count("never_mind"), 0);
+            assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "one met the unreadable reply");
+            String first = platform.first().receivedLines().get(0).split(" ", -1)[1];
+            assertEquals(platform.second().requests(first) + platform.first().cancels(), 0);
         }
     }
 
     @Test
-    public void connectionsThatBreakWhileOthersStandMakeNoEngineSuspected() throws IOException {
-        try (StandInCaller open = platform.caller();
-                StandInCaller caller = platform.caller()) {
-            holdOneAtEach(open);
-            platform.both(Mode.SERVE);
-            platform.one.resets.set(3);
-            platform.one.mode = Mode.RESET_SOME;
+    public void resetsOfSomeConnectionsDoNotEjectTheEngine() throws IOException {
+        try (TestingClient open = platform.client();
+                TestingClient caller = platform.client()) {
+            startOneAtEach(open);
+            platform.setBehavior(EngineBehavior.SERVE);
+            platform.first().limitResets(3);
+            platform.first().setBehavior(EngineBehavior.RESET_LIMITED);
             serveAtOnce(caller, 12);
-            assertEquals(platform.one.mode, Mode.SERVE, "three were reset");
-            assertFalse(platform.program.log().contains("resets"), platform.program.log());
+            assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "three were reset");
+            assertFalse(
+                    platform.program().log().contains("resets"),
+                    platform.program().log());
         }
     }
 
     @Test
-    public void manyOpenRequestsGetOneAnswerEachAndNeverRunTwiceAtOnce() throws IOException {
-        platform.one.mode = Mode.SILENT;
-        try (StandInCaller caller = platform.caller()) {
+    public void eachOpenRequestGetsOneResponseAndNoConcurrentAttempts() throws IOException {
+        platform.first().setBehavior(EngineBehavior.NO_RESPONSE);
+        try (TestingClient caller = platform.client()) {
             Set<Integer> open = new HashSet<>();
             for (int i = 0; i < 32; i++) {
-                open.add(caller.send(StandInCaller.fields(1500), "select 1"));
+                open.add(caller.send(TestingClient.fields(1500), "select 1"));
             }
             while (!open.isEmpty()) {
                 assertTrue(open.remove(caller.read().seqid()), "an answer nobody waits for");
             }
-            assertEquals(caller.simple("ping").seqid(), 33, "no second answer came before the ping's");
+            assertEquals(caller.callMethod("ping").seqid(), 33, "no second answer came before the ping's");
         }
-        assertEquals(StandInLines.TWICE, Set.of());
+        assertEquals(platform.concurrentRuns().duplicates(), Set.of());
     }
 
     @Test
-    public void silenceIsRefusedBeforeTheClientGivesUpAndTellsWhenToReturn() throws IOException {
-        try (StandInCaller caller = platform.caller()) {
+    public void rejectsWithRetryAfterBeforeTheDeadlineIfEnginesDoNotRespond() throws IOException {
+        try (TestingClient caller = platform.client()) {
             // The first answer of a cold virtual machine may take 50 ms more.
-            assertEquals(ask(caller, 2000).field(), SERVED);
-            platform.both(Mode.SILENT);
+            assertEquals(call(caller, 2000).field(), SERVED);
+            platform.setBehavior(EngineBehavior.NO_RESPONSE);
             long start = System.nanoTime();
-            StandInCaller.Answer answer = ask(caller, 800);
-            assertEquals(answer.field(), REFUSED);
-            assertTrue(Integer.parseInt(answer.fields().get("pushback")) > 0);
+            Answer answer = call(caller, 800);
+            assertEquals(answer.field(), REJECTED);
+            assertTrue(Integer.parseInt(answer.fields().get(RequestFields.RETRY_AFTER_MS)) > 0);
             assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(850), "in time");
         }
     }
 
     @Test
-    public void whatCannotMakeItIsRefusedAtOnce() throws IOException {
-        try (StandInCaller caller = platform.caller()) {
-            assertEquals(ask(caller, 30).field(), REFUSED);
-            assertEquals(wants(), 0);
+    public void rejectsARequestThatCannotMeetItsDeadline() throws IOException {
+        try (TestingClient caller = platform.client()) {
+            assertEquals(call(caller, 30).field(), REJECTED);
+            assertEquals(requests(), 0);
         }
     }
 
     @Test
-    public void anAbortedRequestIsGivenUpAndNotAnswered() throws IOException {
-        platform.both(Mode.SILENT);
-        try (StandInCaller caller = platform.caller()) {
-            int seqid = caller.send(StandInCaller.fields(2000), "select 1");
-            Program.await("it runs", () -> wants() == 1);
+    public void anAbortedRequestIsCancelledAndGetsNoResponse() throws IOException {
+        platform.setBehavior(EngineBehavior.NO_RESPONSE);
+        try (TestingClient caller = platform.client()) {
+            int seqid = caller.send(TestingClient.fields(2000), "select 1");
+            Program.await("it runs", () -> requests() == 1);
             caller.abort(seqid);
             Program.await("the engine hears", () -> cancels() == 1);
-            assertEquals(caller.simple("ping").seqid(), seqid + 2, "nothing came but the ping's answer");
+            assertEquals(caller.callMethod("ping").seqid(), seqid + 2, "nothing came but the ping's answer");
         }
     }
 
     @Test
-    public void aClientThatHangsUpHasItsRequestsGivenUp() throws IOException {
-        platform.both(Mode.SILENT);
-        try (StandInCaller caller = platform.caller()) {
-            caller.send(StandInCaller.fields(2000), "select 1");
-            Program.await("it runs", () -> wants() == 1);
+    public void cancelsTheRequestsOfAClosedConnection() throws IOException {
+        platform.setBehavior(EngineBehavior.NO_RESPONSE);
+        try (TestingClient caller = platform.client()) {
+            caller.send(TestingClient.fields(2000), "select 1");
+            Program.await("it runs", () -> requests() == 1);
         }
         Program.await("the engine hears", () -> cancels() == 1);
     }
 
     @Test
-    public void nothingNewGoesToADrainingEngine() throws IOException, InterruptedException {
-        platform.journal.tell(false, "s-1", "" + platform.one.port(), "draining");
+    public void forwardsNoRequestToADrainingEngine() throws IOException, InterruptedException {
+        platform.discovery().publish(false, "s-1", "" + platform.first().port(), "draining");
         long told = System.nanoTime();
-        try (StandInCaller caller = platform.caller()) {
+        try (TestingClient caller = platform.client()) {
             long late = 0;
             while (System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(1500)) {
-                ask(caller, 2000);
+                call(caller, 2000);
                 if (System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(1000)) {
-                    late = platform.one.count("want");
+                    late = platform.first().requests();
                 }
             }
-            assertEquals(platform.one.count("want"), late);
-            assertTrue(platform.two.count("want") > 0);
+            assertEquals(platform.first().requests(), late);
+            assertTrue(platform.second().requests() > 0);
         }
     }
 
     @Test
-    public void aNewEngineAtAnOldAddressIsUsedAndTheJournalMayFailMeanwhile() throws IOException {
-        try (StandInCaller caller = platform.caller()) {
-            ask(caller, 2000);
-            platform.journal.broken = true;
-            int port = platform.one.port();
-            platform.one.close();
-            try (StandInLines next = new StandInLines(port)) {
-                platform.journal.tell(
-                        false,
-                        "s-1",
-                        "" + port,
-                        "gone",
-                        "s-2",
-                        "" + platform.two.port(),
-                        "gone",
-                        "s-9",
-                        "" + port,
-                        "ready");
-                platform.journal.broken = false;
-                long before = platform.two.count("want");
+    public void usesANewEngineAtAnOldAddressAfterDiscoveryErrors() throws IOException {
+        try (TestingClient caller = platform.client()) {
+            call(caller, 2000);
+            platform.discovery().setBroken(true);
+            int port = platform.first().port();
+            platform.first().close();
+            try (TestingEngine next = new TestingEngine(port)) {
+                platform.discovery()
+                        .publish(
+                                false,
+                                "s-1",
+                                "" + port,
+                                "gone",
+                                "s-2",
+                                "" + platform.second().port(),
+                                "gone",
+                                "s-9",
+                                "" + port,
+                                "ready");
+                platform.discovery().setBroken(false);
+                long before = platform.second().requests();
                 Program.await("the new engine serves", () -> {
                     try {
-                        return ask(caller, 2000).field() == SERVED && next.count("want") > 0;
+                        return call(caller, 2000).field() == SERVED && next.requests() > 0;
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
@@ -292,159 +304,159 @@
     }
 
     @Test
-    public void sighupMovesTheJournalAndAnUnusableFileChangesNothing() throws Exception {
+    public void sighupChangesTheServiceDiscoveryAndIgnoresAnInvalidFile() throws Exception {
         platform.configure("{");
-        platform.program.hangUp();
-        Program.await("its line", () -> platform.program.log().contains("stays as it was"));
-        try (StandInJournal next = new StandInJournal();
-                StandInCaller caller = platform.caller()) {
-            String portOfTwo = "" + platform.two.port();
-            next.tell(true, "s-1", "" + platform.one.port(), "ready", "s-2", portOfTwo, "ready");
+        platform.program().hangUp();
+        Program.await("its line", () -> platform.program().log().contains("stays as it was"));
+        try (TestingServiceDiscovery next = new TestingServiceDiscovery();
+                TestingClient caller = platform.client()) {
+            String portOfTwo = "" + platform.second().port();
+            next.publish(true, "s-1", "" + platform.first().port(), "ready", "s-2", portOfTwo, "ready");
             platform.configure(next);
-            platform.program.hangUp();
-            platform.program.hangUp();
+            platform.program().hangUp();
+            platform.program().hangUp();
             Program.await("it moves", () -> next.polls() > 0);
-            platform.journal.close();
-            next.tell(false, "s-1", "" + platform.one.port(), "gone");
-            Program.await("it is told", () -> next.told() == 2);
-            long before = platform.one.count("want");
+            platform.discovery().close();
+            next.publish(false, "s-1", "" + platform.first().port(), "gone");
+            Program.await("it is told", () -> next.lastDelivered() == 2);
+            long before = platform.first().requests();
             for (int i = 0; i < 10; i++) {
-                assertEquals(ask(caller, 2000).field(), SERVED);
+                assertEquals(call(caller, 2000).field(), SERVED);
             }
-            assertEquals(platform.one.count("want"), before);
-            platform.program.terminate();
-            platform.program.hangUp();
+            assertEquals(platform.first().requests(), before);
+            platform.program().terminate();
+            platform.program().hangUp();
         }
-        assertEquals(platform.program.status(), 0, "SIGHUP amid a drain");
+        assertEquals(platform.program().status(), 0, "SIGHUP amid a drain");
     }
 
     @Test
-    public void fieldsThatCannotBeUsedReachNoEngine() throws IOException {
-        try (StandInCaller caller = platform.caller()) {
+    public void rejectsInvalidFields() throws IOException {
+        try (TestingClient caller = platform.client()) {
             for (String[] field : UNUSABLE) {
-                Map<String, String> fields = StandInCaller.fields(1000);
+                Map<String, String> fields = TestingClient.fields(1000);
                 fields.put(field[0], field[1]);
-                StandInCaller.Answer answer = caller.call(fields, "select 1");
+                Answer answer = caller.call(fields, "select 1");
                 assertEquals(answer.kind(), EXCEPTION);
                 assertTrue(answer.body().contains(field[0]), answer.body());
             }
-            assertEquals(wants(), 0);
+            assertEquals(requests(), 0);
         }
     }
 
     @Test
-    public void aBrokenFrameClosesItsConnectionOnly() throws IOException {
-        try (StandInCaller other = platform.caller()) {
+    public void aMalformedFrameClosesOnlyItsConnection() throws IOException {
+        try (TestingClient other = platform.client()) {
             for (String broken : new String[] {"not thrift at all", ""}) {
-                try (StandInCaller caller = platform.caller()) {
-                    caller.frame(broken.getBytes(StandardCharsets.UTF_8));
+                try (TestingClient caller = platform.client()) {
+                    caller.sendFrame(broken.getBytes(StandardCharsets.UTF_8));
                     assertThrows(EOFException.class, caller::read);
                 }
             }
-            assertEquals(ask(other, 2000).field(), SERVED);
-            assertEquals(other.simple("dance").kind(), EXCEPTION);
-            assertTrue(other.simple("ping").good());
+            assertEquals(call(other, 2000).field(), SERVED);
+            assertEquals(other.callMethod("dance").kind(), EXCEPTION);
+            assertTrue(other.callMethod("ping").good());
         }
     }
 
-    /** What bad clients send: none of it may be served, or be left without a word for long. */
+    /** What invalid clients send: the program serves none of it and closes the connection soon. */
     @DataProvider
-    public Object[][] badClients() {
+    public Object[][] invalidClients() {
         Bad silent = caller -> {};
-        Bad half = caller -> caller.raw(new byte[] {0, 0, 1, 0, 1});
-        Bad huge = caller -> caller.raw(new byte[] {3, -128, 0, 0, 1});
-        Bad negative = caller -> caller.raw(new byte[] {-1, -1, -1, -1});
-        Bad behind = caller -> caller.send(StandInCaller.fields(2000), "select 1", new byte[] {0});
+        Bad half = caller -> caller.sendRaw(new byte[] {0, 0, 1, 0, 1});
+        Bad huge = caller -> caller.sendRaw(new byte[] {3, -128, 0, 0, 1});
+        Bad negative = caller -> caller.sendRaw(new byte[] {-1, -1, -1, -1});
+        Bad behind = caller -> caller.send(TestingClient.fields(2000), "select 1", new byte[] {0});
         Bad twice = caller -> {
-            caller.send(StandInCaller.fields(2000), "select 1");
+            caller.send(TestingClient.fields(2000), "select 1");
             caller.renumber(1);
-            caller.send(StandInCaller.fields(2000), "select 1");
+            caller.send(TestingClient.fields(2000), "select 1");
         };
         Bad abort = caller -> caller.abort(7);
         Bad crowd = caller -> {
             for (int i = 0; i < 40; i++) {
-                caller.send(StandInCaller.fields(2000), "select 1");
+                caller.send(TestingClient.fields(2000), "select 1");
             }
         };
         return new Object[][] {{silent}, {half}, {huge}, {negative}, {behind}, {twice}, {abort}, {crowd}};
     }
 
     private interface Bad {
-        void speak(StandInCaller caller) throws IOException;
+        void speak(TestingClient caller) throws IOException;
     }
 
-    @Test(dataProvider = "badClients")
-    public void badClientsAreClosedSoonAndNotServed(Bad bad) throws IOException {
-        platform.both(Mode.SILENT);
-        try (StandInCaller caller = platform.caller()) {
-            caller.socket.setSoTimeout(3000);
+    @Test(dataProvider = "invalidClients")
+    public void closesConnectionsOfInvalidClients(Bad bad) throws IOException {
+        platform.setBehavior(EngineBehavior.NO_RESPONSE);
+        try (TestingClient caller = platform.client()) {
+            caller.socket().setSoTimeout(3000);
             bad.speak(caller);
             assertTrue(caller.isClosed(), "no close within 3 s");
         }
     }
 
     @Test
-    public void theIdOfAnOpenRequestIsNotRunAgain() throws IOException {
-        platform.both(Mode.SILENT);
-        try (StandInCaller first = platform.caller();
-                StandInCaller second = platform.caller()) {
-            Map<String, String> fields = StandInCaller.fields(2000);
+    public void rejectsTheIdOfAnOpenRequest() throws IOException {
+        platform.setBehavior(EngineBehavior.NO_RESPONSE);
+        try (TestingClient first = platform.client();
+                TestingClient second = platform.client()) {
+            Map<String, String> fields = TestingClient.fields(2000);
             first.send(fields, "select 1");
-            Program.await("it runs", () -> wants() == 1);
-            StandInCaller.Answer answer = second.call(fields, "select 2");
+            Program.await("it runs", () -> requests() == 1);
+            Answer answer = second.call(fields, "select 2");
             assertEquals(answer.kind(), EXCEPTION);
-            assertTrue(answer.body().contains("call"), answer.body());
+            assertTrue(answer.body().contains(RequestFields.REQUEST_ID), answer.body());
         }
     }
 
     @Test
-    public void whoAsksOnceAndStaysMakesRoomForOthers() throws IOException {
-        List<StandInCaller> all = new ArrayList<>();
+    public void closesTheLongestIdleConnectionAtTheLimit() throws IOException {
+        List<TestingClient> all = new ArrayList<>();
         try {
             for (int i = 0; i < 600; i++) {
-                StandInCaller caller = platform.caller();
+                TestingClient caller = platform.client();
                 all.add(caller);
-                assertEquals(ask(caller, 2000).field(), SERVED);
+                assertEquals(call(caller, 2000).field(), SERVED);
             }
-            all.get(0).send(StandInCaller.fields(2000), "select 1");
+            all.get(0).send(TestingClient.fields(2000), "select 1");
             assertTrue(all.get(0).isClosed(), "it rested longest");
         } finally {
-            for (StandInCaller caller : all) {
+            for (TestingClient caller : all) {
                 caller.close();
             }
         }
     }
 
     @Test
-    public void whoStillWaitsWhenTheProgramIsAboutToBeKilledHears() throws IOException, InterruptedException {
-        platform.both(Mode.SILENT);
-        try (StandInCaller caller = platform.caller();
-                StandInCaller resting = platform.caller()) {
-            assertTrue(resting.simple("ping").good());
-            caller.send(StandInCaller.fields(9000), "select 1");
-            Program.await("it runs", () -> wants() == 1);
+    public void failsOpenRequestsBeforeTheShutdownDeadline() throws IOException, InterruptedException {
+        platform.setBehavior(EngineBehavior.NO_RESPONSE);
+        try (TestingClient caller = platform.client();
+                TestingClient resting = platform.client()) {
+            assertTrue(resting.callMethod("ping").good());
+            caller.send(TestingClient.fields(9000), "select 1");
+            Program.await("it runs", () -> requests() == 1);
             long start = System.nanoTime();
-            platform.program.terminate();
+            platform.program().terminate();
             assertEquals(caller.read().field(), FAILED);
-            assertEquals(platform.program.status(), 0);
+            assertEquals(platform.program().status(), 0);
             assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(3700), "ends in time");
         }
     }
 
     @Test
-    public void afterSigtermNewRequestsAreServedAndTheProgramEndsWell() throws Exception {
-        try (StandInCaller open = platform.caller()) {
-            assertTrue(open.simple("ping").good());
-            platform.program.terminate();
-            Program.await("it drains", () -> platform.program.log().contains("SIGTERM"));
-            try (StandInCaller late = platform.caller()) {
-                assertEquals(ask(late, 2000).field(), SERVED);
-                assertFalse(late.simple("ping").good());
+    public void servesNewRequestsDuringGracefulShutdown() throws Exception {
+        try (TestingClient open = platform.client()) {
+            assertTrue(open.callMethod("ping").good());
+            platform.program().terminate();
+            Program.await("it drains", () -> platform.program().log().contains("SIGTERM"));
+            try (TestingClient late = platform.client()) {
+                assertEquals(call(late, 2000).field(), SERVED);
+                assertFalse(late.callMethod("ping").good());
             }
-            platform.both(Mode.SILENT);
-            open.send(StandInCaller.fields(2000), "select 1");
+            platform.setBehavior(EngineBehavior.NO_RESPONSE);
+            open.send(TestingClient.fields(2000), "select 1");
             assertEquals(open.read().kind(), REPLY);
-            assertEquals(platform.program.status(), 0);
+            assertEquals(platform.program().status(), 0);
         }
     }
 }
--- a/src/test/java/lineward/thrift/ShutdownTest.java
+++ b/src/test/java/lineward/thrift/ShutdownSignalTest.java
@@ -17,22 +17,25 @@
 import java.util.Arrays;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import lineward.Program;
-import lineward.operations.AdminClient;
-import lineward.thrift.StandInLines.Mode;
+import lineward.testing.AdminClient;
+import lineward.testing.EngineBehavior;
+import lineward.testing.Program;
+import lineward.testing.ProgramMetrics;
+import lineward.testing.TestingClient;
+import lineward.testing.TestingPlatform;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** Signals and shutdowns that cross requests, each held at a point until the other side has acted. */
-public class ShutdownTest {
+public class ShutdownSignalTest {
     private static final int SERVED = 0;
     private static final int FAILED = 2;
-    private Platform platform;
+    private TestingPlatform platform;
 
     @BeforeMethod
     public void start() throws IOException {
-        platform = new Platform(Map.of());
+        platform = new TestingPlatform(Map.of());
     }
 
     @AfterMethod(alwaysRun = true)
@@ -41,7 +44,8 @@
     }
 
     private boolean isListening() {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), platform.program.port())) {
+        try (Socket socket =
+                new Socket(InetAddress.getLoopbackAddress(), platform.program().port())) {
             return socket.isConnected();
         } catch (ConnectException e) {
             return false;
@@ -52,51 +56,51 @@
 
     /** Half a frame is here as the listener closes and what rests is closed: the request still counts. */
     @Test
-    public void sigtermAmidAFrameLosesNothing() throws IOException, InterruptedException {
-        try (StandInCaller caller = platform.caller()) {
-            byte[] frame = caller.bytes(StandInCaller.fields(2000), "select 1");
-            caller.raw(Arrays.copyOf(frame, frame.length / 2));
-            platform.program.terminate();
+    public void servesARequestSplitBySigterm() throws IOException, InterruptedException {
+        try (TestingClient caller = platform.client()) {
+            byte[] frame = caller.encode(TestingClient.fields(2000), "select 1");
+            caller.sendRaw(Arrays.copyOf(frame, frame.length / 2));
+            platform.program().terminate();
             Program.await("it accepts nobody any more", () -> !isListening());
-            caller.raw(Arrays.copyOfRange(frame, frame.length / 2, frame.length));
+            caller.sendRaw(Arrays.copyOfRange(frame, frame.length / 2, frame.length));
             assertEquals(caller.read().field(), SERVED);
-            assertEquals(platform.program.status(), 0);
+            assertEquals(platform.program().status(), 0);
         }
     }
 
-    /** Both signals come again and cross: what runs is answered once and the end is as after one. */
+    /** Both signals repeat; open requests get one response and the exit is the same. */
     @Test
-    public void signalsThatRepeatAndCrossChangeNothing() throws IOException, InterruptedException {
-        platform.both(Mode.SILENT);
-        try (StandInCaller caller = platform.caller()) {
-            caller.send(StandInCaller.fields(9000), "select 1");
-            Program.await("it runs", () -> platform.wants() == 1);
-            platform.program.hangUp();
-            platform.program.terminate();
-            Program.await("it ends", () -> platform.program.log().contains("SIGTERM"));
-            platform.program.terminate();
-            platform.program.hangUp();
+    public void repeatedSignalsChangeNothing() throws IOException, InterruptedException {
+        platform.setBehavior(EngineBehavior.NO_RESPONSE);
+        try (TestingClient caller = platform.client()) {
+            caller.send(TestingClient.fields(9000), "select 1");
+            Program.await("it runs", () -> platform.requests() == 1);
+            platform.program().hangUp();
+            platform.program().terminate();
+            Program.await("it ends", () -> platform.program().log().contains("SIGTERM"));
+            platform.program().terminate();
+            platform.program().hangUp();
             assertEquals(caller.read().field(), FAILED, "the last word");
             assertTrue(caller.isClosed(), "and nothing behind it");
-            assertEquals(platform.program.status(), 0);
+            assertEquals(platform.program().status(), 0);
         }
     }
 
     /** A client that never reads its answers must not hold the process until it is killed. */
     @Test
-    public void whoReadsNothingHoldsNoEndUp() throws IOException, InterruptedException {
-        platform.both(Mode.LARGE);
-        try (StandInCaller deaf = new StandInCaller(platform.program.port(), 4096)) {
+    public void aClientThatReadsNothingDoesNotDelayTheShutdown() throws IOException, InterruptedException {
+        platform.setBehavior(EngineBehavior.LARGE_RESULT);
+        try (TestingClient deaf = new TestingClient(platform.program().port(), 4096)) {
             int asked = 0;
-            while (FiguresTest.figures(platform.program).get("edge_relay_unread_answer_bytes") < 100_000) {
-                deaf.send(StandInCaller.fields(2000), "select 1");
+            while (ProgramMetrics.read(platform.program()).get("edge_relay_unread_answer_bytes") < 100_000) {
+                deaf.send(TestingClient.fields(2000), "select 1");
                 int most = ++asked;
                 assertTrue(most < 200, "all buffers take more than that");
-                Program.await("it runs", () -> platform.wants() >= most);
+                Program.await("it runs", () -> platform.requests() >= most);
             }
             long start = System.nanoTime();
-            platform.program.terminate();
-            assertEquals(platform.program.status(), 0);
+            platform.program().terminate();
+            assertEquals(platform.program().status(), 0);
             assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(3700), "before SIGKILL");
         }
     }
@@ -106,46 +110,46 @@
      * both are there in the turn in which it goes on.
      */
     @Test
-    public void aRequestInTheTurnOfItsConnectionsCloseIsAnswered() throws IOException, InterruptedException {
-        AdminClient operator = new AdminClient(platform.program);
-        try (StandInCaller caller = platform.caller()) {
-            assertTrue(caller.simple("ping").good());
+    public void servesARequestThatArrivesAsItsConnectionCloses() throws IOException, InterruptedException {
+        AdminClient operator = new AdminClient(platform.program());
+        try (TestingClient caller = platform.client()) {
+            assertTrue(caller.callMethod("ping").good());
             assertEquals(operator.post("/ops/drain/start", "").status(), 200);
             long drains = System.nanoTime();
-            platform.program.signal("STOP");
-            caller.send(StandInCaller.fields(5000), "select 1");
+            platform.program().signal("STOP");
+            caller.send(TestingClient.fields(5000), "select 1");
             long closeDueNanos = TimeUnit.MILLISECONDS.toNanos(1550);
             Program.await("its close is due", () -> System.nanoTime() - drains > closeDueNanos);
-            platform.program.signal("CONT");
+            platform.program().signal("CONT");
             assertEquals(caller.read().field(), SERVED);
         }
     }
 
     @Test
-    public void aRequestBehindTheShutdownIsNotSentOn() throws IOException {
-        AdminClient operator = new AdminClient(platform.program);
-        try (StandInCaller caller = platform.caller();
-                StandInCaller other = platform.caller()) {
-            assertTrue(caller.simple("ping").good());
+    public void forwardsNoRequestAfterTheConnectionIsShutDown() throws IOException {
+        AdminClient operator = new AdminClient(platform.program());
+        try (TestingClient caller = platform.client();
+                TestingClient other = platform.client()) {
+            assertTrue(caller.callMethod("ping").good());
             assertEquals(operator.post("/ops/drain/start", "").status(), 200);
             assertThrows(EOFException.class, caller::read);
-            caller.send(StandInCaller.fields(2000), "select 1");
+            caller.send(TestingClient.fields(2000), "select 1");
             assertEquals(operator.post("/ops/drain/stop", "").status(), 200);
             assertEquals(other.isClosed(), true, "it rested too");
-            try (StandInCaller next = platform.caller()) {
-                assertEquals(next.call(StandInCaller.fields(2000), "select 2").field(), SERVED);
+            try (TestingClient next = platform.client()) {
+                assertEquals(next.call(TestingClient.fields(2000), "select 2").field(), SERVED);
             }
-            assertEquals(platform.wants(), 1);
+            assertEquals(platform.requests(), 1);
         }
     }
 
     /** The start is held where it reads its configuration. */
     @Test
-    public void signalsAmidTheStartAreTakenAsLater() throws Exception {
+    public void handlesSignalsDuringTheStart() throws Exception {
         Path folder = Files.createTempDirectory("start");
         Path pipe = folder.resolve("config.json");
         assertEquals(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor(), 0);
-        String config = Files.readString(platform.shared.resolve("config.json"));
+        String config = Files.readString(platform.config());
         try (Program program = new Program(Map.of("RELAY_CONFIG", pipe.toString()), "serve")) {
             // Opening the pipe returns once the program has come to reading it.
             try (OutputStream out = Files.newOutputStream(pipe)) {
@@ -154,8 +158,8 @@
             }
             // SIGHUP has it read anew: that is served as well.
             Files.writeString(pipe, config);
-            try (StandInCaller caller = new StandInCaller(program.port())) {
-                assertEquals(caller.call(StandInCaller.fields(2000), "select 1").field(), SERVED);
+            try (TestingClient caller = new TestingClient(program.port())) {
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
             program.terminate();
             assertEquals(program.status(), 0);
--- a/src/test/java/lineward/thrift/ThriftReaderTest.java
+++ b/src/test/java/lineward/thrift/ThriftReaderTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    public void fieldsAndBodyAreTakenOutAndTheRestIsPassedOver() {
+    public void readsFieldsAndBodyAndSkipsTheRest() {
         ThriftReader.Invocation invocation = ThriftReader.readInvocation(hex("0c 0009 08 0001 00000007 00"
                 + "0f 0005 0b 00000002 00000001 41 00000000"
                 + "0d 0001 0b 0b 00000001 00000002 6f70 00000001 78"
@@ -44,7 +44,7 @@
     }
 
     @Test(dataProvider = "heads")
-    public void brokenHeadsAreTold(String bytes) {
+    public void rejectsMalformedHeaders(String bytes) {
         assertThrows(CorruptedFrameException.class, () -> ThriftReader.readHeader(hex(bytes)));
     }
 
@@ -66,7 +66,7 @@
     }
 
     @Test(dataProvider = "arguments")
-    public void brokenArgumentsAreTold(String bytes) {
+    public void rejectsMalformedArguments(String bytes) {
         assertThrows(CorruptedFrameException.class, () -> ThriftReader.readInvocation(hex(bytes)));
     }
 }
