--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -6,7 +6,7 @@
 import static org.testng.Assert.assertTrue;
 
 import java.io.IOException;
-import lineward.Program;
+import lineward.testing.Program;
 import lineward.mysql.StandInEngine.Fault;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
--- a/src/test/java/lineward/mysql/SpoolCursorTest.java
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -5,7 +5,7 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import lineward.Program;
+import lineward.testing.Program;
 import org.testng.annotations.Test;
 
 /** Cursors, and pages of results with a key, with stand-in clients and engines. */
--- a/src/test/java/lineward/mysql/SpoolFrontTest.java
+++ b/src/test/java/lineward/mysql/SpoolFrontTest.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import lineward.Program;
 import lineward.mysql.StandInEngine.Fault;
+import lineward.testing.Program;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
--- a/src/test/java/lineward/mysql/SpoolProgramFixture.java
+++ b/src/test/java/lineward/mysql/SpoolProgramFixture.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
-import lineward.Program;
+import lineward.testing.Program;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
--- a/src/test/java/lineward/mysql/TwoEngineFixture.java
+++ b/src/test/java/lineward/mysql/TwoEngineFixture.java
@@ -4,7 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import lineward.Program;
+import lineward.testing.Program;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
