--- /dev/null
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -0,0 +1,187 @@
+package lineward.scheduling.decision;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.within;
+
+import java.util.List;
+import lineward.scheduling.EngineKind;
+import lineward.scheduling.LoadReportField;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.TrackedRequest;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+public class ConcurrencyLimitsTest {
+    private static final double ROUNDING = 1e-9;
+
+    private static TestingSettings settings(int frontEnds) {
+        TestingSettings settings = new TestingSettings();
+        settings.frontEnds = frontEnds;
+        return settings;
+    }
+
+    /** Cores, front ends, threads in flight, whether the engine has capacity. */
+    @DataProvider
+    public Object[][] threads() {
+        return new Object[][] {
+            {8, 1, 11, true},
+            {8, 1, 12, false},
+            {4, 1, 5, true},
+            {4, 1, 6, false},
+            {8, 2, 7, true},
+            {8, 2, 8, false},
+            {8, 100, 0, true},
+            {8, 100, 1, false},
+        };
+    }
+
+    @Test(dataProvider = "threads")
+    public void limitsThreadsByCoresAndQuota(int cores, int frontEnds, int inFlight, boolean hasCapacity) {
+        TestingSettings settings = settings(frontEnds);
+        settings.engineKind = new EngineKind(cores, 16_000);
+        TestingPolicies policies = new TestingPolicies(settings);
+        Engine engine = policies.listEngine(1);
+        policies.fill(engine, inFlight);
+        assertThat(policies.limits.hasCapacity(engine, policies.admit())).isEqualTo(hasCapacity);
+    }
+
+    /** Memory of the engine, front ends, attempts of 6,400 MB there, whether one more has capacity. */
+    @DataProvider
+    public Object[][] memory() {
+        return new Object[][] {
+            {16_000, 1, 1, true},
+            {16_000, 1, 2, false},
+            {16_000, 2, 0, true},
+            {16_000, 2, 1, false},
+            {0, 1, 2, true},
+        };
+    }
+
+    @Test(dataProvider = "memory")
+    public void limitsMemoryByTheQuota(double memoryMb, int frontEnds, int inFlight, boolean hasCapacity) {
+        TestingSettings settings = settings(frontEnds);
+        settings.engineKind = new EngineKind(8, memoryMb);
+        TestingPolicies policies = new TestingPolicies(settings);
+        Engine engine = policies.listEngine(1);
+        for (int attempt = 0; attempt < inFlight; attempt++) {
+            policies.start(policies.admit(0, TestingPolicies.NO_KEY, 200, 5_120), engine);
+        }
+        TrackedRequest request = policies.admit(0, TestingPolicies.NO_KEY, 200, 5_120);
+        assertThat(policies.limits.hasCapacity(engine, request)).isEqualTo(hasCapacity);
+    }
+
+    /** Threads in the load report, attempts started since, age of the report, whether there is capacity. */
+    @DataProvider
+    public Object[][] reports() {
+        return new Object[][] {
+            {8, 0, 0, true},
+            {15, 0, 0, false},
+            {8, 7, 0, false},
+            {15, 0, 1_499, false},
+            {15, 0, 1_500, true},
+        };
+    }
+
+    @Test(dataProvider = "reports")
+    public void limitsThreadsByLoadReport(double reported, int started, double ageMs, boolean hasCapacity) {
+        TestingSettings settings = settings(1);
+        settings.reportFields = List.of(LoadReportField.IN_FLIGHT);
+        TestingPolicies policies = new TestingPolicies(settings);
+        Engine engine = policies.listEngine(1);
+        policies.reports.apply(engine, new double[] {reported});
+        policies.fill(engine, started);
+        policies.advance(ageMs);
+        assertThat(policies.limits.hasCapacity(engine, policies.admit())).isEqualTo(hasCapacity);
+    }
+
+    /** Front ends, quota at the start, fraction of the load that other front ends cause. */
+    @DataProvider
+    public Object[][] frontEnds() {
+        return new Object[][] {{1, 1, 0}, {2, 0.65, 0}, {4, 0.325, 0}, {8, 0.1625, 0.5}, {100, 0.013, 0.96}};
+    }
+
+    @Test(dataProvider = "frontEnds")
+    public void startsWithAnEvenQuota(int frontEnds, double quota, double unseenLoad) {
+        TestingPolicies policies = new TestingPolicies(settings(frontEnds));
+        assertThat(policies.limits.quota()).isCloseTo(quota, within(ROUNDING));
+        assertThat(policies.limits.unseenLoadRatio()).isCloseTo(unseenLoad, within(ROUNDING));
+    }
+
+    /** Quota of 100 front ends after 5 s with requests blocked: blocked, slowdown, interval, quota then. */
+    @DataProvider
+    public Object[][] adaptations() {
+        return new Object[][] {
+            {true, 1, 5_000, 1},
+            {true, 1, 2_500, 0.13 * Math.sqrt(10)},
+            {false, 1, 5_000, 0.13 / 1.05},
+            {true, 1.2, 5_000, 1},
+            {true, 1.5, 2_500, 0.13 / Math.sqrt(10)},
+            {false, 1.5, 5_000, 0.013},
+            {false, 1.5, 10_000, 0.013},
+        };
+    }
+
+    @Test(dataProvider = "adaptations")
+    public void growsTheQuotaWhileRequestsAreBlockedAndTheFleetIsCalm(
+            boolean blocked, double slowdown, double intervalMs, double quota) {
+        TestingPolicies policies = new TestingPolicies(settings(100));
+        policies.limits.adaptQuota(true, 5_000);
+        assertThat(policies.limits.quota()).isCloseTo(0.13, within(ROUNDING));
+        policies.slowDown(slowdown);
+        policies.limits.adaptQuota(blocked, intervalMs);
+        assertThat(policies.limits.quota()).isCloseTo(quota, within(ROUNDING));
+    }
+
+    /**
+     * Front ends, threads in flight of the class and of another one, the class's ratio of the value, time
+     * since its last start, whether a request is within the quota: 3.12 threads for each of 20 front ends.
+     */
+    @DataProvider
+    public Object[][] fleetQuotas() {
+        return new Object[][] {
+            {20, 0, 0, 0, 0, true},
+            {20, 2, 0, 0, 0, true},
+            {20, 3, 0, 0.5, 0, false},
+            {20, 3, 0, 1, 0, false},
+            {20, 0, 3, 0.5, 0, true},
+            {20, 0, 3, 0.2, 300, false},
+            {20, 0, 3, 0.2, 330, true},
+            {20, 1, 3, 0.7, 0, true},
+            {20, 1, 3, 0.6, 0, false},
+            {2, 12, 0, 0, 0, true},
+        };
+    }
+
+    @Test(dataProvider = "fleetQuotas")
+    public void limitsAClassToItsValuePastTheFleetQuota(
+            int frontEnds, int ofClass, int ofOther, double valueRatio, double sinceStartMs, boolean within) {
+        TestingSettings settings = settings(frontEnds);
+        settings.otherClasses.add(settings.requestClass());
+        TestingPolicies policies = new TestingPolicies(settings);
+        for (int id = 2; id <= 4; id++) {
+            policies.listEngine(id);
+        }
+        Engine engine = policies.listEngine(1);
+        policies.fill(engine, ofClass);
+        for (int attempt = 0; attempt < ofOther; attempt++) {
+            policies.start(policies.admit(1, TestingPolicies.NO_KEY, 200, 0), engine);
+        }
+        TrackedRequest request = policies.admit();
+        request.type().demand().setRatios(0, valueRatio);
+        request.type().recordStart(policies.context.nowMs());
+        policies.advance(sinceStartMs);
+        assertThat(policies.limits.withinFleetQuota(request, usable -> true)).isEqualTo(within);
+    }
+
+    @Test
+    public void countsUsableEnginesOnly() {
+        TestingPolicies policies = new TestingPolicies(settings(20));
+        policies.listEngine(1);
+        Engine busy = policies.listEngine(2);
+        policies.fill(busy, 3);
+        assertThat(policies.limits.withinFleetQuota(policies.admit(), engine -> true))
+                .isFalse();
+        assertThat(policies.limits.withinFleetQuota(policies.admit(), engine -> engine != busy))
+                .isTrue();
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
@@ -0,0 +1,119 @@
+package lineward.scheduling.decision;
+
+import static lineward.scheduling.EndpointState.DRAINING;
+import static lineward.scheduling.EndpointState.GONE;
+import static lineward.scheduling.EndpointState.READY;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import lineward.scheduling.AttemptOutcome;
+import lineward.scheduling.EndpointState;
+import lineward.scheduling.RequestClass.Placement;
+import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.TrackedRequest;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+public class EngineEligibilityTest {
+
+    /** Listing of an engine of kind 0 in zone 0, whether under maintenance, placement, may run there. */
+    @DataProvider
+    public Object[][] engines() {
+        return new Object[][] {
+            {READY, false, Placement.ANYWHERE, true},
+            {DRAINING, false, Placement.ANYWHERE, false},
+            {GONE, false, Placement.ANYWHERE, false},
+            {READY, true, Placement.ANYWHERE, false},
+            {READY, false, new Placement(List.of(0), List.of(0)), true},
+            {READY, false, new Placement(List.of(1), null), false},
+            {READY, false, new Placement(null, List.of(1)), false},
+            {READY, false, new Placement(List.of(0), List.of(1)), false},
+        };
+    }
+
+    @Test(dataProvider = "engines")
+    public void runsOnReadyEnginesOfItsPlacement(
+            EndpointState state, boolean underMaintenance, Placement placement, boolean mayRun) {
+        TestingSettings settings = new TestingSettings();
+        settings.placement = placement;
+        TestingPolicies policies = new TestingPolicies(settings);
+        Engine engine = policies.listEngine(1, state);
+        if (underMaintenance) {
+            engine.beginMaintenance();
+        }
+        assertThat(EngineEligibility.mayRunOn(policies.admit(), engine)).isEqualTo(mayRun);
+        assertThat(policies.eligibility.hasCapacityNow(policies.admit(), engine))
+                .isEqualTo(mayRun);
+    }
+
+    /** Attempts in flight at an engine that has warmed up, whether it has capacity. */
+    @DataProvider
+    public Object[][] loads() {
+        int limit = TestingPolicies.THREAD_LIMIT;
+        return new Object[][] {{0, true}, {limit - 1, true}, {limit, false}};
+    }
+
+    @Test(dataProvider = "loads")
+    public void hasCapacityBelowTheThreadLimit(int attempts, boolean hasCapacity) {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        Engine engine = policies.listEngine(1);
+        policies.fill(engine, attempts);
+        assertThat(policies.eligibility.hasCapacityNow(policies.admit(), engine))
+                .isEqualTo(hasCapacity);
+    }
+
+    /** Estimated work of a request, whether an engine that has just started has capacity for it. */
+    @DataProvider
+    public Object[][] slowStarts() {
+        return new Object[][] {{3_000, true}, {3_200, false}};
+    }
+
+    @Test(dataProvider = "slowStarts")
+    public void hasCapacityWithinTheSlowStartBudget(double workMs, boolean hasCapacity) {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        Engine engine = policies.listEngineStartedAt(1, TestingPolicies.START_MS);
+        TrackedRequest request = policies.admit(TestingPolicies.NO_KEY, workMs);
+        assertThat(policies.eligibility.hasCapacityNow(request, engine)).isEqualTo(hasCapacity);
+    }
+
+    /** What the only engine besides that of the attempt is like. */
+    private enum OtherEngine {
+        FREE,
+        GONE,
+        EJECTED,
+        TRIED,
+        AT_ITS_LIMIT,
+        WITH_OVERDUE_HEALTH_CHECK
+    }
+
+    @DataProvider
+    public Object[][] relaunchTargets() {
+        return new Object[][] {
+            {OtherEngine.FREE, true},
+            {OtherEngine.GONE, false},
+            {OtherEngine.EJECTED, false},
+            {OtherEngine.TRIED, false},
+            {OtherEngine.AT_ITS_LIMIT, false},
+            {OtherEngine.WITH_OVERDUE_HEALTH_CHECK, true},
+        };
+    }
+
+    @Test(dataProvider = "relaunchTargets")
+    public void relaunchesOnAHealthyUntriedEngineWithCapacity(OtherEngine condition, boolean hasTarget) {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        Engine other = policies.listEngine(2, condition == OtherEngine.GONE ? GONE : READY);
+        TrackedRequest request = policies.admit();
+        if (condition == OtherEngine.TRIED) {
+            policies.endAndRequeue(policies.start(request, other), AttemptOutcome.ERROR);
+        }
+        Attempt attempt = policies.start(request, policies.listEngine(1));
+        switch (condition) {
+            case EJECTED -> other.health().eject();
+            case AT_ITS_LIMIT -> policies.fill(other, TestingPolicies.THREAD_LIMIT);
+            case WITH_OVERDUE_HEALTH_CHECK -> other.load().startHealthCheck(TestingPolicies.START_MS - 1_000);
+            default -> {}
+        }
+        assertThat(policies.eligibility.hasTargetForRelaunch(attempt)).isEqualTo(hasTarget);
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -0,0 +1,146 @@
+package lineward.scheduling.decision;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.within;
+
+import java.util.List;
+import lineward.scheduling.LoadReportField;
+import lineward.scheduling.RequestClass;
+import lineward.scheduling.state.ClassState;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.TrackedRequest;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** Engines have 8 cores, so a request of one thread on an idle one scores (1 + 0.3 x 8) / 8 = 0.425. */
+public class EngineLoadScoreTest {
+    private static final double ROUNDING = 1e-9;
+    private static final double IDLE = 0.425;
+    private static final double THREAD = 0.125;
+    private static final double SPREAD = 0.01;
+
+    /** Zone of the engine, threads in flight there, memory estimate of the request, its score. */
+    @DataProvider
+    public Object[][] loads() {
+        return new Object[][] {
+            {0, 0, 0, IDLE},
+            {0, 6, 0, IDLE + 6 * THREAD},
+            {1, 0, 0, IDLE + 0.02},
+            {0, 0, 5_120, 1.2 * 6_400 / 16_000},
+            {0, 6, 5_120, IDLE + 6 * THREAD},
+        };
+    }
+
+    @Test(dataProvider = "loads")
+    public void scoresThreadsMemoryAndZone(int zone, int inFlight, double memoryMb, double score) {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        Engine engine = policies.listEngine(1, zone, 0);
+        policies.fill(engine, inFlight);
+        TrackedRequest request = policies.admit(0, TestingPolicies.NO_KEY, 200, memoryMb);
+        assertThat(policies.loadScore.score(request, engine)).isCloseTo(score, within(ROUNDING));
+    }
+
+    /** Threads and memory in the load report, age of the report, the score. */
+    @DataProvider
+    public Object[][] reports() {
+        return new Object[][] {
+            {4, 0.1, 0, IDLE + 4 * THREAD},
+            {4, 0.9, 0, 0.9 + 0.3},
+            {4, 0.9, 1_500, IDLE},
+        };
+    }
+
+    @Test(dataProvider = "reports")
+    public void scoresAFreshLoadReport(double threads, double memoryInUse, double ageMs, double score) {
+        TestingSettings settings = new TestingSettings();
+        settings.reportFields = List.of(LoadReportField.IN_FLIGHT, LoadReportField.MEMORY);
+        TestingPolicies policies = new TestingPolicies(settings);
+        Engine engine = policies.listEngine(1);
+        policies.reports.apply(engine, new double[] {threads, memoryInUse});
+        policies.advance(ageMs);
+        assertThat(policies.loadScore.score(policies.admit(), engine)).isCloseTo(score, within(ROUNDING));
+    }
+
+    /** Whether the request waits for loads, a load of its table group is in flight, the added load. */
+    @DataProvider
+    public Object[][] conflicts() {
+        return new Object[][] {{true, true, 1.5}, {true, false, 0}, {false, true, 0}};
+    }
+
+    @Test(dataProvider = "conflicts")
+    public void addsLoadForAConflictOfTableGroups(boolean waitsForLoads, boolean sameGroup, double added) {
+        TestingSettings settings = new TestingSettings();
+        settings.workload = new RequestClass.Workload(true, false, 1);
+        RequestClass loads = settings.requestClass();
+        settings.workload = new RequestClass.Workload(false, waitsForLoads, 1);
+        settings.otherClasses.add(loads);
+        TestingPolicies policies = new TestingPolicies(settings);
+        Engine engine = policies.listEngine(1);
+        policies.start(policies.admitOfGroup(1, 5), engine);
+        TrackedRequest request = policies.admitOfGroup(0, sameGroup ? 5 : 6);
+        double score = policies.loadScore.score(request, engine);
+        assertThat(score).isCloseTo(IDLE + THREAD + added, within(ROUNDING));
+    }
+
+    /** Front ends, work of a request, whether a warming engine scores as free. */
+    @DataProvider
+    public Object[][] warmingEngines() {
+        return new Object[][] {{8, 200, true}, {4, 200, false}, {8, 980, true}, {8, 990, false}};
+    }
+
+    @Test(dataProvider = "warmingEngines")
+    public void usesASlotAtAWarmingEngineIfInTime(int frontEnds, double workMs, boolean free) {
+        TestingSettings settings = new TestingSettings();
+        settings.frontEnds = frontEnds;
+        settings.objective = new RequestClass.Objective(2_000, 1, 5_000, 1, 0);
+        TestingPolicies policies = new TestingPolicies(settings);
+        Engine engine = policies.listEngineStartedAt(1, TestingPolicies.START_MS);
+        TrackedRequest request = policies.admit(TestingPolicies.NO_KEY, workMs);
+        assertThat(policies.loadScore.score(request, engine) == 0).isEqualTo(free);
+    }
+
+    /** Front ends, the scale of the random spread relative to that of one front end. */
+    @DataProvider
+    public Object[][] spreads() {
+        return new Object[][] {{1, 1}, {4, 1}, {8, 16}, {100, (0.01 + 0.3 * 0.96) / SPREAD}};
+    }
+
+    @Test(dataProvider = "spreads")
+    public void spreadsScoresByTheUnseenLoad(int frontEnds, double expectedScale) {
+        TestingSettings settings = new TestingSettings();
+        double alone = drawSpread(new TestingPolicies(settings));
+        settings.frontEnds = frontEnds;
+        double scale = drawSpread(new TestingPolicies(settings)) / alone;
+        assertThat(scale).isCloseTo(expectedScale, within(ROUNDING));
+    }
+
+    /** Work ratio of a class that reaches half of the cores, the free cores of its engine by that. */
+    @DataProvider
+    public Object[][] boundClasses() {
+        return new Object[][] {{0, 1}, {0.25, 0.5}, {0.4, 0.2}, {0.9, 0.05}};
+    }
+
+    @Test(dataProvider = "boundClasses")
+    public void leavesCoresToClassesWithFewerEngines(double workRatio, double freeRatio) {
+        TestingSettings settings = new TestingSettings();
+        settings.otherClasses.add(settings.requestClass());
+        double allFree = drawSpread(policiesOfTwoEngines(settings, 0));
+        double bound = drawSpread(policiesOfTwoEngines(settings, workRatio));
+        assertThat(bound - allFree).isCloseTo(SPREAD * Math.log(freeRatio), within(ROUNDING));
+    }
+
+    private static TestingPolicies policiesOfTwoEngines(TestingSettings settings, double workRatio) {
+        TestingPolicies policies = new TestingPolicies(settings);
+        policies.listEngine(1);
+        policies.listEngine(2);
+        policies.context.requestClass(0).demand().setReachableCores(16);
+        ClassState bound = policies.context.requestClass(1);
+        bound.demand().setReachableCores(8);
+        bound.demand().setRatios(workRatio, 0);
+        return policies;
+    }
+
+    private static double drawSpread(TestingPolicies policies) {
+        return policies.loadScore.drawSpread(policies.context.requestClass(0), policies.listEngine(1));
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
@@ -0,0 +1,156 @@
+package lineward.scheduling.decision;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.Optional;
+import lineward.scheduling.AttemptOutcome;
+import lineward.scheduling.EndpointState;
+import lineward.scheduling.Idempotence;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.TrackedRequest;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+public class EngineSelectorTest {
+    private static final double MAX_HEALTH_CHECK_MS = 25;
+    private static final long NONE = 0;
+
+    private static long selected(TestingPolicies policies, TrackedRequest request) {
+        EngineSelector selector = new EngineSelector(
+                policies.context,
+                policies.limits,
+                policies.retries,
+                policies.outliers,
+                policies.eligibility,
+                policies.loadScore);
+        Optional<Engine> engine = selector.selectEngine(request);
+        return engine.map(Engine::id).orElse(NONE);
+    }
+
+    /** What excludes an engine, or makes it the first choice, for the next attempt of a request. */
+    private enum Condition {
+        NOT_BUSY,
+        BUSY,
+        AT_ITS_LIMIT,
+        DRAINING,
+        UNDER_MAINTENANCE,
+        RELEASED_AND_BUSY_NOW,
+        RELEASED,
+        EJECTED,
+        EJECTED_AND_PROBE_DUE,
+        TRIED,
+        HEALTH_CHECK_IN_TIME,
+        HEALTH_CHECK_OVERDUE;
+
+        private static final int BUSY_ATTEMPTS = 6;
+
+        void apply(TestingPolicies policies, Engine engine, TrackedRequest request) {
+            double nowMs = policies.context.nowMs();
+            switch (this) {
+                case NOT_BUSY -> {}
+                case BUSY -> policies.fill(engine, BUSY_ATTEMPTS);
+                case AT_ITS_LIMIT -> policies.fill(engine, TestingPolicies.THREAD_LIMIT);
+                case DRAINING -> policies.listEngine(engine.id(), EndpointState.DRAINING);
+                case UNDER_MAINTENANCE -> engine.beginMaintenance();
+                case RELEASED -> releaseLongAgo(engine);
+                case RELEASED_AND_BUSY_NOW -> {
+                    releaseLongAgo(engine);
+                    policies.fill(engine, BUSY_ATTEMPTS);
+                }
+                case EJECTED -> {
+                    engine.health().eject();
+                    engine.health().scheduleRecoveryProbe(nowMs + 1);
+                }
+                case EJECTED_AND_PROBE_DUE -> {
+                    engine.health().eject();
+                    engine.health().scheduleRecoveryProbe(nowMs);
+                }
+                case TRIED -> policies.endAndRequeue(policies.start(request, engine), AttemptOutcome.ERROR);
+                case HEALTH_CHECK_IN_TIME -> engine.load().startHealthCheck(nowMs - MAX_HEALTH_CHECK_MS + 1);
+                case HEALTH_CHECK_OVERDUE -> engine.load().startHealthCheck(nowMs - MAX_HEALTH_CHECK_MS);
+            }
+        }
+
+        private static void releaseLongAgo(Engine engine) {
+            engine.beginMaintenance();
+            engine.release(0);
+        }
+    }
+
+    /** Condition of engine 1, condition of engine 2, the engine selected. */
+    @DataProvider
+    public Object[][] engines() {
+        return new Object[][] {
+            {Condition.NOT_BUSY, Condition.BUSY, 1},
+            {Condition.BUSY, Condition.NOT_BUSY, 2},
+            {Condition.AT_ITS_LIMIT, Condition.BUSY, 2},
+            {Condition.AT_ITS_LIMIT, Condition.AT_ITS_LIMIT, NONE},
+            {Condition.DRAINING, Condition.BUSY, 2},
+            {Condition.UNDER_MAINTENANCE, Condition.BUSY, 2},
+            {Condition.NOT_BUSY, Condition.RELEASED, 2},
+            {Condition.NOT_BUSY, Condition.RELEASED_AND_BUSY_NOW, 1},
+            {Condition.EJECTED, Condition.BUSY, 2},
+            {Condition.NOT_BUSY, Condition.EJECTED_AND_PROBE_DUE, 2},
+            {Condition.EJECTED, Condition.EJECTED, NONE},
+            {Condition.EJECTED, Condition.EJECTED_AND_PROBE_DUE, 2},
+            {Condition.TRIED, Condition.BUSY, 2},
+            {Condition.TRIED, Condition.UNDER_MAINTENANCE, 1},
+            {Condition.TRIED, Condition.TRIED, 1},
+            {Condition.HEALTH_CHECK_OVERDUE, Condition.BUSY, 2},
+            {Condition.HEALTH_CHECK_IN_TIME, Condition.BUSY, 1},
+        };
+    }
+
+    @Test(dataProvider = "engines")
+    public void selectsTheEligibleEngineWithTheLeastLoad(Condition first, Condition second, long expected) {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        TrackedRequest request = policies.admit();
+        Engine engine1 = policies.listEngine(1);
+        Engine engine2 = policies.listEngine(2);
+        first.apply(policies, engine1, request);
+        second.apply(policies, engine2, request);
+        if (first == Condition.TRIED && second == Condition.TRIED) {
+            policies.fill(engine2, Condition.BUSY_ATTEMPTS);
+        }
+        assertThat(selected(policies, request)).isEqualTo(expected);
+    }
+
+    @Test
+    public void leavesAProbeToIdempotentRequests() {
+        TestingSettings settings = new TestingSettings();
+        settings.idempotence = Idempotence.NON_IDEMPOTENT;
+        TestingPolicies policies = new TestingPolicies(settings);
+        TrackedRequest request = policies.admit();
+        policies.listEngine(1);
+        Condition.EJECTED_AND_PROBE_DUE.apply(policies, policies.listEngine(2), request);
+        assertThat(selected(policies, request)).isEqualTo(1);
+    }
+
+    @Test
+    public void selectsNoEngineForARequestWithoutAttemptsLeft() {
+        TestingSettings settings = new TestingSettings();
+        settings.maxAttempts = 1;
+        TestingPolicies policies = new TestingPolicies(settings);
+        TrackedRequest request = policies.admit();
+        policies.listEngine(2);
+        Condition.TRIED.apply(policies, policies.listEngine(1), request);
+        assertThat(selected(policies, request)).isEqualTo(NONE);
+    }
+
+    /** Attempts in flight at the only engine, of which 100 front ends may use 0.156 threads each. */
+    @DataProvider
+    public Object[][] quotas() {
+        return new Object[][] {{0, 1, false}, {1, NONE, true}};
+    }
+
+    @Test(dataProvider = "quotas")
+    public void pausesTheClassPastTheQuotaOfTheFleet(int inFlight, long expected, boolean paused) {
+        TestingSettings settings = new TestingSettings();
+        settings.frontEnds = 100;
+        TestingPolicies policies = new TestingPolicies(settings);
+        policies.fill(policies.listEngine(1), inFlight);
+        TrackedRequest request = policies.admit();
+        assertThat(selected(policies, request)).isEqualTo(expected);
+        assertThat(request.type().isDispatchPaused()).isEqualTo(paused);
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
@@ -0,0 +1,92 @@
+package lineward.scheduling.decision;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import lineward.scheduling.AttemptOutcome;
+import lineward.scheduling.state.TrackedRequest;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+public class KeyOrderTest {
+    private static final long KEY = 77;
+    private static final long OTHER_KEY = 78;
+    private static final double SETTLE_MS = 500;
+
+    private static TestingPolicies policies(boolean inOrder) {
+        TestingSettings settings = new TestingSettings();
+        settings.inOrder = inOrder;
+        settings.settleMs = SETTLE_MS;
+        return new TestingPolicies(settings);
+    }
+
+    /** Whether the class is in order, keys of two requests, whether the second one may start. */
+    @DataProvider
+    public Object[][] keys() {
+        return new Object[][] {
+            {true, KEY, KEY, false},
+            {true, KEY, OTHER_KEY, true},
+            {true, TestingPolicies.NO_KEY, TestingPolicies.NO_KEY, true},
+            {false, KEY, KEY, true},
+        };
+    }
+
+    @Test(dataProvider = "keys")
+    public void runsAKeyInOrderOfArrival(boolean inOrder, long firstKey, long secondKey, boolean next) {
+        TestingPolicies policies = policies(inOrder);
+        TrackedRequest first = policies.admit(firstKey, TestingPolicies.WORK_MS);
+        TrackedRequest second = policies.admit(secondKey, TestingPolicies.WORK_MS);
+        assertThat(policies.keyOrder.isNext(first)).isTrue();
+        assertThat(policies.keyOrder.isNext(second)).isEqualTo(next);
+        policies.keyOrder.remove(first);
+        assertThat(policies.keyOrder.isNext(second)).isTrue();
+    }
+
+    /** Whether the outcome is indeterminate, key of the next request, time since, whether it may start. */
+    @DataProvider
+    public Object[][] settleTimes() {
+        return new Object[][] {
+            {true, KEY, 0, false},
+            {true, KEY, SETTLE_MS - 1, false},
+            {true, KEY, SETTLE_MS, true},
+            {true, OTHER_KEY, 0, true},
+            {false, KEY, 0, true},
+        };
+    }
+
+    @Test(dataProvider = "settleTimes")
+    public void waitsForTheSettleTimeAfterAnIndeterminateOutcome(
+            boolean indeterminate, long secondKey, double sinceMs, boolean next) {
+        TestingPolicies policies = policies(true);
+        TrackedRequest first = policies.admit(KEY, TestingPolicies.WORK_MS);
+        TrackedRequest second = policies.admit(secondKey, TestingPolicies.WORK_MS);
+        if (indeterminate) {
+            policies.keyOrder.settle(first);
+        }
+        policies.keyOrder.remove(first);
+        policies.advance(sinceMs);
+        policies.keyOrder.forgetSettledKeys();
+        assertThat(policies.keyOrder.isNext(second)).isEqualTo(next);
+    }
+
+    @Test
+    public void retriesTheRequestWhoseOutcomeWasIndeterminateAtOnce() {
+        TestingPolicies policies = policies(true);
+        TrackedRequest request = policies.admit(KEY, TestingPolicies.WORK_MS);
+        policies.endAndRequeue(policies.start(request, policies.listEngine(1)), AttemptOutcome.TIMEOUT);
+        policies.keyOrder.settle(request);
+        assertThat(policies.keyOrder.isNext(request)).isTrue();
+    }
+
+    @Test
+    public void theLaterEndOfTwoSettleTimesCounts() {
+        TestingPolicies policies = policies(true);
+        TrackedRequest first = policies.admit(KEY, TestingPolicies.WORK_MS);
+        policies.keyOrder.settle(first);
+        policies.advance(SETTLE_MS - 1);
+        policies.keyOrder.settle(first);
+        policies.keyOrder.remove(first);
+        policies.advance(SETTLE_MS - 1);
+        assertThat(policies.keyOrder.isNext(policies.admit(KEY, TestingPolicies.WORK_MS)))
+                .isFalse();
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
@@ -0,0 +1,156 @@
+package lineward.scheduling.decision;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import lineward.scheduling.AttemptOutcome;
+import lineward.scheduling.EndpointState;
+import lineward.scheduling.LoadReportField;
+import lineward.scheduling.SchedulerAction.ScheduleTimer;
+import lineward.scheduling.SchedulerAction.StartHealthCheck;
+import lineward.scheduling.SchedulerEvent.HealthCheckCompleted;
+import lineward.scheduling.state.Engine;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+public class LoadReportPollingTest {
+    private static final double[] REPORT = {3};
+    private static final double[] NO_REPORT = {};
+
+    private static TestingSettings settings() {
+        TestingSettings settings = new TestingSettings();
+        settings.gossip = true;
+        settings.reportFields = List.of(LoadReportField.IN_FLIGHT);
+        return settings;
+    }
+
+    private static LoadReportPolling polling(TestingPolicies policies) {
+        return new LoadReportPolling(policies.context, policies.reports, policies.outliers);
+    }
+
+    private static List<Long> polled(TestingPolicies policies) {
+        return policies.context.endDecision().stream()
+                .filter(StartHealthCheck.class::isInstance)
+                .map(action -> ((StartHealthCheck) action).engine())
+                .toList();
+    }
+
+    private static double delayMs(TestingPolicies policies) {
+        List<ScheduleTimer> timers = policies.context.endDecision().stream()
+                .filter(ScheduleTimer.class::isInstance)
+                .map(ScheduleTimer.class::cast)
+                .toList();
+        assertThat(timers).hasSize(1);
+        assertThat(timers.get(0).token()).isEqualTo(LoadReportPolling.TIMER);
+        return timers.get(0).delayMs();
+    }
+
+    /** Whether gossip is permitted, whether engines report their load, whether polling starts. */
+    @DataProvider
+    public Object[][] capabilities() {
+        return new Object[][] {{true, true, true}, {false, true, false}, {true, false, false}};
+    }
+
+    @Test(dataProvider = "capabilities")
+    public void startsWhereFrontEndsShareReports(boolean gossip, boolean reported, boolean starts) {
+        TestingSettings settings = settings();
+        settings.gossip = gossip;
+        settings.reportFields = reported ? settings.reportFields : List.of();
+        TestingPolicies policies = new TestingPolicies(settings);
+        polling(policies).start();
+        if (starts) {
+            assertThat(delayMs(policies)).isBetween(0.0, 250.0);
+        } else {
+            assertThat(policies.context.endDecision()).isEmpty();
+        }
+    }
+
+    /** Ready engines, the number polled. */
+    @DataProvider
+    public Object[][] fleets() {
+        return new Object[][] {{0, 0}, {3, 3}, {4, 4}, {6, 4}};
+    }
+
+    @Test(dataProvider = "fleets")
+    public void pollsUpToFourEngines(int ready, int polled) {
+        TestingPolicies policies = new TestingPolicies(settings());
+        for (int id = 1; id <= ready; id++) {
+            policies.listEngine(id);
+        }
+        policies.listEngine(100, EndpointState.DRAINING);
+        policies.listEngine(101).load().startHealthCheck(TestingPolicies.START_MS);
+        polling(policies).poll();
+        assertThat(polled(policies)).hasSize(polled).doesNotContain(100L, 101L);
+    }
+
+    @Test
+    public void pollsTheEnginesWithTheOldestReports() {
+        TestingPolicies policies = new TestingPolicies(settings());
+        for (long id = 1; id <= 6; id++) {
+            Engine engine = policies.listEngine(id);
+            if (id != 4) {
+                policies.reports.apply(engine, REPORT);
+            }
+            policies.advance(1_000);
+        }
+        polling(policies).poll();
+        assertThat(polled(policies)).containsExactly(4L, 1L, 2L, 3L);
+    }
+
+    /** Engines, front ends, price of a health check, requests in a second, bounds of the next delay. */
+    @DataProvider
+    public Object[][] delays() {
+        return new Object[][] {
+            {1, 1, 0, 0, 250, 750},
+            {4, 1, 0, 0, 100, 300},
+            {1, 4, 0, 0, 1_000, 3_000},
+            {1, 1, 0.01, 1, 2_000, 6_000},
+            {1, 1, 0.01, 4, 500, 1_500},
+            {1, 1, 0.01, 100, 250, 750},
+            {1, 1, 1, 1, 5_000, 15_000},
+        };
+    }
+
+    @Test(dataProvider = "delays")
+    public void limitsPollingByItsPrice(
+            int engines, int frontEnds, double price, int requests, double minMs, double maxMs) {
+        TestingSettings settings = settings();
+        settings.frontEnds = frontEnds;
+        settings.healthCheckCost = price;
+        TestingPolicies policies = new TestingPolicies(settings);
+        for (int id = 1; id <= engines; id++) {
+            policies.listEngine(id);
+        }
+        LoadReportPolling polling = polling(policies);
+        for (int request = 0; request < requests; request++) {
+            polling.countRequest();
+        }
+        policies.advance(1_000);
+        polling.poll();
+        assertThat(delayMs(policies)).isBetween(minMs, maxMs);
+    }
+
+    /** Outcome of a health check, whether its report is applied, whether the engine is ejected. */
+    @DataProvider
+    public Object[][] outcomes() {
+        return new Object[][] {
+            {AttemptOutcome.OK, true, false},
+            {AttemptOutcome.REJECTED, false, false},
+            {AttemptOutcome.ERROR, false, true},
+            {AttemptOutcome.TIMEOUT, false, true},
+            {AttemptOutcome.CONNECT_FAILED, false, true},
+        };
+    }
+
+    @Test(dataProvider = "outcomes")
+    public void appliesReportsAndEjectsOnFailure(AttemptOutcome outcome, boolean applied, boolean ejected) {
+        TestingPolicies policies = new TestingPolicies(settings());
+        Engine engine = policies.listEngine(1);
+        engine.load().startHealthCheck(TestingPolicies.START_MS);
+        double[] report = applied ? REPORT : NO_REPORT;
+        polling(policies).complete(new HealthCheckCompleted(1, outcome, 5, report), engine);
+        assertThat(policies.reports.areFresh(engine)).isEqualTo(applied);
+        assertThat(engine.health().isEjected()).isEqualTo(ejected);
+        assertThat(engine.load().healthCheckStartedMs()).isEmpty();
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
@@ -0,0 +1,123 @@
+package lineward.scheduling.decision;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import lineward.scheduling.AttemptOutcome;
+import lineward.scheduling.Idempotence;
+import lineward.scheduling.SchedulerSettings.RetryBudget;
+import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.CancelCause;
+import lineward.scheduling.state.TrackedRequest;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+public class MigrationPolicyTest {
+    /** From this age on a run of 200 ms ends past the objective of 1,200 ms. */
+    private static final double MIGRATION_END_MS = 1_000;
+
+    private static boolean shouldMigrate(TestingPolicies policies, Attempt attempt) {
+        RetryPolicy retries = policies.retries;
+        MigrationPolicy policy =
+                new MigrationPolicy(policies.context, policies.cancellation, retries, policies.eligibility);
+        return policy.shouldMigrate(attempt);
+    }
+
+    /** The conditions of a migration; in each row but the first one of them is not met. */
+    private enum Unmet {
+        NONE,
+        CANCEL_PERMITTED,
+        IN_FLIGHT,
+        RESPONSE_NOT_STARTED,
+        WAITING,
+        NO_PROGRESS,
+        IDEMPOTENT,
+        IDEMPOTENT_WITHOUT_A_KEY,
+        IN_TIME_ELSEWHERE,
+        WITHIN_RETRY_BUDGET,
+        ENGINE_FOR_A_RELAUNCH;
+
+        TestingSettings settings() {
+            TestingSettings settings = new TestingSettings();
+            settings.cancel = this != CANCEL_PERMITTED;
+            if (this == IDEMPOTENT) {
+                settings.idempotence = Idempotence.NON_IDEMPOTENT;
+            } else if (this == IDEMPOTENT_WITHOUT_A_KEY) {
+                settings.idempotence = Idempotence.BY_KEY;
+            }
+            settings.retryBudget = new RetryBudget(10_000, this == WITHIN_RETRY_BUDGET ? 0 : 1, 0);
+            return settings;
+        }
+
+        void apply(TestingPolicies policies, Attempt attempt) {
+            switch (this) {
+                case IN_FLIGHT -> attempt.cancel(CancelCause.SLOW);
+                case RESPONSE_NOT_STARTED -> attempt.request().startResponse();
+                case WAITING -> attempt.setWaiting(false, policies.context.nowMs());
+                case NO_PROGRESS -> attempt.recordProgress(0.1, policies.context.nowMs());
+                case IN_TIME_ELSEWHERE -> policies.advance(MIGRATION_END_MS);
+                case ENGINE_FOR_A_RELAUNCH -> policies.listEngine(2).health().eject();
+                default -> {}
+            }
+        }
+    }
+
+    @DataProvider
+    public Object[][] conditions() {
+        return TestingPolicies.oneUnmetEach(Unmet.values());
+    }
+
+    @Test(dataProvider = "conditions")
+    public void migratesIfEachConditionIsMet(Unmet unmet, boolean migrated) {
+        TestingPolicies policies = new TestingPolicies(unmet.settings());
+        policies.listEngine(2);
+        Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
+        attempt.setWaiting(true, policies.context.nowMs());
+        unmet.apply(policies, attempt);
+        assertThat(shouldMigrate(policies, attempt)).isEqualTo(migrated);
+    }
+
+    /** Time since admission, whether the attempt is migrated. */
+    @DataProvider
+    public Object[][] ages() {
+        return new Object[][] {{0, true}, {MIGRATION_END_MS - 1, true}, {MIGRATION_END_MS, false}};
+    }
+
+    @Test(dataProvider = "ages")
+    public void migratesWhileItsRunWouldBeInTime(double ageMs, boolean migrated) {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        policies.listEngine(2);
+        Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
+        attempt.setWaiting(true, policies.context.nowMs());
+        policies.advance(ageMs);
+        assertThat(shouldMigrate(policies, attempt)).isEqualTo(migrated);
+    }
+
+    /** Migrations before, attempts allowed, whether the attempt is migrated once more. */
+    @DataProvider
+    public Object[][] migrations() {
+        return new Object[][] {
+            {0, 2, false},
+            {0, 3, true},
+            {1, 3, false},
+            {1, 4, true},
+            {2, 10, false},
+        };
+    }
+
+    @Test(dataProvider = "migrations")
+    public void reservesAnAttemptForARelaunch(int before, int maxAttempts, boolean migrated) {
+        TestingSettings settings = new TestingSettings();
+        settings.maxAttempts = maxAttempts;
+        TestingPolicies policies = new TestingPolicies(settings);
+        policies.listEngine(2);
+        TrackedRequest request = policies.admit();
+        for (int migration = 0; migration < before; migration++) {
+            Attempt migratedAttempt = policies.start(request, policies.listEngine(10 + migration));
+            migratedAttempt.cancel(CancelCause.MIGRATION);
+            policies.endAndRequeue(migratedAttempt, AttemptOutcome.CANCELLED);
+        }
+        Attempt attempt = policies.start(request, policies.listEngine(1));
+        attempt.setWaiting(true, policies.context.nowMs());
+        assertThat(shouldMigrate(policies, attempt)).isEqualTo(migrated);
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
@@ -0,0 +1,206 @@
+package lineward.scheduling.decision;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.List;
+import lineward.scheduling.Idempotence;
+import lineward.scheduling.SchedulerAction;
+import lineward.scheduling.state.EjectionCause;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.TrackedRequest;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** Runs are of 200 ms by their estimate: an attempt is overdue after 3 x 200 + 900 ms. */
+public class OutlierDetectorTest {
+
+    /** What an engine answers, each time to another request. */
+    private enum Answer {
+        SUCCESS,
+        ERROR,
+        RESET,
+        CONNECT_FAILURE;
+
+        void apply(TestingPolicies policies, Engine engine) {
+            switch (this) {
+                case SUCCESS -> policies.outliers.recordSuccess(engine);
+                case ERROR -> policies.outliers.attributeError(policies.admit(), engine);
+                case RESET -> policies.outliers.recordReset(engine);
+                case CONNECT_FAILURE -> policies.outliers.recordConnectFailure(engine);
+            }
+        }
+    }
+
+    /** Answers of one engine, whether it is ejected, whether its process counts as restarted. */
+    @DataProvider
+    public Object[][] answers() {
+        return new Object[][] {
+            {List.of(Answer.ERROR, Answer.ERROR), false, false},
+            {List.of(Answer.ERROR, Answer.ERROR, Answer.ERROR), true, false},
+            {List.of(Answer.ERROR, Answer.ERROR, Answer.SUCCESS, Answer.ERROR), false, false},
+            {List.of(Answer.ERROR, Answer.ERROR, Answer.ERROR, Answer.SUCCESS), false, false},
+            {List.of(Answer.RESET), false, false},
+            {List.of(Answer.RESET, Answer.RESET), false, true},
+            {List.of(Answer.RESET, Answer.SUCCESS, Answer.RESET), false, false},
+            {List.of(Answer.RESET, Answer.RESET, Answer.RESET), true, true},
+            {List.of(Answer.ERROR, Answer.RESET, Answer.ERROR), true, true},
+            {List.of(Answer.CONNECT_FAILURE), true, true},
+            {List.of(Answer.CONNECT_FAILURE, Answer.SUCCESS), false, true},
+        };
+    }
+
+    @Test(dataProvider = "answers")
+    public void ejectsAfterConsecutiveFailures(List<Answer> answers, boolean ejected, boolean restarted) {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        Engine engine = policies.listEngine(1);
+        answers.forEach(answer -> answer.apply(policies, engine));
+        assertThat(engine.health().isEjected()).isEqualTo(ejected);
+        assertThat(engine.isStartUnannounced()).isEqualTo(restarted);
+    }
+
+    /** Failures before, whether the next error ejects, failures after the second error of its request. */
+    @DataProvider
+    public Object[][] revertedErrors() {
+        return new Object[][] {{0, false, 0}, {1, false, 1}, {2, true, 2}, {3, true, 3}};
+    }
+
+    @Test(dataProvider = "revertedErrors")
+    public void revertsTheFirstErrorOfARequestThatFailsTwice(int failures, boolean ejected, int remaining) {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        Engine first = policies.listEngine(1);
+        Engine second = policies.listEngine(2);
+        for (int failure = 0; failure < failures; failure++) {
+            Answer.ERROR.apply(policies, first);
+        }
+        TrackedRequest request = policies.admit();
+        policies.outliers.attributeError(request, first);
+        assertThat(first.health().isEjected()).isEqualTo(ejected);
+        policies.outliers.attributeError(request, second);
+        assertThat(first.health().consecutiveFailures()).isEqualTo(remaining);
+        assertThat(first.health().isEjected()).isEqualTo(remaining >= 3);
+        assertThat(second.health().consecutiveFailures()).isZero();
+    }
+
+    /** Interval of progress reports, running and waiting attempts, their age, last answer, ejected. */
+    @DataProvider
+    public Object[][] silences() {
+        return new Object[][] {
+            {0, 1, 0, 5_000, 0, false},
+            {0, 2, 0, 1_500, 0, false},
+            {0, 2, 0, 1_501, 0, true},
+            {0, 0, 2, 5_000, 0, false},
+            {0, 1, 1, 5_000, 0, false},
+            {0, 2, 0, 2_000, 1_101, false},
+            {0, 2, 0, 2_000, 1_100, true},
+            {500, 1, 0, 899, 0, false},
+            {500, 1, 0, 900, 0, true},
+            {500, 0, 1, 900, 0, false},
+            {1_000, 1, 0, 1_550, 0, false},
+            {1_000, 1, 0, 1_551, 0, true},
+            {2_000, 2, 0, 2_000, 0, false},
+            {2_000, 2, 0, 2_001, 0, true},
+        };
+    }
+
+    @Test(dataProvider = "silences")
+    public void ejectsASilentEngineWithOverdueWork(
+            double intervalMs, int running, int waiting, double ageMs, double answeredAtMs, boolean ejected) {
+        TestingSettings settings = new TestingSettings();
+        settings.progressIntervalMs = intervalMs;
+        TestingPolicies policies = new TestingPolicies(settings);
+        Engine engine = policies.listEngine(1);
+        policies.fill(engine, running);
+        for (int attempt = 0; attempt < waiting; attempt++) {
+            policies.start(policies.admit(), engine).setWaiting(true, policies.context.nowMs());
+        }
+        policies.advance(answeredAtMs);
+        engine.health().recordResponse(policies.context.nowMs());
+        policies.advance(ageMs - answeredAtMs);
+        policies.outliers.detectSilence(engine);
+        assertThat(engine.health().isEjected()).isEqualTo(ejected);
+    }
+
+    /** Healthy engines, engines of the placement, whether ejected ones are used too. */
+    @DataProvider
+    public Object[][] fleets() {
+        return new Object[][] {{0, 0, false}, {0, 1, true}, {1, 2, false}, {1, 3, true}, {2, 5, false}};
+    }
+
+    @Test(dataProvider = "fleets")
+    public void usesEjectedEnginesIfTooFewAreHealthy(int healthy, int allowed, boolean useEjected) {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        assertThat(policies.outliers.mustUseEjected(healthy, allowed)).isEqualTo(useEjected);
+    }
+
+    /** Whether ejected, time since the last probe, probes used, relaunched, idempotence, age, may probe. */
+    @DataProvider
+    public Object[][] probes() {
+        return new Object[][] {
+            {true, 700, 1, false, Idempotence.IDEMPOTENT, 599, true},
+            {false, 700, 1, false, Idempotence.IDEMPOTENT, 0, false},
+            {true, 699, 1, false, Idempotence.IDEMPOTENT, 0, false},
+            {true, 700, 2, false, Idempotence.IDEMPOTENT, 0, false},
+            {true, 700, 1, true, Idempotence.IDEMPOTENT, 0, false},
+            {true, 700, 1, false, Idempotence.BY_KEY, 0, false},
+            {true, 700, 1, false, Idempotence.IDEMPOTENT, 600, false},
+        };
+    }
+
+    @Test(dataProvider = "probes")
+    public void probesWithARequestThatCanAffordIt(
+            boolean ejected,
+            double sinceProbeMs,
+            int probesUsed,
+            boolean relaunched,
+            Idempotence idempotence,
+            double ageMs,
+            boolean mayProbe) {
+        TestingSettings settings = new TestingSettings();
+        settings.idempotence = idempotence;
+        TestingPolicies policies = new TestingPolicies(settings);
+        Engine engine = policies.listEngine(1);
+        if (ejected) {
+            engine.health().eject();
+        }
+        for (int probe = 0; probe < probesUsed; probe++) {
+            policies.outliers.spendRecoveryProbe(engine);
+        }
+        policies.advance(sinceProbeMs - ageMs);
+        TrackedRequest request = policies.admit();
+        if (relaunched) {
+            policies.cancelAndRequeue(policies.start(request, policies.listEngine(2)));
+        }
+        policies.advance(ageMs);
+        assertThat(policies.outliers.mayProbe(engine, request)).isEqualTo(mayProbe);
+    }
+
+    /** Requests admitted after all probes were used, whether one of them may probe. */
+    @DataProvider
+    public Object[][] earnings() {
+        return new Object[][] {{9, false}, {11, true}};
+    }
+
+    @Test(dataProvider = "earnings")
+    public void earnsAProbeWithTenRequests(int admitted, boolean mayProbe) {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        Engine engine = policies.listEngine(1);
+        engine.health().eject();
+        policies.outliers.spendRecoveryProbe(engine);
+        policies.outliers.spendRecoveryProbe(engine);
+        for (int request = 0; request < admitted; request++) {
+            policies.outliers.earnRecoveryProbe();
+        }
+        policies.advance(1_000);
+        assertThat(policies.outliers.mayProbe(engine, policies.admit())).isEqualTo(mayProbe);
+    }
+
+    @Test
+    public void logsAnEjectionOnceWithItsCause() {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        Engine engine = policies.listEngine(26);
+        policies.outliers.eject(engine, EjectionCause.SILENCE);
+        policies.outliers.eject(engine, EjectionCause.ERRORS);
+        assertThat(policies.context.endDecision())
+                .containsExactly(new SchedulerAction.LogMessage("engine ejected: engine=1a cause=silence"));
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -0,0 +1,135 @@
+package lineward.scheduling.decision;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.within;
+
+import java.util.Optional;
+import lineward.scheduling.EngineKind;
+import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.RequestClass;
+import lineward.scheduling.SchedulerAction;
+import lineward.scheduling.SchedulerAction.SetResourceLimits;
+import lineward.scheduling.state.ClassState;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.TrackedRequest;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+public class ResourceLimitsTest {
+    private static final double ROUNDING = 1e-9;
+    private static final double NO_WORK = 0;
+
+    private static SetResourceLimits limits(TestingPolicies policies, TrackedRequest request) {
+        Optional<SchedulerAction> limits = policies.resources.limitsFor(request, policies.listEngine(1));
+        return (SetResourceLimits) limits.orElseThrow();
+    }
+
+    /** Whether engines heed grants, whether they heed priorities, whether limits are sent. */
+    @DataProvider
+    public Object[][] capabilities() {
+        return new Object[][] {
+            {true, true, true},
+            {true, false, true},
+            {false, true, true},
+            {false, false, false},
+        };
+    }
+
+    @Test(dataProvider = "capabilities")
+    public void sendsLimitsWhereEnginesHeedThem(boolean grants, boolean priorities, boolean sent) {
+        TestingSettings settings = new TestingSettings();
+        settings.grants = grants;
+        settings.priorities = priorities;
+        TestingPolicies policies = new TestingPolicies(settings);
+        Engine engine = policies.listEngine(1);
+        assertThat(policies.resources.limitsFor(policies.admit(), engine).isPresent())
+                .isEqualTo(sent);
+    }
+
+    /** Whether grants are heeded, the memory shortage, engine memory, estimate, grant, memory counted. */
+    @DataProvider
+    public Object[][] grants() {
+        return new Object[][] {
+            {true, MemoryShortage.WAIT, 16_000, 1_000, 1_250, 1_250},
+            {true, MemoryShortage.WAIT, 16_000, 5_120, 6_400, 6_400},
+            {true, MemoryShortage.WAIT, 16_000, 9_000, 6_400, 6_400},
+            {true, MemoryShortage.WAIT, 0, 9_000, 11_250, 11_250},
+            {true, MemoryShortage.PAGE, 16_000, 1_000, 6_400, 1_250},
+            {false, MemoryShortage.WAIT, 16_000, 1_000, 0, 1_250},
+        };
+    }
+
+    @Test(dataProvider = "grants")
+    public void grantsTheNeedWithinTheLimitOfTheEngine(
+            boolean grants,
+            MemoryShortage shortage,
+            double engineMb,
+            double estimateMb,
+            double grantMb,
+            double countedMb) {
+        TestingSettings settings = new TestingSettings();
+        settings.grants = grants;
+        settings.memoryShortage = shortage;
+        settings.engineKind = new EngineKind(8, engineMb);
+        TestingPolicies policies = new TestingPolicies(settings);
+        TrackedRequest request = policies.admit(0, TestingPolicies.NO_KEY, 200, estimateMb);
+        assertThat(limits(policies, request).grantMb()).isEqualTo(grantMb);
+        assertThat(policies.resources.grantMb(request, policies.listEngine(1))).isEqualTo(countedMb);
+    }
+
+    /** Mean work of the class, age of a request of 200 ms, relaunched, whether a load, the priority. */
+    @DataProvider
+    public Object[][] priorities() {
+        return new Object[][] {
+            {NO_WORK, 0, false, false, 1},
+            {600, 0, false, false, 1},
+            {700, 0, false, false, 3},
+            {700, 1_000, false, false, 3},
+            {700, 1_001, false, false, 0},
+            {600, 0, true, false, 2},
+            {600, 0, false, true, 2},
+            {700, 0, true, true, 3},
+            {600, 1_001, true, true, 0},
+        };
+    }
+
+    @Test(dataProvider = "priorities")
+    public void ranksShortWorkFirstAndOverdueWorkLast(
+            double meanWorkMs, double ageMs, boolean relaunched, boolean load, int priority) {
+        TestingSettings settings = new TestingSettings();
+        settings.workload = new RequestClass.Workload(load, false, 1);
+        TestingPolicies policies = new TestingPolicies(settings);
+        if (meanWorkMs > NO_WORK) {
+            policies.context.requestClass(0).model().addWork(meanWorkMs, TestingPolicies.START_MS);
+        }
+        TrackedRequest request = policies.admit();
+        if (relaunched) {
+            policies.cancelAndRequeue(policies.start(request, policies.listEngine(2)));
+        }
+        policies.advance(ageMs);
+        assertThat(limits(policies, request).priority()).isEqualTo(priority);
+    }
+
+    /** Grant factor, need as a multiple of the estimate, the grant factor after it and after a spill. */
+    @DataProvider
+    public Object[][] needs() {
+        return new Object[][] {
+            {1.25, 1.3, 1.25 * 1.0294, 1.25 * 1.02},
+            {1.25, 1.25, 1.25 * 0.9994, 1.25 * 1.02},
+            {1.25, 1.0, 1.25 * 0.9994, 1.25 * 1.02},
+            {2.99, 1.0, 2.99 * 0.9994, 3},
+        };
+    }
+
+    @Test(dataProvider = "needs")
+    public void learnsTheGrantFactor(double before, double need, double afterNeed, double afterSpill) {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        ClassState type = policies.context.requestClass(0);
+        type.setGrantFactor(before);
+        policies.resources.recordNeed(type, need);
+        assertThat(type.grantFactor()).isCloseTo(afterNeed, within(ROUNDING));
+        type.setGrantFactor(before);
+        policies.resources.recordSpill(type);
+        assertThat(type.grantFactor()).isCloseTo(afterSpill, within(ROUNDING));
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
@@ -0,0 +1,239 @@
+package lineward.scheduling.decision;
+
+import static lineward.scheduling.AttemptOutcome.CANCELLED;
+import static lineward.scheduling.AttemptOutcome.CONNECT_FAILED;
+import static lineward.scheduling.AttemptOutcome.ERROR;
+import static lineward.scheduling.AttemptOutcome.NOT_STARTED;
+import static lineward.scheduling.AttemptOutcome.REJECTED;
+import static lineward.scheduling.AttemptOutcome.RESET;
+import static lineward.scheduling.AttemptOutcome.TIMEOUT;
+import static lineward.scheduling.DeduplicationScope.ALL;
+import static lineward.scheduling.DeduplicationScope.CELL;
+import static lineward.scheduling.DeduplicationScope.ZONE;
+import static lineward.scheduling.Idempotence.BY_KEY;
+import static lineward.scheduling.Idempotence.IDEMPOTENT;
+import static lineward.scheduling.Idempotence.NON_IDEMPOTENT;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import lineward.scheduling.AttemptOutcome;
+import lineward.scheduling.DeduplicationScope;
+import lineward.scheduling.Idempotence;
+import lineward.scheduling.SchedulerAction.StartAttempt;
+import lineward.scheduling.SchedulerSettings.RetryBudget;
+import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.CancelCause;
+import lineward.scheduling.state.TrackedRequest;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+public class RetryPolicyTest {
+    private static final double KEY_TTL_MS = 2_000;
+
+    private static TestingSettings settings(Idempotence idempotence, DeduplicationScope scope) {
+        TestingSettings settings = new TestingSettings();
+        settings.idempotence = idempotence;
+        settings.scope = scope;
+        settings.keyTtlMs = KEY_TTL_MS;
+        return settings;
+    }
+
+    /** Outcome of the only attempt, idempotence, attempts allowed, errors of the request, may retry. */
+    @DataProvider
+    public Object[][] retries() {
+        return new Object[][] {
+            {REJECTED, NON_IDEMPOTENT, 2, 0, true},
+            {CONNECT_FAILED, NON_IDEMPOTENT, 2, 0, true},
+            {ERROR, NON_IDEMPOTENT, 2, 1, false},
+            {TIMEOUT, NON_IDEMPOTENT, 2, 0, false},
+            {RESET, NON_IDEMPOTENT, 2, 0, false},
+            {CANCELLED, NON_IDEMPOTENT, 2, 0, false},
+            {ERROR, IDEMPOTENT, 2, 1, true},
+            {TIMEOUT, IDEMPOTENT, 2, 0, true},
+            {RESET, IDEMPOTENT, 2, 0, true},
+            {CANCELLED, IDEMPOTENT, 2, 0, true},
+            {ERROR, BY_KEY, 2, 1, true},
+            {TIMEOUT, BY_KEY, 2, 0, true},
+            {NOT_STARTED, IDEMPOTENT, 2, 0, false},
+            {NOT_STARTED, NON_IDEMPOTENT, 2, 0, false},
+            {ERROR, IDEMPOTENT, 1, 1, false},
+            {REJECTED, NON_IDEMPOTENT, 1, 0, false},
+            {ERROR, IDEMPOTENT, 2, 2, true},
+            {ERROR, IDEMPOTENT, 2, 3, false},
+        };
+    }
+
+    @Test(dataProvider = "retries")
+    public void retriesByOutcomeIdempotenceAttemptsAndErrors(
+            AttemptOutcome outcome, Idempotence idempotence, int maxAttempts, int errors, boolean mayRetry) {
+        TestingSettings settings = settings(idempotence, ALL);
+        settings.maxAttempts = maxAttempts;
+        TestingPolicies policies = new TestingPolicies(settings);
+        Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
+        policies.end(attempt, outcome);
+        for (int error = 0; error < errors; error++) {
+            attempt.request().recordError(attempt.engine());
+        }
+        assertThat(policies.retries.mayRetry(attempt.request(), outcome)).isEqualTo(mayRetry);
+    }
+
+    /** Ended attempts, attempts allowed, one in flight, completed, time since admission, may attempt. */
+    @DataProvider
+    public Object[][] openRequests() {
+        return new Object[][] {
+            {0, 1, false, false, 0, true},
+            {0, 2, true, false, 0, false},
+            {0, 1, false, true, 0, false},
+            {0, 1, false, false, 4_999, true},
+            {0, 1, false, false, 5_000, false},
+            {1, 2, false, false, 0, true},
+            {2, 2, false, false, 0, false},
+        };
+    }
+
+    @Test(dataProvider = "openRequests")
+    public void attemptsOnlyOpenRequests(
+            int ended, int maxAttempts, boolean inFlight, boolean completed, double ageMs, boolean expected) {
+        TestingSettings settings = new TestingSettings();
+        settings.maxAttempts = maxAttempts;
+        TestingPolicies policies = new TestingPolicies(settings);
+        TrackedRequest request = policies.admit();
+        for (int attempt = 0; attempt < ended; attempt++) {
+            policies.endAndRequeue(policies.start(request, policies.listEngine(1)), ERROR);
+        }
+        if (inFlight) {
+            policies.start(request, policies.listEngine(1));
+        }
+        if (completed) {
+            request.complete();
+        }
+        policies.advance(ageMs);
+        assertThat(policies.retries.mayAttempt(request, policies.listEngine(2))).isEqualTo(expected);
+    }
+
+    /** Idempotence, scope, zone and cell of another engine, time since the first start, may repeat there. */
+    @DataProvider
+    public Object[][] repeats() {
+        return new Object[][] {
+            {IDEMPOTENT, CELL, 1, 1, 3_000, true},
+            {NON_IDEMPOTENT, ALL, 0, 0, 0, false},
+            {BY_KEY, ALL, 1, 1, 0, true},
+            {BY_KEY, ZONE, 0, 1, 0, true},
+            {BY_KEY, ZONE, 1, 0, 0, false},
+            {BY_KEY, CELL, 1, 0, 0, true},
+            {BY_KEY, CELL, 0, 1, 0, false},
+            {BY_KEY, ALL, 0, 0, KEY_TTL_MS - 1, true},
+            {BY_KEY, ALL, 0, 0, KEY_TTL_MS, false},
+        };
+    }
+
+    @Test(dataProvider = "repeats")
+    public void repeatsWhereTheKeyIsRecognised(
+            Idempotence repeat, DeduplicationScope scope, int zone, int cell, double ageMs, boolean may) {
+        TestingPolicies policies = new TestingPolicies(settings(repeat, scope));
+        Attempt first = policies.start(policies.admit(), policies.listEngine(1, 0, 0));
+        policies.endAndRequeue(first, TIMEOUT);
+        policies.advance(ageMs);
+        boolean mayAttempt = policies.retries.mayAttempt(first.request(), policies.listEngine(2, zone, cell));
+        assertThat(mayAttempt).isEqualTo(may);
+    }
+
+    /** Idempotence, outcome, time since the first start, time within which the next attempt must start. */
+    @DataProvider
+    public Object[][] startLimits() {
+        return new Object[][] {
+            {IDEMPOTENT, TIMEOUT, 500, StartAttempt.ANY_TIME},
+            {NON_IDEMPOTENT, REJECTED, 500, StartAttempt.ANY_TIME},
+            {NON_IDEMPOTENT, TIMEOUT, 500, 0},
+            {BY_KEY, REJECTED, 500, StartAttempt.ANY_TIME},
+            {BY_KEY, TIMEOUT, 500, KEY_TTL_MS - 500},
+        };
+    }
+
+    @Test(dataProvider = "startLimits")
+    public void limitsTheStartOfARepeat(
+            Idempotence idempotence, AttemptOutcome outcome, double ageMs, double expectedMs) {
+        TestingPolicies policies = new TestingPolicies(settings(idempotence, ALL));
+        Attempt first = policies.start(policies.admit(), policies.listEngine(1));
+        policies.endAndRequeue(first, outcome);
+        policies.advance(ageMs);
+        assertThat(policies.retries.startWithinMs(first.request())).isEqualTo(expectedMs);
+    }
+
+    /** Retry budget, ended attempts, cancels of others in flight, may attempt, may relaunch. */
+    @DataProvider
+    public Object[][] budgets() {
+        return new Object[][] {
+            {0, 0, 0, true, false},
+            {0, 1, 0, false, false},
+            {1, 1, 0, true, true},
+            {1, 1, 1, true, false},
+            {2, 1, 1, true, true},
+        };
+    }
+
+    @Test(dataProvider = "budgets")
+    public void keepsRetriesAndRelaunchesWithinTheBudget(
+            int budget, int ended, int cancels, boolean mayAttempt, boolean mayRelaunch) {
+        TestingSettings settings = new TestingSettings();
+        settings.retryBudget = new RetryBudget(10_000, budget, 0);
+        TestingPolicies policies = new TestingPolicies(settings);
+        TrackedRequest request = policies.admit();
+        for (int attempt = 0; attempt < ended; attempt++) {
+            policies.endAndRequeue(policies.start(request, policies.listEngine(1)), ERROR);
+        }
+        for (int cancel = 0; cancel < cancels; cancel++) {
+            policies.start(policies.admit(), policies.listEngine(2)).cancel(CancelCause.SLOW);
+        }
+        assertThat(policies.retries.mayAttempt(request, policies.listEngine(3))).isEqualTo(mayAttempt);
+        assertThat(policies.retries.mayRelaunch(request)).isEqualTo(mayRelaunch);
+    }
+
+    /** Idempotence, time since the first start, whether a relaunch would still be within the key's time. */
+    @DataProvider
+    public Object[][] keyAges() {
+        double latestMs = KEY_TTL_MS - OutlierDetector.SILENCE_MS;
+        return new Object[][] {
+            {BY_KEY, latestMs, true},
+            {BY_KEY, latestMs + 1, false},
+            {IDEMPOTENT, latestMs + 1, true},
+        };
+    }
+
+    @Test(dataProvider = "keyAges")
+    public void relaunchesBeforeTheKeyExpires(Idempotence idempotence, double ageMs, boolean mayRelaunch) {
+        TestingPolicies policies = new TestingPolicies(settings(idempotence, ALL));
+        Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
+        policies.advance(ageMs);
+        assertThat(policies.retries.mayRelaunch(attempt.request())).isEqualTo(mayRelaunch);
+    }
+
+    /** Idempotence, scope, whether two runs on any engines are harmless. */
+    @DataProvider
+    public Object[][] doubleRuns() {
+        return new Object[][] {
+            {IDEMPOTENT, CELL, true},
+            {BY_KEY, ALL, true},
+            {BY_KEY, ZONE, false},
+            {BY_KEY, CELL, false},
+            {NON_IDEMPOTENT, ALL, false},
+        };
+    }
+
+    @Test(dataProvider = "doubleRuns")
+    public void mayRunTwiceIfRepeatableAnywhere(
+            Idempotence idempotence, DeduplicationScope scope, boolean mayRunTwice) {
+        TestingPolicies policies = new TestingPolicies(settings(idempotence, scope));
+        assertThat(policies.retries.mayRunTwice(policies.admit())).isEqualTo(mayRunTwice);
+    }
+
+    @Test
+    public void attemptsTheFirstRequestOfAKeyOnly() {
+        TestingSettings settings = new TestingSettings();
+        settings.inOrder = true;
+        TestingPolicies policies = new TestingPolicies(settings);
+        TrackedRequest first = policies.admit(77, TestingPolicies.WORK_MS);
+        TrackedRequest second = policies.admit(77, TestingPolicies.WORK_MS);
+        assertThat(policies.retries.mayAttempt(first, policies.listEngine(1))).isTrue();
+        assertThat(policies.retries.mayAttempt(second, policies.listEngine(1))).isFalse();
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
@@ -0,0 +1,210 @@
+package lineward.scheduling.decision;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.OptionalDouble;
+import lineward.scheduling.AttemptOutcome;
+import lineward.scheduling.Idempotence;
+import lineward.scheduling.SchedulerSettings.RetryBudget;
+import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.CancelCause;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.TrackedRequest;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** Runs are of 200 ms by their estimate, and tau is twice that. */
+public class SpeculativeCancellationTest {
+    private static final double TAU_RATIO = 2;
+    private static final double TAU_MS = TAU_RATIO * TestingPolicies.WORK_MS;
+    private static final double PROGRESS_INTERVAL_MS = 100;
+
+    private static boolean shouldCancel(TestingPolicies policies, Attempt attempt) {
+        return new SpeculativeCancellation(
+                        policies.context, policies.cancellation, policies.retries, policies.eligibility)
+                .shouldCancel(attempt);
+    }
+
+    private static TestingPolicies policiesWithTau(TestingSettings settings) {
+        TestingPolicies policies = new TestingPolicies(settings);
+        policies.learnUsualRunTime();
+        policies.context.requestClass(0).setTauRatio(OptionalDouble.of(TAU_RATIO));
+        policies.listEngine(1);
+        policies.listEngine(2);
+        return policies;
+    }
+
+    /** The conditions of a cancel at tau; in each row but the first one of them is not met. */
+    private enum Unmet {
+        NONE,
+        CANCEL_PERMITTED,
+        NOT_YET_CANCELLED,
+        RESPONSE_NOT_STARTED,
+        IDEMPOTENT,
+        ATTEMPTS_LEFT,
+        WITHIN_RETRY_BUDGET,
+        ENGINE_FOR_A_RELAUNCH,
+        TIME_FOR_A_RELAUNCH,
+        NOT_EXEMPT,
+        NOT_WAITING,
+        NOT_RELAUNCHED,
+        ENOUGH_COMPLETED_RUNS,
+        TAU_KNOWN;
+
+        TestingSettings settings() {
+            TestingSettings settings = new TestingSettings();
+            settings.cancel = this != CANCEL_PERMITTED;
+            settings.idempotence = this == IDEMPOTENT ? Idempotence.NON_IDEMPOTENT : Idempotence.IDEMPOTENT;
+            settings.maxAttempts = this == ATTEMPTS_LEFT ? 1 : 2 + (this == NOT_RELAUNCHED ? 1 : 0);
+            settings.retryBudget = new RetryBudget(10_000, this == WITHIN_RETRY_BUDGET ? 0 : 2, 0);
+            return settings;
+        }
+
+        TestingPolicies policies() {
+            TestingPolicies policies = new TestingPolicies(settings());
+            policies.listEngine(1);
+            if (this != ENGINE_FOR_A_RELAUNCH) {
+                policies.listEngine(2);
+            }
+            policies.listEngine(3).health().eject();
+            if (this != ENOUGH_COMPLETED_RUNS) {
+                policies.learnUsualRunTime();
+            }
+            if (this != TAU_KNOWN) {
+                policies.context.requestClass(0).setTauRatio(OptionalDouble.of(TAU_RATIO));
+            }
+            return policies;
+        }
+
+        void apply(TestingPolicies policies, Attempt attempt) {
+            switch (this) {
+                case NOT_YET_CANCELLED -> attempt.cancel(CancelCause.REQUEST_COMPLETED);
+                case RESPONSE_NOT_STARTED -> attempt.request().startResponse();
+                case NOT_WAITING -> attempt.setWaiting(true, policies.context.nowMs());
+                case TIME_FOR_A_RELAUNCH -> policies.advance(TestingPolicies.TIME_LEFT_MS - TAU_MS - 199);
+                default -> {}
+            }
+        }
+    }
+
+    @DataProvider
+    public Object[][] conditions() {
+        return TestingPolicies.oneUnmetEach(Unmet.values());
+    }
+
+    @Test(dataProvider = "conditions")
+    public void cancelsAtTauIfEachConditionIsMet(Unmet unmet, boolean cancelled) {
+        TestingPolicies policies = unmet.policies();
+        TrackedRequest request = unmet == Unmet.NOT_EXEMPT ? policies.admitExempt() : policies.admit();
+        if (unmet == Unmet.NOT_RELAUNCHED) {
+            policies.cancelAndRequeue(policies.start(request, policies.listEngine(4)));
+        }
+        Attempt attempt = policies.start(request, policies.listEngine(1));
+        policies.advance(TAU_MS);
+        unmet.apply(policies, attempt);
+        assertThat(shouldCancel(policies, attempt)).isEqualTo(cancelled);
+    }
+
+    /** Run time of an attempt without progress reports, whether it is cancelled. */
+    @DataProvider
+    public Object[][] runTimes() {
+        return new Object[][] {{TAU_MS - 1, false}, {TAU_MS, true}, {4_800, true}, {4_801, false}};
+    }
+
+    @Test(dataProvider = "runTimes")
+    public void cancelsFromTauUntilARelaunchCannotBeInTime(double runMs, boolean cancelled) {
+        TestingPolicies policies = policiesWithTau(new TestingSettings());
+        Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
+        policies.advance(runMs);
+        assertThat(shouldCancel(policies, attempt)).isEqualTo(cancelled);
+    }
+
+    /** Run time at the report, ratio done then, age of the report, whether the attempt is cancelled. */
+    @DataProvider
+    public Object[][] progress() {
+        return new Object[][] {
+            {TAU_MS, 0.66, 0, true},
+            {TAU_MS, 0.67, 0, false},
+            {TAU_MS, 0.67, 249, false},
+            {TAU_MS, 0.67, 250, true},
+            {TAU_MS / 2, 0.33, 0, true},
+            {TAU_MS / 2, 0.34, 0, false},
+            {TAU_MS - 251, 0.1, 250, false},
+        };
+    }
+
+    @Test(dataProvider = "progress")
+    public void sparesWhatIsNearlyDoneAndCancelsEarlyWhatIsFarFromIt(
+            double runMs, double ratioDone, double reportAgeMs, boolean cancelled) {
+        TestingSettings settings = new TestingSettings();
+        settings.progressIntervalMs = PROGRESS_INTERVAL_MS;
+        TestingPolicies policies = policiesWithTau(settings);
+        Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
+        policies.advance(runMs);
+        attempt.recordProgress(ratioDone, policies.context.nowMs());
+        policies.advance(reportAgeMs);
+        assertThat(shouldCancel(policies, attempt)).isEqualTo(cancelled);
+    }
+
+    /** Ratio that a relaunch has done after 400 ms, whether it waits, whether it is relaunched again. */
+    @DataProvider
+    public Object[][] relaunches() {
+        return new Object[][] {{0.33, false, true}, {0.34, false, false}, {0.33, true, false}};
+    }
+
+    @Test(dataProvider = "relaunches")
+    public void cancelsARelaunchThatStandsStill(double ratioDone, boolean waiting, boolean cancelled) {
+        TestingSettings settings = new TestingSettings();
+        settings.progressIntervalMs = PROGRESS_INTERVAL_MS;
+        TestingPolicies policies = policiesWithTau(settings);
+        TrackedRequest request = policies.admit();
+        policies.cancelAndRequeue(policies.start(request, policies.listEngine(3)));
+        Attempt relaunch = policies.start(request, policies.listEngine(1));
+        policies.advance(400);
+        relaunch.recordProgress(ratioDone, policies.context.nowMs());
+        relaunch.setWaiting(waiting, policies.context.nowMs());
+        assertThat(shouldCancel(policies, relaunch)).isEqualTo(cancelled);
+    }
+
+    /** Whether the attempt is a recovery probe of its ejected engine, run time, whether it is cancelled. */
+    @DataProvider
+    public Object[][] ejections() {
+        return new Object[][] {{false, 0, true}, {true, 0, false}, {true, 700, false}, {true, 701, true}};
+    }
+
+    @Test(dataProvider = "ejections")
+    public void cancelsOnEjectedEnginesAllButRecoveryProbesInTime(
+            boolean recoveryProbe, double runMs, boolean cancelled) {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        policies.listEngine(2);
+        Engine ejected = policies.listEngine(1);
+        if (recoveryProbe) {
+            ejected.health().eject();
+        }
+        Attempt attempt = policies.start(policies.admit(), ejected);
+        ejected.health().eject();
+        policies.advance(runMs);
+        assertThat(shouldCancel(policies, attempt)).isEqualTo(cancelled);
+    }
+
+    @Test
+    public void exemptsAFiftiethOfTheRequests() {
+        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        SpeculativeCancellation speculation = new SpeculativeCancellation(
+                policies.context, policies.cancellation, policies.retries, policies.eligibility);
+        int exempt = 0;
+        for (int request = 0; request < 10_000; request++) {
+            exempt += speculation.drawExempt() ? 1 : 0;
+        }
+        assertThat(exempt).isBetween(150, 250);
+    }
+
+    @Test
+    public void cancelsNothingThatHasEnded() {
+        TestingPolicies policies = policiesWithTau(new TestingSettings());
+        Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
+        policies.advance(TAU_MS);
+        policies.end(attempt, AttemptOutcome.OK);
+        assertThat(shouldCancel(policies, attempt)).isFalse();
+    }
+}
--- /dev/null
+++ b/src/test/java/lineward/scheduling/decision/TestingPolicies.java
@@ -0,0 +1,191 @@
+package lineward.scheduling.decision;
+
+import java.util.Arrays;
+import java.util.List;
+import lineward.scheduling.AttemptOutcome;
+import lineward.scheduling.Endpoint;
+import lineward.scheduling.EndpointState;
+import lineward.scheduling.SchedulerEvent;
+import lineward.scheduling.estimation.ServiceTimeModel;
+import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.CancelCause;
+import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.EngineCapacity;
+import lineward.scheduling.state.LoadReports;
+import lineward.scheduling.state.RetryBudgetTracker;
+import lineward.scheduling.state.SchedulerContext;
+import lineward.scheduling.state.TrackedRequest;
+
+/** The policies of one scheduler over a state that the test builds, on a clock that the test sets. */
+final class TestingPolicies {
+    static final double START_MS = 100_000;
+    /** Estimated work of a request; its objective is at 1,200 ms and its deadline at 5,000 ms. */
+    static final double WORK_MS = 200;
+
+    static final long NO_KEY = 0;
+    static final double NO_MEMORY_ESTIMATE = 0;
+    static final double TIME_LEFT_MS = 5_000;
+    /** Threads in flight at which an engine of 8 cores is at its limit. */
+    static final int THREAD_LIMIT = 12;
+
+    private static final long SEED = 7;
+    /** So many that the prior runs at the usual speed have little weight. */
+    private static final int SLOW_RUNS = 500;
+
+    final SchedulerContext context;
+    final EngineCapacity capacity;
+    final RetryBudgetTracker budget;
+    final LoadReports reports;
+    final SlowStart slowStart;
+    final ResourceLimits resources;
+    final OutlierDetector outliers;
+    final KeyOrder keyOrder;
+    final ConcurrencyLimits limits;
+    final RetryPolicy retries;
+    final EngineEligibility eligibility;
+    final CancellationPolicy cancellation;
+    final EngineLoadScore loadScore;
+    private long lastRequest;
+
+    TestingPolicies(TestingSettings settings) {
+        context = new SchedulerContext(settings.build(), SEED);
+        context.beginDecision(START_MS);
+        capacity = new EngineCapacity(context);
+        budget = new RetryBudgetTracker(context);
+        reports = new LoadReports(context);
+        slowStart = new SlowStart(context, capacity);
+        resources = new ResourceLimits(context);
+        outliers = new OutlierDetector(context);
+        keyOrder = new KeyOrder(context);
+        limits = new ConcurrencyLimits(context, capacity, reports, resources);
+        retries = new RetryPolicy(context, keyOrder, budget);
+        eligibility = new EngineEligibility(context, limits, slowStart);
+        cancellation = new CancellationPolicy(context);
+        loadScore = new EngineLoadScore(context, limits, slowStart, resources, reports, capacity);
+    }
+
+    /** Returns a row for each unmet condition, whose decision is true for the first one only: none. */
+    static Object[][] oneUnmetEach(Enum<?>[] conditions) {
+        return Arrays.stream(conditions)
+                .map(unmet -> new Object[] {unmet, unmet == conditions[0]})
+                .toArray(Object[][]::new);
+    }
+
+    void advance(double ms) {
+        context.beginDecision(context.nowMs() + ms);
+    }
+
+    Engine listEngine(long id) {
+        return listEngine(id, 0, 0);
+    }
+
+    Engine listEngine(long id, int zone, int cell) {
+        return list(new Endpoint(id, 0, 1, Endpoint.STARTED_LONG_AGO, EndpointState.READY, zone, cell));
+    }
+
+    Engine listEngineStartedAt(long id, double startedAtMs) {
+        return list(new Endpoint(id, 0, 1, startedAtMs, EndpointState.READY, 0, 0));
+    }
+
+    Engine listEngine(long id, EndpointState state) {
+        return list(new Endpoint(id, 0, 1, Endpoint.STARTED_LONG_AGO, state, 0, 0));
+    }
+
+    private Engine list(Endpoint endpoint) {
+        context.updateEngine(endpoint);
+        context.countReadyCores();
+        return context.engine(endpoint.engine());
+    }
+
+    TrackedRequest admit() {
+        return admit(NO_KEY, WORK_MS);
+    }
+
+    TrackedRequest admit(long key, double workMs) {
+        return admit(0, key, workMs, NO_MEMORY_ESTIMATE);
+    }
+
+    /** Admits a request with a table group of its own. */
+    TrackedRequest admit(int requestClass, long key, double workMs, double memoryMb) {
+        lastRequest++;
+        return admit(requestClass, key, workMs, memoryMb, (int) lastRequest);
+    }
+
+    TrackedRequest admitOfGroup(int requestClass, int tableGroup) {
+        lastRequest++;
+        return admit(requestClass, NO_KEY, WORK_MS, NO_MEMORY_ESTIMATE, tableGroup);
+    }
+
+    private TrackedRequest admit(int requestClass, long key, double workMs, double memoryMb, int tableGroup) {
+        TrackedRequest request = context.admit(
+                new SchedulerEvent.RequestArrived(
+                        lastRequest, requestClass, key, TIME_LEFT_MS, workMs, memoryMb, tableGroup, false, 0),
+                false);
+        keyOrder.add(request);
+        return request;
+    }
+
+    /** Admits a request that is never cancelled because it is slow. */
+    TrackedRequest admitExempt() {
+        lastRequest++;
+        return context.admit(
+                new SchedulerEvent.RequestArrived(
+                        lastRequest, 0, NO_KEY, TIME_LEFT_MS, WORK_MS, NO_MEMORY_ESTIMATE, 0, false, 0),
+                true);
+    }
+
+    Attempt start(TrackedRequest request, Engine engine) {
+        double nowMs = context.nowMs();
+        Attempt attempt = new Attempt(request, engine, resources.grantMb(request, engine), nowMs);
+        if (!request.attempts().isEmpty()) {
+            budget.recordRetry();
+        }
+        request.startAttempt(attempt);
+        request.type().recordStart(nowMs);
+        engine.startAttempt(attempt, request.type().slowStartWorkMs(request, nowMs), nowMs);
+        return attempt;
+    }
+
+    /** Starts that many attempts of one thread at the engine, each of a new request. */
+    void fill(Engine engine, int attempts) {
+        for (int i = 0; i < attempts; i++) {
+            start(admit(), engine);
+        }
+    }
+
+    void end(Attempt attempt, AttemptOutcome outcome) {
+        attempt.end();
+        attempt.request().endAttempt(attempt, outcome);
+        attempt.engine().endAttempt(attempt);
+    }
+
+    /** Ends an attempt and queues its request again, as after an outcome that allows a retry. */
+    void endAndRequeue(Attempt attempt, AttemptOutcome outcome) {
+        end(attempt, outcome);
+        attempt.request().requeue(attempt);
+    }
+
+    /** Cancels an attempt as slow and queues its request again; the next attempt is a relaunch. */
+    void cancelAndRequeue(Attempt attempt) {
+        attempt.cancel(CancelCause.SLOW);
+        endAndRequeue(attempt, AttemptOutcome.CANCELLED);
+    }
+
+    /** Adds as many completed runs of all classes as tau needs. */
+    void learnUsualRunTime() {
+        for (int run = 0; run < ServiceTimeModel.MIN_COMPLETED_RUNS; run++) {
+            context.serviceTimes().add(1);
+        }
+    }
+
+    /** Adds recent runs of all classes that were slower than usual by that factor, and recomputes. */
+    void slowDown(double factor) {
+        double nowMs = context.nowMs();
+        context.classes().forEach(type -> {
+            for (int run = 0; run < SLOW_RUNS; run++) {
+                type.model().addSlowdown(Math.log(factor), nowMs);
+            }
+            type.model().recompute(nowMs, List.of());
+        });
+    }
+}
