--- a/src/test/java/lineward/scheduling/ActionDigest.java
+++ b/src/test/java/lineward/scheduling/ActionDigest.java
@@ -6,14 +6,14 @@
 import java.util.HexFormat;
 
 /**
- * A digest over a sequence of values. It sees numbers and fixed tags only, never names of types, so that it
- * outlives a renaming.
+ * A digest of a sequence of values. It covers numbers and fixed tags and no names of types, so that a
+ * renamed type does not change it.
  */
 public final class ActionDigest {
     private final MessageDigest sha256;
     private final ByteBuffer eightBytes = ByteBuffer.allocate(Long.BYTES);
 
-    /** An empty digest. */
+    /** Creates an empty digest. */
     public ActionDigest() {
         try {
             sha256 = MessageDigest.getInstance("SHA-256");
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Takes in the tag of a kind of message and its numbers. */
+    /** Adds the tag of a kind of message and its numbers. */
     public ActionDigest add(char tag, double... values) {
         sha256.update((byte) tag);
         for (double value : values) {
@@ -33,31 +33,32 @@
         return this;
     }
 
-    /** Takes in bytes, their number first. */
+    /** Adds bytes, after their number. */
     public ActionDigest add(char tag, byte[] bytes) {
         add(tag, bytes.length);
         sha256.update(bytes);
         return this;
     }
 
-    /** Takes in one action of the decision module. */
+    /** Adds one action of the scheduler. */
     public void add(SchedulerAction action) {
-        if (action instanceof SchedulerAction.StartAttempt a) {
-            add('S', (double) a.request(), (double) a.engine(), a.timeoutMs(), a.startWithinMs());
-        } else if (action instanceof SchedulerAction.CancelAttempt a) {
-            add('C', (double) a.request(), a.attempt());
-        } else if (action instanceof SchedulerAction.Reject a) {
-            add('R', (double) a.request(), a.retryAfterMs());
-        } else if (action instanceof SchedulerAction.Fail a) {
-            add('F', (double) a.request());
-        } else if (action instanceof SchedulerAction.SetResourceLimits a) {
-            add('L', (double) a.request(), a.grantMb(), a.priority());
-        } else if (action instanceof SchedulerAction.BroadcastGossip a) {
-            add('A', a.payload());
-        } else if (action instanceof SchedulerAction.StartHealthCheck a) {
-            add('P', (double) a.engine());
-        } else if (action instanceof SchedulerAction.ScheduleTimer a) {
-            add('T', a.delayMs(), a.token());
+        if (action instanceof SchedulerAction.StartAttempt added) {
+            double engine = added.engine();
+            add('S', (double) added.request(), engine, added.timeoutMs(), added.startWithinMs());
+        } else if (action instanceof SchedulerAction.CancelAttempt added) {
+            add('C', (double) added.request(), added.attempt());
+        } else if (action instanceof SchedulerAction.Reject added) {
+            add('R', (double) added.request(), added.retryAfterMs());
+        } else if (action instanceof SchedulerAction.Fail added) {
+            add('F', (double) added.request());
+        } else if (action instanceof SchedulerAction.SetResourceLimits added) {
+            add('L', (double) added.request(), added.grantMb(), added.priority());
+        } else if (action instanceof SchedulerAction.BroadcastGossip added) {
+            add('A', added.payload());
+        } else if (action instanceof SchedulerAction.StartHealthCheck added) {
+            add('P', (double) added.engine());
+        } else if (action instanceof SchedulerAction.ScheduleTimer added) {
+            add('T', added.delayMs(), added.token());
         } else if (action instanceof SchedulerAction.WatchEndpoints) {
             add('W');
         } else if (action instanceof SchedulerAction.LogMessage) {
@@ -67,7 +68,7 @@
         }
     }
 
-    /** The first 16 hexadecimal digits of the digest; nothing can be added after it. */
+    /** Returns the first 16 hexadecimal digits of the digest; nothing can be added after it. */
     public String toHex() {
         return HexFormat.of().formatHex(sha256.digest()).substring(0, 16);
     }
--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -14,14 +14,13 @@
 import org.testng.annotations.Test;
 
 /**
- * Holds every decision of the module, its order and each random draw: digests of all actions on seeded days,
- * recorded from one version of the module. A change that means to decide otherwise records new ones and
- * says so.
- * The digests hold on the processors that Java's mathematical intrinsics treat alike (x86-64).
+ * Compares every decision, its order and each random draw with digests of all actions on seeded days. A
+ * change that decides otherwise on purpose records new digests. The digests are those of x86-64, whose
+ * mathematical intrinsics Java treats alike.
  */
 public class DecisionDigestTest {
     private static final int ENGINES = 9;
-    private static final int LEAST_ACTIONS = 1_000;
+    private static final int MIN_ACTIONS = 1_000;
 
     private enum Site {
         PLAIN,
@@ -48,20 +47,20 @@
     }
 
     @Test(dataProvider = "days")
-    public void theDecisionsOfADayAreThoseRecorded(Site site, int fronts, long seed, String recorded) {
-        SeededDay day = new SeededDay(settings(site, fronts), ENGINES, seed).play();
-        assertTrue(day.actions() > LEAST_ACTIONS, "only " + day.actions() + " actions");
+    public void decisionsMatchTheRecordedDigest(Site site, int frontEnds, long seed, String recorded) {
+        SeededDay day = new SeededDay(settings(site, frontEnds), ENGINES, seed).play();
+        assertTrue(day.actions() > MIN_ACTIONS, "only " + day.actions() + " actions");
         assertEquals(day.digest(), recorded);
     }
 
-    private static SchedulerSettings settings(Site site, int fronts) {
+    private static SchedulerSettings settings(Site site, int frontEnds) {
         List<LoadReportField> report = site == Site.REPORTING
                 ? List.of(LoadReportField.IN_FLIGHT, LoadReportField.MEMORY, LoadReportField.LATENCY)
                 : List.of();
         return new SchedulerSettings(
                 classes(),
                 List.of(new EngineKind(4, 8_000), new EngineKind(8, 16_000), new EngineKind(6, 0)),
-                new SchedulerSettings.FleetPosition(3, 1, fronts, fronts / 2),
+                new SchedulerSettings.FleetPosition(3, 1, frontEnds, frontEnds / 2),
                 limits(site),
                 rules(site),
                 new SchedulerSettings.Reporting(report, false),
@@ -81,9 +80,9 @@
     }
 
     private static RequestClass requestClass(
-            Idempotence effect,
+            Idempotence idempotence,
             DeduplicationScope scope,
-            double keyTtl,
+            double keyTtlMs,
             boolean inOrder,
             List<Integer> kinds,
             List<Integer> zones,
@@ -92,7 +91,7 @@
             int threads) {
         return new RequestClass(
                 new RequestClass.Objective(900, 1.5, 5_000, threads, load ? 0.4 : 0),
-                new RequestClass.Repeatability(effect, scope, keyTtl, inOrder),
+                new RequestClass.Repeatability(idempotence, scope, keyTtlMs, inOrder),
                 new RequestClass.Placement(kinds, zones),
                 new RequestClass.Workload(load, waitsForLoads, threads));
     }
--- a/src/test/java/lineward/scheduling/SeededDay.java
+++ b/src/test/java/lineward/scheduling/SeededDay.java
@@ -10,6 +10,7 @@
 import static lineward.scheduling.AttemptOutcome.TIMEOUT;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -30,37 +31,35 @@
 import lineward.scheduling.execution.SpeculativeScheduler;
 
 /**
- * A day of random but legal events for one decision module. Engines serve, straggle, fail, fall silent,
- * drain and
- * come back cold; clients leave; peers send gossip. The same seed and settings give the same events as
- * long as the
- * module gives the same actions.
+ * A day of random but legal events for one scheduler. Engines answer, straggle, fail, fall silent, drain and
+ * restart; clients cancel; peers send gossip. The same seed and settings give the same events as long as the
+ * scheduler gives the same actions.
  */
 final class SeededDay {
-    private static final double START = 1_000;
-    private static final double ARRIVALS_UNTIL = 20_000;
-    private static final double DAY_ENDS = 40_000;
-    private static final double MEAN_SERVICE = 180;
+    private static final double START_MS = 1_000;
+    private static final double ARRIVAL_PERIOD_MS = 20_000;
+    private static final double END_MS = 40_000;
+    private static final double MEAN_RUN_MS = 180;
     private static final int REPORT_FIELDS = 3;
 
-    private record Due(double at, long order, SchedulerEvent event) {}
+    private record Due(double atMs, long order, SchedulerEvent event) {}
 
-    private static final class Open {
-        final double deadline;
+    private static final class OpenRequest {
+        final double deadlineMs;
         int attempts;
 
-        Open(double deadline) {
-            this.deadline = deadline;
+        OpenRequest(double deadlineMs) {
+            this.deadlineMs = deadlineMs;
         }
     }
 
     private final Random random;
     private final SchedulerSettings settings;
-    private final Scheduler module;
+    private final Scheduler scheduler;
     private final int engineCount;
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(
-            (a, b) -> a.at() != b.at() ? Double.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
-    private final Map<Long, Open> requests = new HashMap<>();
+    private final PriorityQueue<Due> queue =
+            new PriorityQueue<>(Comparator.comparingDouble(Due::atMs).thenComparingLong(Due::order));
+    private final Map<Long, OpenRequest> requests = new HashMap<>();
     private final Map<Long, Double> silentUntil = new HashMap<>();
     private final ActionDigest digest = new ActionDigest();
     private long order;
@@ -70,26 +69,26 @@
         this.settings = settings;
         this.engineCount = engineCount;
         this.random = new Random(seed);
-        this.module = new SpeculativeScheduler(settings, seed);
+        this.scheduler = new SpeculativeScheduler(settings, seed);
     }
 
     /** Plays the day to its end. */
     SeededDay play() {
         scheduleEndpoints();
         scheduleArrivals();
-        schedulePeers();
-        while (!queue.isEmpty() && queue.peek().at() < DAY_ENDS) {
-            double now = queue.peek().at();
+        scheduleGossip();
+        while (!queue.isEmpty() && queue.peek().atMs() < END_MS) {
+            double nowMs = queue.peek().atMs();
             List<SchedulerEvent> batch = new ArrayList<>();
-            while (!queue.isEmpty() && queue.peek().at() == now) {
-                takeIn(queue.poll().event(), now, batch);
+            while (!queue.isEmpty() && queue.peek().atMs() == nowMs) {
+                recordEvent(queue.poll().event(), nowMs, batch);
             }
-            for (SchedulerAction action : module.decide(now, batch)) {
+            for (SchedulerAction action : scheduler.decide(nowMs, batch)) {
                 actions++;
                 digest.add(action);
-                perform(action, now);
+                perform(action, nowMs);
             }
-            digest.add('N', now, module.excludedEngines());
+            digest.add('N', nowMs, scheduler.excludedEngines());
         }
         return this;
     }
@@ -102,110 +101,111 @@
         return digest.toHex();
     }
 
-    private void schedule(double at, SchedulerEvent event) {
-        queue.add(new Due(at, order++, event));
+    private void schedule(double atMs, SchedulerEvent event) {
+        queue.add(new Due(atMs, order++, event));
     }
 
-    private Endpoint listed(long engine, EndpointState condition, double upSince) {
+    private Endpoint listed(long engine, EndpointState state, double startedAtMs) {
         int kind = (int) (engine % settings.kinds().size());
         int zone = (int) (engine % Math.max(1, settings.position().zones()));
-        return new Endpoint(engine, kind, 1, upSince, condition, zone, (int) (engine / 2 % 3));
+        return new Endpoint(engine, kind, 1, startedAtMs, state, zone, (int) (engine / 2 % 3));
     }
 
     private void scheduleEndpoints() {
         List<Endpoint> list = new ArrayList<>();
         for (long engine = 1; engine <= engineCount; engine++) {
-            list.add(listed(engine, EndpointState.READY, engine % 5 == 0 ? START - 500 : 0));
+            list.add(listed(engine, EndpointState.READY, engine % 5 == 0 ? START_MS - 500 : 0));
         }
-        schedule(START, new EndpointsChanged(true, list));
+        schedule(START_MS, new EndpointsChanged(true, list));
         for (int i = 0; i < 24; i++) {
-            double at = START + random.nextDouble() * ARRIVALS_UNTIL;
+            double atMs = START_MS + random.nextDouble() * ARRIVAL_PERIOD_MS;
             long engine = 1L + random.nextInt(engineCount);
-            EndpointState condition = List.of(EndpointState.values()).get(random.nextInt(3));
-            schedule(at, new EndpointsChanged(false, List.of(listed(engine, condition, 0))));
-            Endpoint restarted = listed(engine, EndpointState.READY, at + 600);
-            schedule(at + 700, new EndpointsChanged(false, List.of(restarted)));
+            EndpointState state = List.of(EndpointState.values()).get(random.nextInt(3));
+            schedule(atMs, new EndpointsChanged(false, List.of(listed(engine, state, 0))));
+            Endpoint restarted = listed(engine, EndpointState.READY, atMs + 600);
+            schedule(atMs + 700, new EndpointsChanged(false, List.of(restarted)));
         }
-        schedule(START + 9_000, new EndpointsChanged(true, list));
-        schedule(START + 5_000, new DiscoveryFailed());
-        schedule(START + 6_000, new MaintenanceChanged(2, true, START + 6_000));
-        schedule(START + 9_500, new MaintenanceChanged(2, false, START + 9_500));
-        schedule(START + 7_000, new MaintenanceChanged(engineCount + 9, true, START + 7_000));
-        schedule(START + 11_000, new QuotaChanged(0.5));
-        schedule(START + 14_000, new QuotaChanged(1));
-        silentUntil.put(3L, START + 8_000);
+        schedule(START_MS + 9_000, new EndpointsChanged(true, list));
+        schedule(START_MS + 5_000, new DiscoveryFailed());
+        schedule(START_MS + 6_000, new MaintenanceChanged(2, true, START_MS + 6_000));
+        schedule(START_MS + 9_500, new MaintenanceChanged(2, false, START_MS + 9_500));
+        schedule(START_MS + 7_000, new MaintenanceChanged(engineCount + 9, true, START_MS + 7_000));
+        schedule(START_MS + 11_000, new QuotaChanged(0.5));
+        schedule(START_MS + 14_000, new QuotaChanged(1));
+        silentUntil.put(3L, START_MS + 8_000);
     }
 
     private void scheduleArrivals() {
         int count = 700;
         for (int request = 1; request <= count; request++) {
-            double at = START + random.nextDouble() * ARRIVALS_UNTIL;
+            double atMs = START_MS + random.nextDouble() * ARRIVAL_PERIOD_MS;
             int type = random.nextInt(settings.classes().size());
             long key = random.nextInt(3) == 0 ? 1 + random.nextInt(6) : 0;
-            double timeLeft = random.nextInt(25) == 0 ? 0 : 800 + random.nextInt(5_000);
-            double cost = random.nextInt(4) == 0 ? 0 : 50 + random.nextInt(700);
+            double timeLeftMs = random.nextInt(25) == 0 ? 0 : 800 + random.nextInt(5_000);
+            double workMs = random.nextInt(4) == 0 ? 0 : 50 + random.nextInt(700);
             schedule(
-                    at,
+                    atMs,
                     new RequestArrived(
                             request,
                             type,
                             key,
-                            timeLeft,
-                            cost,
+                            timeLeftMs,
+                            workMs,
                             random.nextInt(1_500),
                             random.nextInt(6),
                             random.nextInt(9) == 0,
                             random.nextInt(2)));
             if (random.nextInt(20) == 0) {
-                schedule(at + random.nextInt(900), new RequestCancelled(request));
+                schedule(atMs + random.nextInt(900), new RequestCancelled(request));
             }
         }
     }
 
-    private void schedulePeers() {
+    private void scheduleGossip() {
         for (int i = 0; i < 60 && settings.limits().capabilities().gossip(); i++) {
-            byte[] octets = new byte[random.nextInt(60)];
-            random.nextBytes(octets);
-            schedule(START + random.nextDouble() * ARRIVALS_UNTIL, new GossipReceived(i % 3, octets));
+            byte[] payload = new byte[random.nextInt(60)];
+            random.nextBytes(payload);
+            schedule(START_MS + random.nextDouble() * ARRIVAL_PERIOD_MS, new GossipReceived(i % 3, payload));
         }
     }
 
-    private void takeIn(SchedulerEvent event, double now, List<SchedulerEvent> batch) {
+    private void recordEvent(SchedulerEvent event, double nowMs, List<SchedulerEvent> batch) {
         if (event instanceof RequestArrived arrival) {
-            requests.put(arrival.request(), new Open(now + arrival.timeLeftMs()));
+            requests.put(arrival.request(), new OpenRequest(nowMs + arrival.timeLeftMs()));
         }
         batch.add(event);
     }
 
-    private void perform(SchedulerAction action, double now) {
-        if (action instanceof SchedulerAction.StartAttempt send) {
-            start(send, now);
+    private void perform(SchedulerAction action, double nowMs) {
+        if (action instanceof SchedulerAction.StartAttempt start) {
+            start(start, nowMs);
         } else if (action instanceof SchedulerAction.CancelAttempt cancel) {
-            cancel(cancel, now);
-        } else if (action instanceof SchedulerAction.StartHealthCheck probe) {
-            answerProbe(probe, now);
-        } else if (action instanceof SchedulerAction.ScheduleTimer after) {
-            schedule(now + after.delayMs(), new TimerFired(after.token()));
+            cancel(cancel, nowMs);
+        } else if (action instanceof SchedulerAction.StartHealthCheck check) {
+            completeHealthCheck(check, nowMs);
+        } else if (action instanceof SchedulerAction.ScheduleTimer timer) {
+            schedule(nowMs + timer.delayMs(), new TimerFired(timer.token()));
         }
     }
 
-    private void start(SchedulerAction.StartAttempt send, double now) {
-        Open open = requests.get(send.request());
-        int attempt = open.attempts++;
-        double service = MEAN_SERVICE * -Math.log(1 - random.nextDouble());
-        service *= random.nextInt(12) == 0 ? 12 : 1;
-        double silence = silentUntil.getOrDefault(send.engine(), 0.0);
-        double end = Math.max(now + 5 + service, silence > now ? silence + service : 0);
-        scheduleNotes(send.request(), attempt, now, Math.min(end, open.deadline), silence > now);
+    private void start(SchedulerAction.StartAttempt start, double nowMs) {
+        OpenRequest request = requests.get(start.request());
+        int attempt = request.attempts++;
+        double runMs = MEAN_RUN_MS * -Math.log(1 - random.nextDouble());
+        runMs *= random.nextInt(12) == 0 ? 12 : 1;
+        double silentUntilMs = silentUntil.getOrDefault(start.engine(), 0.0);
+        double endMs = Math.max(nowMs + 5 + runMs, silentUntilMs > nowMs ? silentUntilMs + runMs : 0);
+        double progressUntilMs = Math.min(endMs, request.deadlineMs);
+        scheduleProgress(start.request(), attempt, nowMs, progressUntilMs, silentUntilMs > nowMs);
         AttemptOutcome outcome = drawOutcome();
-        if (end >= open.deadline) {
-            end = Math.max(now, open.deadline);
+        if (endMs >= request.deadlineMs) {
+            endMs = Math.max(nowMs, request.deadlineMs);
             outcome = TIMEOUT;
         }
-        schedule(end, verdict(send.request(), attempt, outcome));
+        schedule(endMs, attemptEnded(start.request(), attempt, outcome));
     }
 
-    private void scheduleNotes(long request, int attempt, double from, double until, boolean silent) {
+    private void scheduleProgress(long request, int attempt, double from, double until, boolean silent) {
         if (silent) {
             return;
         }
@@ -213,10 +213,10 @@
             ProgressKind kind = List.of(ProgressKind.values()).get(1 + random.nextInt(3));
             schedule(from + 3, new AttemptProgress(request, attempt, kind, random.nextInt(300)));
         }
-        double every = settings.limits().attempts().progressIntervalMs();
-        for (double at = from + every; every > 0 && at < until; at += every) {
-            double done = (at - from) / (until - from) * (0.6 + 0.4 * random.nextDouble());
-            schedule(at, new AttemptProgress(request, attempt, ProgressKind.RATIO_DONE, done));
+        double intervalMs = settings.limits().attempts().progressIntervalMs();
+        for (double atMs = from + intervalMs; intervalMs > 0 && atMs < until; atMs += intervalMs) {
+            double done = (atMs - from) / (until - from) * (0.6 + 0.4 * random.nextDouble());
+            schedule(atMs, new AttemptProgress(request, attempt, ProgressKind.RATIO_DONE, done));
         }
         if (random.nextInt(15) == 0) {
             schedule(until - 1, new ResponseStarted(request, attempt));
@@ -234,21 +234,21 @@
         };
     }
 
-    private AttemptEnded verdict(long request, int attempt, AttemptOutcome outcome) {
-        boolean tells = outcome == OK && random.nextBoolean();
-        double work = tells ? 40 + random.nextInt(900) : 0;
-        double memory = tells ? 20 + random.nextInt(1_800) : 0;
+    private AttemptEnded attemptEnded(long request, int attempt, AttemptOutcome outcome) {
+        boolean reportsCost = outcome == OK && random.nextBoolean();
+        double work = reportsCost ? 40 + random.nextInt(900) : 0;
+        double memory = reportsCost ? 20 + random.nextInt(1_800) : 0;
         boolean completed = outcome == OK;
         return new AttemptEnded(request, attempt, outcome, completed, work, memory, new double[0]);
     }
 
-    /** The word of a cancelled attempt's end may cross its own end; the module passes the second one over. */
-    private void cancel(SchedulerAction.CancelAttempt cancel, double now) {
+    /** A cancelled attempt may end on its own meanwhile; the scheduler ignores the second end. */
+    private void cancel(SchedulerAction.CancelAttempt cancel, double nowMs) {
         AttemptOutcome outcome = random.nextInt(10) == 0 ? OK : CANCELLED;
-        schedule(now + 1 + random.nextInt(40), verdict(cancel.request(), cancel.attempt(), outcome));
+        schedule(nowMs + 1 + random.nextInt(40), attemptEnded(cancel.request(), cancel.attempt(), outcome));
     }
 
-    private void answerProbe(SchedulerAction.StartHealthCheck probe, double now) {
+    private void completeHealthCheck(SchedulerAction.StartHealthCheck check, double nowMs) {
         double[] report = new double[REPORT_FIELDS];
         for (int i = 0; i < report.length; i++) {
             report[i] = random.nextDouble() * (i == 0 ? 12 : 1);
@@ -258,7 +258,7 @@
             case 1 -> REJECTED;
             default -> OK;
         };
-        double takes = outcome == TIMEOUT ? 250 : 2 + random.nextInt(20);
-        schedule(now + takes, new HealthCheckCompleted(probe.engine(), outcome, takes, report));
+        double latencyMs = outcome == TIMEOUT ? 250 : 2 + random.nextInt(20);
+        schedule(nowMs + latencyMs, new HealthCheckCompleted(check.engine(), outcome, latencyMs, report));
     }
 }
--- a/src/test/java/lineward/scheduling/StyleTest.java
+++ b/src/test/java/lineward/scheduling/StyleTest.java
@@ -14,10 +14,10 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** Which files hold decisions, how large they are, and how long lines are. */
+/** Limits on the size of decision classes and the length of lines. */
 public class StyleTest {
     private static final int MAX_DECISION_LINES = 300;
-    private static final int MAX_LINE_LENGTH = 110;
+    private static final int MAX_COLUMNS = 110;
 
     @Test
     public void theDeployFileListsEveryDecisionClassAndNoOther() throws IOException {
@@ -46,9 +46,10 @@
     @Test
     public void linesAreShortEnoughToRead() throws IOException {
         try (Stream<Path> files = Files.walk(Path.of("src"))) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
+            for (Path file :
+                    files.filter(path -> path.toString().endsWith(".java")).toList()) {
                 for (String line : Files.readAllLines(file)) {
-                    assertTrue(line.length() <= MAX_LINE_LENGTH, file + ": " + line);
+                    assertTrue(line.length() <= MAX_COLUMNS, file + ": " + line);
                 }
             }
         }
--- a/src/test/java/lineward/scheduling/simulator/AdapterTest.java
+++ b/src/test/java/lineward/scheduling/simulator/AdapterTest.java
@@ -21,12 +21,12 @@
 
     private static byte[] frame(int count, double clock, byte[] tail, ByteBuffer... records) {
         byte[] bytes = new byte[16 + count * 48 + tail.length];
-        ByteBuffer b = ByteBuffer.wrap(bytes);
-        b.putInt(count).putInt(8 + count * 48 + tail.length).putDouble(clock);
-        for (ByteBuffer r : records) {
-            b.put(r.rewind());
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        buffer.putInt(count).putInt(8 + count * 48 + tail.length).putDouble(clock);
+        for (ByteBuffer entry : records) {
+            buffer.put(entry.rewind());
         }
-        b.put(tail);
+        buffer.put(tail);
         return bytes;
     }
 
@@ -74,7 +74,7 @@
     }
 
     @Test
-    public void anOpenedInstanceSendsWhatItIsAsked() {
+    public void openedInstanceStartsAnAttempt() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         int status = Main.run(new ByteArrayInputStream(opening()), out, System.err);
         assertThat(status).isZero();
@@ -102,9 +102,9 @@
         assertThat(error(frame(1, 1, new byte[0], record(0x63)))).contains("before any instance");
         byte[] unknown = frame(2, 1, new byte[0], record(0x18), record(0x63));
         assertThat(error(unknown)).contains("unknown event code 99");
-        byte[] lies = frame(0, 1, new byte[0]);
-        lies[3] = 9;
-        assertThat(error(lies)).contains("does not fit");
+        byte[] wrongLength = frame(0, 1, new byte[0]);
+        wrongLength[3] = 9;
+        assertThat(error(wrongLength)).contains("does not fit");
         assertThat(error(frame(
                         2,
                         1,
@@ -123,18 +123,18 @@
 
     @Test
     public void settingsKeepTheirMeaning() {
-        SchedulerSettings s = SettingsReader.read(SETTINGS);
-        assertThat(s.classes().get(0).repeatability().idempotence()).isEqualTo(Idempotence.IDEMPOTENT);
-        assertThat(s.classes().get(0).placement().kinds()).isNull();
-        assertThat(s.rules().retryBudget().windowMs()).isZero();
-        assertThat(s.limits().attempts().maxPerRequest()).isEqualTo(3);
+        SchedulerSettings settings = SettingsReader.read(SETTINGS);
+        assertThat(settings.classes().get(0).repeatability().idempotence()).isEqualTo(Idempotence.IDEMPOTENT);
+        assertThat(settings.classes().get(0).placement().kinds()).isNull();
+        assertThat(settings.rules().retryBudget().windowMs()).isZero();
+        assertThat(settings.limits().attempts().maxPerRequest()).isEqualTo(3);
         assertThatThrownBy(() -> SettingsReader.read("{\"classes\":[]}")).hasMessageContaining("classes");
         String boundToUnknown = SETTINGS.replace("\"value\"", "\"runs-on\":[\"q\"],\"value\"");
         assertThatThrownBy(() -> SettingsReader.read(boundToUnknown)).hasMessageContaining("unknown kind");
     }
 
     @Test
-    public void theCustomerAndTheWordsOfPeersArePassedOn() {
+    public void tenantAndGossipAreForwarded() {
         java.util.List<SchedulerEvent> seen = new java.util.ArrayList<>();
         BatchReader.Sink sink = new BatchReader.Sink() {
             @Override
@@ -166,14 +166,14 @@
                 record(0x1c).putInt(4).putInt(1).putInt(2));
         new BatchReader().read(3, ByteBuffer.wrap(batch).slice(8, batch.length - 8), sink);
         assertThat(((SchedulerEvent.RequestArrived) seen.get(0)).tenant()).isEqualTo(2);
-        SchedulerEvent.GossipReceived word = (SchedulerEvent.GossipReceived) seen.get(1);
-        assertThat(word.sender()).isEqualTo(4);
-        assertThat(word.payload()).containsExactly(8, 7);
+        SchedulerEvent.GossipReceived gossip = (SchedulerEvent.GossipReceived) seen.get(1);
+        assertThat(gossip.sender()).isEqualTo(4);
+        assertThat(gossip.payload()).containsExactly(8, 7);
         ReplyWriter writer = new ReplyWriter();
         writer.write(java.util.List.of(new SchedulerAction.BroadcastGossip(new byte[] {5, 6})));
         ByteBuffer reply = ByteBuffer.wrap(writer.frame());
         assertThat(reply.get(8)).isEqualTo((byte) 0x17);
-        assertThat(reply.getInt(9)).as("to every peer").isEqualTo(-1);
+        assertThat(reply.getInt(9)).as("to all front ends").isEqualTo(-1);
         assertThat(reply.getInt(17)).isEqualTo(2);
         assertThat(reply.get(32)).isEqualTo((byte) 5);
     }
--- a/src/test/java/lineward/scheduling/state/AttemptStateTest.java
+++ b/src/test/java/lineward/scheduling/state/AttemptStateTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test(dataProvider = "transitions")
-    public void eachEventLeadsToTheStateOfTheTable(AttemptState state, AttemptState cancelled, AttemptState ended) {
+    public void transitionsFollowTheTable(AttemptState state, AttemptState cancelled, AttemptState ended) {
         assertThat(state.cancel()).isEqualTo(cancelled);
         assertThat(state.end()).isEqualTo(ended);
     }
--- a/src/test/java/lineward/scheduling/state/RequestStateTest.java
+++ b/src/test/java/lineward/scheduling/state/RequestStateTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test(dataProvider = "transitions")
-    public void eachEventLeadsToTheStateOfTheTable(
+    public void transitionsFollowTheTable(
             RequestState state,
             RequestState attemptStarted,
             RequestState responseStarted,
