--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -80,8 +80,8 @@
         this.clients = new ConnectedClients(config.bounds().maxClients());
         this.pools = enginePools(loop, config.bounds());
         this.reportTargets = new AttemptReporter.Targets(coordinator, metrics, spool, wakeUp);
-        QueryAdmission dispatcher = new QueryAdmission(config, admission, coordinator, clock, wakeUp, metrics);
-        this.acceptor = new ClientAcceptor(clientContext(dispatcher), Listener.at(config.listen()));
+        QueryDispatcher queries = new QueryAdmission(config, admission, coordinator, clock, wakeUp, metrics);
+        this.acceptor = new ClientAcceptor(clientContext(queries), Listener.at(config.listen()));
     }
 
     private ClientContext clientContext(QueryDispatcher dispatcher) {
@@ -103,7 +103,8 @@
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, bounds.connectTimeoutMs());
-        ConnectionLimits limits = new ConnectionLimits(bounds.connectionsPerEngine(), bounds.connectTimeoutMs());
+        int maxConnections = bounds.connectionsPerEngine();
+        ConnectionLimits limits = new ConnectionLimits(maxConnections, bounds.connectTimeoutMs());
         return new EngineConnectionPools(bootstrap, limits);
     }
 
--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -173,7 +173,9 @@
         }
     }
 
-    /** COM_STMT_SEND_LONG_DATA has no reply; the only way to report excessive data is to close the connection. */
+    /**
+     * COM_STMT_SEND_LONG_DATA has no reply; the only way to report excessive data is to close the connection.
+     */
     private void addLongData(ByteBuf payload) {
         if (payload.readableBytes() < STATEMENT_ID_BYTES + PARAMETER_NUMBER_BYTES) {
             return;
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -8,6 +8,7 @@
 import io.netty.handler.codec.TooLongFrameException;
 import java.util.ArrayDeque;
 import java.util.Deque;
+import java.util.function.Supplier;
 import lineward.mysql.session.PreparedStatements;
 import lineward.mysql.session.SessionSettings;
 import lineward.mysql.wire.Auth;
@@ -58,7 +59,8 @@
         replies = new ReplyWriter(ctx.channel());
         stream = new SpoolStream(this, context.spool(), replies);
         queries = new QueryRunner(this, context, replies, settings, statements, stream);
-        commands = new ClientCommands(this, context.statistics(), replies, settings, statements, stream, queries);
+        Supplier<String> statistics = context.statistics();
+        commands = new ClientCommands(this, statistics, replies, settings, statements, stream, queries);
     }
 
     /** Returns the user name; only after the login packet. */
@@ -144,7 +146,8 @@
 
     private void requestAuthSwitch() {
         enter(SessionState.Event.AUTH_SWITCH_REQUESTED);
-        replies.send(Handshake.authSwitchRequest(replies.alloc(), replies.nextSequence(), Auth.NATIVE, login.nonce()));
+        int sequence = replies.nextSequence();
+        replies.send(Handshake.authSwitch(replies.alloc(), sequence, Auth.NATIVE, login.nonce()));
     }
 
     private void authenticated() {
--- a/src/main/java/lineward/mysql/client/ConnectedClients.java
+++ b/src/main/java/lineward/mysql/client/ConnectedClients.java
@@ -49,8 +49,11 @@
         }
         List<ClientSession> idle =
                 clients.stream().filter(ClientSession::isIdle).toList();
-        ClientRegistry.closeSome(
-                idle, probability, client -> LingeringClose.begin(client.channel(), client::isIdle, () -> {}));
+        ClientRegistry.closeSome(idle, probability, ConnectedClients::closeWhenRead);
+    }
+
+    private static void closeWhenRead(ClientSession client) {
+        LingeringClose.begin(client.channel(), client::isIdle, () -> {});
     }
 
     /** Closes clients whose login has not succeeded in time. */
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -147,7 +147,9 @@
         }
     }
 
-    /** The attempt whose spooled result is sent has ended; the remaining rows, or an error, are in the spool. */
+    /**
+     * The attempt whose spooled result is sent has ended; the remaining rows, or an error, are in the spool.
+     */
     void streamedAttemptEnded(Query query) {
         if (running == query) {
             complete();
--- a/src/main/java/lineward/mysql/client/SessionState.java
+++ b/src/main/java/lineward/mysql/client/SessionState.java
@@ -1,8 +1,8 @@
 package lineward.mysql.client;
 
 /**
- * The state of a client's session, and the transitions between its states. An event without meaning in a state
- * leaves the state unchanged: a query may end while the connection closes.
+ * The state of a client's session, and the transitions between its states. An event without meaning in a
+ * state leaves the state unchanged: a query may end while the connection closes.
  */
 enum SessionState {
     /** Connected; the login packet has not been received. */
--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpoolStream.java
@@ -5,6 +5,7 @@
 import lineward.mysql.session.ClientStatement;
 import lineward.mysql.session.SpoolHint;
 import lineward.mysql.session.StatementCursor;
+import lineward.mysql.wire.Dialect;
 import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.ReplyStream;
 import lineward.spool.ReadState;
@@ -12,8 +13,8 @@
 import lineward.spool.SpooledResult;
 
 /**
- * Sends spooled results to one client, at the speed at which it reads: results with a key, rows of cursors, and
- * results that exceed the buffer of an attempt. One reply at a time.
+ * Sends spooled results to one client, at the speed at which it reads: results with a key, rows of cursors,
+ * and results that exceed the buffer of an attempt. One reply at a time.
  */
 final class SpoolStream {
     private final ClientSession session;
@@ -74,7 +75,8 @@
     }
 
     private OpenCursor open(SpooledResult result, OpenCursor.Range range) {
-        return new OpenCursor(replies.channel(), result, replies.dialect(), range, replies::send, this::ended);
+        Dialect dialect = replies.dialect();
+        return new OpenCursor(replies.channel(), result, dialect, range, replies::send, this::ended);
     }
 
     /** Sends the next rows of the statement's open cursor. */
--- a/src/main/java/lineward/mysql/engine/AttemptListener.java
+++ b/src/main/java/lineward/mysql/engine/AttemptListener.java
@@ -47,8 +47,8 @@
     /**
      * The attempt has ended; called once.
      *
-     * @param reply the complete reply, which the listener must release, if the outcome is OK and the reply was
-     *     not spooled; else null
+     * @param reply the complete reply, which the listener must release, if the outcome is OK and the reply
+     *     was not spooled; else null
      */
     void ended(AttemptOutcome outcome, ByteBuf reply);
 }
--- a/src/main/java/lineward/mysql/engine/ConnectionState.java
+++ b/src/main/java/lineward/mysql/engine/ConnectionState.java
@@ -86,8 +86,10 @@
     }
 
     private static Set<Transition> afterSettings() {
-        return EnumSet.of(
-                Transition.SELECT_SCHEMA, Transition.PREPARE, Transition.EXECUTE, Transition.RETIRE, Transition.CLOSE);
+        Set<Transition> steps = EnumSet.of(Transition.SELECT_SCHEMA, Transition.PREPARE, Transition.EXECUTE);
+        steps.add(Transition.RETIRE);
+        steps.add(Transition.CLOSE);
+        return steps;
     }
 
     private static Set<Transition> afterCommand(Transition next) {
--- a/src/main/java/lineward/mysql/engine/EngineConfig.java
+++ b/src/main/java/lineward/mysql/engine/EngineConfig.java
@@ -13,4 +13,9 @@
  * @param state whether the engine accepts new statements
  */
 public record EngineConfig(
-        String name, InetSocketAddress address, String user, String password, int cores, EndpointState state) {}
+        String name,
+        InetSocketAddress address,
+        String user,
+        String password,
+        int cores, // must be positive
+        EndpointState state) {}
--- a/src/main/java/lineward/mysql/engine/EngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnection.java
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to a MySQL engine, with at most one attempt at a time. Before the attempt's command it applies
- * the attempt's settings, selects its schema and prepares its statement. Confined to the event loop.
+ * One connection to a MySQL engine, with at most one attempt at a time. Before the attempt's command it
+ * applies the attempt's settings, selects its schema and prepares its statement. Confined to the event loop.
  */
 final class EngineConnection extends SimpleChannelInboundHandler<ByteBuf> {
     private static final Logger LOG = LoggerFactory.getLogger(EngineConnection.class);
@@ -49,7 +49,6 @@
         this.pool = pool;
     }
 
-    /** Sets the channel, which is connecting; called before any other method. */
     void connecting(Channel connectingChannel) {
         channel = connectingChannel;
         login = new EngineLogin(channel, pool.engine());
@@ -65,7 +64,6 @@
         return state.isLoggedIn();
     }
 
-    /** Returns whether the connection is idle since before that {@link System#nanoTime}. */
     boolean isIdleSince(long nanoTime) {
         return state == ConnectionState.IDLE && lastUsedNanos < nanoTime;
     }
@@ -74,19 +72,16 @@
         ChannelOperations.close(channel);
     }
 
-    /** Rejects the attempt unless its command has been sent. */
     void rejectUnsent() {
         if (attempt != null && !state.isCommandSent()) {
             fail(AttemptOutcome.REJECTED);
         }
     }
 
-    /** Resumes or pauses reading; a full spool pauses it. */
     void setReading(boolean reading) {
         channel.config().setAutoRead(reading);
     }
 
-    /** Starts the attempt, or after the login if that is not complete. */
     void start(QueryAttempt next) {
         attempt = next;
         next.assignTo(this);
@@ -95,7 +90,9 @@
         }
     }
 
-    /** Cancels the attempt: kills a running statement; closes the connection if the command has not been sent. */
+    /**
+     * Cancels the attempt: kills a running statement; closes the connection if the command has not been sent.
+     */
     void cancel() {
         if (state == ConnectionState.EXECUTING) {
             transition(Transition.KILL);
@@ -230,7 +227,6 @@
         }
     }
 
-    /** Returns whether the attempt has taken over the frame's reference. */
     private boolean readError(ByteBuf frame) {
         EngineErrorKind kind = EngineErrorKind.of(Packets.errorCode(frame));
         if (kind != EngineErrorKind.COMMAND_FAILED) {
@@ -255,7 +251,6 @@
         }
     }
 
-    /** Ends the attempt after its complete reply. */
     private void finish(AttemptOutcome outcome) {
         QueryAttempt finished = attempt;
         attempt = null;
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -19,8 +19,8 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * The connections to one MySQL engine. Their number is limited by {@link ConnectionLimits}, except that a kill
- * may open one more. Confined to the event loop.
+ * The connections to one MySQL engine. Their number is limited by {@link ConnectionLimits}, except that a
+ * kill may open one more. Confined to the event loop.
  */
 final class EngineConnectionPool {
     /** Has no effect, as the reply to a kill is never spooled. */
@@ -49,7 +49,10 @@
         return engine;
     }
 
-    /** Starts the attempt on an idle connection or a new one; rejects it if the limit of connections is reached. */
+    /**
+     * Starts the attempt on an idle connection or a new one; rejects it if the limit of connections is
+     * reached.
+     */
     void start(QueryAttempt attempt) {
         Optional<EngineConnection> suited = findIdle(attempt);
         if (suited.isPresent()) {
@@ -92,7 +95,8 @@
     /** Kills the statement of the connection with this id at the engine, on another connection. */
     void kill(long threadId) {
         Work killQuery = new Work.Query("", "KILL QUERY " + threadId);
-        QueryAttempt kill = new QueryAttempt(killQuery, Map.of(), KILL_TIMEOUT_MS, AttemptListener.DISCARD_REPLY);
+        AttemptListener listener = AttemptListener.DISCARD_REPLY;
+        QueryAttempt kill = new QueryAttempt(killQuery, Map.of(), KILL_TIMEOUT_MS, listener);
         EngineConnection connection = idle.isEmpty() ? connect() : idle.pollFirst();
         connection.start(kill);
     }
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
@@ -49,7 +49,10 @@
         }
     }
 
-    /** Starts the attempt at the engine; it fails if the engine is no longer configured and its pool is drained. */
+    /**
+     * Starts the attempt at the engine; it fails if the engine is no longer configured and its pool is
+     * drained.
+     */
     public void start(String engine, QueryAttempt attempt) {
         EngineConnectionPool pool = byName.get(engine);
         if (pool == null) {
--- a/src/main/java/lineward/mysql/engine/EngineLogin.java
+++ b/src/main/java/lineward/mysql/engine/EngineLogin.java
@@ -87,7 +87,9 @@
         send(sequence, Auth.proof(plugin, engine.password(), nonce));
     }
 
-    /** An engine without a cached digest of the password requests the password, encrypted with its public key. */
+    /**
+     * An engine without a cached digest of the password requests the password, encrypted with its public key.
+     */
     private void answerMoreData(ByteBuf payload, int sequence) {
         if (payload.readableBytes() == 1) {
             if (payload.getByte(payload.readerIndex()) != FAST_AUTH_SUCCESS) {
--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -19,7 +19,9 @@
         this.prepared = prepared;
     }
 
-    /** Returns whether the attempt can run here: once selected, a schema can be changed but not unselected. */
+    /**
+     * Returns whether the attempt can run here: once selected, a schema can be changed but not unselected.
+     */
     boolean hasSchemaFor(QueryAttempt attempt) {
         return schema.isEmpty() || !attempt.work().schema().isEmpty();
     }
--- a/src/main/java/lineward/mysql/engine/SpoolWriter.java
+++ b/src/main/java/lineward/mysql/engine/SpoolWriter.java
@@ -31,7 +31,9 @@
         }
     }
 
-    /** Writes buffered packets, with the same block boundaries as if each were written when it was received. */
+    /**
+     * Writes buffered packets, with the same block boundaries as if each were written when it was received.
+     */
     void writeBuffered(ByteBuf packets, int headBytes, PacketRole lastRole) {
         write(packets, headBytes, PacketRole.HEAD_END);
         while (packets.isReadable()) {
--- a/src/main/java/lineward/mysql/session/PreparedStatements.java
+++ b/src/main/java/lineward/mysql/session/PreparedStatements.java
@@ -3,7 +3,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The prepared statements of one client, by the ids that the client uses. Bounded by {@link StatementLimits}. */
+/**
+ * The prepared statements of one client, by the ids that the client uses. Bounded by {@link StatementLimits}.
+ */
 public final class PreparedStatements {
     private final StatementLimits limits;
     private final Map<Long, ClientStatement> statementsById = new HashMap<>();
--- a/src/main/java/lineward/mysql/session/StatementClassifier.java
+++ b/src/main/java/lineward/mysql/session/StatementClassifier.java
@@ -204,7 +204,8 @@
         if (!tokens.is(USER_VARIABLE_SIGN)) {
             previousToken = keyword;
         } else {
-            previousToken = previousToken.equals(USER_VARIABLE_SIGN) ? SYSTEM_VARIABLE_SIGN : USER_VARIABLE_SIGN;
+            boolean isSecondSign = previousToken.equals(USER_VARIABLE_SIGN);
+            previousToken = isSecondSign ? SYSTEM_VARIABLE_SIGN : USER_VARIABLE_SIGN;
         }
     }
 
--- a/src/main/java/lineward/mysql/wire/Dialect.java
+++ b/src/main/java/lineward/mysql/wire/Dialect.java
@@ -5,9 +5,9 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * The format of results for one client. Engines send an EOF packet after the columns and another one after the
- * rows. With CLIENT_DEPRECATE_EOF the first one is left out, which lowers the sequence numbers after it by one,
- * and the second one is an OK packet whose first byte is that of EOF.
+ * The format of results for one client. Engines send an EOF packet after the columns and another one after
+ * the rows. With CLIENT_DEPRECATE_EOF the first one is left out, which lowers the sequence numbers after it
+ * by one, and the second one is an OK packet whose first byte is that of EOF.
  */
 public enum Dialect {
     /** Results have EOF packets, as engines send them. */
--- a/src/main/java/lineward/mysql/wire/Failure.java
+++ b/src/main/java/lineward/mysql/wire/Failure.java
@@ -40,7 +40,8 @@
 
     /** The spool released the remaining rows because the client's lease expired. */
     public static Failure leaseExpired() {
-        return new Failure(ErrorCode.QUERY_INTERRUPTED, "the result was given back, as nobody read it for too long");
+        String message = "the result was given back, as nobody read it for too long";
+        return new Failure(ErrorCode.QUERY_INTERRUPTED, message);
     }
 
     /** A fetch names a statement without an open cursor. */
@@ -65,19 +66,20 @@
 
     /** The statement depends on the session of one engine. */
     public static Failure unsupported(String what) {
-        return new Failure(
-                ErrorCode.NOT_SUPPORTED_YET, what + " can't be kept: each statement may run on another engine");
+        String message = what + " can't be kept: each statement may run on another engine";
+        return new Failure(ErrorCode.NOT_SUPPORTED_YET, message);
     }
 
     /** The front end answers this statement itself, so that no engine can prepare it. */
     public static Failure notPreparable() {
-        return new Failure(ErrorCode.UNSUPPORTED_PREPARED_STATEMENT, "USE, SET and SHOW WARNINGS can't be prepared");
+        String message = "USE, SET and SHOW WARNINGS can't be prepared";
+        return new Failure(ErrorCode.UNSUPPORTED_PREPARED_STATEMENT, message);
     }
 
     /** The statement opens a transaction or continues one. */
     public static Failure noTransaction(String what) {
-        return new Failure(
-                ErrorCode.FORBIDDEN_IN_TRANSACTION, what + " is not possible here: every statement commits by itself");
+        String message = what + " is not possible here: every statement commits by itself";
+        return new Failure(ErrorCode.FORBIDDEN_IN_TRANSACTION, message);
     }
 
     /** The command is not in {@link Commands}. */
@@ -97,7 +99,8 @@
 
     /** A packet exceeds the configured limit. */
     public static Failure tooLarge(int maxBytes) {
-        return new Failure(ErrorCode.PACKET_TOO_LARGE, "packet larger than the " + maxBytes + " bytes allowed");
+        String message = "packet larger than the " + maxBytes + " bytes allowed";
+        return new Failure(ErrorCode.PACKET_TOO_LARGE, message);
     }
 
     /** A limit on a count is reached. */
--- a/src/main/java/lineward/mysql/wire/Handshake.java
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -89,7 +89,8 @@
             byte[] tail = new byte[Math.min(length, payload.readableBytes())];
             payload.readBytes(tail);
             byte[] nonce = Arrays.copyOf(head, Auth.NONCE_BYTES);
-            System.arraycopy(tail, 0, nonce, NONCE_HEAD, Math.min(tail.length, Auth.NONCE_BYTES - NONCE_HEAD));
+            int tailBytes = Math.min(tail.length, Auth.NONCE_BYTES - NONCE_HEAD);
+            System.arraycopy(tail, 0, nonce, NONCE_HEAD, tailBytes);
             String plugin = (capabilities & PLUGIN_AUTH) != 0 ? Packets.zeroTerminated(payload) : Auth.NATIVE;
             return new Greeting(thread, nonce, plugin);
         } catch (IndexOutOfBoundsException e) {
@@ -142,7 +143,7 @@
     }
 
     /** Returns the packet that requests authentication by another plugin. */
-    public static ByteBuf authSwitchRequest(ByteBufAllocator alloc, int sequence, String plugin, byte[] nonce) {
+    public static ByteBuf authSwitch(ByteBufAllocator alloc, int sequence, String plugin, byte[] nonce) {
         ByteBuf packet = Packets.begin(alloc, sequence).writeByte(Packets.EOF);
         writeZeroTerminated(packet, plugin);
         return Packets.done(packet.writeBytes(nonce).writeByte(0));
--- a/src/main/java/lineward/mysql/wire/LocalResult.java
+++ b/src/main/java/lineward/mysql/wire/LocalResult.java
@@ -12,7 +12,7 @@
  */
 public record LocalResult(List<String> labels, List<String> row) {
     /** The answer to SHOW WARNINGS: the connection to the engine may have run statements of other clients. */
-    public static final LocalResult NO_WARNINGS = new LocalResult(List.of("Level", "Code", "Message"), List.of());
+    public static final LocalResult NO_WARNINGS = withoutRows("Level", "Code", "Message");
 
     private static final String CATALOG = "def";
     private static final int TYPE_VAR_STRING = 253;
@@ -20,11 +20,16 @@
     /** Bytes of a column definition after its texts. */
     private static final int FIXED_FIELDS_BYTES = 12;
 
+    /** Copies the lists. */
     public LocalResult {
         labels = List.copyOf(labels);
         row = List.copyOf(row);
     }
 
+    private static LocalResult withoutRows(String... labels) {
+        return new LocalResult(List.of(labels), List.of());
+    }
+
     /** Returns the packets of the result; the first one has this sequence number. */
     public ByteBuf encode(ByteBufAllocator alloc, int firstSequence, Dialect dialect) {
         int sequence = firstSequence;
--- a/src/main/java/lineward/mysql/wire/ReplyTracker.java
+++ b/src/main/java/lineward/mysql/wire/ReplyTracker.java
@@ -49,7 +49,8 @@
     /**
      * Returns the role of the reply's next packet; the frame's reader index does not move.
      *
-     * @throws DecoderException if the packet violates the protocol or belongs to a reply that was not requested
+     * @throws DecoderException if the packet violates the protocol or belongs to a reply that was not
+     *     requested
      */
     public PacketRole classify(ByteBuf frame) {
         if (rowContinues) {
--- a/src/main/java/lineward/mysql/wire/package-info.java
+++ b/src/main/java/lineward/mysql/wire/package-info.java
@@ -4,8 +4,8 @@
  * ({@link lineward.mysql.wire.Handshake}, {@link lineward.mysql.wire.Auth}), errors
  * ({@link lineward.mysql.wire.Failure}) and the two formats of results ({@link lineward.mysql.wire.Dialect}).
  *
- * <p>It holds no connection and uses Netty only. {@link lineward.mysql.wire.ReplyTracker} belongs to one reply;
- * everything else is stateless and may be used on any thread. Bounds: a payload is at most as long as its {@code
- * PacketDecoder} allows.
+ * <p>It holds no connection and uses Netty only. {@link lineward.mysql.wire.ReplyTracker} belongs to one
+ * reply; everything else is stateless and may be used on any thread. Bounds: a payload is at most as long as
+ * its {@code PacketDecoder} allows.
  */
 package lineward.mysql.wire;
--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -14,8 +14,8 @@
 import lineward.spool.store.SpoolFolder;
 
 /**
- * Measures spooled results on loopback, and prints one line for each figure. Arguments: the jar, and optionally
- * the jar of an earlier version for comparison.
+ * Measures spooled results on loopback, and prints one line for each figure. Arguments: the jar, and
+ * optionally the jar of an earlier version for comparison.
  */
 public final class MeasureSpool {
     private static final int READERS = 200;
@@ -113,8 +113,9 @@
     }
 
     /**
-     * Measures the time from the engine's last byte to the next statement on its only connection, while clients
-     * read their results of 1 MB slowly. The figure includes the program's time for the next statement.
+     * Measures the time from the engine's last byte to the next statement on its only connection, while
+     * clients read their results of 1 MB slowly. The figure includes the program's time for the next
+     * statement.
      */
     private static void release(String suffix, String jar, int readers) throws Exception {
         List<StandInClient> slow = new ArrayList<>();
--- a/src/test/java/lineward/mysql/CustomersTest.java
+++ b/src/test/java/lineward/mysql/CustomersTest.java
@@ -20,6 +20,7 @@
 /** Clients that share the connections to one engine: no session affects another one. */
 public class CustomersTest {
     private static final String PLAIN = "{}";
+    private static final String NEW_CLIENT_QUERY = "select rows=1 of a new client";
     private StandInEngine engine;
     private Path file;
     private Program program;
@@ -53,15 +54,18 @@
     /** Executes a statement of a new client, and returns the state of its session at the engine. */
     private StandInEngine.Execution executeForNewClient() throws IOException {
         try (StandInClient client = client()) {
-            assertEquals(client.query("select rows=1 of a new client").rows().size(), 1);
+            assertEquals(client.query(NEW_CLIENT_QUERY).rows().size(), 1);
             return engine.executions.get(engine.executions.size() - 1);
         }
     }
 
+    private StandInEngine.Execution lastExecution() {
+        return engine.executions.get(engine.executions.size() - 1);
+    }
+
     private void assertNewClientsAreUnaffected() throws IOException {
         for (int i = 0; i < 3; i++) {
-            assertEquals(
-                    executeForNewClient(), new StandInEngine.Execution("select rows=1 of a new client", PLAIN, "", ""));
+            assertEquals(executeForNewClient(), new StandInEngine.Execution(NEW_CLIENT_QUERY, PLAIN, "", ""));
         }
     }
 
@@ -111,7 +115,8 @@
                     client.query("set group_concat_max_len = 5, sql_mode = 'bad_mode'")
                             .code(),
                     0);
-            assertEquals(client.query("select rows=1").code(), 1193, "the first setting is applied at the engine");
+            int code = client.query("select rows=1").code();
+            assertEquals(code, 1193, "the first setting is applied at the engine");
             assertNewClientsAreUnaffected();
         }
     }
@@ -155,9 +160,9 @@
             StandInClient.Statement plain = second.prepare("select rows=1 of \"a\"");
             for (int i = 0; i < 3; i++) {
                 assertEquals(first.execute(ansi, true).rows().size(), 1);
-                assertEquals(engine.executions.get(engine.executions.size() - 1).settings(), "{sql_mode='ANSI'}");
+                assertEquals(lastExecution().settings(), "{sql_mode='ANSI'}");
                 assertEquals(second.execute(plain, true).rows().size(), 1);
-                assertEquals(engine.executions.get(engine.executions.size() - 1).settings(), PLAIN);
+                assertEquals(lastExecution().settings(), PLAIN);
             }
         }
     }
--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -30,7 +30,7 @@
 
     /** The engine fails between preparation and execution, during the execution, or between two rows. */
     @Test(dataProvider = "faults")
-    public void completesEveryExecutionThoughItsEngineFails(Fault fault, String text, int code) throws IOException {
+    public void completesEveryExecution(Fault fault, String text, int code) throws IOException {
         try (StandInClient client = client()) {
             StandInClient.Statement statement = client.prepare(text);
             if (fault == Fault.DIE_AFTER_PREPARE || fault == Fault.FULL) {
@@ -56,8 +56,8 @@
     }
 
     /**
-     * The program sends the execution before it reads the reset. The engine may have executed the write, which
-     * therefore fails and is not retried.
+     * The program sends the execution before it reads the reset. The engine may have executed the write,
+     * which therefore fails and is not retried.
      */
     @Test
     public void failsAWriteSentBeforeTheResetIsRead() throws IOException {
--- a/src/test/java/lineward/mysql/MysqlFrontTest.java
+++ b/src/test/java/lineward/mysql/MysqlFrontTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test(dataProvider = "logins")
-    public void authenticatesByPassword(String plugin, String password, String schema, int code) throws IOException {
+    public void authenticates(String plugin, String password, String schema, int code) throws IOException {
         try (StandInClient client = new StandInClient(program.port(), plugin, password, schema)) {
             assertEquals(client.login.code(), code);
         }
@@ -64,7 +64,8 @@
             client.send(0x18, statement.id(), 0, 0, "piece one,");
             client.send(0x18, statement.id(), 0, 0, "piece two");
             assertEquals(client.execute(statement, true, "").code(), 0);
-            assertTrue(one.received.contains("long 100 piece two") || two.received.contains("long 100 piece two"));
+            String lastPart = "long 100 piece two";
+            assertTrue(one.received.contains(lastPart) || two.received.contains(lastPart));
         }
     }
 
--- a/src/test/java/lineward/mysql/SpoolCursorTest.java
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -93,7 +93,8 @@
                             .rows()
                             .size(),
                     0);
-            StandInClient.Statement statement = reconnected.prepare("/* lineward:key=k1 from=1 */ select rows=7");
+            String otherText = "/* lineward:key=k1 from=1 */ select rows=7";
+            StandInClient.Statement statement = reconnected.prepare(otherText);
             assertEquals(reconnected.open(statement).code(), 1210, "the key is another statement's");
             assertEquals(executions(), 1);
         }
--- a/src/test/java/lineward/mysql/StandInEngine.java
+++ b/src/test/java/lineward/mysql/StandInEngine.java
@@ -16,7 +16,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A small MySQL engine: it answers {@code rows=N size=BYTES} with rows, or fails as {@link Fault} demands. */
+/**
+ * A small MySQL engine: it answers {@code rows=N size=BYTES} with rows, or fails as {@link Fault} demands.
+ */
 final class StandInEngine implements AutoCloseable {
     /** When the engine closes all connections, or what it does instead of answering. */
     enum Fault {
--- a/src/test/java/lineward/mysql/Wire.java
+++ b/src/test/java/lineward/mysql/Wire.java
@@ -9,7 +9,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Packets on a plain socket; shares no code with the program, so that it can find faults in the program's. */
+/**
+ * Packets on a plain socket; shares no code with the program, so that it can find faults in the program's.
+ */
 final class Wire {
     private static final int MAX_PAYLOAD_BYTES = 0xffffff;
     final Socket socket;
--- a/src/test/java/lineward/mysql/client/CursorStateTest.java
+++ b/src/test/java/lineward/mysql/client/CursorStateTest.java
@@ -13,7 +13,11 @@
 /** The complete transition table of a cursor: one row for each state, one column for each event. */
 public class CursorStateTest {
     private static final Event[] EVENTS = {
-        Event.COLUMNS_SENT, Event.FETCH_REQUESTED, Event.NO_ROWS_LEFT, Event.FETCH_COMPLETED, Event.CLOSE_REQUESTED
+        Event.COLUMNS_SENT,
+        Event.FETCH_REQUESTED,
+        Event.NO_ROWS_LEFT,
+        Event.FETCH_COMPLETED,
+        Event.CLOSE_REQUESTED, // in the order of the columns
     };
 
     /** The state after each event; a dash if the event is not possible. */
@@ -63,9 +67,9 @@
     }
 
     @Test(dataProvider = "predicates")
-    public void reportsTheStateToItsUsers(CursorState state, boolean fetching, boolean done, boolean replyPending) {
+    public void answersPredicates(CursorState state, boolean fetching, boolean done, boolean pending) {
         assertEquals(state.isFetching(), fetching);
         assertEquals(state.isDone(), done);
-        assertEquals(state.isReplyPending(), replyPending);
+        assertEquals(state.isReplyPending(), pending);
     }
 }
--- a/src/test/java/lineward/mysql/wire/DialectTest.java
+++ b/src/test/java/lineward/mysql/wire/DialectTest.java
@@ -61,7 +61,8 @@
         assertEquals(plainCursor, COLUMNS + "05000003fe00004200");
         assertEquals(ByteBufUtil.hexDump(Dialect.DEPRECATE_EOF.rows(rows)), "0200000301aa" + "0200000401bb");
         assertEquals(ByteBufUtil.hexDump(rows), ROW + "0200000501bb");
-        assertEquals(ByteBufUtil.hexDump(Dialect.DEPRECATE_EOF.tail(alloc, array(EOF_5))), "07000004fe000002000100");
+        ByteBuf tail = Dialect.DEPRECATE_EOF.tail(alloc, array(EOF_5));
+        assertEquals(ByteBufUtil.hexDump(tail), "07000004fe000002000100");
         assertEquals(Dialect.DEPRECATE_EOF.sequenceAfter(array(HEAD)), 3);
         assertEquals(Dialect.EOF_PACKETS.sequenceAfter(array(HEAD)), 4);
     }
