--- a/src/test/java/lineward/mysql/StandInEngine.java
+++ b/src/test/java/lineward/mysql/StandInEngine.java
@@ -131,15 +131,15 @@
                 wire.write(Wire.error(1040, "08004", "too many"));
                 return;
             }
-            StandInSession session = new StandInSession(id);
-            session.greet(wire);
+            StandInSession session = new StandInSession(id, wire);
+            session.greet();
             wire.read();
             wire.write(Wire.ok());
             while (true) {
                 wire.sequence = 0;
                 byte[] command = wire.read();
                 wire.sequence = 1;
-                answer(wire, command, session);
+                answer(command, session);
             }
         } catch (IOException | InterruptedException e) {
             // The program closed the connection, or this engine was closed.
@@ -148,7 +148,8 @@
         }
     }
 
-    private void answer(Wire wire, byte[] command, StandInSession session) throws IOException, InterruptedException {
+    private void answer(byte[] command, StandInSession session) throws IOException, InterruptedException {
+        Wire wire = session.wire;
         String text = new String(command, 1, command.length - 1, StandardCharsets.UTF_8);
         switch (command[0]) {
             case 0x02 -> {
--- a/src/test/java/lineward/mysql/StandInSession.java
+++ b/src/test/java/lineward/mysql/StandInSession.java
@@ -17,6 +17,7 @@
     private static final Pattern SESSION_CHANGE = Pattern.compile(SESSION_CHANGES, Pattern.CASE_INSENSITIVE);
 
     final long id;
+    final Wire wire;
     final Map<Long, String> prepared = new HashMap<>();
     /** The settings at the preparation of each statement. */
     final Map<Long, String> settingsAtPreparation = new HashMap<>();
@@ -26,11 +27,12 @@
     /** The statements that have changed the session. */
     String changes = "";
 
-    StandInSession(long id) {
+    StandInSession(long id, Wire wire) {
         this.id = id;
+        this.wire = wire;
     }
 
-    void greet(Wire wire) throws IOException {
+    void greet() throws IOException {
         wire.write(
                 10,
                 "8.0.36",
