--- a/src/test/java/lineward/mysql/StandInEngine.java
+++ b/src/test/java/lineward/mysql/StandInEngine.java
@@ -16,7 +16,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A small MySQL engine: it answers {@code rows=N size=BYTES} with rows, or fails as {@link Fault} demands. */
+/**
+ * A small MySQL engine: it answers {@code rows=N size=BYTES} with rows, or fails as {@link Fault} demands.
+ */
 final class StandInEngine implements AutoCloseable {
     /** When the engine closes all connections, or what it does instead of answering. */
     enum Fault {
@@ -129,15 +131,15 @@
                 wire.write(Wire.error(1040, "08004", "too many"));
                 return;
             }
-            StandInSession session = new StandInSession(id);
-            session.greet(wire);
+            StandInSession session = new StandInSession(id, wire);
+            session.greet();
             wire.read();
             wire.write(Wire.ok());
             while (true) {
                 wire.sequence = 0;
                 byte[] command = wire.read();
                 wire.sequence = 1;
-                answer(wire, command, session);
+                answer(command, session);
             }
         } catch (IOException | InterruptedException e) {
             // The program closed the connection, or this engine was closed.
@@ -146,7 +148,8 @@
         }
     }
 
-    private void answer(Wire wire, byte[] command, StandInSession session) throws IOException, InterruptedException {
+    private void answer(byte[] command, StandInSession session) throws IOException, InterruptedException {
+        Wire wire = session.wire;
         String text = new String(command, 1, command.length - 1, StandardCharsets.UTF_8);
         switch (command[0]) {
             case 0x02 -> {
