--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -13,6 +13,7 @@
 import lineward.core.Coordinator;
 import lineward.core.EngineEndpoint;
 import lineward.core.Forwarder;
+import lineward.frontend.CoordinatorDriver;
 import lineward.frontend.Listener;
 import lineward.frontend.ProtocolServer;
 import lineward.mysql.client.AttemptReporter;
@@ -46,8 +47,7 @@
 
     private final MysqlConfig config;
     private final ClientAcceptor acceptor;
-    private final Coordinator<Query> coordinator;
-    private final DoubleSupplier clock;
+    private final CoordinatorDriver<Query> driver;
     private final Runnable wakeUp;
     private final Spool spool;
     private final EngineConnectionPools pools;
@@ -73,14 +73,13 @@
             Metrics metrics,
             Spool spool) {
         this.config = config;
-        this.coordinator = coordinator;
-        this.clock = clock;
+        this.driver = new CoordinatorDriver<>(coordinator, clock, wakeUp);
         this.wakeUp = wakeUp;
         this.spool = spool;
         this.clients = new ConnectedClients(config.bounds().maxClients());
         this.pools = enginePools(loop, config.bounds());
         this.reportTargets = new AttemptReporter.Targets(coordinator, metrics, spool, wakeUp);
-        QueryDispatcher queries = new QueryAdmission(config, admission, coordinator, clock, wakeUp, metrics);
+        QueryDispatcher queries = new QueryAdmission(config, admission, driver, metrics);
         this.acceptor = new ClientAcceptor(clientContext(queries), Listener.at(config.listen()));
     }
 
@@ -109,7 +108,7 @@
     }
 
     private String statistics() {
-        int open = coordinator.openRequests();
+        int open = driver.openRequests();
         return "Clients: " + clients.size() + "  Open: " + open + "  Engines: " + pools.size();
     }
 
@@ -127,7 +126,7 @@
                 .map(endpoint -> endpoint.id() + ' ' + endpoint.state())
                 .toList();
         LOG.info("engines updated: engines={}", states);
-        coordinator.endpointsChanged(true, endpoints);
+        driver.coordinator().endpointsChanged(true, endpoints);
         wakeUp.run();
     }
 
@@ -177,26 +176,25 @@
 
     @Override
     public void setMaintenance(String engine, boolean excluded, double sinceMs) {
-        coordinator.setMaintenance(engine, excluded, sinceMs);
+        driver.setMaintenance(engine, excluded, sinceMs);
         if (excluded) {
             pools.rejectUnsent(engine);
         }
-        wakeUp.run();
     }
 
     @Override
     public Coordinator<?> coordinator() {
-        return coordinator;
+        return driver.coordinator();
     }
 
     @Override
     public boolean isDrained() {
-        return coordinator.openRequests() == 0 && clients.size() == 0;
+        return driver.openRequests() == 0 && clients.size() == 0;
     }
 
     @Override
     public void tick() {
-        coordinator.tick(clock.getAsDouble()).forEach(command -> command.executeBy(this));
+        driver.tick(this);
     }
 
     @Override
--- a/src/main/java/lineward/mysql/QueryAdmission.java
+++ b/src/main/java/lineward/mysql/QueryAdmission.java
@@ -1,9 +1,8 @@
 package lineward.mysql;
 
-import java.util.function.DoubleSupplier;
-import lineward.core.Coordinator;
-import lineward.core.GenerationalTable;
+import java.util.OptionalLong;
 import lineward.core.RequestAttributes;
+import lineward.frontend.CoordinatorDriver;
 import lineward.mysql.client.Query;
 import lineward.mysql.client.QueryDispatcher;
 import lineward.mysql.session.StatementClass;
@@ -13,30 +12,19 @@
 /** Admits the clients' queries to the coordinator, and counts the queries that are rejected before. */
 final class QueryAdmission implements QueryDispatcher {
     private final MysqlConfig config;
-    private final ServerAdmissionPolicy policy;
-    private final Coordinator<Query> coordinator;
-    private final DoubleSupplier clock;
-    private final Runnable wakeUp;
+    private final ServerAdmissionPolicy admission;
+    private final CoordinatorDriver<Query> driver;
     private final Metrics metrics;
 
-    /**
-     * Creates the admission of a server.
-     *
-     * @param clock the time in milliseconds
-     * @param wakeUp is called when the coordinator has events to decide on
-     */
+    /** Creates the admission of a server. */
     QueryAdmission(
             MysqlConfig config,
-            ServerAdmissionPolicy policy,
-            Coordinator<Query> coordinator,
-            DoubleSupplier clock,
-            Runnable wakeUp,
+            ServerAdmissionPolicy admission,
+            CoordinatorDriver<Query> coordinator,
             Metrics metrics) {
         this.config = config;
-        this.policy = policy;
-        this.coordinator = coordinator;
-        this.clock = clock;
-        this.wakeUp = wakeUp;
+        this.admission = admission;
+        this.driver = coordinator;
         this.metrics = metrics;
     }
 
@@ -47,7 +35,7 @@
 
     @Override
     public boolean admit(Query query) {
-        boolean admitted = policy.admitsRequests() && offerToCoordinator(query);
+        boolean admitted = admission.admitsRequests() && offerToCoordinator(query);
         if (!admitted) {
             countRejected(query);
         }
@@ -59,16 +47,14 @@
         double deadlineMs = classOf(query).deadlineMs();
         RequestAttributes attributes =
                 new RequestAttributes(query.schedulerClassIndex(), 0, deadlineMs, 0, 0, 0, false);
-        long requestId = coordinator.admit(clock.getAsDouble(), attributes, query);
-        query.admitted(requestId);
-        wakeUp.run();
-        return requestId != GenerationalTable.FULL;
+        OptionalLong requestId = driver.admit(attributes, query);
+        requestId.ifPresent(query::admitted);
+        return requestId.isPresent();
     }
 
     @Override
     public void cancel(Query query) {
-        coordinator.cancelRequest(query.requestId());
-        wakeUp.run();
+        driver.cancel(query.requestId());
     }
 
     @Override
--- a/src/main/java/lineward/mysql/client/ConnectedClients.java
+++ b/src/main/java/lineward/mysql/client/ConnectedClients.java
@@ -7,6 +7,7 @@
 import lineward.frontend.ClientRegistry;
 import lineward.frontend.LingeringClose;
 import lineward.mysql.wire.ChannelOperations;
+import lineward.scheduling.decision.ServerAdmissionPolicy;
 
 /** The connected clients; closes idle clients and clients that do not log in. Confined to the event loop. */
 public final class ConnectedClients {
@@ -25,7 +26,7 @@
     /** Adds the client; returns false if this exceeds the limit. */
     boolean add(ClientSession client) {
         clients.add(client);
-        return clients.size() <= maxClients;
+        return ServerAdmissionPolicy.mayConnect(clients.size(), maxClients);
     }
 
     void remove(ClientSession client) {
--- a/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
@@ -50,6 +50,11 @@
         return admitsRequests() && statementBytes + bytes <= maxStatementBytes;
     }
 
+    /** Returns whether a server that has so many clients, the new one included, keeps the new one. */
+    public static boolean mayConnect(int clients, int maxClients) {
+        return clients <= maxClients;
+    }
+
     /** Counts the statement of an admitted request. */
     public void recordAdmitted(long bytes) {
         statementBytes += bytes;
--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -6,8 +6,8 @@
 import static org.testng.Assert.assertTrue;
 
 import java.io.IOException;
-import lineward.testing.Program;
 import lineward.mysql.StandInEngine.Fault;
+import lineward.testing.Program;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
--- a/src/test/java/lineward/testing/TestingServiceDiscovery.java
+++ b/src/test/java/lineward/testing/TestingServiceDiscovery.java
@@ -78,8 +78,8 @@
                     .append("\",\"weight\":1,\"startedAtMs\":0}");
         }
         int number = events.size() + 1;
-        events.add("{\"pos\":" + number + ",\"hosts\":{\"generation\":1,\"reset\":" + fullSnapshot
-                + ",\"instances\":[" + list + "]}}");
+        String hosts = "{\"generation\":1,\"reset\":" + fullSnapshot + ",\"instances\":[" + list + "]}";
+        events.add("{\"pos\":" + number + ",\"hosts\":" + hosts + "}");
         notifyAll();
     }
 
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/PlatformRulesTest.java
@@ -307,7 +307,8 @@
     public void sighupChangesTheServiceDiscoveryAndIgnoresAnInvalidFile() throws Exception {
         platform.configure("{");
         platform.program().hangUp();
-        Program.await("its line", () -> platform.program().log().contains("configuration not reloaded: cause="));
+        String logLine = "configuration not reloaded: cause=";
+        Program.await("its line", () -> platform.program().log().contains(logLine));
         try (TestingServiceDiscovery next = new TestingServiceDiscovery();
                 TestingClient caller = platform.client()) {
             String portOfTwo = "" + platform.second().port();
