--- a/src/main/java/lineward/app/SpoolCommand.java
+++ b/src/main/java/lineward/app/SpoolCommand.java
@@ -130,7 +130,7 @@
     }
 
     private void print(String format, Object... values) {
-        PrintWriter out = spec.commandLine().getOut();
-        out.printf(format, values);
+        PrintWriter writer = spec.commandLine().getOut();
+        writer.printf(format, values);
     }
 }
--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -188,8 +188,8 @@
     }
 
     /** Returns whether that engine is listed or under maintenance. */
-    public boolean isKnown(String engine) {
-        return engines.isKnown(engine);
+    public boolean hasEngine(String engine) {
+        return engines.hasEngine(engine);
     }
 
     /**
--- a/src/main/java/lineward/core/EngineNumbers.java
+++ b/src/main/java/lineward/core/EngineNumbers.java
@@ -80,7 +80,7 @@
     }
 
     /** Returns whether the engine is listed or under maintenance. */
-    boolean isKnown(String id) {
+    boolean hasEngine(String id) {
         return listed.contains(id) || underMaintenance.contains(id);
     }
 
@@ -89,7 +89,7 @@
     }
 
     private void removeUnknown() {
-        numbers.keySet().removeIf(id -> !isKnown(id));
-        ids.values().removeIf(id -> !isKnown(id));
+        numbers.keySet().removeIf(id -> !hasEngine(id));
+        ids.values().removeIf(id -> !hasEngine(id));
     }
 }
--- a/src/main/java/lineward/core/SqlTokens.java
+++ b/src/main/java/lineward/core/SqlTokens.java
@@ -89,11 +89,11 @@
             skipQuoted(character);
             return found(Kind.NAME, text.substring(from + 1, Math.max(from + 1, position - 1)));
         }
-        if (!isIdentifierPart(character)) {
+        if (!isIdentifierCharacter(character)) {
             position++;
             return found(Kind.SYMBOL, String.valueOf(character));
         }
-        while (position < text.length() && isIdentifierPart(text.charAt(position))) {
+        while (position < text.length() && isIdentifierCharacter(text.charAt(position))) {
             position++;
         }
         return found(Character.isDigit(character) ? Kind.NUMBER : Kind.WORD, text.substring(from, position));
@@ -133,7 +133,7 @@
         position = text.length();
     }
 
-    private static boolean isIdentifierPart(char character) {
+    private static boolean isIdentifierCharacter(char character) {
         return Character.isLetterOrDigit(character) || character == '_' || character == '$';
     }
 }
--- a/src/main/java/lineward/engine/ReplyDecoder.java
+++ b/src/main/java/lineward/engine/ReplyDecoder.java
@@ -53,17 +53,17 @@
 
     /** Returns the next header, or null while its line is incomplete. */
     private static Header readHeader(ByteBuf in) {
-        int lineFeedOffset = in.bytesBefore((byte) '\n');
-        if (lineFeedOffset < 0 || lineFeedOffset > MAX_HEADER_BYTES) {
+        int newlineOffset = in.bytesBefore((byte) '\n');
+        if (newlineOffset < 0 || newlineOffset > MAX_HEADER_BYTES) {
             if (in.readableBytes() > MAX_HEADER_BYTES) {
                 throw new MalformedReplyException("line too long");
             }
             return null;
         }
-        if (lineFeedOffset < 1 || in.getByte(in.readerIndex() + lineFeedOffset - 1) != '\r') {
+        if (newlineOffset < 1 || in.getByte(in.readerIndex() + newlineOffset - 1) != '\r') {
             throw new MalformedReplyException("line feed without carriage return");
         }
-        CharSequence header = in.readCharSequence(lineFeedOffset - 1, StandardCharsets.ISO_8859_1);
+        CharSequence header = in.readCharSequence(newlineOffset - 1, StandardCharsets.ISO_8859_1);
         in.skipBytes(LINE_TERMINATOR_BYTES);
         return parseHeader(header.toString());
     }
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -92,7 +92,7 @@
     @Override
     public boolean setMaintenance(String engine, boolean excluded) {
         boolean listed =
-                servers.stream().anyMatch(server -> server.coordinator().isKnown(engine));
+                servers.stream().anyMatch(server -> server.coordinator().hasEngine(engine));
         if (listed && excluded != hotRestart.isExcluded(engine)) {
             hotRestart.setMaintenance(engine, excluded);
         }
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -48,7 +48,7 @@
     private final MysqlConfig config;
     private final ClientAcceptor acceptor;
     private final CoordinatorDriver<Query> driver;
-    private final Runnable wakeUp;
+    private final Runnable tickRequest;
     private final Spool spool;
     private final EngineConnectionPools pools;
     private final AttemptReporter.Targets reportTargets;
@@ -60,7 +60,7 @@
      * Creates a server that does not listen yet and has no engines.
      *
      * @param clock the time in milliseconds
-     * @param wakeUp is called when the coordinator has events to decide on
+     * @param tickRequest is called when the coordinator has events to decide on
      * @param metrics counts queries that are rejected before their admission
      * @param spool stores results that are long, paged or have a key
      */
@@ -69,16 +69,16 @@
             MysqlConfig config,
             Coordinator<Query> coordinator,
             DoubleSupplier clock,
-            Runnable wakeUp,
+            Runnable tickRequest,
             Metrics metrics,
             Spool spool) {
         this.config = config;
-        this.driver = new CoordinatorDriver<>(coordinator, clock, wakeUp);
-        this.wakeUp = wakeUp;
+        this.driver = new CoordinatorDriver<>(coordinator, clock, tickRequest);
+        this.tickRequest = tickRequest;
         this.spool = spool;
         this.clients = new ConnectedClients(config.bounds().maxClients());
         this.pools = enginePools(loop, config.bounds());
-        this.reportTargets = new AttemptReporter.Targets(coordinator, metrics, spool, wakeUp);
+        this.reportTargets = new AttemptReporter.Targets(coordinator, metrics, spool, tickRequest);
         QueryDispatcher queries = new QueryAdmission(config, admission, driver, metrics);
         this.acceptor = new ClientAcceptor(clientContext(queries), Listener.at(config.listen()));
     }
@@ -127,7 +127,7 @@
                 .toList();
         LOG.info("engines updated: engines={}", states);
         driver.coordinator().endpointsChanged(true, endpoints);
-        wakeUp.run();
+        tickRequest.run();
     }
 
     private static EngineEndpoint endpoint(EngineConfig engine) {
@@ -152,7 +152,7 @@
 
     /** Ignored: a statement keeps the deadline of its class. */
     @Override
-    public void setShutdownDeadline(int ms) {}
+    public void setShutdownDeadline(int deadlineMs) {}
 
     /** Ignored: a statement fails at the deadline of its class. */
     @Override
--- a/src/main/java/lineward/scheduling/simulator/Main.java
+++ b/src/main/java/lineward/scheduling/simulator/Main.java
@@ -17,7 +17,7 @@
     private static final int MAX_FRAME_BYTES = 1 << 30;
     private static final int INPUT_BUFFER_BYTES = 1 << 16;
     private static final int HEADER_BYTES = 2 * Integer.BYTES;
-    private static final int BAD_USAGE = 2;
+    private static final int USAGE_ERROR_STATUS = 2;
 
     private Main() {}
 
@@ -25,7 +25,7 @@
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("adapter")) {
             System.err.println("usage: java -jar lineward.jar adapter");
-            System.exit(BAD_USAGE);
+            System.exit(USAGE_ERROR_STATUS);
         }
         System.exit(run(System.in, new FileOutputStream(FileDescriptor.out), System.err));
     }
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -291,8 +291,8 @@
     void readerClosed(ResultReader reader) {
         readers.remove(reader);
         boolean isReleasable = spool.policy().readerClosed(id, spool.now());
-        boolean mayBeReadAgain = description.isKeyed() && state == ResultState.GROWING;
-        if (isReleasable && !mayBeReadAgain) {
+        boolean isRereadable = description.isKeyed() && state == ResultState.GROWING;
+        if (isReleasable && !isRereadable) {
             release();
         }
     }
--- a/src/main/java/lineward/thrift/CallFields.java
+++ b/src/main/java/lineward/thrift/CallFields.java
@@ -15,7 +15,7 @@
  * @param attributes the fields on which the scheduler decides
  */
 record CallFields(String id, String requestClass, RequestAttributes attributes) {
-    private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
+    private static final Pattern REQUEST_ID = Pattern.compile("[0-9a-fA-F]{16}");
     private static final Pattern INTEGER = Pattern.compile("[0-9]{1,9}");
     private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
     /** Maximum of the time left, as a multiple of the class's deadline. */
@@ -35,7 +35,7 @@
             throw InvalidCallException.noStatement();
         }
         Map<CallField, String> fields = invocation.fields();
-        String id = matching(fields, CallField.ID, ID);
+        String id = matching(fields, CallField.ID, REQUEST_ID);
         String requestClass = fields.getOrDefault(CallField.REQUEST_CLASS, "");
         int classIndex = names.classes().indexOf(requestClass);
         require(classIndex >= 0, CallField.REQUEST_CLASS);
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -181,12 +181,12 @@
         List<ClientHandler> idle =
                 clients.all().stream().filter(ClientHandler::isIdle).toList();
         ClientRegistry.closeSome(idle, probability, clients::closeGracefully);
-        if (isFlushDeadlinePassed()) {
+        if (isFlushDeadlineExceeded()) {
             clients.all().forEach(ClientHandler::close);
         }
     }
 
-    private boolean isFlushDeadlinePassed() {
+    private boolean isFlushDeadlineExceeded() {
         return openRequestsFailedAtNanos.isPresent()
                 && System.nanoTime() - openRequestsFailedAtNanos.getAsLong() > FLUSH_TIMEOUT_NANOS;
     }
