--- a/src/main/java/lineward/mysql/client/AttemptReporter.java
+++ b/src/main/java/lineward/mysql/client/AttemptReporter.java
@@ -13,9 +13,9 @@
     /**
      * The recipients of the reports of all attempts.
      *
-     * @param tickRequest is called when the coordinator has events to decide on
+     * @param tick is called when the coordinator has events to decide on
      */
-    public record Targets(Coordinator<Query> coordinator, Metrics metrics, Spool spool, Runnable tickRequest) {}
+    public record Targets(Coordinator<Query> coordinator, Metrics metrics, Spool spool, Runnable tick) {}
 
     private final Targets targets;
     private final Query query;
@@ -54,6 +54,6 @@
     public void ended(AttemptOutcome outcome, ByteBuf reply) {
         boolean served = targets.coordinator().attemptEnded(query.requestId(), attempt, outcome);
         query.attemptEnded(served, reply);
-        targets.tickRequest().run();
+        targets.tick().run();
     }
 }
