--- a/src/main/java/lineward/app/LifecycleWiring.java
+++ b/src/main/java/lineward/app/LifecycleWiring.java
@@ -8,11 +8,11 @@
 
 /** Wires graceful shutdown and hot restart. */
 final class LifecycleWiring {
-    /** Limit on the deadline at a restart: SIGKILL comes 0.7 s later. */
+    /** Limit on the longest deadline at a restart; the platform sends SIGKILL 0.7 s after that deadline. */
     static final int MAX_RESTART_MS = 3000;
     /** Limit on the deadline at a hot restart, in which another process accepts on the socket. */
     private static final int MAX_HOT_RESTART_MS = 5000;
-    /** Time after the longest deadline at which open requests are failed, before SIGKILL. */
+    /** Open requests are failed this long after the longest deadline, 0.4 s before SIGKILL. */
     private static final int SHUTDOWN_GRACE_MS = 300;
     /** The variable with the directory that the processes of a hot restart share. */
     private static final String SHARED_FOLDER_VARIABLE = "TMPDIR";
--- a/src/main/java/lineward/discovery/PollPolicy.java
+++ b/src/main/java/lineward/discovery/PollPolicy.java
@@ -11,7 +11,7 @@
  *
  * <p>A service may refuse connections, accept them and stay silent, close them at once, or answer slowly, and
  * the file may be incomplete when it is read. No such fault may delay an event for long: every wait has a
- * limit, and a lasting fault causes another read of the file. {@code docs/journal.md} compares the
+ * limit, and a lasting fault causes another read of the file. {@code docs/service-discovery.md} compares the
  * alternatives.
  */
 final class PollPolicy {
--- a/src/main/java/lineward/discovery/package-info.java
+++ b/src/main/java/lineward/discovery/package-info.java
@@ -7,7 +7,7 @@
  *
  * <p>The package uses {@code core}, records of {@code scheduling}, Netty and Jackson. It runs on one event
  * loop, except the reads of the file, which have a thread of their own. Bounds: three connections, 4 MB for a
- * response, one read of the file at a time, one warning a second. The design is in {@code docs/journal.md},
- * an overview in {@code docs/architecture.md}.
+ * response, one read of the file at a time, one warning a second. The design is in
+ * {@code docs/service-discovery.md}, an overview in {@code docs/architecture.md}.
  */
 package lineward.discovery;
--- a/src/main/java/lineward/engine/AttemptEnd.java
+++ b/src/main/java/lineward/engine/AttemptEnd.java
@@ -3,8 +3,9 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * How an attempt can end at the engine's connection, with its outcome. No other code decides whether a
- * request may have run. A request that is not idempotent is retried only after an outcome that excludes it.
+ * How an attempt can end at the engine's connection, with its outcome. On the line protocol no other code
+ * decides whether a request may have run. A request that is not idempotent is retried only after an outcome
+ * that excludes it.
  */
 enum AttemptEnd {
     /** All rows have been received. */
--- a/src/main/java/lineward/lifecycle/HotRestart.java
+++ b/src/main/java/lineward/lifecycle/HotRestart.java
@@ -10,7 +10,8 @@
  * Shares the operators' maintenance orders among the processes of one front end during a hot restart, and
  * with the process that takes over. Each process writes its own file and reads the files of the others. A
  * file that can't be read, or that is out of date, is skipped. {@link HotRestartPolicy} decides; this class
- * reads, writes, logs and notifies. Runs on the event loop, which its I/O may block because files are small.
+ * reads, writes, logs and notifies. Runs on the event loop, which waits for its reads and writes: the files
+ * are a few hundred bytes in a directory of the local machine.
  */
 public final class HotRestart {
     /** Is notified of changes, on the event loop. */
--- a/src/main/java/lineward/lifecycle/ProcessState.java
+++ b/src/main/java/lineward/lifecycle/ProcessState.java
@@ -3,8 +3,9 @@
 /**
  * The states of this process, and the transitions that operators and signals cause.
  *
- * <p>The process starts, serves, may be drained, and terminates, in the order of the states. A drain may
- * start in any state; a drain in effect at SIGTERM can't be stopped any more.
+ * <p>The process starts, serves, may be drained, and terminates. A drain may start in any state; a drain in
+ * effect at SIGTERM can't be stopped any more. {@code TERMINATING_DRAINED} differs from {@code TERMINATING}
+ * in that a further order to drain changes nothing.
  */
 enum ProcessState {
     /** Not all protocols listen yet. */
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -141,7 +141,7 @@
         pools.closeIdleSince(System.nanoTime() - idleNanos);
     }
 
-    /** The protocol has no message that announces a shutdown; new requests are rejected. */
+    /** Requests are rejected in phase REJECTING only; the protocol has no message that announces a drain. */
     @Override
     public void setAdmission(ServerAdmissionPolicy.Phase next) {
         if (admission.welcomesClients() && next != ServerAdmissionPolicy.Phase.OPEN) {
--- a/src/main/java/lineward/scheduling/AttemptOutcome.java
+++ b/src/main/java/lineward/scheduling/AttemptOutcome.java
@@ -6,7 +6,7 @@
     OK(true),
     /** The engine answered with an error. */
     ERROR(true),
-    /** The engine rejected it before it began. */
+    /** It did not begin: the engine rejected it, or it was not sent. */
     REJECTED(false),
     /** No answer came in time. */
     TIMEOUT(true),
@@ -14,9 +14,9 @@
     CONNECT_FAILED(false),
     /** The connection broke. */
     RESET(true),
-    /** This front end cancelled it. */
+    /** This front end cancelled it, or its connection broke while the engine is up. */
     CANCELLED(true),
-    /** It never went out. */
+    /** It was not sent because its request was complete or its time was up. */
     NOT_STARTED(false);
 
     private final boolean mayHaveRun;
--- a/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
@@ -6,9 +6,12 @@
 
 /** Orders queued requests and decides which of them can no longer be answered in time. */
 public final class AdmissionPolicy {
-    /** Time before the deadline at which a queued request gets its final answer. */
+    /** Time before the deadline from which a queued request is given up in any case. */
     private static final double ANSWER_MARGIN_MS = 60;
-    /** Fraction of the expected run time that must fit before the objective, as estimates scatter. */
+    /**
+     * Fraction of the expected run time that must fit before the objective, or before the deadline if a late
+     * answer has a value; below 1 because estimates scatter.
+     */
     private static final double MIN_FIT_RATIO = 0.8;
     /** Upper bound on the slowdown in that estimate. */
     private static final double MAX_FIT_SLOWDOWN = 2;
@@ -54,7 +57,7 @@
         return endMs > (hasOverdueValue ? request.deadlineMs() : request.objectiveAtMs());
     }
 
-    /** Returns the part of the expected run time that must fit before the objective. */
+    /** Returns the part of the expected run time that must fit before the request is too late. */
     static double minRunMs(TrackedRequest request) {
         return MIN_FIT_RATIO * request.expectedRunMs();
     }
--- a/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
@@ -8,7 +8,7 @@
 
 /** Decides which attempts may be cancelled at all, and which runs have no value any more. */
 public final class CancellationPolicy {
-    /** Fraction of the objective past which a run without late value is given up. */
+    /** A run without late value is given up this fraction of its latency objective after the objective. */
     private static final double OVERDUE_GRACE_RATIO = 0.3;
 
     private final SchedulerContext context;
@@ -30,7 +30,8 @@
 
     /**
      * Returns whether a run can no longer be answered while its answer has a value. A cancel in flight does
-     * not matter: the request is given up instead of being relaunched.
+     * not matter: the request is given up instead of being relaunched. Always false for a request that is not
+     * idempotent.
      */
     public boolean hasNoValue(Attempt attempt) {
         TrackedRequest request = attempt.request();
--- a/src/main/java/lineward/scheduling/decision/KeyOrder.java
+++ b/src/main/java/lineward/scheduling/decision/KeyOrder.java
@@ -39,7 +39,8 @@
     }
 
     /**
-     * Returns whether the request may start: it is the first of its key, and its key is settled or its own.
+     * Returns whether the request may start: it is the oldest request of its key, and the settle time of the
+     * key is over, unless the request itself has started before.
      */
     public boolean isNext(TrackedRequest request) {
         if (!request.isOrdered()) {
--- a/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
@@ -6,7 +6,10 @@
 
 /** Decides which attempts that wait at a full engine are queued at another one. */
 public final class MigrationPolicy {
-    /** Migrations of one request; after two full engines another one is unlikely to be free. */
+    /**
+     * Attempts of any kind after which a request does not migrate; another engine is then unlikely to be
+     * free.
+     */
     private static final int MAX_MIGRATIONS = 2;
 
     private final SchedulerContext context;
--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -15,11 +15,17 @@
     private static final int MAX_CONSECUTIVE_FAILURES = 3;
     /** Resets in a row that count as the end of the process; one connection may break for other reasons. */
     private static final int RESETS_OF_A_LOST_PROCESS = 2;
-    /** Fraction of the engines below which ejections are ignored: the fault is then more likely here. */
+    /**
+     * Fraction of the allowed engines below which ejected ones are used as well, one attempt for each probe
+     * interval: the fault is then more likely here.
+     */
     private static final double MIN_HEALTHY_RATIO = 0.34;
     /** Multiple of its expected time past which, besides the silence, an attempt is overdue. */
     private static final double OVERDUE_FACTOR = 3;
-    /** Overdue and unanswered attempts that make a silence; with many front ends one may be a straggler. */
+    /**
+     * Unanswered attempts, one of them overdue, that make a silence; in a large fleet a single one may be a
+     * straggler.
+     */
     private static final int UNANSWERED_ATTEMPTS = 2;
     /** Intervals without a progress report that make a silence; the first report takes up to 1.5. */
     private static final double MISSED_PROGRESS_INTERVALS = 1.55;
@@ -55,7 +61,10 @@
         engine.health().scheduleRecoveryProbe(context.nowMs() + RECOVERY_PROBE_INTERVAL_MS);
     }
 
-    /** Returns whether so few of the allowed engines are healthy that ejected ones are used too. */
+    /**
+     * Returns whether so few of the allowed engines are healthy that ejected ones whose next recovery probe
+     * is due are used for any request.
+     */
     public boolean mustUseEjected(int healthy, int allowed) {
         return healthy < MIN_HEALTHY_RATIO * allowed;
     }
@@ -166,7 +175,7 @@
         }
     }
 
-    /** Ejects the engine until it answers a recovery probe. */
+    /** Ejects the engine until it answers any attempt, restarts, or its failure is reverted. */
     public void eject(Engine engine, EjectionCause cause) {
         scheduleRecoveryProbe(engine);
         if (engine.health().eject()) {
--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Never two attempts at once, none after the final answer or the deadline, and at most as many as
-     * permitted.
+     * Returns whether the request may have an attempt now: never two at once, none after the final answer or
+     * the deadline, and at most as many as permitted.
      */
     private boolean isOpen(TrackedRequest request) {
         return !request.state().isCompleted()
@@ -91,6 +91,7 @@
 
     /**
      * Returns whether the request may be queued for another attempt after one that ended with this outcome.
+     * After NOT_STARTED there is none: the request was complete or its time was up.
      */
     public boolean mayRetry(TrackedRequest request, AttemptOutcome outcome) {
         boolean requestAtFault = request.errors() >= MAX_ERRORS_PER_REQUEST;
--- a/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
@@ -6,7 +6,7 @@
  * rejects it.
  */
 public final class ServerAdmissionPolicy {
-    /** How a server meets its clients during its life. */
+    /** Which requests and clients a server accepts during its life. */
     public enum Phase {
         /** It serves all requests and welcomes new clients. */
         OPEN,
@@ -25,12 +25,12 @@
         this.maxStatementBytes = maxStatementBytes;
     }
 
-    /** Returns how the server meets its clients now. */
+    /** Returns the phase of the server. */
     public Phase phase() {
         return phase;
     }
 
-    /** Sets how the server meets its clients from now on. */
+    /** Sets the phase of the server. */
     public void enter(Phase next) {
         phase = next;
     }
--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -8,7 +8,7 @@
 
 /** Decides which attempts are cancelled because they are slow, so that they are relaunched elsewhere. */
 public final class SpeculativeCancellation {
-    /** Fraction of the requests that are never cancelled, so that the curve has a tail. */
+    /** Fraction of the requests that tau does not apply to, so that the curve keeps its tail. */
     private static final double EXEMPT_RATIO = 0.02;
 
     private static final double PROGRESS_FRESH_INTERVALS = 2.5;
@@ -38,7 +38,7 @@
         this.eligibility = eligibility;
     }
 
-    /** Draws whether a request is never cancelled because it is slow. */
+    /** Draws whether tau does not apply to a request. */
     public boolean drawExempt() {
         return context.drawRandom() < EXEMPT_RATIO;
     }
@@ -82,7 +82,7 @@
         return attempt.isRecoveryProbe() && context.nowMs() - attempt.startedAtMs() <= allowedMs;
     }
 
-    /** A relaunch runs to its end, unless its progress shows that its engine does no work. */
+    /** Tau does not apply to a relaunch; its progress may still show that its engine does no work. */
     private boolean isStandingStill(Attempt attempt, double relaunchMs) {
         return attempt.request().isRelaunched()
                 && !attempt.isWaiting()
--- a/src/main/java/lineward/scheduling/execution/AdmissionQueue.java
+++ b/src/main/java/lineward/scheduling/execution/AdmissionQueue.java
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Returns whether the last dispatch left requests in the queue because no engine had capacity. */
+    /** Returns whether the last dispatch left a request in the queue because no engine could be selected. */
     boolean isBlocked() {
         return blocked;
     }
--- a/src/main/java/lineward/scheduling/state/EjectionCause.java
+++ b/src/main/java/lineward/scheduling/state/EjectionCause.java
@@ -12,7 +12,7 @@
     RESETS,
     /** It refuses connections. */
     CONNECT_FAILURES,
-    /** It answers no health check. */
+    /** It answers a health check as unhealthy, or not at all. */
     HEALTH_CHECK;
 
     @Override
--- a/src/test/java/lineward/scheduling/LearnedStateTest.java
+++ b/src/test/java/lineward/scheduling/LearnedStateTest.java
@@ -150,7 +150,7 @@
 
     /** One of many front ends gets few answers from an engine, so one straggler is no silence. */
     @Test
-    public void twoOverdueAttemptsAreASilenceAndOneIsNot() {
+    public void oneUnansweredAttemptDoesNotEjectAnEngine() {
         for (boolean twoOverdue : new boolean[] {false, true}) {
             TestingScheduler scheduler = new TestingScheduler(settings(lookupClass())).listEngines(1);
             scheduler.requestArrives(1, 0);
--- a/src/test/java/lineward/scheduling/RulesTest.java
+++ b/src/test/java/lineward/scheduling/RulesTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void timeoutAtTheDeadlineFailsTheRequestAtOnce() {
+    public void timeoutAtTheDeadlineFailsANonIdempotentRequestAtOnce() {
         SchedulerSettings settings = settings(lookupClass(), loadClass());
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1);
         scheduler.requestArrives(5, 1);
--- a/src/test/java/lineward/scheduling/SpeculationTest.java
+++ b/src/test/java/lineward/scheduling/SpeculationTest.java
@@ -125,7 +125,7 @@
     }
 
     @Test
-    public void nonIdempotentRequestIsNeverCancelled() {
+    public void nonIdempotentRequestIsNotCancelledForBeingSlow() {
         TestingScheduler scheduler = afterRuns(12);
         scheduler.allActions.clear();
         scheduler.requestArrives(1000, 1, 3, 200, 20000).advance(8000);
--- a/src/test/java/lineward/thrift/ClientDisconnectTest.java
+++ b/src/test/java/lineward/thrift/ClientDisconnectTest.java
@@ -24,7 +24,7 @@
 /** Starts no attempt for a client that closed or reset its connection, or aborted the request. */
 public class ClientDisconnectTest {
     private static final int SERVED = 0;
-    private static final int MAX_OPEN_REQUESTS = 32;
+    private static final int MAX_OPEN_CALLS = 32;
 
     /** How the client disconnects. */
     private enum Disconnect {
@@ -157,7 +157,7 @@
         platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient client = platform.client()) {
-            for (int i = 1; i < MAX_OPEN_REQUESTS; i++) {
+            for (int i = 1; i < MAX_OPEN_CALLS; i++) {
                 client.send(TestingClient.fields(9000), "select 1");
             }
             Map<String, String> last = TestingClient.fields(9000);
@@ -165,7 +165,7 @@
             assertTrue(client.callMethod("ping").good(), "all are taken");
             go(client, seqid, how);
             int out = ProgramMetrics.read(platform.program()).get("edge_relay_relayed_total");
-            assertTrue(out > 0 && out < MAX_OPEN_REQUESTS, out + " are out, the others held");
+            assertTrue(out > 0 && out < MAX_OPEN_CALLS, out + " are out, the others held");
             Program.await("they have come", () -> platform.requests() == out);
             platform.setBehavior(EngineBehavior.SERVE);
             String next = serveAnother();
--- a/src/test/java/lineward/thrift/OverloadTest.java
+++ b/src/test/java/lineward/thrift/OverloadTest.java
@@ -22,7 +22,7 @@
 public class OverloadTest {
     private static final int SERVED = 0;
     private static final int FRAMES = 5000;
-    private static final int MAX_OPEN_REQUESTS = 32;
+    private static final int MAX_OPEN_CALLS = 32;
     private static final int SOCKETS = 256;
     /** What clients and engines may take of the descriptors; the rest is the program's own. */
     private static final int MAX_PERCENT = 85;
@@ -50,7 +50,7 @@
                 assertEquals(other.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
             Program.await("nothing stays open", () -> figure(platform, "edge_relay_open_requests") == 0);
-            assertTrue(platform.requests() <= 10 * MAX_OPEN_REQUESTS + 11, platform.requests() + " attempts");
+            assertTrue(platform.requests() <= 10 * MAX_OPEN_CALLS + 11, platform.requests() + " attempts");
             assertTrue(
                     platform.program().memoryMb() <= MEMORY_MB,
                     platform.program().memoryMb() + " MB");
@@ -59,8 +59,8 @@
     }
 
     /**
-     * More connections than descriptors, first such as never speak, then such as rest, while the journal is
-     * down: the list, the engines and new clients are reached all the same.
+     * More connections than descriptors, silent ones first, then idle ones, while service discovery is down:
+     * the endpoint list, the engines and new clients can still be reached.
      */
     @Test
     public void idleClientsDoNotBlockOthers() throws IOException {
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/PlatformRulesTest.java
@@ -429,7 +429,7 @@
     }
 
     @Test
-    public void failsOpenRequestsBeforeTheShutdownDeadline() throws IOException, InterruptedException {
+    public void failsOpenRequestsBeforeSigkill() throws IOException, InterruptedException {
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client();
                 TestingClient resting = platform.client()) {
