--- /dev/null
+++ b/src/test/java/lineward/thrift/InvalidClientTest.java
@@ -0,0 +1,159 @@
+package lineward.thrift;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertThrows;
+import static org.testng.Assert.assertTrue;
+
+import java.io.EOFException;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import lineward.testing.Answer;
+import lineward.testing.EngineBehavior;
+import lineward.testing.Program;
+import lineward.testing.RequestFields;
+import lineward.testing.TestingClient;
+import lineward.testing.TestingPlatform;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** Malformed requests, invalid clients, and the bound on connections. */
+public class InvalidClientTest {
+    private static final int EXCEPTION = 3;
+    private static final int SERVED = 0;
+    private static final String[][] UNUSABLE = {
+        {RequestFields.REQUEST_CLASS, "unknown"},
+        {RequestFields.REQUEST_ID, "short"},
+        {RequestFields.REQUEST_ID, "zzzzzzzzzzzzzzzz"},
+        {RequestFields.TIME_LEFT_MS, "0"},
+        {RequestFields.TIME_LEFT_MS, "soon"},
+        {RequestFields.TENANT, "nobody"},
+        {RequestFields.ESTIMATED_WORK_MS, "-1"},
+        {RequestFields.ESTIMATED_MEMORY_MB, "1e9"},
+        {RequestFields.CLIENT_RETRY, "yes"},
+        {RequestFields.TIME_LEFT_MS, "99999999"},
+        {RequestFields.ESTIMATED_WORK_MS, "99999999999"},
+        {RequestFields.ESTIMATED_WORK_MS, "NaN"},
+        {RequestFields.ESTIMATED_MEMORY_MB, "99999999"}
+    };
+    private TestingPlatform platform;
+
+    @BeforeMethod
+    public void start() throws IOException {
+        platform = new TestingPlatform(Map.of());
+    }
+
+    @AfterMethod(alwaysRun = true)
+    public void stop() throws IOException {
+        platform.close();
+    }
+
+    private Answer call(TestingClient caller, int ttl) throws IOException {
+        return caller.call(TestingClient.fields(ttl), "select * from sales_17.orders");
+    }
+
+    private long requests() {
+        return platform.first().requests() + platform.second().requests();
+    }
+
+    @Test
+    public void rejectsInvalidFields() throws IOException {
+        try (TestingClient caller = platform.client()) {
+            for (String[] field : UNUSABLE) {
+                Map<String, String> fields = TestingClient.fields(1000);
+                fields.put(field[0], field[1]);
+                Answer answer = caller.call(fields, "select 1");
+                assertEquals(answer.kind(), EXCEPTION);
+                assertTrue(answer.body().contains(field[0]), answer.body());
+            }
+            assertEquals(requests(), 0);
+        }
+    }
+
+    @Test
+    public void aMalformedFrameClosesOnlyItsConnection() throws IOException {
+        try (TestingClient other = platform.client()) {
+            for (String broken : new String[] {"not thrift at all", ""}) {
+                try (TestingClient caller = platform.client()) {
+                    caller.sendFrame(broken.getBytes(StandardCharsets.UTF_8));
+                    assertThrows(EOFException.class, caller::read);
+                }
+            }
+            assertEquals(call(other, 2000).field(), SERVED);
+            assertEquals(other.callMethod("dance").kind(), EXCEPTION);
+            assertTrue(other.callMethod("ping").good());
+        }
+    }
+
+    /** What invalid clients send: the program serves none of it and closes the connection soon. */
+    @DataProvider
+    public Object[][] invalidClients() {
+        InvalidClient silent = caller -> {};
+        InvalidClient half = caller -> caller.sendRaw(new byte[] {0, 0, 1, 0, 1});
+        InvalidClient huge = caller -> caller.sendRaw(new byte[] {3, -128, 0, 0, 1});
+        InvalidClient negative = caller -> caller.sendRaw(new byte[] {-1, -1, -1, -1});
+        InvalidClient behind = caller -> caller.send(TestingClient.fields(2000), "select 1", new byte[] {0});
+        InvalidClient twice = caller -> {
+            caller.send(TestingClient.fields(2000), "select 1");
+            caller.renumber(1);
+            caller.send(TestingClient.fields(2000), "select 1");
+        };
+        InvalidClient abort = caller -> caller.abort(7);
+        InvalidClient crowd = caller -> {
+            for (int i = 0; i < 40; i++) {
+                caller.send(TestingClient.fields(2000), "select 1");
+            }
+        };
+        return new Object[][] {{silent}, {half}, {huge}, {negative}, {behind}, {twice}, {abort}, {crowd}};
+    }
+
+    private interface InvalidClient {
+        void speak(TestingClient caller) throws IOException;
+    }
+
+    @Test(dataProvider = "invalidClients")
+    public void closesConnectionsOfInvalidClients(InvalidClient invalidClient) throws IOException {
+        platform.setBehavior(EngineBehavior.NO_RESPONSE);
+        try (TestingClient caller = platform.client()) {
+            caller.socket().setSoTimeout(3000);
+            invalidClient.speak(caller);
+            assertTrue(caller.isClosed(), "no close within 3 s");
+        }
+    }
+
+    @Test
+    public void rejectsTheIdOfAnOpenRequest() throws IOException {
+        platform.setBehavior(EngineBehavior.NO_RESPONSE);
+        try (TestingClient first = platform.client();
+                TestingClient second = platform.client()) {
+            Map<String, String> fields = TestingClient.fields(2000);
+            first.send(fields, "select 1");
+            Program.await("it runs", () -> requests() == 1);
+            Answer answer = second.call(fields, "select 2");
+            assertEquals(answer.kind(), EXCEPTION);
+            assertTrue(answer.body().contains(RequestFields.REQUEST_ID), answer.body());
+        }
+    }
+
+    @Test
+    public void closesTheLongestIdleConnectionAtTheLimit() throws IOException {
+        List<TestingClient> all = new ArrayList<>();
+        try {
+            for (int i = 0; i < 600; i++) {
+                TestingClient caller = platform.client();
+                all.add(caller);
+                assertEquals(call(caller, 2000).field(), SERVED);
+            }
+            all.get(0).send(TestingClient.fields(2000), "select 1");
+            assertTrue(all.get(0).isClosed(), "it rested longest");
+        } finally {
+            for (TestingClient caller : all) {
+                caller.close();
+            }
+        }
+    }
+}
