--- a/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
@@ -6,16 +6,16 @@
 
 /** Orders queued requests and decides which of them can no longer be answered in time. */
 public final class AdmissionPolicy {
-    /** Time before the deadline from which a queued request is given up in any case. */
+    /** A queued request is given up this long before its deadline, whatever its estimate. */
     private static final double ANSWER_MARGIN_MS = 60;
     /**
      * Fraction of the expected run time that must fit before the objective, or before the deadline if a late
-     * answer has a value; below 1 because estimates scatter.
+     * answer has a value; below 1 because estimates are inexact.
      */
     private static final double MIN_FIT_RATIO = 0.8;
-    /** Upper bound on the slowdown in that estimate. */
+    /** Upper bound on the slowdown by which that check multiplies the expected run time. */
     private static final double MAX_FIT_SLOWDOWN = 2;
-    /** Increase of the dispatch priority from its admission to its objective. */
+    /** Increase of the urgency factor, from 1 at admission to 1 plus this value at the objective. */
     private static final double URGENCY = 2;
 
     private static final double RELAUNCH_FACTOR = 2;
@@ -23,13 +23,15 @@
 
     private final SchedulerContext context;
 
-    /** Creates a policy for the requests of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public AdmissionPolicy(SchedulerContext context) {
         this.context = context;
     }
 
     /**
-     * Returns the dispatch priority of a queued request: its value per work, which rises until its objective.
+     * Returns the dispatch priority of a queued request: its value per millisecond of expected work. It rises
+     * with the waiting time until the request can no longer meet its objective; from then on only the value
+     * of a late answer counts.
      */
     public double dispatchPriority(TrackedRequest request) {
         RequestClass.Objective objective = request.type().settings().objective();
@@ -46,7 +48,7 @@
         return 1 + URGENCY * waitedMs / Math.max(1, request.objectiveAtMs() - request.admittedAtMs());
     }
 
-    /** Returns whether a queued request can't be answered while its answer has a value. */
+    /** Returns whether a queued request can no longer be answered while its answer has a value. */
     public boolean cannotBeInTime(TrackedRequest request) {
         if (context.nowMs() > request.deadlineMs() - ANSWER_MARGIN_MS) {
             return true;
@@ -57,7 +59,7 @@
         return endMs > (hasOverdueValue ? request.deadlineMs() : request.objectiveAtMs());
     }
 
-    /** Returns the part of the expected run time that must fit before the request is too late. */
+    /** Returns the part of the expected run time that must fit into the time left. */
     static double minRunMs(TrackedRequest request) {
         return MIN_FIT_RATIO * request.expectedRunMs();
     }
--- a/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
@@ -6,32 +6,37 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Decides which attempts may be cancelled at all, and which runs have no value any more. */
+/** Decides which attempts may be cancelled, and which are no longer worth running. */
 public final class CancellationPolicy {
-    /** A run without late value is given up this fraction of its latency objective after the objective. */
+    /**
+     * Time past the objective, as a fraction of the latency objective, after which a run whose late answer
+     * has no value is given up.
+     */
     private static final double OVERDUE_GRACE_RATIO = 0.3;
 
     private final SchedulerContext context;
 
-    /** Creates a policy for the attempts of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public CancellationPolicy(SchedulerContext context) {
         this.context = context;
     }
 
-    /** Returns whether the settings allow cancels and the attempt has neither ended nor been cancelled. */
+    /**
+     * Returns whether the settings permit cancellation and the attempt has neither ended nor been cancelled.
+     */
     public boolean mayCancel(Attempt attempt) {
         return context.settings().capabilities().cancel() && attempt.isRunning();
     }
 
-    /** Returns whether the request has neither its final answer nor the start of a response. */
+    /** Returns whether the request has neither a final answer nor the beginning of a response. */
     public boolean isUnanswered(TrackedRequest request) {
         return request.state() == RequestState.QUEUED || request.state() == RequestState.IN_FLIGHT;
     }
 
     /**
-     * Returns whether a run can no longer be answered while its answer has a value. A cancel in flight does
-     * not matter: the request is given up instead of being relaunched. Always false for a request that is not
-     * idempotent.
+     * Returns whether an attempt can no longer be answered while its answer has a value. This includes an
+     * attempt that is being cancelled: its request is given up instead of being relaunched. Always false if
+     * the request is not idempotent or the settings do not permit cancellation.
      */
     public boolean hasNoValue(Attempt attempt) {
         TrackedRequest request = attempt.request();
--- a/src/main/java/lineward/scheduling/decision/ClientEvictionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ClientEvictionPolicy.java
@@ -1,25 +1,31 @@
 package lineward.scheduling.decision;
 
-/** Decides which client connection is closed for a new one when a server is at its capacity. */
+/** Decides which client connection is closed to make room for a new one when a server is at its capacity. */
 public final class ClientEvictionPolicy {
-    /** Fraction of the capacity beyond which silent connections evict their own kind, against a flood. */
+    /**
+     * Divisor of the capacity that gives the number of silent connections above which the oldest of them is
+     * evicted, so that a flood of them cannot displace clients that send requests.
+     */
     private static final int SILENT_DIVISOR = 4;
-    /** Fraction of the capacity that may be closing at once, as these still use descriptors. */
+    /**
+     * Divisor of the capacity that gives the number of connections that may be closing gracefully at once;
+     * these still use file descriptors.
+     */
     private static final int CLOSING_DIVISOR = 16;
 
-    /** The connection that is closed. One that awaits a response never is. */
+    /** Which connection is closed; never one that awaits a response. */
     public enum Eviction {
-        /** The connection that has been silent for longest is closed. */
+        /** Closes the connection that has been open for longest without sending any request. */
         CLOSE_OLDEST_SILENT,
-        /** The connection that has been idle for longest is closed, unless it sends a request first. */
+        /** Closes the connection that has been idle for longest, unless it sends a request first. */
         CLOSE_OLDEST_IDLE_GRACEFULLY,
-        /** The connection that has been idle for longest is closed. */
+        /** Closes the connection that has been idle for longest at once. */
         CLOSE_OLDEST_IDLE
     }
 
     private ClientEvictionPolicy() {}
 
-    /** Returns which connection of a full server is closed, by the number of connections in each state. */
+    /** Returns which connection of a full server is closed, given the number of connections in each state. */
     public static Eviction evict(int capacity, int silent, int idle, int closing) {
         if (silent > capacity / SILENT_DIVISOR || idle == 0) {
             return Eviction.CLOSE_OLDEST_SILENT;
--- a/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
@@ -7,7 +7,10 @@
 
 /** Decides the final answer of a request that is given up. */
 public final class FinalAnswerPolicy {
-    /** Advised Retry-After as a fraction of the objective, so that a retry may still meet it. */
+    /**
+     * Retry-After as a fraction of the latency objective, so that a retry by the client may still meet the
+     * objective.
+     */
     private static final double RETRY_AFTER_RATIO = 0.25;
 
     private static final double NO_RETRY_AFTER = 0;
@@ -15,14 +18,15 @@
     private final SchedulerContext context;
     private final RetryPolicy retries;
 
-    /** Creates a policy for the requests of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public FinalAnswerPolicy(SchedulerContext context, RetryPolicy retries) {
         this.context = context;
         this.retries = retries;
     }
 
     /**
-     * Returns a rejection, which invites a retry, where nothing ran or a repeat is harmless; else a failure.
+     * Returns a rejection, which invites the client to retry, if nothing has run or a second run is harmless;
+     * otherwise a failure.
      */
     public SchedulerAction finalAnswer(TrackedRequest request) {
         boolean neverRan = request.firstUnansweredRun() == null && !request.hasAttemptInFlight();
--- a/src/main/java/lineward/scheduling/decision/KeyOrder.java
+++ b/src/main/java/lineward/scheduling/decision/KeyOrder.java
@@ -6,14 +6,14 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Keeps the requests of one key in order of arrival, where their class asks for it. */
+/** Keeps the requests of one key in order of arrival, for classes that require it. */
 public final class KeyOrder {
     private final SchedulerContext context;
     private final KeyedQueues<TrackedRequest> queues = new KeyedQueues<>();
-    /** When the next request of a key may start after an indeterminate outcome. */
+    /** By key, the time at which its next request may start after an indeterminate outcome. */
     private final Map<Long, Double> settledAtMs = new LinkedHashMap<>();
 
-    /** Creates a policy for the requests of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public KeyOrder(SchedulerContext context) {
         this.context = context;
     }
@@ -25,12 +25,15 @@
         }
     }
 
-    /** Removes a request that is released. */
+    /** Removes a completed request that has no attempt in flight. */
     public void remove(TrackedRequest request) {
         queues.remove(request.key(), request);
     }
 
-    /** An attempt may still run: the next request of its key waits for the settle time of the settings. */
+    /**
+     * Delays the next request of the key by the settle time of the settings, because an attempt of this one
+     * may still run.
+     */
     public void settle(TrackedRequest request) {
         if (request.isOrdered()) {
             double untilMs = context.nowMs() + context.settings().rules().settleMs();
@@ -39,8 +42,8 @@
     }
 
     /**
-     * Returns whether the request may start: it is the oldest request of its key, and the settle time of the
-     * key is over, unless the request itself has started before.
+     * Returns whether the request may start: it is the oldest request of its key, and it has either started
+     * before or the settle time of the key has passed.
      */
     public boolean isNext(TrackedRequest request) {
         if (!request.isOrdered()) {
--- a/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
@@ -4,11 +4,11 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Decides which attempts that wait at a full engine are queued at another one. */
+/** Decides which attempts that wait at their engine are cancelled and queued at another one. */
 public final class MigrationPolicy {
     /**
-     * Attempts of any kind after which a request does not migrate; another engine is then unlikely to be
-     * free.
+     * Number of attempts of any kind up to which a request migrates; after more, another engine is unlikely
+     * to have capacity.
      */
     private static final int MAX_MIGRATIONS = 2;
 
@@ -17,7 +17,7 @@
     private final RetryPolicy retries;
     private final EngineEligibility eligibility;
 
-    /** Creates a policy for the attempts of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public MigrationPolicy(
             SchedulerContext context,
             CancellationPolicy cancellation,
@@ -30,8 +30,9 @@
     }
 
     /**
-     * Returns whether an attempt that waits and has not begun is migrated now: its request is idempotent,
-     * keeps an attempt for a relaunch, and can be in time on another engine that can take it.
+     * Returns whether an attempt that waits and has made no progress is migrated now: its request is
+     * idempotent, keeps one more attempt for a relaunch, and can be in time on another engine that can take
+     * it.
      */
     public boolean shouldMigrate(Attempt attempt) {
         TrackedRequest request = attempt.request();
--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -11,17 +11,18 @@
 import lineward.scheduling.state.TrackedRequest;
 
 /**
- * Decides whether a request may be attempted, retried or relaunched: order, idempotence, attempts, budget.
+ * Decides whether a request may be attempted, retried or relaunched, by key order, idempotence, number of
+ * attempts and retry budget.
  */
 public final class RetryPolicy {
-    /** Errors after which the request itself is taken to be at fault. */
+    /** Number of errors from which the request itself is taken to be at fault. */
     private static final int MAX_ERRORS_PER_REQUEST = 3;
 
     private final SchedulerContext context;
     private final KeyOrder keyOrder;
     private final RetryBudgetTracker budget;
 
-    /** Creates a policy for the requests of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public RetryPolicy(SchedulerContext context, KeyOrder keyOrder, RetryBudgetTracker budget) {
         this.context = context;
         this.keyOrder = keyOrder;
@@ -29,7 +30,8 @@
     }
 
     /**
-     * Returns whether an attempt of the request at the engine is within all rules that concern the request.
+     * Returns whether an attempt of the request at the engine complies with all rules that concern the
+     * request.
      */
     public boolean mayAttempt(TrackedRequest request, Engine engine) {
         boolean firstAttempt = request.attempts().isEmpty();
@@ -40,8 +42,8 @@
     }
 
     /**
-     * Returns whether the request may have an attempt now: never two at once, none after the final answer or
-     * the deadline, and at most as many as permitted.
+     * Returns whether the request may have an attempt now: it has no final answer and no attempt in flight,
+     * its deadline has not passed, and it has attempts left.
      */
     private boolean isOpen(TrackedRequest request) {
         return !request.state().isCompleted()
@@ -55,14 +57,14 @@
         return request.attempts().size() < context.settings().attempts().maxPerRequest();
     }
 
-    /** Returns whether two runs of the request are harmless, on any engines, for some time at least. */
+    /** Returns whether two runs of the request are harmless on any engines, at least for some time. */
     public boolean mayRunTwice(TrackedRequest request) {
         return request.type().settings().repeatability().isRepeatableAnywhere();
     }
 
     /**
-     * Returns the time within which the next attempt must start: an idempotency key expires, and a
-     * non-idempotent request that may have run must not start at all.
+     * Returns the time within which the next attempt must start. An idempotency key expires, and a
+     * non-idempotent request that may have run must not start again.
      */
     public double startWithinMs(TrackedRequest request) {
         Attempt first = request.firstUnansweredRun();
@@ -91,7 +93,7 @@
 
     /**
      * Returns whether the request may be queued for another attempt after one that ended with this outcome.
-     * After NOT_STARTED there is none: the request was complete or its time was up.
+     * There is no retry after NOT_STARTED, as the request was complete or its time was up.
      */
     public boolean mayRetry(TrackedRequest request, AttemptOutcome outcome) {
         boolean requestAtFault = request.errors() >= MAX_ERRORS_PER_REQUEST;
@@ -102,8 +104,8 @@
     }
 
     /**
-     * Returns whether a relaunch of the attempt in flight would be within the retry budget and its key's
-     * time.
+     * Returns whether a relaunch of the attempt in flight would be within the retry budget and the lifetime
+     * of the request's key.
      */
     public boolean mayRelaunch(TrackedRequest request) {
         return budget.allows(1 + cancelsInFlight()) && !mayOutliveItsKey(request);
@@ -116,7 +118,10 @@
                 .count();
     }
 
-    /** Counts from the first attempt, which may turn out to have run, and allows for a silent engine. */
+    /**
+     * Returns whether a relaunch might start after the key has expired. The lifetime counts from the first
+     * attempt, which may turn out to have run; the relaunch may be delayed by a silent engine.
+     */
     private boolean mayOutliveItsKey(TrackedRequest request) {
         return request.isRepeatableByKey()
                 && context.nowMs() + OutlierDetector.SILENCE_MS
--- a/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
@@ -1,18 +1,18 @@
 package lineward.scheduling.decision;
 
 /**
- * Decides which requests and clients a protocol server admits before the scheduler sees them. Requests that
- * pass are bounded once more by the coordinator's table; the scheduler then decides when each runs, or
+ * Decides which requests and clients a protocol server admits before the scheduler sees them. The table of
+ * the coordinator then bounds the number of requests, and the scheduler decides when each one runs, or
  * rejects it.
  */
 public final class ServerAdmissionPolicy {
-    /** Which requests and clients a server accepts during its life. */
+    /** The phases of a server, by which requests and clients it accepts. */
     public enum Phase {
-        /** It serves all requests and welcomes new clients. */
+        /** Admits all requests and welcomes new clients. */
         OPEN,
-        /** It serves all requests, but asks clients to go elsewhere. */
+        /** Admits all requests, but asks clients to use other front ends. */
         DRAINING,
-        /** It rejects new requests and completes those admitted. */
+        /** Rejects new requests and completes those already admitted. */
         REJECTING
     }
 
@@ -20,7 +20,9 @@
     private Phase phase = Phase.OPEN;
     private long statementBytes;
 
-    /** Creates an open policy that bounds the bytes of the statements of all admitted requests. */
+    /**
+     * Creates a policy in phase OPEN that limits the total size of the statements of all admitted requests.
+     */
     public ServerAdmissionPolicy(long maxStatementBytes) {
         this.maxStatementBytes = maxStatementBytes;
     }
@@ -35,7 +37,7 @@
         phase = next;
     }
 
-    /** Returns whether clients that have a choice of front ends are welcome here. */
+    /** Returns whether clients that can choose among front ends should use this one. */
     public boolean welcomesClients() {
         return phase == Phase.OPEN;
     }
@@ -45,22 +47,24 @@
         return phase != Phase.REJECTING;
     }
 
-    /** Returns whether a request with a statement of that size is admitted; it must be rejected otherwise. */
+    /** Returns whether a request with a statement of this size is admitted; otherwise it must be rejected. */
     public boolean mayAdmit(long bytes) {
         return admitsRequests() && statementBytes + bytes <= maxStatementBytes;
     }
 
-    /** Returns whether a server that has so many clients, the new one included, keeps the new one. */
+    /**
+     * Returns whether the server keeps a new client, given the number of its clients, the new one included.
+     */
     public static boolean mayConnect(int clients, int maxClients) {
         return clients <= maxClients;
     }
 
-    /** Counts the statement of an admitted request. */
+    /** Adds the statement of an admitted request to the total size. */
     public void recordAdmitted(long bytes) {
         statementBytes += bytes;
     }
 
-    /** Releases the statement of an admitted request that is complete. */
+    /** Removes the statement of a completed request from the total size. */
     public void recordCompleted(long bytes) {
         statementBytes -= bytes;
     }
