--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -9,25 +9,31 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Limits the threads that this front end runs on each engine, and on all engines together. */
+/** Limits the threads that the attempts of this front end use on each engine and on all engines together. */
 public final class ConcurrencyLimits {
-    /** Threads per core, over all front ends, past which an engine completes less work. */
+    /** Threads per core, over all front ends, above which an engine completes less work. */
     private static final double SATURATION_THREADS_PER_CORE = 1.5;
-    /** Number of front ends up to which a front end estimates the fleet's load from its own counts. */
+    /**
+     * Number of front ends up to which each one estimates the load of the fleet from its own counts alone.
+     */
     static final double SMALL_FLEET = 4;
-    /** Least quota, as a multiple of an even one. */
+    /**
+     * Minimum quota, as a multiple of an even one. A smaller minimum would let a false sign of overload
+     * reinforce itself.
+     */
     private static final double MIN_EVEN_QUOTAS = 1.3;
     /**
-     * Time after which a front end with queued requests has the quota of the whole fleet, while it is calm.
+     * Time in which the quota of a front end with queued requests grows from an even one to the whole fleet,
+     * while the fleet is calm.
      */
     private static final double FULL_QUOTA_AFTER_MS = 10_000;
-    /** Slowdown of every class below which the fleet is calm. */
+    /** The fleet is calm while the slowdown of every class is below this factor. */
     private static final double CALM_SLOWDOWN = 1.3;
-    /** Factor by which the quota grows and shrinks where load reports show the load of the fleet. */
+    /** Factor of each increase and decrease of the quota where load reports show the load of the fleet. */
     private static final double REPORTED_GROWTH = 1.3;
-    /** Divisor by which an unused quota shrinks while the fleet is calm. */
+    /** Divisor of each decrease of an unused quota while the fleet is calm. */
     private static final double UNUSED_SHRINK = 1.05;
-    /** Factor by which granted memory may exceed the quota. */
+    /** Factor by which the granted fraction of an engine's memory may exceed the quota. */
     private static final double MEMORY_QUOTA_FACTOR = 1.2;
 
     private static final double FULL_QUOTA = 1;
@@ -40,7 +46,7 @@
     private final int frontEnds;
     private double quota;
 
-    /** Creates limits with an even quota. */
+    /** Creates limits that start with the minimum quota. */
     public ConcurrencyLimits(
             SchedulerContext context, EngineCapacity capacity, LoadReports reports, ResourceLimits grants) {
         this.context = context;
@@ -60,14 +66,15 @@
         return quota;
     }
 
-    /** Returns the fraction of an engine's load that other front ends cause, unseen by this one. */
+    /**
+     * Returns the estimated fraction of an engine's load that is caused by other front ends and not seen by
+     * this one.
+     */
     public double unseenLoadRatio() {
         return Math.max(0, 1 - SMALL_FLEET / frontEnds);
     }
 
-    /**
-     * Adapts the quota: it grows while requests are queued and the fleet is calm, and shrinks when it is not.
-     */
+    /** Adapts the quota: it grows while requests are blocked and the fleet is calm, and shrinks otherwise. */
     public void adaptQuota(boolean requestsBlocked, double intervalMs) {
         boolean calm = isCalm();
         double growth = growth(intervalMs);
@@ -87,7 +94,8 @@
     }
 
     /**
-     * Returns whether the engine is below its limit, by its load report if there is one, else by own counts.
+     * Returns whether the engine is below its limit, by its load report if there is a fresh one, otherwise by
+     * the counts of this front end.
      */
     public boolean hasCapacity(Engine engine, TrackedRequest request) {
         if (reports.areFresh(engine)) {
@@ -114,9 +122,9 @@
     }
 
     /**
-     * Returns whether a request fits into this front end's quota of all usable engines. It matters where the
-     * quota of each engine is less than one request; past the quota each class gets its fraction of the
-     * value.
+     * Returns whether a request fits into this front end's quota of all usable engines. The check has an
+     * effect only where the quota of each engine is less than one request. Beyond the quota, each class may
+     * use the part of it that corresponds to its fraction of the value of all requests.
      */
     public boolean withinFleetQuota(TrackedRequest request, Predicate<Engine> isUsable) {
         if (reports.areShared() && frontEnds <= SMALL_FLEET) {
@@ -144,7 +152,10 @@
                 request, ofClass, limit * request.type().demand().valueRatio());
     }
 
-    /** A class with nothing in flight may exceed its quota at intervals that keep its mean within it. */
+    /**
+     * Lets a class with nothing in flight exceed its quota at intervals that keep its mean use within the
+     * quota.
+     */
     private boolean withinClassQuota(TrackedRequest request, double inFlight, double classLimit) {
         if (inFlight > 0) {
             return inFlight + request.threads() <= classLimit;
--- a/src/main/java/lineward/scheduling/decision/EngineEligibility.java
+++ b/src/main/java/lineward/scheduling/decision/EngineEligibility.java
@@ -11,28 +11,31 @@
     private final ConcurrencyLimits limits;
     private final SlowStart slowStart;
 
-    /** Creates a policy for the engines of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public EngineEligibility(SchedulerContext context, ConcurrencyLimits limits, SlowStart slowStart) {
         this.context = context;
         this.limits = limits;
         this.slowStart = slowStart;
     }
 
-    /** Returns whether the engine is ready and the request's class is placed there. */
+    /** Returns whether the engine is ready and the placement of the request's class allows it. */
     public static boolean mayRunOn(TrackedRequest request, Engine engine) {
         return engine.isReady() && request.type().settings().placement().allows(engine.endpoint());
     }
 
-    /** Returns whether the engine is ready, placed, below its limits and within its slow-start budget. */
+    /**
+     * Returns whether the request may run on the engine, which is below its concurrency limits and has enough
+     * of its slow-start budget left.
+     */
     public boolean hasCapacityNow(TrackedRequest request, Engine engine) {
         boolean hasCapacity = mayRunOn(request, engine) && limits.hasCapacity(engine, request);
         return hasCapacity && slowStart.allows(request, engine);
     }
 
     /**
-     * Returns whether a healthy engine that the request has not tried could take it now. Unlike a new
-     * attempt, a relaunch is never planned for an ejected or a tried engine; an overdue health check does not
-     * matter.
+     * Returns whether another healthy engine that the request has not tried could take it now. Unlike the
+     * selection of an engine for an attempt, this counts neither ejected nor tried engines, and ignores
+     * overdue health checks.
      */
     public boolean hasTargetForRelaunch(Attempt attempt) {
         TrackedRequest request = attempt.request();
--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -10,15 +10,21 @@
 
 /** Scores engines for a request by their load, in multiples of their capacity; lower is better. */
 public final class EngineLoadScore {
-    /** Spread of scores where other front ends cause all load, unseen here: what chance alone makes. */
+    /**
+     * Scale of the random spread of scores where all load comes from other front ends and is not seen here:
+     * the differences between engines that chance alone causes.
+     */
     private static final double UNSEEN_SPREAD = 0.3;
-    /** Spread of scores where all load is seen. */
+    /** Scale of the random spread of scores where all load is seen. */
     private static final double TIE_SPREAD = 0.01;
-    /** Least fraction of an engine's cores that counts as free for a class. */
+    /** Minimum fraction of an engine's cores that counts as free for a class. */
     private static final double MIN_FREE_RATIO = 0.05;
-    /** Load of a conflict between a load and another use of its table group. */
+    /**
+     * Load added where the request and an attempt at the engine would delay each other because one of them
+     * loads the table group that both use.
+     */
     private static final double GROUP_CONFLICT_LOAD = 1.5;
-    /** Load of an attempt besides its threads, as a fraction of the cores. */
+    /** Thread load that is added to that of the attempts, as a fraction of the cores. */
     private static final double BASE_LOAD_RATIO = 0.3;
 
     private static final double MEMORY_BASE_LOAD = 0.3;
@@ -26,7 +32,7 @@
     private static final double OTHER_ZONE_LOAD = 0.02;
     private static final double NO_LOAD = 0;
     private static final double MEMORY_UNKNOWN = Double.NEGATIVE_INFINITY;
-    /** Keeps random draws away from 0 and 1, where the noise is infinite. */
+    /** Keeps random draws away from 0 and 1, where the Gumbel noise is infinite. */
     private static final double DRAW_RANGE = 0.999999;
 
     private static final double DRAW_OFFSET = 5e-7;
@@ -38,7 +44,7 @@
     private final LoadReports reports;
     private final EngineCapacity capacity;
 
-    /** Creates a policy for the engines of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public EngineLoadScore(
             SchedulerContext context,
             ConcurrencyLimits limits,
@@ -55,8 +61,8 @@
     }
 
     /**
-     * Draws by how much an engine's score is lowered: Gumbel noise, so that many front ends that see the same
-     * load spread over the engines in proportion to their free cores.
+     * Draws the amount by which an engine's score is lowered. It is Gumbel noise, so that many front ends
+     * that see the same load spread over the engines in proportion to their free cores.
      */
     public double drawSpread(ClassState type, Engine engine) {
         double draw = 1 - context.drawRandom() * DRAW_RANGE - DRAW_OFFSET;
@@ -65,7 +71,7 @@
         return scale * (Math.log(freeCores(type, engine)) + noise);
     }
 
-    /** Returns the cores that are left by classes with fewer engines to run on. */
+    /** Returns the cores of the engine that are left by classes that can run on fewer cores of the fleet. */
     private double freeCores(ClassState type, Engine engine) {
         double boundRatio = 0;
         for (ClassState other : context.classes()) {
@@ -80,7 +86,8 @@
     }
 
     /**
-     * Returns the expected load of the engine with the request, relative to its speed, with its conflicts.
+     * Returns the expected load of the engine with the request, relative to its speed, plus penalties for a
+     * table group conflict and for another zone.
      */
     public double score(TrackedRequest request, Engine engine) {
         if (isFastEnoughWhileWarmingUp(request, engine)) {
@@ -96,7 +103,8 @@
     }
 
     /**
-     * In a large fleet a front end's slot at a warming engine comes rarely, so it is used if that is in time.
+     * Returns whether this front end should use its slot at a warming engine. In a large fleet such slots
+     * come rarely, so a slot is used if the request would meet its objective on the cold engine.
      */
     private boolean isFastEnoughWhileWarmingUp(TrackedRequest request, Engine engine) {
         double runMs = capacity.runMsWhenCold(request);
--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -6,14 +6,14 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Selects the engine of an attempt: the eligible one with the least load score. */
+/** Selects the engine of an attempt: the eligible one with the lowest load score. */
 public final class EngineSelector {
-    /** A health check in flight for longer keeps requests away from its engine. */
+    /** An engine whose health check has been in flight for this long is not selected. */
     private static final double MAX_HEALTH_CHECK_MS = 25;
-    /** Score of an engine that must be used, below any other. */
+    /** Score of an engine that must be selected, below any other score. */
     private static final double SELECT_FIRST = Double.NEGATIVE_INFINITY;
 
-    /** The ready engines where a class is placed. */
+    /** The number of ready engines that a request may run on, and whether ejected ones are used as well. */
     private record Placement(int engines, boolean useEjected) {}
 
     private final SchedulerContext context;
@@ -23,7 +23,7 @@
     private final EngineEligibility eligibility;
     private final EngineLoadScore loadScore;
 
-    /** Creates a policy for the engines of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public EngineSelector(
             SchedulerContext context,
             ConcurrencyLimits limits,
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Returns the engine for the request's next attempt; empty if none may take it now. Past this front end's
-     * quota of the fleet it pauses the request's class until the next decision.
+     * Returns the engine for the request's next attempt; empty if none may take it now. If the request
+     * exceeds this front end's quota of the fleet, dispatch of its class is paused until the next decision.
      */
     public Optional<Engine> selectEngine(TrackedRequest request) {
         Placement placement = placement(request);
@@ -82,9 +82,9 @@
     }
 
     /**
-     * Returns whether the next attempt may go to the engine. Unlike a planned relaunch, it may probe an
-     * ejected engine, return to a tried one once all were tried, and avoids an engine with an overdue health
-     * check.
+     * Returns whether the next attempt may go to the engine. Unlike the target of a relaunch, the engine may
+     * be ejected and due for a recovery probe, or already tried if all were tried, but must not have an
+     * overdue health check.
      */
     private boolean isCandidate(Engine engine, TrackedRequest request, boolean probe, Placement placement) {
         return isUsable(engine, probe, placement)
@@ -108,7 +108,10 @@
         return startedMs.isPresent() && context.nowMs() - startedMs.getAsDouble() >= MAX_HEALTH_CHECK_MS;
     }
 
-    /** Without this an engine that warms up would never look best, and never show that it has recovered. */
+    /**
+     * Returns whether the engine must be selected whatever its score. The score of an engine that warms up
+     * would never be the lowest, so it would get no attempt that could show its recovery.
+     */
     private static boolean isNeededForRecovery(Engine engine, boolean probe) {
         boolean awaited = engine.isAwaitingFirstAnswer() && engine.attempts().isEmpty();
         return probe || awaited;
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -12,12 +12,12 @@
 /** Decides the memory grant and the priority of a request's attempts. */
 public final class ResourceLimits {
     private static final double MAX_GRANT_FACTOR = 3;
-    /** Quantile of the requests' needs towards which the grant factor moves. */
+    /** Quantile of the memory needs of requests that the grant factor converges to. */
     private static final double NEED_QUANTILE = 0.98;
 
     private static final double NEED_STEP = 0.03;
     private static final double SPILL_STEP = 1.02;
-    /** Fraction of the largest class's mean work below which work is short. */
+    /** Work is short below this fraction of the mean work of the class with the largest mean. */
     private static final double SHORT_WORK_RATIO = 0.3;
 
     private static final double NO_GRANT = 0;
@@ -29,12 +29,15 @@
 
     private final SchedulerContext context;
 
-    /** Creates a policy for the requests of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public ResourceLimits(SchedulerContext context) {
         this.context = context;
     }
 
-    /** Returns the limits of the request's next attempt; empty where engines heed none. */
+    /**
+     * Returns the limits of the request's next attempt; empty if engines support neither grants nor
+     * priorities.
+     */
     public Optional<SchedulerAction> limitsFor(TrackedRequest request, Engine engine) {
         SchedulerSettings.Capabilities may = context.settings().capabilities();
         if (!may.grants() && !may.priorities()) {
@@ -44,7 +47,10 @@
         return Optional.of(new SchedulerAction.SetResourceLimits(request.id(), grantMb, priority(request)));
     }
 
-    /** An engine that pages counts the memory in use up to the need, so the largest grant costs nothing. */
+    /**
+     * Returns the grant to request. An engine that pages counts only the memory in use, up to the need, so
+     * the largest grant costs nothing there.
+     */
     private double requestedGrantMb(TrackedRequest request, Engine engine) {
         SchedulerSettings.MemoryLimits memory = context.settings().memory();
         return memory.shortage() == MemoryShortage.PAGE
@@ -52,7 +58,9 @@
                 : grantMb(request, engine);
     }
 
-    /** Returns the memory that a request is expected to need on an engine, which other decisions count. */
+    /**
+     * Returns the memory that a request is expected to need on an engine. Other decisions count this amount.
+     */
     public double grantMb(TrackedRequest request, Engine engine) {
         SchedulerSettings settings = context.settings();
         double correction = request.type().model().memoryCorrection();
@@ -64,7 +72,10 @@
                 : needMb;
     }
 
-    /** Short work first, then loads and relaunches, then long work; what is already late comes last. */
+    /**
+     * Returns the priority; a higher one runs first. Short work comes first, then loads and relaunches, then
+     * long work; what is already late comes last.
+     */
     private int priority(TrackedRequest request) {
         double nowMs = context.nowMs();
         if (nowMs + request.expectedRunMs() > request.objectiveAtMs()) {
@@ -81,14 +92,16 @@
         return load || request.isRelaunched() ? LOAD_PRIORITY : LONG_PRIORITY;
     }
 
-    /** Learns from the memory that a request needed, as a multiple of its estimate. */
+    /**
+     * Adapts the grant factor to the memory that a request needed, as a multiple of its corrected estimate.
+     */
     public void recordNeed(ClassState type, double factor) {
         boolean tooSmall = factor > type.grantFactor();
         double change = tooSmall ? 1 + NEED_STEP * NEED_QUANTILE : 1 - NEED_STEP * (1 - NEED_QUANTILE);
         type.setGrantFactor(type.grantFactor() * change);
     }
 
-    /** Learns from a request that spilled to disk. */
+    /** Raises the grant factor after a request that spilled to disk. */
     public void recordSpill(ClassState type) {
         type.setGrantFactor(Math.min(MAX_GRANT_FACTOR, type.grantFactor() * SPILL_STEP));
     }
--- a/src/main/java/lineward/scheduling/decision/SlowStart.java
+++ b/src/main/java/lineward/scheduling/decision/SlowStart.java
@@ -7,13 +7,19 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Keeps all front ends together from overloading an engine that warms up. */
+/**
+ * Limits the work that all front ends together send to an engine that is warming up, so that they do not
+ * overload it.
+ */
 public final class SlowStart {
-    /** Front ends that may use a warming engine in one slot. */
+    /**
+     * Number of front ends that may use a warming engine in one slot: enough to fill it, few enough that each
+     * one's budget covers a request.
+     */
     private static final int FRONT_ENDS_PER_SLOT = 4;
-    /** A sliding window overlaps two slots, so each slot may use half of the budget. */
+    /** Number of slots that the sliding window overlaps, so that each slot may use half of the budget. */
     private static final int OVERLAPPING_SLOTS = 2;
-    /** Fraction of the overload limit that is used, below 1 because the capacity is an estimate. */
+    /** Fraction of the overload limit that is used; below 1 because the capacity is an estimate. */
     private static final double BUDGET_RATIO = 0.4;
 
     private static final double FULL_QUOTA = 1;
@@ -27,7 +33,7 @@
     private OptionalDouble quotaChangedMs = OptionalDouble.empty();
     private boolean joinedHotRestart;
 
-    /** Creates a policy for the engines of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public SlowStart(SchedulerContext context, EngineCapacity capacity) {
         this.context = context;
         this.capacity = capacity;
@@ -35,7 +41,9 @@
         this.position = context.settings().position();
     }
 
-    /** Sets the fraction of the front end's budget that this process may use during a hot restart. */
+    /**
+     * Sets the fraction of the front end's budget that this process may use; below 1 during a hot restart.
+     */
     public void changeQuota(double ratio) {
         previousQuotaRatio = effectiveQuotaRatio();
         quotaChangedMs = OptionalDouble.of(context.nowMs());
@@ -43,13 +51,14 @@
         joinedHotRestart |= ratio < FULL_QUOTA;
     }
 
-    /** Returns whether the fleet is so large that front ends take slots at a warming engine. */
+    /** Returns whether the fleet is so large that front ends take turns at a warming engine, in slots. */
     public boolean usesSlots() {
         return position.frontEnds() > FRONT_ENDS_PER_SLOT;
     }
 
     /**
-     * Returns whether the engine has warmed up or the request fits into this front end's slow-start budget.
+     * Returns whether the request may be sent to the engine: the engine is not warming up, the settings do
+     * not limit its work, or the request fits into this front end's slow-start budget.
      */
     public boolean allows(TrackedRequest request, Engine engine) {
         if (!capacity.isWarmingUp(engine) || !rule.limitsWork()) {
@@ -72,8 +81,9 @@
     }
 
     /**
-     * This process started after the engine, and an earlier process may have sent work within the window.
-     * During a hot restart the quota accounts for that instead.
+     * Returns whether an earlier process of this front end may have used the budget of the current window:
+     * this process started after the engine and less than a window ago. In a hot restart the quota accounts
+     * for that process instead.
      */
     private boolean mayHaveUsedBudgetBeforeRestart(Engine engine) {
         double startedMs = context.startedMs();
@@ -83,7 +93,10 @@
                 && startedMs > engine.warmupStartMs().getAsDouble();
     }
 
-    /** Front ends take slots of one window by ordinal and engine number, without messages. */
+    /**
+     * Returns whether this front end has the current slot at the engine. Each slot lasts one window and goes
+     * to front ends by their ordinals and the engine's id, so that they need not exchange messages.
+     */
     private boolean hasSlot(Engine engine) {
         double ageMs = context.nowMs() - engine.warmupStartMs().getAsDouble();
         long slot = (long) (ageMs / rule.windowMs());
@@ -91,7 +104,10 @@
         return Math.floorMod(distance, (long) position.frontEnds()) < FRONT_ENDS_PER_SLOT;
     }
 
-    /** What another process sent counts for one window more, so a larger quota applies only after it. */
+    /**
+     * Returns the quota that applies now. Work sent by another process counts for one more window, so a
+     * larger quota applies only after that.
+     */
     private double effectiveQuotaRatio() {
         return isQuotaJustChanged() ? Math.min(quotaRatio, previousQuotaRatio) : quotaRatio;
     }
