--- a/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
+++ b/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
@@ -13,11 +13,16 @@
 import lineward.scheduling.state.LoadReports;
 import lineward.scheduling.state.SchedulerContext;
 
-/** Decides which engines are polled for their load and how often; front ends share the reports by gossip. */
+/**
+ * Decides which engines are polled for load reports and how often. Front ends share the reports by gossip.
+ */
 public final class LoadReportPolling {
     /** Token of the timer for the next poll. */
     public static final int TIMER = 1;
-    /** Price of polling for each request, in points of the result. */
+    /**
+     * Maximum cost of polling per admitted request, in the unit of {@link SchedulerSettings.Costs} (points of
+     * the result). It is far below the cost of overload.
+     */
     private static final double COST_BUDGET = 0.01;
 
     private static final double MIN_INTERVAL_MS = 250;
@@ -35,26 +40,26 @@
     private final OutlierDetector outliers;
     private double requestsSeen;
 
-    /** Creates a policy for the engines of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public LoadReportPolling(SchedulerContext context, LoadReports reports, OutlierDetector outliers) {
         this.context = context;
         this.reports = reports;
         this.outliers = outliers;
     }
 
-    /** Sets the first timer, where engines report their load. */
+    /** Schedules the first poll, if front ends share load reports. */
     public void start() {
         if (reports.areShared()) {
             scheduleTimer(context.drawRandom() * MIN_INTERVAL_MS);
         }
     }
 
-    /** Counts an admitted request: polling may cost more where there is more traffic. */
+    /** Counts an admitted request: the cost budget of polling grows with the traffic. */
     public void countRequest() {
         requestsSeen++;
     }
 
-    /** Polls the engines without a report for longest, and sets the next timer. */
+    /** Polls the engines with the oldest load reports and schedules the next poll. */
     public void poll() {
         List<Candidate> candidates = new ArrayList<>();
         for (Engine engine : context.engines()) {
@@ -68,7 +73,10 @@
         scheduleTimer(delayMs * (MIN_JITTER + context.drawRandom()));
     }
 
-    /** The jitter keeps front ends, which share their reports, from polling the same engine. */
+    /**
+     * Returns the time of the engine's last report, with a jitter that keeps front ends, which share their
+     * reports, from polling the same engine.
+     */
     private double jitteredReportMs(Engine engine) {
         double jitterMs = context.drawRandom() * MIN_INTERVAL_MS;
         OptionalDouble reportedAtMs = engine.load().reportedAtMs();
@@ -76,7 +84,8 @@
     }
 
     /**
-     * Returns the time between two polls that keeps within the price and spreads polls over the front ends.
+     * Returns the time per polled engine that keeps polling within its cost budget and spreads the polls over
+     * the front ends.
      */
     private double intervalMs(int engines) {
         SchedulerSettings.Costs costs = context.settings().costs();
@@ -97,7 +106,7 @@
         context.emit(new SchedulerAction.StartHealthCheck(engine.id()));
     }
 
-    /** Applies the end of a health check: a failure ejects the engine, a rejection says nothing. */
+    /** Applies the result of a health check: a failure ejects the engine, a rejection has no effect. */
     public void complete(SchedulerEvent.HealthCheckCompleted check, Engine engine) {
         engine.load().endHealthCheck();
         if (check.outcome() == AttemptOutcome.OK) {
--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -7,41 +7,59 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Ejects engines that fail or fall silent, and decides which requests probe whether they have recovered. */
+/**
+ * Ejects engines that fail or stop responding, and decides which requests probe whether an ejected engine has
+ * recovered.
+ */
 public final class OutlierDetector {
-    /** Least silence of an engine with overdue work: above usual pauses, far below any deadline. */
+    /**
+     * Minimum time without a response after which an engine with overdue work is ejected: longer than usual
+     * pauses, far shorter than any deadline.
+     */
     static final double SILENCE_MS = 900;
 
     private static final int MAX_CONSECUTIVE_FAILURES = 3;
-    /** Resets in a row that count as the end of the process; one connection may break for other reasons. */
+    /**
+     * Number of consecutive failures, the last one a reset, at which the engine's process counts as lost. A
+     * single connection may break for other reasons.
+     */
     private static final int RESETS_OF_A_LOST_PROCESS = 2;
     /**
-     * Fraction of the allowed engines below which ejected ones are used as well, one attempt for each probe
-     * interval: the fault is then more likely here.
+     * Fraction of healthy engines among the allowed ones below which ejected ones are used as well, for one
+     * attempt in each probe interval: the fault is then more likely at this front end.
      */
     private static final double MIN_HEALTHY_RATIO = 0.34;
-    /** Multiple of its expected time past which, besides the silence, an attempt is overdue. */
+    /** An attempt is overdue after this multiple of its expected run time plus {@link #SILENCE_MS}. */
     private static final double OVERDUE_FACTOR = 3;
     /**
-     * Unanswered attempts, one of them overdue, that make a silence; in a large fleet a single one may be a
-     * straggler.
+     * Number of unanswered attempts, one of them overdue, for which a silent engine is ejected. A single one
+     * may be a straggler in a large fleet.
      */
     private static final int UNANSWERED_ATTEMPTS = 2;
-    /** Intervals without a progress report that make a silence; the first report takes up to 1.5. */
+    /**
+     * Number of progress intervals without a report after which a silent engine is ejected. The first report
+     * takes up to 1.5 intervals.
+     */
     private static final double MISSED_PROGRESS_INTERVALS = 1.55;
 
     private static final double RECOVERY_PROBE_INTERVAL_MS = 700;
-    /** Recovery probes earned by each admitted request, as the probes of all front ends add up. */
+    /**
+     * Recovery probes that each admitted request earns. The rate is limited because the probes of all front
+     * ends add up.
+     */
     private static final double RECOVERY_PROBES_PER_REQUEST = 0.1;
 
     private static final double MAX_RECOVERY_PROBES = 2;
-    /** Multiple of its expected time that a recovery probe must have before its objective. */
+    /**
+     * A request may be a recovery probe if the time to its objective exceeds this multiple of its expected
+     * run time.
+     */
     private static final double RECOVERY_PROBE_SLACK = 3;
 
     private final SchedulerContext context;
     private double recoveryProbes = MAX_RECOVERY_PROBES;
 
-    /** Creates a detector for the engines of that scheduler. */
+    /** Creates a detector over the given scheduler state. */
     public OutlierDetector(SchedulerContext context) {
         this.context = context;
     }
@@ -51,7 +69,10 @@
         recoveryProbes = Math.min(MAX_RECOVERY_PROBES, recoveryProbes + RECOVERY_PROBES_PER_REQUEST);
     }
 
-    /** Counts an attempt that is started at an ejected engine. */
+    /**
+     * Records that an attempt is started at an ejected engine: it uses one recovery probe and delays the
+     * engine's next one.
+     */
     public void spendRecoveryProbe(Engine engine) {
         scheduleRecoveryProbe(engine);
         recoveryProbes = Math.max(0, recoveryProbes - 1);
@@ -62,8 +83,8 @@
     }
 
     /**
-     * Returns whether so few of the allowed engines are healthy that ejected ones whose next recovery probe
-     * is due are used for any request.
+     * Returns whether so few of the allowed engines are healthy that any request may use an ejected engine
+     * whose next recovery probe is due.
      */
     public boolean mustUseEjected(int healthy, int allowed) {
         return healthy < MIN_HEALTHY_RATIO * allowed;
@@ -87,7 +108,7 @@
                 && slackMs > RECOVERY_PROBE_SLACK * request.expectedRunMs();
     }
 
-    /** Ejects the engine if it has overdue work and has sent neither an answer nor progress for long. */
+    /** Ejects the engine if it has overdue work and has sent neither an answer nor progress for too long. */
     public void detectSilence(Engine engine) {
         double silentMs = context.nowMs() - engine.health().lastResponseMs();
         boolean silent = !engine.health().isEjected() && silentMs >= SILENCE_MS;
@@ -103,7 +124,7 @@
         boolean overdue = false;
         int unanswered = 0;
         for (Attempt attempt : engine.attempts()) {
-            // An engine reports once that an attempt waits, and nothing more until it runs.
+            // An engine reports once that an attempt waits, and sends no more reports until it runs.
             if (!attempt.isWaiting()) {
                 double ageMs = context.nowMs() - attempt.startedAtMs();
                 double usualMs = usualRunMs(attempt.request());
@@ -123,12 +144,12 @@
         return request.expectedRunMs() * request.type().model().slowdown();
     }
 
-    /** An engine has answered an attempt: it is healthy. */
+    /** Records that the engine answered an attempt, which ends its ejection. */
     public void recordSuccess(Engine engine) {
         engine.recordSuccess(context.nowMs());
     }
 
-    /** A connection to the engine broke under an attempt. */
+    /** Records that a connection to the engine broke during an attempt. */
     public void recordReset(Engine engine) {
         recordFailure(engine, EjectionCause.RESETS);
         if (engine.health().consecutiveFailures() >= RESETS_OF_A_LOST_PROCESS) {
@@ -136,7 +157,7 @@
         }
     }
 
-    /** No connection to the engine came up, which ejects it at once. */
+    /** Records that no connection to the engine could be established, which ejects it at once. */
     public void recordConnectFailure(Engine engine) {
         engine.health().setConsecutiveFailures(MAX_CONSECUTIVE_FAILURES);
         engine.recordConnectionLost(context.nowMs());
@@ -144,8 +165,8 @@
     }
 
     /**
-     * An engine answered a request with an error. The second error of a request takes the first one back, as
-     * the request may be at fault.
+     * Records that an engine answered a request with an error. The first error of a request counts as a
+     * failure of its engine; the second one reverts that, as the request itself may be at fault.
      */
     public void attributeError(TrackedRequest request, Engine engine) {
         request.recordError(engine);
@@ -175,7 +196,10 @@
         }
     }
 
-    /** Ejects the engine until it answers any attempt, restarts, or its failure is reverted. */
+    /**
+     * Ejects the engine until it answers an attempt, restarts, is released from maintenance, or its failure
+     * is reverted.
+     */
     public void eject(Engine engine, EjectionCause cause) {
         scheduleRecoveryProbe(engine);
         if (engine.health().eject()) {
@@ -183,7 +207,7 @@
         }
     }
 
-    /** The engine's process has restarted. */
+    /** Ends the ejection and clears the failures of an engine whose process has restarted. */
     public void forgetFailures(Engine engine) {
         engine.health().clearFailures();
     }
--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -6,17 +6,24 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Decides which attempts are cancelled because they are slow, so that they are relaunched elsewhere. */
+/** Decides which attempts are cancelled because they are slow, to be relaunched on another engine. */
 public final class SpeculativeCancellation {
-    /** Fraction of the requests that tau does not apply to, so that the curve keeps its tail. */
+    /**
+     * Fraction of the requests that are exempt from the speculative timeout (tau), so that the survival curve
+     * of run times keeps its tail.
+     */
     private static final double EXEMPT_RATIO = 0.02;
 
     private static final double PROGRESS_FRESH_INTERVALS = 2.5;
-    /** Relaunch times left by the predicted progress from which an attempt is cancelled before tau. */
+    /**
+     * An attempt is cancelled before tau if its predicted remaining time exceeds this multiple of a relaunch.
+     */
     private static final double EARLY_CANCEL_RELAUNCHES = 2;
-    /** Relaunch times left by the predicted progress from which a relaunch counts as standing still. */
+    /**
+     * A relaunch counts as stalled if its predicted remaining time exceeds this multiple of another relaunch.
+     */
     private static final double STANDSTILL_RELAUNCHES = 4;
-    /** Multiple of its expected time that a recovery probe may take, besides a margin. */
+    /** Time that a recovery probe may take, as a multiple of its expected run time, besides a margin. */
     private static final double RECOVERY_PROBE_FACTOR = 2;
 
     private static final double RECOVERY_PROBE_MARGIN_MS = 300;
@@ -26,7 +33,7 @@
     private final RetryPolicy retries;
     private final EngineEligibility eligibility;
 
-    /** Creates a policy for the attempts of that scheduler. */
+    /** Creates a policy over the given scheduler state. */
     public SpeculativeCancellation(
             SchedulerContext context,
             CancellationPolicy cancellation,
@@ -38,14 +45,14 @@
         this.eligibility = eligibility;
     }
 
-    /** Draws whether tau does not apply to a request. */
+    /** Draws whether a request is exempt from the speculative timeout. */
     public boolean drawExempt() {
         return context.drawRandom() < EXEMPT_RATIO;
     }
 
     /**
      * Returns whether the attempt is to be cancelled now: its request may run again, it is past tau or its
-     * engine does no work, and another engine can take the relaunch.
+     * engine has failed or stalled, and another engine can take the relaunch.
      */
     public boolean shouldCancel(Attempt attempt) {
         return cancellation.mayCancel(attempt)
@@ -66,7 +73,7 @@
         return engineFails || isPastTau(attempt, relaunchMs);
     }
 
-    /** Returns the run time of a relaunch, slowed down as its class is now on all engines. */
+    /** Returns the expected run time of a relaunch, at the present slowdown of its class on all engines. */
     private double expectedRelaunchMs(TrackedRequest request) {
         ServiceTimeModel model = request.type().model();
         return model.relaunchRatio(context.nowMs()) * request.workUnitMs() * model.slowdown();
@@ -82,7 +89,10 @@
         return attempt.isRecoveryProbe() && context.nowMs() - attempt.startedAtMs() <= allowedMs;
     }
 
-    /** Tau does not apply to a relaunch; its progress may still show that its engine does no work. */
+    /**
+     * Returns whether a relaunch is stalled. Tau does not apply to a relaunch, but its progress may show that
+     * its engine does no work.
+     */
     private boolean isStandingStill(Attempt attempt, double relaunchMs) {
         return attempt.request().isRelaunched()
                 && !attempt.isWaiting()
@@ -102,8 +112,8 @@
     }
 
     /**
-     * Applies tau to the attempt. With fresh progress, one nearly done is spared, and one with far more than
-     * a relaunch left is due before tau.
+     * Returns whether the attempt is past tau. If there is a fresh progress report, an attempt that is nearly
+     * done is spared, and one that has far more left than a relaunch would take is due before tau.
      */
     private boolean isPastTau(Attempt attempt, double relaunchMs) {
         if (!isSubjectToTau(attempt)) {
--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -5,16 +5,22 @@
 import lineward.scheduling.estimation.SurvivalCurve;
 import lineward.scheduling.state.ClassState;
 
-/** Computes tau, the run time past which a relaunch elsewhere costs less load than waiting on. */
+/**
+ * Computes the speculative timeout (tau): the run time after which a relaunch on another engine is expected
+ * to cost less load than waiting.
+ */
 public final class SpeculativeTimeout {
-    /** Fraction of the load that cancelling must save; less is within the error of the estimate. */
+    /**
+     * Fraction of the load that cancellation must save; a smaller saving is within the error of the estimate.
+     */
     private static final double MIN_LOAD_SAVED = 0.02;
 
     private SpeculativeTimeout() {}
 
     /**
-     * Returns tau in units of the estimate: the edge of the curve with the least load; empty if nothing is to
-     * be cancelled. A class with too few runs for a curve gets the edge of a straggler, within bounds.
+     * Returns tau in units of the estimated run time: the bin edge of the survival curve with the least
+     * expected load; empty if nothing is to be cancelled. For a class with too few runs for a curve, that
+     * edge, or the run time of a straggler if no edge saves load, is clamped to the bounds of a straggler.
      */
     public static OptionalDouble tauRatio(ClassState type, double nowMs) {
         ServiceTimeModel model = type.model();
