--- a/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The objective of a request is 1,000 ms and its work after its admission, its deadline 5,000 ms. */
+/** The objective of a request is 1,000 ms plus its work after its admission, and its deadline is 5,000 ms. */
 public class AdmissionPolicyTest {
     private static final double ROUNDING = 1e-12;
 
@@ -18,7 +18,10 @@
         return new TestingPolicies(settings);
     }
 
-    /** Weight, value ratio of a late answer, whether relaunched, work, age, the priority. */
+    /**
+     * Columns: priority weight, overdue value ratio, whether relaunched, work in ms, age in ms, expected
+     * priority.
+     */
     @DataProvider
     public Object[][] priorities() {
         return new Object[][] {
@@ -47,7 +50,10 @@
         assertThat(priority).isCloseTo(value, within(ROUNDING));
     }
 
-    /** Value ratio of a late answer, work, slowdown of its class, age, whether it cannot be in time. */
+    /**
+     * Columns: overdue value ratio, work in ms, slowdown of the class, age in ms, whether the request cannot
+     * be in time.
+     */
     @DataProvider
     public Object[][] ages() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
@@ -14,7 +14,10 @@
 
 public class CancellationPolicyTest {
 
-    /** Whether cancels are permitted, whether the attempt was cancelled, has ended, and may be cancelled. */
+    /**
+     * Columns: whether cancellation is permitted, whether the attempt was cancelled, whether it has ended,
+     * whether it may be cancelled.
+     */
     @DataProvider
     public Object[][] attempts() {
         return new Object[][] {
@@ -66,7 +69,7 @@
         assertThat(policies.cancellation.isUnanswered(request)).isEqualTo(unanswered);
     }
 
-    /** Where a run of 200 ms is when its request's objective, at 1,200 ms, is near or past. */
+    /** The state of an attempt of 200 ms whose request has its objective at 1,200 ms. */
     private enum Run {
         WAITING,
         RUNNING,
@@ -87,7 +90,10 @@
         }
     }
 
-    /** The run, its age, value ratio of a late answer, idempotence, cancels permitted, without value. */
+    /**
+     * Columns: state of the attempt, its age in ms, overdue value ratio, idempotence, whether cancellation is
+     * permitted, whether the attempt has no value.
+     */
     @DataProvider
     public Object[][] runs() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -20,7 +20,7 @@
         return settings;
     }
 
-    /** Cores, front ends, threads in flight, whether the engine has capacity. */
+    /** Columns: cores, front ends, threads in flight, whether the engine has capacity. */
     @DataProvider
     public Object[][] threads() {
         return new Object[][] {
@@ -45,7 +45,10 @@
         assertThat(policies.limits.hasCapacity(engine, policies.admit())).isEqualTo(hasCapacity);
     }
 
-    /** Memory of the engine, front ends, attempts of 6,400 MB there, whether one more has capacity. */
+    /**
+     * Columns: memory of the engine in MB, front ends, attempts of 6,400 MB in flight there, whether the
+     * engine has capacity for one more.
+     */
     @DataProvider
     public Object[][] memory() {
         return new Object[][] {
@@ -70,7 +73,10 @@
         assertThat(policies.limits.hasCapacity(engine, request)).isEqualTo(hasCapacity);
     }
 
-    /** Threads in the load report, attempts started since, age of the report, whether there is capacity. */
+    /**
+     * Columns: threads in the load report, attempts started since, age of the report in ms, whether the
+     * engine has capacity.
+     */
     @DataProvider
     public Object[][] reports() {
         return new Object[][] {
@@ -94,7 +100,7 @@
         assertThat(policies.limits.hasCapacity(engine, policies.admit())).isEqualTo(hasCapacity);
     }
 
-    /** Front ends, quota at the start, fraction of the load that other front ends cause. */
+    /** Columns: front ends, initial quota, fraction of the load that other front ends cause unseen. */
     @DataProvider
     public Object[][] frontEnds() {
         return new Object[][] {{1, 1, 0}, {2, 0.65, 0}, {4, 0.325, 0}, {8, 0.1625, 0.5}, {100, 0.013, 0.96}};
@@ -107,7 +113,10 @@
         assertThat(policies.limits.unseenLoadRatio()).isCloseTo(unseenLoad, within(ROUNDING));
     }
 
-    /** Quota of 100 front ends after 5 s with requests blocked: blocked, slowdown, interval, quota then. */
+    /**
+     * The quota of one of 100 front ends, 0.13 after 5 s of blocked requests, is adapted once more. Columns:
+     * whether requests are blocked, slowdown, interval in ms, expected quota.
+     */
     @DataProvider
     public Object[][] adaptations() {
         return new Object[][] {
@@ -133,8 +142,9 @@
     }
 
     /**
-     * Front ends, threads in flight of the class and of another one, the class's ratio of the value, time
-     * since its last start, whether a request is within the quota: 3.12 threads for each of 20 front ends.
+     * Each of 20 front ends may use 3.12 threads on the four engines. Columns: front ends, threads in flight
+     * of the class and of another one, the class's fraction of the value, time in ms since its last start,
+     * whether a request is within the quota.
      */
     @DataProvider
     public Object[][] fleetQuotas() {
--- a/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
@@ -17,7 +17,10 @@
 
 public class EngineEligibilityTest {
 
-    /** Listing of an engine of kind 0 in zone 0, whether under maintenance, placement, may run there. */
+    /**
+     * The engine is of kind 0 in zone 0. Columns: listed state, whether under maintenance, placement of the
+     * class, whether the request may run there.
+     */
     @DataProvider
     public Object[][] engines() {
         return new Object[][] {
@@ -47,7 +50,7 @@
                 .isEqualTo(mayRun);
     }
 
-    /** Attempts in flight at an engine that has warmed up, whether it has capacity. */
+    /** Columns: attempts in flight at an engine that has warmed up, whether it has capacity. */
     @DataProvider
     public Object[][] loads() {
         int limit = TestingPolicies.THREAD_LIMIT;
@@ -63,7 +66,10 @@
                 .isEqualTo(hasCapacity);
     }
 
-    /** Estimated work of a request, whether an engine that has just started has capacity for it. */
+    /**
+     * Columns: estimated work of a request in ms, whether an engine that has just started has capacity for
+     * it.
+     */
     @DataProvider
     public Object[][] slowStarts() {
         return new Object[][] {{3_000, true}, {3_200, false}};
@@ -77,7 +83,7 @@
         assertThat(policies.eligibility.hasCapacityNow(request, engine)).isEqualTo(hasCapacity);
     }
 
-    /** What the only engine besides that of the attempt is like. */
+    /** The state of the only engine besides that of the attempt. */
     private enum OtherEngine {
         FREE,
         GONE,
--- a/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -12,14 +12,17 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Engines have 8 cores, so a request of one thread on an idle one scores (1 + 0.3 x 8) / 8 = 0.425. */
+/** Engines have 8 cores, so a request of one thread on an idle engine scores (1 + 0.3 x 8) / 8 = 0.425. */
 public class EngineLoadScoreTest {
     private static final double ROUNDING = 1e-9;
     private static final double IDLE = 0.425;
     private static final double THREAD = 0.125;
     private static final double SPREAD = 0.01;
 
-    /** Zone of the engine, threads in flight there, memory estimate of the request, its score. */
+    /**
+     * Columns: zone of the engine, threads in flight there, memory estimate of the request in MB, expected
+     * score.
+     */
     @DataProvider
     public Object[][] loads() {
         return new Object[][] {
@@ -40,7 +43,7 @@
         assertThat(policies.loadScore.score(request, engine)).isCloseTo(score, within(ROUNDING));
     }
 
-    /** Threads and memory in the load report, age of the report, the score. */
+    /** Columns: threads and memory in the load report, age of the report in ms, expected score. */
     @DataProvider
     public Object[][] reports() {
         return new Object[][] {
@@ -61,7 +64,10 @@
         assertThat(policies.loadScore.score(policies.admit(), engine)).isCloseTo(score, within(ROUNDING));
     }
 
-    /** Whether the request waits for loads, a load of its table group is in flight, the added load. */
+    /**
+     * Columns: whether the request waits for loads, whether the load in flight is of its table group, added
+     * load.
+     */
     @DataProvider
     public Object[][] conflicts() {
         return new Object[][] {{true, true, 1.5}, {true, false, 0}, {false, true, 0}};
@@ -82,7 +88,7 @@
         assertThat(score).isCloseTo(IDLE + THREAD + added, within(ROUNDING));
     }
 
-    /** Front ends, work of a request, whether a warming engine scores as free. */
+    /** Columns: front ends, work of the request in ms, whether a warming engine scores as free. */
     @DataProvider
     public Object[][] warmingEngines() {
         return new Object[][] {{8, 200, true}, {4, 200, false}, {8, 980, true}, {8, 990, false}};
@@ -99,7 +105,7 @@
         assertThat(policies.loadScore.score(request, engine) == 0).isEqualTo(free);
     }
 
-    /** Front ends, the scale of the random spread relative to that of one front end. */
+    /** Columns: front ends, expected scale of the random spread relative to that of a single front end. */
     @DataProvider
     public Object[][] spreads() {
         return new Object[][] {{1, 1}, {4, 1}, {8, 16}, {100, (0.01 + 0.3 * 0.96) / SPREAD}};
@@ -114,7 +120,10 @@
         assertThat(scale).isCloseTo(expectedScale, within(ROUNDING));
     }
 
-    /** Work ratio of a class that reaches half of the cores, the free cores of its engine by that. */
+    /**
+     * Columns: work ratio of a class that can run on half of the cores, fraction of its engine's cores that
+     * stays free.
+     */
     @DataProvider
     public Object[][] boundClasses() {
         return new Object[][] {{0, 1}, {0.25, 0.5}, {0.4, 0.2}, {0.9, 0.05}};
--- a/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
@@ -27,7 +27,9 @@
         return engine.map(Engine::id).orElse(NONE);
     }
 
-    /** What excludes an engine, or makes it the first choice, for the next attempt of a request. */
+    /**
+     * A state of an engine that excludes it from the next attempt of a request, or makes it the first choice.
+     */
     private enum Condition {
         NOT_BUSY,
         BUSY,
@@ -77,7 +79,7 @@
         }
     }
 
-    /** Condition of engine 1, condition of engine 2, the engine selected. */
+    /** Columns: condition of engine 1, condition of engine 2, engine expected to be selected. */
     @DataProvider
     public Object[][] engines() {
         return new Object[][] {
@@ -137,7 +139,10 @@
         assertThat(selected(policies, request)).isEqualTo(NONE);
     }
 
-    /** Attempts in flight at the only engine, of which 100 front ends may use 0.156 threads each. */
+    /**
+     * Each of 100 front ends may use 0.156 threads of the only engine. Columns: attempts in flight there,
+     * engine expected to be selected, whether the class is paused.
+     */
     @DataProvider
     public Object[][] quotas() {
         return new Object[][] {{0, 1, false}, {1, NONE, true}};
--- a/src/test/java/lineward/scheduling/decision/FinalAnswerPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/FinalAnswerPolicyTest.java
@@ -31,7 +31,10 @@
         return new FinalAnswerPolicy(policies.context, policies.retries).finalAnswer(request);
     }
 
-    /** How the only attempt ended, idempotence, scope, whether the request is rejected and not failed. */
+    /**
+     * Columns: outcome of the only attempt, idempotence, scope, whether the request is rejected rather than
+     * failed.
+     */
     @DataProvider
     public Object[][] answers() {
         return new Object[][] {
@@ -79,7 +82,10 @@
         assertThat(finalAnswer(policies, policies.admit())).isInstanceOf(SchedulerAction.Reject.class);
     }
 
-    /** Whether Retry-After is permitted, its maximum, the latency objective, the expected Retry-After. */
+    /**
+     * Columns: whether Retry-After is permitted, its maximum in ms, latency objective in ms, expected
+     * Retry-After in ms.
+     */
     @DataProvider
     public Object[][] retryAfters() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
+++ b/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
@@ -19,7 +19,7 @@
         return new TestingPolicies(settings);
     }
 
-    /** Whether the class is in order, keys of two requests, whether the second one may start. */
+    /** Columns: whether the class runs in order, keys of two requests, whether the second one may start. */
     @DataProvider
     public Object[][] keys() {
         return new Object[][] {
@@ -41,7 +41,10 @@
         assertThat(policies.keyOrder.isNext(second)).isTrue();
     }
 
-    /** Whether the outcome is indeterminate, key of the next request, time since, whether it may start. */
+    /**
+     * Columns: whether the outcome is indeterminate, key of the next request, time in ms since the outcome,
+     * whether the next request may start.
+     */
     @DataProvider
     public Object[][] settleTimes() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
+++ b/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
@@ -45,7 +45,7 @@
         return timers.get(0).delayMs();
     }
 
-    /** Whether gossip is permitted, whether engines report their load, whether polling starts. */
+    /** Columns: whether gossip is permitted, whether engines report their load, whether polling starts. */
     @DataProvider
     public Object[][] capabilities() {
         return new Object[][] {{true, true, true}, {false, true, false}, {true, false, false}};
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Ready engines, the number polled. */
+    /** Columns: ready engines, expected number of polled engines. */
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {{0, 0}, {3, 3}, {4, 4}, {6, 4}};
@@ -97,7 +97,10 @@
         assertThat(polled(policies)).containsExactly(4L, 1L, 2L, 3L);
     }
 
-    /** Engines, front ends, price of a health check, requests in a second, bounds of the next delay. */
+    /**
+     * Columns: engines, front ends, cost of a health check, requests in one second, bounds of the next delay
+     * in ms.
+     */
     @DataProvider
     public Object[][] delays() {
         return new Object[][] {
@@ -130,7 +133,7 @@
         assertThat(delayMs(policies)).isBetween(minMs, maxMs);
     }
 
-    /** Outcome of a health check, whether its report is applied, whether the engine is ejected. */
+    /** Columns: outcome of a health check, whether its report is applied, whether the engine is ejected. */
     @DataProvider
     public Object[][] outcomes() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 public class MigrationPolicyTest {
-    /** From this age on a run of 200 ms ends past the objective of 1,200 ms. */
+    /** Age in ms from which a run of 200 ms ends past the objective of 1,200 ms. */
     private static final double MIGRATION_END_MS = 1_000;
 
     private static boolean shouldMigrate(TestingPolicies policies, Attempt attempt) {
@@ -22,7 +22,7 @@
         return policy.shouldMigrate(attempt);
     }
 
-    /** The conditions of a migration; in each row but the first one of them is not met. */
+    /** The conditions of a migration. Each row but the first violates one of them. */
     private enum Unmet {
         NONE,
         CANCEL_PERMITTED,
@@ -76,7 +76,7 @@
         assertThat(shouldMigrate(policies, attempt)).isEqualTo(migrated);
     }
 
-    /** Time since admission, whether the attempt is migrated. */
+    /** Columns: time in ms since admission, whether the attempt is migrated. */
     @DataProvider
     public Object[][] ages() {
         return new Object[][] {{0, true}, {MIGRATION_END_MS - 1, true}, {MIGRATION_END_MS, false}};
@@ -92,7 +92,7 @@
         assertThat(shouldMigrate(policies, attempt)).isEqualTo(migrated);
     }
 
-    /** Migrations before, attempts allowed, whether the attempt is migrated once more. */
+    /** Columns: earlier migrations, maximum number of attempts, whether the attempt is migrated again. */
     @DataProvider
     public Object[][] migrations() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
@@ -11,10 +11,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Runs are of 200 ms by their estimate: an attempt is overdue after 3 x 200 + 900 ms. */
+/** Requests have an estimated run time of 200 ms, so an attempt is overdue after 3 x 200 + 900 ms. */
 public class OutlierDetectorTest {
 
-    /** What an engine answers, each time to another request. */
+    /** An outcome at an engine, each for another request. */
     private enum Answer {
         SUCCESS,
         ERROR,
@@ -31,7 +31,10 @@
         }
     }
 
-    /** Answers of one engine, whether it is ejected, whether its process counts as restarted. */
+    /**
+     * Columns: successive outcomes at one engine, whether it is ejected, whether its process counts as
+     * restarted.
+     */
     @DataProvider
     public Object[][] answers() {
         return new Object[][] {
@@ -58,7 +61,10 @@
         assertThat(engine.isStartUnannounced()).isEqualTo(restarted);
     }
 
-    /** Failures before, whether the next error ejects, failures after the second error of its request. */
+    /**
+     * Columns: earlier failures, whether the next error ejects the engine, failures that remain after the
+     * second error of that request.
+     */
     @DataProvider
     public Object[][] revertedErrors() {
         return new Object[][] {{0, false, 0}, {1, false, 1}, {2, true, 2}, {3, true, 3}};
@@ -81,7 +87,10 @@
         assertThat(second.health().consecutiveFailures()).isZero();
     }
 
-    /** Interval of progress reports, running and waiting attempts, their age, last answer, ejected. */
+    /**
+     * Columns: interval of progress reports in ms, running attempts, waiting attempts, their age in ms, time
+     * of the last answer in ms, whether the engine is ejected.
+     */
     @DataProvider
     public Object[][] silences() {
         return new Object[][] {
@@ -120,7 +129,7 @@
         assertThat(engine.health().isEjected()).isEqualTo(ejected);
     }
 
-    /** Healthy engines, engines of the placement, whether ejected ones are used too. */
+    /** Columns: healthy engines, engines of the placement, whether ejected ones are used as well. */
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {{0, 0, false}, {0, 1, true}, {1, 2, false}, {1, 3, true}, {2, 5, false}};
@@ -132,7 +141,10 @@
         assertThat(policies.outliers.mustUseEjected(healthy, allowed)).isEqualTo(useEjected);
     }
 
-    /** Whether ejected, time since the last probe, probes used, relaunched, idempotence, age, may probe. */
+    /**
+     * Columns: whether the engine is ejected, time in ms since the last probe, probes used, whether the
+     * request is relaunched, its idempotence, its age in ms, whether it may probe.
+     */
     @DataProvider
     public Object[][] probes() {
         return new Object[][] {
@@ -174,7 +186,7 @@
         assertThat(policies.outliers.mayProbe(engine, request)).isEqualTo(mayProbe);
     }
 
-    /** Requests admitted after all probes were used, whether one of them may probe. */
+    /** Columns: requests admitted after all probes were used, whether one of them may probe. */
     @DataProvider
     public Object[][] earnings() {
         return new Object[][] {{9, false}, {11, true}};
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -24,7 +24,7 @@
         return (SetResourceLimits) limits.orElseThrow();
     }
 
-    /** Whether engines heed grants, whether they heed priorities, whether limits are sent. */
+    /** Columns: whether engines support grants, whether they support priorities, whether limits are sent. */
     @DataProvider
     public Object[][] capabilities() {
         return new Object[][] {
@@ -46,7 +46,10 @@
                 .isEqualTo(sent);
     }
 
-    /** Whether grants are heeded, the memory shortage, engine memory, estimate, grant, memory counted. */
+    /**
+     * Columns: whether engines support grants, memory shortage, and in MB the engine memory, the estimate,
+     * the grant and the memory that is counted.
+     */
     @DataProvider
     public Object[][] grants() {
         return new Object[][] {
@@ -77,7 +80,10 @@
         assertThat(policies.resources.grantMb(request, policies.listEngine(1))).isEqualTo(countedMb);
     }
 
-    /** Mean work of the class, age of a request of 200 ms, relaunched, whether a load, the priority. */
+    /**
+     * Columns: mean work of the class in ms, age of a request of 200 ms, whether relaunched, whether a load,
+     * expected priority.
+     */
     @DataProvider
     public Object[][] priorities() {
         return new Object[][] {
@@ -110,7 +116,10 @@
         assertThat(limits(policies, request).priority()).isEqualTo(priority);
     }
 
-    /** Grant factor, need as a multiple of the estimate, the grant factor after it and after a spill. */
+    /**
+     * Columns: grant factor, need as a multiple of the estimate, expected grant factor after that need,
+     * expected grant factor after a spill.
+     */
     @DataProvider
     public Object[][] needs() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
@@ -37,7 +37,10 @@
         return settings;
     }
 
-    /** Outcome of the only attempt, idempotence, attempts allowed, errors of the request, may retry. */
+    /**
+     * Columns: outcome of the only attempt, idempotence, maximum number of attempts, errors of the request,
+     * whether it may be retried.
+     */
     @DataProvider
     public Object[][] retries() {
         return new Object[][] {
@@ -76,7 +79,10 @@
         assertThat(policies.retries.mayRetry(attempt.request(), outcome)).isEqualTo(mayRetry);
     }
 
-    /** Ended attempts, attempts allowed, one in flight, completed, time since admission, may attempt. */
+    /**
+     * Columns: ended attempts, maximum number of attempts, whether one is in flight, whether the request is
+     * completed, time in ms since admission, whether it may be attempted.
+     */
     @DataProvider
     public Object[][] openRequests() {
         return new Object[][] {
@@ -110,7 +116,10 @@
         assertThat(policies.retries.mayAttempt(request, policies.listEngine(2))).isEqualTo(expected);
     }
 
-    /** Idempotence, scope, zone and cell of another engine, time since the first start, may repeat there. */
+    /**
+     * Columns: idempotence, scope, zone and cell of another engine, time in ms since the first start, whether
+     * the request may be repeated there.
+     */
     @DataProvider
     public Object[][] repeats() {
         return new Object[][] {
@@ -137,7 +146,10 @@
         assertThat(mayAttempt).isEqualTo(may);
     }
 
-    /** Idempotence, outcome, time since the first start, time within which the next attempt must start. */
+    /**
+     * Columns: idempotence, outcome, time in ms since the first start, time in ms within which the next
+     * attempt must start.
+     */
     @DataProvider
     public Object[][] startLimits() {
         return new Object[][] {
@@ -159,7 +171,10 @@
         assertThat(policies.retries.startWithinMs(first.request())).isEqualTo(expectedMs);
     }
 
-    /** Retry budget, ended attempts, cancels of others in flight, may attempt, may relaunch. */
+    /**
+     * Columns: retry budget, ended attempts, cancellations of others in flight, whether the request may be
+     * attempted, whether it may be relaunched.
+     */
     @DataProvider
     public Object[][] budgets() {
         return new Object[][] {
@@ -188,7 +203,10 @@
         assertThat(policies.retries.mayRelaunch(request)).isEqualTo(mayRelaunch);
     }
 
-    /** Idempotence, time since the first start, whether a relaunch would still be within the key's time. */
+    /**
+     * Columns: idempotence, time in ms since the first start, whether a relaunch would be within the lifetime
+     * of the key.
+     */
     @DataProvider
     public Object[][] keyAges() {
         double latestMs = KEY_TTL_MS - OutlierDetector.SILENCE_MS;
@@ -207,7 +225,7 @@
         assertThat(policies.retries.mayRelaunch(attempt.request())).isEqualTo(mayRelaunch);
     }
 
-    /** Idempotence, scope, whether two runs on any engines are harmless. */
+    /** Columns: idempotence, scope, whether two runs on any engines are harmless. */
     @DataProvider
     public Object[][] doubleRuns() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/decision/ServerAdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/ServerAdmissionPolicyTest.java
@@ -11,7 +11,7 @@
 public class ServerAdmissionPolicyTest {
     private static final long MAX_STATEMENT_BYTES = 1_000;
 
-    /** Phase, whether clients are welcome, whether requests are admitted. */
+    /** Columns: phase, whether clients are welcome, whether requests are admitted. */
     @DataProvider
     public Object[][] phases() {
         return new Object[][] {{OPEN, true, true}, {DRAINING, false, true}, {REJECTING, false, false}};
@@ -28,7 +28,10 @@
         assertThat(policy.mayAdmit(1)).isEqualTo(admits);
     }
 
-    /** Bytes admitted before, bytes of them completed, bytes of the next statement, whether admitted. */
+    /**
+     * Columns: bytes admitted before, bytes of these completed, bytes of the next statement, whether it is
+     * admitted.
+     */
     @DataProvider
     public Object[][] statements() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/decision/SlowStartTest.java
+++ b/src/test/java/lineward/scheduling/decision/SlowStartTest.java
@@ -14,7 +14,7 @@
     private static final double WARMUP_MS = 15_000;
     private static final double NO_OVERLOAD = 0;
 
-    /** A deadline so short that the usual work of the class, 100 ms, is less than any estimate here. */
+    /** Sets a deadline so short that the usual work of the class, 100 ms, is less than any estimate here. */
     private static TestingSettings settings(int frontEnds) {
         TestingSettings settings = new TestingSettings();
         settings.objective = new RequestClass.Objective(1_000, 1, 800, 1, 0);
@@ -26,7 +26,10 @@
         return policies.slowStart.allows(policies.admit(TestingPolicies.NO_KEY, workMs), engine);
     }
 
-    /** Front ends, overload factor, time since the engine's start, work of the request, whether allowed. */
+    /**
+     * Columns: front ends, overload factor, time in ms since the engine's start, work of the request in ms,
+     * whether it is allowed.
+     */
     @DataProvider
     public Object[][] budgets() {
         return new Object[][] {
@@ -53,7 +56,7 @@
         assertThat(allows(policies, engine, workMs)).isEqualTo(allowed);
     }
 
-    /** Time since 2,000 ms of work were sent, whether 1,500 ms more are allowed. */
+    /** Columns: time in ms since 2,000 ms of work were sent, whether 1,500 ms more are allowed. */
     @DataProvider
     public Object[][] sentWork() {
         return new Object[][] {{0, false}, {WINDOW_MS, false}, {WINDOW_MS + 1, true}};
@@ -69,7 +72,10 @@
         assertThat(allows(policies, engine, 1_500)).isEqualTo(allowed);
     }
 
-    /** Ordinal among eight front ends, time since the start of engine 8, work, whether allowed. */
+    /**
+     * Columns: ordinal among eight front ends, time in ms since the start of engine 8, work in ms, whether it
+     * is allowed.
+     */
     @DataProvider
     public Object[][] slots() {
         return new Object[][] {
@@ -95,7 +101,10 @@
         assertThat(allows(policies, engine, workMs)).isEqualTo(allowed);
     }
 
-    /** Start of the engine before that of this process, time since, whether in a hot restart, allowed. */
+    /**
+     * Columns: time in ms from the start of the engine to that of this process, time in ms since the latter,
+     * whether in a hot restart, whether the request is allowed.
+     */
     @DataProvider
     public Object[][] processStarts() {
         return new Object[][] {
@@ -119,7 +128,10 @@
         assertThat(allows(policies, engine, TestingPolicies.WORK_MS)).isEqualTo(allowed);
     }
 
-    /** Quota before and after a change, time since, work, whether allowed for an engine that starts now. */
+    /**
+     * Columns: quota before and after a change, time in ms since the change, work in ms, whether it is
+     * allowed on an engine that starts now.
+     */
     @DataProvider
     public Object[][] quotas() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Runs are of 200 ms by their estimate, and tau is twice that. */
+/** Requests have an estimated run time of 200 ms, and tau, the speculative timeout, is twice that. */
 public class SpeculativeCancellationTest {
     private static final double TAU_RATIO = 2;
     private static final double TAU_MS = TAU_RATIO * TestingPolicies.WORK_MS;
@@ -34,7 +34,7 @@
         return policies;
     }
 
-    /** The conditions of a cancel at tau; in each row but the first one of them is not met. */
+    /** The conditions of a cancellation at tau. Each row but the first violates one of them. */
     private enum Unmet {
         NONE,
         CANCEL_PERMITTED,
@@ -105,7 +105,7 @@
         assertThat(shouldCancel(policies, attempt)).isEqualTo(cancelled);
     }
 
-    /** Run time of an attempt without progress reports, whether it is cancelled. */
+    /** Columns: run time in ms of an attempt without progress reports, whether it is cancelled. */
     @DataProvider
     public Object[][] runTimes() {
         return new Object[][] {{TAU_MS - 1, false}, {TAU_MS, true}, {4_800, true}, {4_801, false}};
@@ -119,7 +119,10 @@
         assertThat(shouldCancel(policies, attempt)).isEqualTo(cancelled);
     }
 
-    /** Run time at the report, ratio done then, age of the report, whether the attempt is cancelled. */
+    /**
+     * Columns: run time in ms at the report, fraction done by then, age of the report in ms, whether the
+     * attempt is cancelled.
+     */
     @DataProvider
     public Object[][] progress() {
         return new Object[][] {
@@ -146,7 +149,7 @@
         assertThat(shouldCancel(policies, attempt)).isEqualTo(cancelled);
     }
 
-    /** Ratio that a relaunch has done after 400 ms, whether it waits, whether it is relaunched again. */
+    /** Columns: fraction that a relaunch has done after 400 ms, whether it waits, whether it is cancelled. */
     @DataProvider
     public Object[][] relaunches() {
         return new Object[][] {{0.33, false, true}, {0.34, false, false}, {0.33, true, false}};
@@ -166,7 +169,10 @@
         assertThat(shouldCancel(policies, relaunch)).isEqualTo(cancelled);
     }
 
-    /** Whether the attempt is a recovery probe of its ejected engine, run time, whether it is cancelled. */
+    /**
+     * Columns: whether the attempt is a recovery probe of its ejected engine, run time in ms, whether it is
+     * cancelled.
+     */
     @DataProvider
     public Object[][] ejections() {
         return new Object[][] {{false, 0, true}, {true, 0, false}, {true, 700, false}, {true, 701, true}};
--- a/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Run times are in units of the estimate; usual runs take 1.05, in the bin that ends at 2^0.2. */
+/** Run times are multiples of the estimate. Usual runs take 1.05, which is in the bin that ends at 2^0.2. */
 public class SpeculativeTimeoutTest {
     private static final double USUAL = 1.05;
     private static final double USUAL_BIN_EDGE = Math.pow(2, 0.2);
@@ -34,7 +34,7 @@
         return type;
     }
 
-    /** Runs of the usual time, slow runs, their time, tau. */
+    /** Columns: runs of the usual time, slow runs, their time, expected tau (the speculative timeout). */
     @DataProvider
     public Object[][] runs() {
         return new Object[][] {
@@ -60,7 +60,10 @@
         }
     }
 
-    /** Mean time of relaunches, whether cancelling one run in ten of ten times the usual time saves load. */
+    /**
+     * One run in ten takes ten times the usual time. Columns: mean time of relaunches, whether cancellation
+     * saves load.
+     */
     @DataProvider
     public Object[][] relaunches() {
         return new Object[][] {{1, true}, {8, true}, {9, false}};
--- a/src/test/java/lineward/scheduling/decision/TestingPolicies.java
+++ b/src/test/java/lineward/scheduling/decision/TestingPolicies.java
@@ -16,20 +16,22 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** The policies of one scheduler over a state that the test builds, on a clock that the test sets. */
+/** Creates the policies of one scheduler over a state that the test builds and a clock that the test sets. */
 final class TestingPolicies {
     static final double START_MS = 100_000;
-    /** Estimated work of a request; its objective is at 1,200 ms and its deadline at 5,000 ms. */
+    /**
+     * Estimated work of a request. Its objective is then 1,200 ms and its deadline 5,000 ms after admission.
+     */
     static final double WORK_MS = 200;
 
     static final long NO_KEY = 0;
     static final double NO_MEMORY_ESTIMATE = 0;
     static final double TIME_LEFT_MS = 5_000;
-    /** Threads in flight at which an engine of 8 cores is at its limit. */
+    /** Threads in flight at which an engine of 8 cores has no more capacity. */
     static final int THREAD_LIMIT = 12;
 
     private static final long SEED = 7;
-    /** So many that the prior runs at the usual speed have little weight. */
+    /** Enough runs to outweigh the prior runs at the usual speed. */
     private static final int SLOW_RUNS = 500;
 
     final SchedulerContext context;
@@ -64,7 +66,10 @@
         loadScore = new EngineLoadScore(context, limits, slowStart, resources, reports, capacity);
     }
 
-    /** Returns a row for each unmet condition, whose decision is true for the first one only: none. */
+    /**
+     * Returns a row for each condition that is not met. The expected decision is true only for the first,
+     * which stands for none.
+     */
     static Object[][] oneUnmetEach(Enum<?>[] conditions) {
         return Arrays.stream(conditions)
                 .map(unmet -> new Object[] {unmet, unmet == conditions[0]})
@@ -146,7 +151,7 @@
         return attempt;
     }
 
-    /** Starts that many attempts of one thread at the engine, each of a new request. */
+    /** Starts attempts of one thread at the engine, each for a new request. */
     void fill(Engine engine, int attempts) {
         for (int i = 0; i < attempts; i++) {
             start(admit(), engine);
@@ -159,26 +164,28 @@
         attempt.engine().endAttempt(attempt);
     }
 
-    /** Ends an attempt and queues its request again, as after an outcome that allows a retry. */
+    /** Ends an attempt and queues its request again, as after an outcome that permits a retry. */
     void endAndRequeue(Attempt attempt, AttemptOutcome outcome) {
         end(attempt, outcome);
         attempt.request().requeue(attempt);
     }
 
-    /** Cancels an attempt as slow and queues its request again; the next attempt is a relaunch. */
+    /** Cancels an attempt as slow and queues its request again, so that the next attempt is a relaunch. */
     void cancelAndRequeue(Attempt attempt) {
         attempt.cancel(CancelCause.SLOW);
         endAndRequeue(attempt, AttemptOutcome.CANCELLED);
     }
 
-    /** Adds as many completed runs of all classes as tau needs. */
+    /** Adds the number of completed runs that the speculative timeout requires. */
     void learnUsualRunTime() {
         for (int run = 0; run < ServiceTimeModel.MIN_COMPLETED_RUNS; run++) {
             context.serviceTimes().add(1);
         }
     }
 
-    /** Adds recent runs of all classes that were slower than usual by that factor, and recomputes. */
+    /**
+     * Adds recent runs of all classes that were slower than usual by the factor, and recomputes the models.
+     */
     void slowDown(double factor) {
         double nowMs = context.nowMs();
         context.classes().forEach(type -> {
--- a/src/test/java/lineward/scheduling/decision/TestingSettings.java
+++ b/src/test/java/lineward/scheduling/decision/TestingSettings.java
@@ -10,7 +10,9 @@
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerSettings;
 
-/** Settings of one class of requests on equal engines. A test sets the fields that its table varies. */
+/**
+ * Builds settings with one class of requests and equal engines. A test sets the fields that its cases vary.
+ */
 final class TestingSettings {
     static final double NO_COST = 0;
 
