--- a/src/test/java/lineward/scheduling/ErrorAttributionTest.java
+++ b/src/test/java/lineward/scheduling/ErrorAttributionTest.java
@@ -54,7 +54,7 @@
         return new Object[][] {{2}, {14}, {100}};
     }
 
-    /** The engine always looks idle and never fails three times in a row. */
+    /** The engine always looks idle, but is not ejected since it never fails three times in a row. */
     @Test(dataProvider = "frontEnds")
     public void engineThatFailsHalfOfItsRequestsGetsLessThanItsQuota(int frontEnds) {
         SchedulerSettings settings = settings(frontEnds, lookupClass());
@@ -75,7 +75,10 @@
         assertTrue(atFaultyEngine < requests / 6, message);
     }
 
-    /** Attempts started at once after resets: fewer if the engine counts as restarted and in slow start. */
+    /**
+     * Returns the attempts started at once after the resets: fewer if the engine counts as restarted and is
+     * in slow start.
+     */
     private static int startedAfterResets(int resets) {
         TestingScheduler scheduler = new TestingScheduler(settings(lookupClass())).listEngines(1);
         scheduler.nowMs += 2000;
--- a/src/test/java/lineward/scheduling/RareClassStragglerTest.java
+++ b/src/test/java/lineward/scheduling/RareClassStragglerTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Stragglers of a class with a few requests a minute are relaunched and do not use up the quota. */
+/** Stragglers of a class with only a few requests per minute are relaunched and do not use up the quota. */
 public class RareClassStragglerTest {
     private static final long STRAGGLER = 1000;
     private static final int USUAL_MS = 300;
@@ -36,11 +36,14 @@
                 .toList();
     }
 
-    /** Eight outcomes make no curve, but a run of several times their length is cancelled, once. */
+    /**
+     * Eight outcomes are too few for a survival curve, but a run of several times their duration is still
+     * cancelled, and only once.
+     */
     @Test(dataProvider = "fleets")
     public void stragglerOfARareClassIsRelaunchedElsewhere(int frontEnds, int engines) {
         TestingScheduler scheduler = afterReports(frontEnds, engines, 8).advance(2 * USUAL_MS);
-        assertEquals(cancels(scheduler).size(), 0, "twice as long may be chance");
+        assertEquals(cancels(scheduler).size(), 0, "a run of twice the usual time may be chance");
         scheduler.advance(7 * USUAL_MS);
         assertEquals(cancels(scheduler).size(), 1);
         scheduler.attemptEnds(STRAGGLER, 0, AttemptOutcome.CANCELLED);
@@ -48,10 +51,10 @@
                 .filter(start -> start.request() == STRAGGLER)
                 .map(SchedulerAction.StartAttempt::engine)
                 .toList();
-        assertEquals(usedEngines.size(), 2, "relaunched at once");
-        assertTrue(!usedEngines.get(0).equals(usedEngines.get(1)), "on another engine");
+        assertEquals(usedEngines.size(), 2, "the straggler is relaunched at once");
+        assertTrue(!usedEngines.get(0).equals(usedEngines.get(1)), "the relaunch uses another engine");
         scheduler.advance(20 * USUAL_MS);
-        assertEquals(cancels(scheduler).size(), 1, "a relaunch runs to its end");
+        assertEquals(cancels(scheduler).size(), 1, "a slow relaunch is not cancelled");
     }
 
     @Test(dataProvider = "fleets")
--- a/src/test/java/lineward/scheduling/SpeculationTest.java
+++ b/src/test/java/lineward/scheduling/SpeculationTest.java
@@ -13,7 +13,10 @@
 
 public class SpeculationTest {
 
-    /** 80 runs of 1 and 20 censored at 2: these leave the set at risk, so a fifth survives past 2. */
+    /**
+     * Of 100 runs, 80 take 1 and 20 are censored at 2. A censored run leaves the set at risk, so a fifth of
+     * the runs survives past 2.
+     */
     @Test
     public void censoredRunsKeepTheTail() {
         SurvivalCurve censored = new SurvivalCurve(100, -4, 5);
@@ -36,7 +39,10 @@
         assertThat(completed.survivalPast(bin(completed, 2.4))).isZero();
     }
 
-    /** 90 runs of 1 and 10 of 10: the area up to 1.2 is near 1, and 1.9 if nothing is cancelled. */
+    /**
+     * Of 100 runs, 90 take 1 and 10 take 10. The area under the curve is 1.9 if nothing is cancelled, and
+     * about 1 up to 1.2.
+     */
     @Test
     public void areasAreThoseOfTheCurve() {
         SurvivalCurve curve = new SurvivalCurve(100, -4, 5);
@@ -57,7 +63,9 @@
         return i;
     }
 
-    /** Completes runs one after another, of which one in ten is a straggler by that factor. */
+    /**
+     * Completes runs one after another; one in ten is a straggler that takes {@code stretch} times as long.
+     */
     private static TestingScheduler afterRuns(double stretch) {
         SchedulerSettings settings = settings(lookupClass(), loadClass());
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3, 4);
@@ -86,8 +94,9 @@
         for (int i = 0; i < 40 && scheduler.allCancels().isEmpty(); i++) {
             scheduler.advance(25);
         }
-        // Past 1 the load is 1 + 0.1 (tau - 1) + 0.1 m and rises; below 1 nearly all runs are relaunched. So
-        // tau is the upper edge of the bin of 1, at most 2^0.2 x 200 ms; the cancel is at the next tick.
+        // Expected load: past 1 it is 1 + 0.1 (tau - 1) + 0.1 m and rises; below 1 nearly all runs are
+        // relaunched. So tau is the upper edge of the bin of 1, at most 2^0.2 x 200 ms; the cancel follows at
+        // the next sweep.
         assertThat(scheduler.nowMs - startedMs).isBetween(200.0, 275.0);
         assertThat(scheduler.allCancels()).hasSize(1);
         assertThat(scheduler.allStarts()).isEmpty();
@@ -95,7 +104,7 @@
         assertThat(scheduler.lastStartedEngine()).isPositive().isNotEqualTo(first);
         scheduler.allActions.clear();
         scheduler.advance(900);
-        assertThat(scheduler.allCancels()).as("a relaunch runs to its end").isEmpty();
+        assertThat(scheduler.allCancels()).as("a slow relaunch is not cancelled").isEmpty();
     }
 
     @Test
@@ -159,7 +168,7 @@
         assertThat(scheduler.allCancels()).isEmpty();
     }
 
-    /** A run without value would use the capacity that other requests need. */
+    /** A run whose answer has no more value would use capacity that other requests need. */
     @Test
     public void runWithoutOverdueValueIsGivenUp() {
         SchedulerSettings settings = settings(lookupClass(), loadClass());
@@ -175,7 +184,10 @@
                 .containsExactly(1L);
     }
 
-    /** Progress reports whose ratio does not rise are no silence, but the relaunch would never end. */
+    /**
+     * Progress reports whose ratio does not rise show that the engine is alive, but the relaunch would never
+     * end.
+     */
     @Test
     public void relaunchWithoutProgressIsCancelled() {
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
--- a/src/test/java/lineward/scheduling/WaitingAttemptsTest.java
+++ b/src/test/java/lineward/scheduling/WaitingAttemptsTest.java
@@ -24,7 +24,7 @@
         return new TestingScheduler(settings).listEngines(1, 2, 3, 4);
     }
 
-    /** An engine reports once that a load waits, and nothing more until it runs. */
+    /** An engine reports once that a load waits, and sends no more reports until it runs. */
     @Test
     public void waitingAttemptIsNoSilence() {
         TestingScheduler scheduler = schedulerOfFourEngines(500, 5);
@@ -49,7 +49,7 @@
             assertThat(scheduler.lastCancels()).containsExactly(expected);
             scheduler.attemptEnds(1, attempt, AttemptOutcome.CANCELLED);
             boolean different = engines.add(scheduler.lastStartedEngine());
-            assertThat(different).as("a different engine each time").isTrue();
+            assertThat(different).as("each migration uses a different engine").isTrue();
         }
         scheduler.receive(new AttemptProgress(1, 2, ProgressKind.WAITING_FOR_MEMORY, 1));
         assertThat(scheduler.lastCancels())
@@ -69,7 +69,10 @@
         assertThat(scheduler.allStarts()).hasSize(2);
     }
 
-    /** Run times of other classes and progress reports show a straggler of a class without outcomes. */
+    /**
+     * A class without outcomes of its own relies on the run times of other classes and on progress reports to
+     * detect a straggler.
+     */
     @Test
     public void stragglerOfARareClassIsCancelledByTheRunTimesOfAllClasses() {
         RequestClass reportClass = new RequestClass(
@@ -101,7 +104,7 @@
         }
     }
 
-    /** After a pause of the process, a batch contains an overdue timer before the answers. */
+    /** After a stall of the process, one batch may contain an overdue timer before the answers. */
     @Test
     public void answersOfABatchAreAppliedBeforeAnyDecision() {
         TestingScheduler scheduler = schedulerOfFourEngines(0, 5);
