--- a/src/main/java/lineward/scheduling/estimation/ClassDemand.java
+++ b/src/main/java/lineward/scheduling/estimation/ClassDemand.java
@@ -1,6 +1,6 @@
 package lineward.scheduling.estimation;
 
-/** How much work of one class arrives, its ratio of all classes, and the cores that it can reach. */
+/** The arriving work of one class, its fraction of the demand of all classes, and the cores it may use. */
 public final class ClassDemand {
     private double workMs;
     private double requests;
@@ -9,13 +9,13 @@
     private double valueRatio;
     private double reachableCores;
 
-    /** Adds an admitted request with its expected work. */
+    /** Counts an admitted request and its expected work. */
     public void add(double requestWorkMs) {
         workMs += requestWorkMs;
         requests++;
     }
 
-    /** Lets earlier requests fade with the half-life of {@link ServiceTimeModel}. */
+    /** Decays the counts of earlier requests with the half-life of {@link ServiceTimeModel}. */
     public void decay(double nowMs) {
         double kept = ServiceTimeModel.ratioKept(nowMs - decayedAtMs);
         decayedAtMs = nowMs;
@@ -33,12 +33,12 @@
         return requests;
     }
 
-    /** Returns the class's ratio of the work of all classes, in [0, 1]. */
+    /** Returns the class's fraction of the work of all classes, in [0, 1]. */
     public double workRatio() {
         return workRatio;
     }
 
-    /** Returns the class's ratio of the value of all classes, in [0, 1]. */
+    /** Returns the class's fraction of the value of all classes, in [0, 1]. */
     public double valueRatio() {
         return valueRatio;
     }
@@ -48,7 +48,7 @@
         return reachableCores;
     }
 
-    /** Sets the class's ratios of all classes' work and value. */
+    /** Sets the class's fractions of the work and of the value of all classes. */
     public void setRatios(double ofWork, double ofValue) {
         workRatio = ofWork;
         valueRatio = ofValue;
--- a/src/main/java/lineward/scheduling/estimation/DecayingMean.java
+++ b/src/main/java/lineward/scheduling/estimation/DecayingMean.java
@@ -1,6 +1,6 @@
 package lineward.scheduling.estimation;
 
-/** A mean of values whose weights halve with time. */
+/** A mean of values whose weights decay exponentially with age. */
 public final class DecayingMean {
     private final double halfLifeMs;
     private double sum;
@@ -19,13 +19,13 @@
         count++;
     }
 
-    /** Returns the number of values, each with the weight that it still has. */
+    /** Returns the decayed number of values: the sum of their current weights. */
     public double count(double nowMs) {
         decay(nowMs);
         return count;
     }
 
-    /** Returns the mean, with so many prior values of a given size beside those added. */
+    /** Returns the mean of the added values and of {@code priorCount} prior values of {@code priorValue}. */
     public double mean(double nowMs, double priorCount, double priorValue) {
         decay(nowMs);
         return (sum + priorCount * priorValue) / (count + priorCount);
--- a/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
+++ b/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
@@ -1,11 +1,11 @@
 package lineward.scheduling.estimation;
 
 /**
- * Run times of the first runs of all classes, in units of their estimates. They replace the estimates of a
- * class that has few runs of its own.
+ * Run times of the first runs of all classes, as multiples of their estimates. A class that has too few runs
+ * of its own uses these instead.
  */
 public final class FleetServiceTimes {
-    /** Window of the slowdown: shorter than a usual fault, long enough for several answers. */
+    /** Window of the slowdown: shorter than a typical fault, long enough for several responses. */
     public static final double RECENT_MS = 5_000;
 
     private final RobustMean typicalLogRatio = ServiceTimeModel.robustMean();
@@ -14,30 +14,30 @@
     private double decayedAtMs;
     private double slowdown = 1;
 
-    /** Adds the run time of a completed first run, in units of its estimate. */
+    /** Adds the run time of a completed first run, as a multiple of its estimate. */
     public void add(double ratio) {
         completedRuns++;
         typicalLogRatio.add(Math.log(ratio));
     }
 
-    /** Adds how much slower than usual a run was, as a logarithm. */
+    /** Adds the logarithm of a run time relative to the typical run time of its class. */
     public void addSlowdown(double logRatio, double nowMs) {
         recentLogSlowdown.add(nowMs, logRatio);
     }
 
-    /** Recomputes how much slower than usual recent answers were, over all engines. */
+    /** Recomputes the slowdown of recent runs relative to typical run times, over all engines. */
     public void recomputeSlowdown(double nowMs) {
         double median = recentLogSlowdown.median(nowMs, ServiceTimeModel.PRIOR_ANSWERS);
         slowdown = Math.max(1, Math.exp(median));
     }
 
-    /** Lets the number of completed runs fade. */
+    /** Decays the number of completed runs. */
     public void decay(double nowMs) {
         completedRuns *= ServiceTimeModel.ratioKept(nowMs - decayedAtMs);
         decayedAtMs = nowMs;
     }
 
-    /** Returns the logarithm of the usual run time in units of the estimate. */
+    /** Returns the logarithm of the typical run time as a multiple of the estimate. */
     public double typicalLogRatio() {
         return typicalLogRatio.value();
     }
@@ -47,7 +47,7 @@
         return completedRuns;
     }
 
-    /** Returns how much slower than usual all engines are, at least 1. */
+    /** Returns the factor by which runs on all engines are slower than typical, at least 1. */
     public double slowdown() {
         return slowdown;
     }
--- a/src/main/java/lineward/scheduling/estimation/RobustMean.java
+++ b/src/main/java/lineward/scheduling/estimation/RobustMean.java
@@ -1,6 +1,9 @@
 package lineward.scheduling.estimation;
 
-/** A running mean that limits the weight of outliers; it moves fast at first, then slowly. */
+/**
+ * A running mean that clamps the deviation of outliers. The step size decreases with the number of values
+ * down to a minimum.
+ */
 public final class RobustMean {
     private final double maxDeviation;
     private final double minStep;
@@ -10,15 +13,15 @@
     /**
      * Creates an empty mean.
      *
-     * @param maxDeviation a value counts as no further than this from the mean
-     * @param minStep the least ratio of its deviation by which a value moves the mean
+     * @param maxDeviation largest deviation from the mean with which a value counts
+     * @param minStep minimum fraction of its deviation by which a value moves the mean
      */
     public RobustMean(double maxDeviation, double minStep) {
         this.maxDeviation = maxDeviation;
         this.minStep = minStep;
     }
 
-    /** Adds a value and returns its deviation from the mean so far, cut off. */
+    /** Adds a value and returns its deviation from the previous mean, clamped to the maximum deviation. */
     public double add(double added) {
         if (count == 0) {
             value = added;
--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -4,33 +4,33 @@
 import lineward.scheduling.RequestClass;
 
 /**
- * Run times of one class, in units of the estimate: the survival curve of first runs, the mean of relaunches,
- * the present slowdown against the usual run time, and the bias of the estimates.
+ * Run times of one class, as multiples of the estimate: the survival curve of first runs, the mean of
+ * relaunches, the current slowdown relative to the typical run time, and the bias of the estimates.
  */
 public final class ServiceTimeModel {
-    /** Completed first runs from which the curve is used. */
+    /** Number of completed first runs from which the survival curve is used. */
     public static final double MIN_COMPLETED_RUNS = 20;
-    /** Runs from which the class's own mean is used. */
+    /** Number of runs from which the class's own means are used. */
     public static final double MIN_RUNS = 5;
-    /** Logarithm of the ratio to the usual run time from which a run is a straggler. */
+    /** Logarithm of the ratio to the typical run time from which a run is a straggler. */
     public static final double STRAGGLER_LOG_RATIO = 1.5;
-    /** Prior answers at the usual run time, so that a few slow answers do not count as a slowdown. */
+    /** Number of prior runs at the typical run time, so that a few slow runs do not count as a slowdown. */
     public static final double PRIOR_ANSWERS = 5;
 
-    /** Least weight of one outcome in the usual run time. */
+    /** Minimum weight of one outcome in the typical run time. */
     private static final double MIN_USUAL_STEP = 0.02;
-    /** Half-life of the measurements: longer than a fault, shorter than a change of traffic. */
+    /** Half-life of the measurements: longer than a fault, shorter than a change in traffic. */
     private static final double HALF_LIFE_MS = 60_000;
-    /** Bins of the curve, from a sixteenth of the estimate upwards. */
+    /** Number of bins of the curve. The first one starts at 0, the others above 1/16 of the estimate. */
     private static final int BINS = 130;
 
     private static final double LOWEST_BIN_LOG2 = -4;
     private static final double BINS_PER_DOUBLING = 5;
-    /** Work assumed before the first outcome, as a ratio of the deadline; it weighs as one outcome. */
+    /** Run time assumed before the first outcome, as a fraction of the deadline; weighs as one outcome. */
     private static final double FIRST_GUESS_RATIO = 0.125;
 
     private static final double FIRST_GUESS_WEIGHT = 1;
-    /** Prior weight that avoids a division by 0 and does not change the mean. */
+    /** Prior weight that avoids a division by zero without changing the mean noticeably. */
     private static final double NEGLIGIBLE_WEIGHT = 1e-9;
 
     private static final double MIN_RUN_RATIO = 1e-9;
@@ -55,43 +55,49 @@
         this.fleet = fleet;
     }
 
-    /** Creates a mean of logarithms of run-time ratios. */
+    /** Creates an empty mean of logarithms of run time ratios. */
     static RobustMean robustMean() {
         return new RobustMean(STRAGGLER_LOG_RATIO, MIN_USUAL_STEP);
     }
 
-    /** Returns the weight of a measurement of that age. */
+    /** Returns the decay factor of a measurement that is {@code agoMs} old. */
     public static double ratioKept(double agoMs) {
         return Math.pow(0.5, agoMs / HALF_LIFE_MS);
     }
 
-    /** Returns the usual run time of a first run, of all classes if the class has too few runs. */
+    /**
+     * Returns the typical run time of a first run as a multiple of the estimate; that of all classes if this
+     * class has too few runs.
+     */
     public double typicalRatio() {
         return Math.exp(hasTypicalRatio() ? typicalLogRatio.value() : fleet.typicalLogRatio());
     }
 
-    /** Returns whether the class has a usual run time of its own. */
+    /** Returns whether the class has enough runs for a typical run time of its own. */
     public boolean hasTypicalRatio() {
         return typicalLogRatio.count() >= MIN_RUNS;
     }
 
-    /** Returns whether the curve rests on enough completed first runs. */
+    /** Returns whether the curve is based on enough completed first runs to be used. */
     public boolean hasCurve() {
         return completedRuns >= MIN_COMPLETED_RUNS;
     }
 
-    /** Returns the mean work of a request; before the first outcome, a fraction of the deadline. */
+    /** Returns the mean work of a request, with one prior value derived from the deadline. */
     public double usualWorkMs(double nowMs) {
         double guess = settings.objective().deadlineMs() * FIRST_GUESS_RATIO;
         return work.mean(nowMs, FIRST_GUESS_WEIGHT, guess * settings.workload().threads());
     }
 
-    /** Returns the mean work of the requests so far; 0 before the first one. */
+    /** Returns the mean work of the requests so far, without a prior; 0 before the first one. */
     public double meanWorkMs(double nowMs) {
         return work.mean(nowMs, NEGLIGIBLE_WEIGHT, 0);
     }
 
-    /** Returns the mean run time of a relaunch, that of first runs if there were too few relaunches. */
+    /**
+     * Returns the mean run time of a relaunch as a multiple of the estimate; that of first runs if there were
+     * too few relaunches.
+     */
     public double relaunchRatio(double nowMs) {
         if (relaunches.count(nowMs) >= MIN_RUNS) {
             return relaunches.mean(nowMs, 0, 0);
@@ -99,17 +105,17 @@
         return hasCurve() ? meanRatio : typicalRatio();
     }
 
-    /** Returns the factor by which the class now runs slower than usual, at least 1. */
+    /** Returns the factor by which the class currently runs slower than typical, at least 1. */
     public double slowdown() {
         return slowdown;
     }
 
-    /** Returns the mean run time of first runs by the curve. */
+    /** Returns the mean run time of first runs according to the curve, as a multiple of the estimate. */
     public double meanRatio() {
         return meanRatio;
     }
 
-    /** Returns the curve of first runs. */
+    /** Returns the survival curve of first runs. */
     public SurvivalCurve firstRuns() {
         return firstRuns;
     }
@@ -119,36 +125,36 @@
         work.add(nowMs, workMs);
     }
 
-    /** Adds the run time of a completed relaunch. */
+    /** Adds the run time of a completed relaunch, as a multiple of its estimate. */
     public void addRelaunch(double ratio, double nowMs) {
         relaunches.add(nowMs, ratio);
     }
 
-    /** Adds a first run; one that did not complete is censored. */
+    /** Adds the run time of a first run; a run that did not complete is censored. */
     public void addFirstRun(double ratio, boolean completed) {
         firstRuns.add(ratio, completed);
         completedRuns += completed ? 1 : 0;
     }
 
     /**
-     * Adds to the usual run time.
+     * Adds a run time, as a multiple of the estimate, to the typical run time.
      *
-     * @return logarithm of its ratio to the usual run time, bounded by {@link #STRAGGLER_LOG_RATIO}
+     * @return the logarithm of its ratio to the typical run time, clamped to {@link #STRAGGLER_LOG_RATIO}
      */
     public double addToUsual(double ratio) {
         return typicalLogRatio.add(Math.log(Math.max(MIN_RUN_RATIO, ratio)));
     }
 
-    /** Adds how much slower than usual a run was, as a logarithm. */
+    /** Adds the logarithm of a run time relative to the typical run time. */
     public void addSlowdown(double logRatio, double nowMs) {
         recentLogSlowdown.add(nowMs, logRatio);
     }
 
     /**
-     * Lets earlier measurements fade and recomputes the slowdown and the curve.
+     * Decays earlier measurements and recomputes the slowdown and the curve.
      *
-     * @param inFlight run times so far of the first runs in flight; without them a class whose runs all slow
-     *     down would show no slowdown until they complete
+     * @param inFlight elapsed run times of the first runs in flight, as multiples of their estimates; without
+     *     them a class whose runs are all slow would show no slowdown until they complete
      */
     public void recompute(double nowMs, List<Double> inFlight) {
         double kept = ratioKept(nowMs - decayedAtMs);
@@ -161,25 +167,25 @@
                 inFlight.stream().map(ratio -> ratio / slowdown).toList());
     }
 
-    /** Returns the factor by which reported work exceeds its estimate. */
+    /** Returns the factor by which reported work exceeds its estimate on average. */
     public double workCorrection() {
         return Math.exp(workBias.value());
     }
 
-    /** Adds the logarithm of reported work over its estimate. */
+    /** Adds the logarithm of the ratio of reported work to its estimate. */
     public void addWorkDeviation(double logRatio) {
         workBias.add(logRatio);
     }
 
-    /** Returns the factor by which reported memory exceeds its estimate. */
+    /** Returns the factor by which reported memory exceeds its estimate on average. */
     public double memoryCorrection() {
         return Math.exp(memoryBias.value());
     }
 
     /**
-     * Adds the logarithm of reported memory over its estimate.
+     * Adds the logarithm of the ratio of reported memory to its estimate.
      *
-     * @return its deviation from the mean so far, bounded by {@link #STRAGGLER_LOG_RATIO}
+     * @return its deviation from the previous mean, clamped to {@link #STRAGGLER_LOG_RATIO}
      */
     public double addMemoryDeviation(double logRatio) {
         return memoryBias.add(logRatio);
--- a/src/main/java/lineward/scheduling/estimation/SlidingMedian.java
+++ b/src/main/java/lineward/scheduling/estimation/SlidingMedian.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.DoubleStream;
 
-/** The median of the values added within a sliding window of time. */
+/** The median of the values added within a sliding time window. */
 public final class SlidingMedian {
     private record Entry(double addedAtMs, double value) {}
 
@@ -16,21 +16,22 @@
         this.windowMs = windowMs;
     }
 
-    /** Adds a value at the present time. */
+    /** Adds a value at the current time. */
     public void add(double nowMs, double value) {
         entries.add(new Entry(nowMs, value));
     }
 
-    /** Returns {@link #median(double, double, List)} without other values. */
+    /** Returns {@link #median(double, double, List)} without additional values. */
     public double median(double nowMs, double zeros) {
         return median(nowMs, zeros, List.of());
     }
 
     /**
-     * Returns the median, shrunk towards 0; 0 if the window is empty.
+     * Returns the median, shrunk towards 0; 0 if there are no values. Of an even number of values, the larger
+     * of the two middle ones is used.
      *
-     * @param zeros number of prior values of 0 by which the median is shrunk
-     * @param others values that count for this call only
+     * @param zeros weight of a prior at 0: with n values, the median is multiplied by n / (n + zeros)
+     * @param others additional values for this call only
      */
     public double median(double nowMs, double zeros, List<Double> others) {
         while (!entries.isEmpty() && nowMs - entries.peek().addedAtMs() > windowMs) {
--- a/src/main/java/lineward/scheduling/estimation/SlidingWindowCounter.java
+++ b/src/main/java/lineward/scheduling/estimation/SlidingWindowCounter.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** The sum of the amounts added within a sliding window of time. */
+/** The sum of the amounts added within a sliding time window. */
 public final class SlidingWindowCounter {
     private record Entry(double addedAtMs, double amount) {}
 
@@ -15,7 +15,7 @@
         this.windowMs = windowMs;
     }
 
-    /** Adds an amount at the present time. */
+    /** Adds an amount at the current time. */
     public void add(double nowMs, double amount) {
         evictExpired(nowMs);
         entries.add(new Entry(nowMs, amount));
--- a/src/main/java/lineward/scheduling/estimation/SurvivalCurve.java
+++ b/src/main/java/lineward/scheduling/estimation/SurvivalCurve.java
@@ -4,10 +4,11 @@
 import java.util.List;
 
 /**
- * A bounded, decaying histogram of run times, some of them censored, with its Kaplan-Meier curve.
+ * A decaying histogram of run times, some of them censored, with its Kaplan-Meier estimate. The number of
+ * bins is fixed and their widths grow exponentially.
  */
 public final class SurvivalCurve {
-    /** Counts and run times below this are rounding errors. */
+    /** Counts and run times up to this value are treated as rounding errors. */
     private static final double EPSILON = 1e-9;
 
     private final double lowestLog2;
@@ -17,7 +18,7 @@
     private final double[] areas;
     private final double[] survival;
 
-    /** Creates an empty curve with bins from 2^lowestLog2 upwards. */
+    /** Creates an empty curve. The first bin also holds all run times below 2^lowestLog2. */
     public SurvivalCurve(int bins, double lowestLog2, double binsPerDoubling) {
         this.lowestLog2 = lowestLog2;
         this.binsPerDoubling = binsPerDoubling;
@@ -27,12 +28,12 @@
         survival = new double[bins];
     }
 
-    /** Adds a run time; one that did not complete is censored. */
+    /** Adds a run time; a run that did not complete is censored. */
     public void add(double runTime, boolean runCompleted) {
         (runCompleted ? completed : censored)[binOf(runTime)] += 1;
     }
 
-    /** Multiplies all counts by this ratio. */
+    /** Multiplies all counts by the decay factor. */
     public void decay(double ratioKept) {
         for (int i = 0; i < completed.length; i++) {
             completed[i] *= ratioKept;
@@ -41,10 +42,10 @@
     }
 
     /**
-     * Recomputes the curve. A censored run leaves the set at risk at its run time: without it the curve would
-     * lose its tail. Runs in flight count as censored.
+     * Recomputes the curve. A censored run is in the risk set until its run time; if censored runs were
+     * dropped, the curve would lose its tail. Runs in flight count as censored.
      *
-     * @return the area under the curve up to the longest run
+     * @return the area under the curve up to the longest run, which is the restricted mean run time
      */
     public double recompute(List<Double> inFlight) {
         double[] left = censored.clone();
@@ -87,7 +88,7 @@
         return areas[bin];
     }
 
-    /** Returns the ratio of the runs that take longer than the bin's upper edge. */
+    /** Returns the fraction of the runs that take longer than the bin's upper edge. */
     public double survivalPast(int bin) {
         return survival[bin];
     }
