--- a/src/main/java/lineward/scheduling/state/Attempt.java
+++ b/src/main/java/lineward/scheduling/state/Attempt.java
@@ -2,7 +2,7 @@
 
 import java.util.OptionalDouble;
 
-/** One attempt of a request at an engine. Times are milliseconds of the scheduler's clock. */
+/** One attempt of a request on an engine. Times are in milliseconds of the scheduler's clock. */
 public final class Attempt {
     private static final double MIN_AGE_MS = 0.01;
 
@@ -17,7 +17,7 @@
     private final boolean firstRun;
 
     private AttemptState state = AttemptState.IN_FLIGHT;
-    /** Null unless a cancel was requested. */
+    /** Null unless cancellation was requested. */
     private CancelCause cancelCause;
     /** Null before the first progress report. */
     private Progress progress;
@@ -27,7 +27,7 @@
     private double waitedMs;
     private OptionalDouble slowRunPredictedMs = OptionalDouble.empty();
 
-    /** Creates an attempt that is in flight from now on. */
+    /** Creates an attempt that is in flight from {@code nowMs}. */
     public Attempt(TrackedRequest request, Engine engine, double grantMb, double nowMs) {
         this.request = request;
         this.engine = engine;
@@ -38,124 +38,134 @@
         this.firstRun = !request.isRelaunched();
     }
 
-    /** Returns its request. */
+    /** Returns the request that the attempt belongs to. */
     public TrackedRequest request() {
         return request;
     }
 
-    /** Returns the engine that it was sent to. */
+    /** Returns the engine that the attempt was sent to. */
     public Engine engine() {
         return engine;
     }
 
-    /** Returns its number among the attempts of its request, from 0. */
+    /** Returns the index of the attempt among the attempts of its request, from 0. */
     public int index() {
         return index;
     }
 
-    /** Returns when it was started. */
+    /** Returns when the attempt was started. */
     public double startedAtMs() {
         return startedAtMs;
     }
 
-    /** Returns the memory that it was granted. */
+    /** Returns the memory, in megabytes, that is reserved on the engine for the attempt. */
     public double grantMb() {
         return grantMb;
     }
 
-    /** Returns whether it checks if an ejected engine has recovered. */
+    /** Returns whether the engine was ejected when the attempt started, which makes it a recovery probe. */
     public boolean isRecoveryProbe() {
         return recoveryProbe;
     }
 
-    /** Returns whether it is no relaunch, so that its time belongs to the curve of first runs. */
+    /** Returns whether the attempt is no relaunch, so that its run time counts in the curve of first runs. */
     public boolean isFirstRun() {
         return firstRun;
     }
 
-    /** Returns the threads that it runs on. */
+    /** Returns the number of threads that the attempt runs on. */
     public int threads() {
         return request.threads();
     }
 
-    /** Returns where it is in its lifecycle. */
+    /** Returns the lifecycle state of the attempt. */
     public AttemptState state() {
         return state;
     }
 
-    /** Returns whether it has not ended and no cancel was requested. */
+    /** Returns whether the attempt has not ended and its cancellation was not requested. */
     public boolean isRunning() {
         return state == AttemptState.IN_FLIGHT;
     }
 
-    /** Records that its cancel was requested. */
+    /** Records that cancellation was requested. */
     public void cancel(CancelCause cause) {
         state = state.cancel();
         cancelCause = cause;
     }
 
-    /** Records its end. */
+    /** Records that the attempt has ended. */
     public void end() {
         state = state.end();
     }
 
-    /** Returns whether it was cancelled so that its request is queued at another engine. */
+    /** Returns whether the attempt was cancelled to move its request to another engine. */
     public boolean isMigrated() {
         return cancelCause == CancelCause.MIGRATION;
     }
 
-    /** Returns whether the next attempt relaunches work that was cancelled because it was slow. */
+    /**
+     * Returns whether the next attempt of the request is a relaunch: this one was cancelled, but not for a
+     * migration, and is not a recovery probe.
+     */
     public boolean isRelaunchedAfterCancel() {
         return cancelCause != null && !recoveryProbe && !isMigrated();
     }
 
-    /** Returns whether it waits at its engine, by the last report. */
+    /** Returns whether the attempt waits at its engine for memory or a load, by the last progress report. */
     public boolean isWaiting() {
         return waiting;
     }
 
-    /** Records whether it waits at its engine from now on. */
+    /** Records whether the attempt waits at its engine from {@code nowMs}. */
     public void setWaiting(boolean waits, double nowMs) {
         waitedMs += waiting ? nowMs - waitingSinceMs : 0;
         waiting = waits;
         waitingSinceMs = nowMs;
     }
 
-    /** Returns how long it has run, without the time that it waited at its engine. */
+    /** Returns how long the attempt has run, excluding the time that it waited at its engine. */
     public double runTimeMs(double nowMs) {
         double waitingNowMs = waiting ? nowMs - waitingSinceMs : 0;
         return Math.max(MIN_AGE_MS, nowMs - startedAtMs - waitedMs - waitingNowMs);
     }
 
-    /** Records a progress report: the ratio done, in [0, 1]. */
+    /** Records a progress report with the completed fraction, in [0, 1]. */
     public void recordProgress(double ratioDone, double nowMs) {
         progress = new Progress(ratioDone, nowMs);
     }
 
-    /** Returns whether its engine has reported progress. */
+    /** Returns whether the engine has reported progress above 0. */
     public boolean hasProgress() {
         return progress != null && progress.ratioDone() > 0;
     }
 
-    /** Returns whether its engine has reported progress within that time. */
+    /** Returns whether the last progress report is above 0 and younger than {@code freshMs}. */
     public boolean hasProgressWithin(double freshMs, double nowMs) {
         return hasProgress() && nowMs - progress.reportedAtMs() < freshMs;
     }
 
-    /** Returns the run time left as the last progress report predicts it; there must be one. */
+    /**
+     * Returns the remaining run time extrapolated from the last progress report. Requires
+     * {@link #hasProgress()}.
+     */
     public double predictedRemainingMs() {
         double runMs = runTimeMs(progress.reportedAtMs());
         return runMs * (1 - progress.ratioDone()) / progress.ratioDone();
     }
 
     /**
-     * Records the last prediction of its progress: the whole run time if it is due before tau, else empty.
+     * Records the total run time predicted from progress if the attempt is due for cancellation before the
+     * speculative timeout (tau); else empty.
      */
     public void recordPrediction(OptionalDouble slowRunMs) {
         slowRunPredictedMs = slowRunMs;
     }
 
-    /** Returns the run time that made it due before tau at the last prediction, if it did. */
+    /**
+     * Returns the predicted total run time if, at the last prediction, the attempt was due for cancellation
+     * before the speculative timeout (tau); else empty.
+     */
     public OptionalDouble slowRunPredictedMs() {
         return slowRunPredictedMs;
     }
--- a/src/main/java/lineward/scheduling/state/AttemptState.java
+++ b/src/main/java/lineward/scheduling/state/AttemptState.java
@@ -1,12 +1,12 @@
 package lineward.scheduling.state;
 
-/** The lifecycle of an attempt. */
+/** The lifecycle states of an attempt. */
 public enum AttemptState {
-    /** It was sent to its engine and has not ended. */
+    /** The attempt was sent to its engine, has not ended and is not being cancelled. */
     IN_FLIGHT,
-    /** Its cancel was sent; its end has not been reported. */
+    /** Cancellation was sent; the end of the attempt has not been reported yet. */
     CANCELLING,
-    /** Its end was reported. */
+    /** The end of the attempt was reported. */
     ENDED;
 
     AttemptState cancel() {
--- a/src/main/java/lineward/scheduling/state/CancelCause.java
+++ b/src/main/java/lineward/scheduling/state/CancelCause.java
@@ -2,10 +2,13 @@
 
 /** Why an attempt is cancelled. */
 public enum CancelCause {
-    /** It is past tau, or its engine makes no progress: it is relaunched elsewhere. */
+    /**
+     * The attempt exceeds the speculative timeout (tau) or is predicted to, or its engine is ejected or makes
+     * no progress: the request is relaunched on another engine.
+     */
     SLOW,
-    /** It waits at a full engine and is queued at another one. */
+    /** The attempt waits at its engine for memory or a load: the request is moved to another engine. */
     MIGRATION,
-    /** Its request has its final answer, or the client has gone. */
+    /** The request has its final answer, or its client has gone. */
     REQUEST_COMPLETED
 }
--- a/src/main/java/lineward/scheduling/state/ClassState.java
+++ b/src/main/java/lineward/scheduling/state/ClassState.java
@@ -6,9 +6,9 @@
 import lineward.scheduling.estimation.FleetServiceTimes;
 import lineward.scheduling.estimation.ServiceTimeModel;
 
-/** One class of requests: its settings, its measurements, and the values that decisions keep for it. */
+/** One class of requests: its settings, its measurements, and the values that policies derive for it. */
 public final class ClassState {
-    /** Memory granted over the estimate before the first outcome. */
+    /** Ratio of memory grants to the corrected estimates before the first outcome. */
     public static final double INITIAL_GRANT_FACTOR = 1.25;
 
     private final RequestClass settings;
@@ -25,62 +25,65 @@
         this.model = new ServiceTimeModel(settings, fleet);
     }
 
-    /** Returns its settings. */
+    /** Returns the settings of the class. */
     public RequestClass settings() {
         return settings;
     }
 
-    /** Returns the measurements of its run times. */
+    /** Returns the model of the run times of the class. */
     public ServiceTimeModel model() {
         return model;
     }
 
-    /** Returns the measurements of its demand. */
+    /** Returns the measured demand of the class. */
     public ClassDemand demand() {
         return demand;
     }
 
-    /** Returns the run time past which attempts are cancelled, in units of the estimate; empty: never. */
+    /**
+     * Returns the speculative timeout (tau) of the class as a multiple of the estimate: the run time past
+     * which an attempt is cancelled and relaunched on another engine; empty if there is none.
+     */
     public OptionalDouble tauRatio() {
         return tauRatio;
     }
 
-    /** Sets the run time past which attempts are cancelled. */
+    /** Sets the speculative timeout (tau) as a multiple of the estimate; empty for none. */
     public void setTauRatio(OptionalDouble ratio) {
         tauRatio = ratio;
     }
 
-    /** Returns whether no more requests of the class are dispatched in this decision. */
+    /** Returns whether the class gets no more attempts in the current decision. */
     public boolean isDispatchPaused() {
         return dispatchPaused;
     }
 
-    /** Sets whether no more requests of the class are dispatched in this decision. */
+    /** Sets whether the class gets no more attempts in the current decision. */
     public void setDispatchPaused(boolean paused) {
         dispatchPaused = paused;
     }
 
-    /** Returns the factor on estimates of memory by which grants exceed them. */
+    /** Returns the ratio of memory grants to the corrected memory estimates. */
     public double grantFactor() {
         return grantFactor;
     }
 
-    /** Sets the factor on estimates of memory. */
+    /** Sets the ratio of memory grants to the corrected memory estimates. */
     public void setGrantFactor(double factor) {
         grantFactor = factor;
     }
 
-    /** Returns when an attempt of the class was last started; empty if none was. */
+    /** Returns when an attempt of the class was last started; empty before the first one. */
     public OptionalDouble lastStartedMs() {
         return lastStartedMs;
     }
 
-    /** Records that an attempt of the class is started. */
+    /** Records the start of an attempt of the class. */
     public void recordStart(double nowMs) {
         lastStartedMs = OptionalDouble.of(nowMs);
     }
 
-    /** Returns the weight of a request in the slow-start budget: at least the class's usual work. */
+    /** Returns the work that a request counts in the slow-start budget: at least the class's mean work. */
     public double slowStartWorkMs(TrackedRequest request, double nowMs) {
         return Math.max(request.expectedWorkMs(), model.usualWorkMs(nowMs));
     }
--- a/src/main/java/lineward/scheduling/state/EjectionCause.java
+++ b/src/main/java/lineward/scheduling/state/EjectionCause.java
@@ -4,15 +4,15 @@
 
 /** Why an engine is ejected. */
 public enum EjectionCause {
-    /** It has work overdue and reports nothing. */
+    /** The engine has overdue attempts and sends neither responses nor progress reports. */
     SILENCE,
-    /** It answers with errors. */
+    /** The engine responds with errors. */
     ERRORS,
-    /** It resets connections. */
+    /** Connections to the engine are reset. */
     RESETS,
-    /** It refuses connections. */
+    /** Connections to the engine cannot be established. */
     CONNECT_FAILURES,
-    /** It answers a health check as unhealthy, or not at all. */
+    /** A health check was answered as unhealthy or not at all. */
     HEALTH_CHECK;
 
     @Override
--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -11,12 +11,12 @@
 import lineward.scheduling.estimation.SlidingWindowCounter;
 
 /**
- * One engine: its listing, maintenance, health, load, and the attempts in flight there. Times are
- * milliseconds of the scheduler's clock, memory is megabytes.
+ * One engine: its listing in service discovery, maintenance, health, load, and attempts in flight. Times are
+ * in milliseconds of the scheduler's clock, memory is in megabytes.
  */
 public final class Engine {
     private static final double SLOWDOWN_HALF_LIFE_MS = 3_000;
-    /** Prior answers at the usual speed, so that a single slow answer has little weight. */
+    /** Number of prior runs at the typical speed, so that a single slow run has little weight. */
     private static final double PRIOR_ANSWERS = 2;
 
     private static final int GOSSIP_ID_MASK = 0xffff;
@@ -27,7 +27,7 @@
     private final EngineHealth health = new EngineHealth();
     private final EngineLoadState load = new EngineLoadState();
     private final DecayingMean logSlowdown = new DecayingMean(SLOWDOWN_HALF_LIFE_MS);
-    /** Work sent within the window of the slow-start rule, by any attempt, however it ended. */
+    /** Work of all attempts sent within the window of the slow-start rule, regardless of their outcomes. */
     private final SlidingWindowCounter sentWork;
 
     private Endpoint endpoint;
@@ -47,82 +47,87 @@
         sentWork = new SlidingWindowCounter(overloadWindowMs);
     }
 
-    /** Returns the engine's number, the same at every front end. */
+    /** Returns the engine's id, which is the same at every front end. */
     public long id() {
         return id;
     }
 
-    /** Returns the id folded to two bytes, as gossip names it. */
+    /** Returns the id folded to two bytes, as used in gossip messages; distinct engines may share it. */
     public int gossipId() {
         return (int) ((id ^ id >>> 16 ^ id >>> 32) & GOSSIP_ID_MASK);
     }
 
-    /** Returns the engine as service discovery last listed it; null before the first listing. */
+    /** Returns the endpoint that service discovery last listed; null before the first listing. */
     public Endpoint endpoint() {
         return endpoint;
     }
 
-    /** Returns the number of its cores. */
+    /** Returns the number of cores. */
     public int cores() {
         return cores;
     }
 
-    /** Returns its memory; 0 if the settings do not state it. */
+    /** Returns the size of the memory; 0 if the settings do not specify it. */
     public double memoryMb() {
         return memoryMb;
     }
 
-    /** Returns its health. */
+    /** Returns the engine's health. */
     public EngineHealth health() {
         return health;
     }
 
-    /** Returns its load report and health check. */
+    /** Returns the engine's last load report and pending health check. */
     public EngineLoadState load() {
         return load;
     }
 
-    /** Returns the attempts in flight there, in the order in which they were started. */
+    /** Returns the attempts in flight on the engine, in start order, including those being cancelled. */
     public Set<Attempt> attempts() {
         return attemptsView;
     }
 
-    /** Returns the threads of the attempts in flight. */
+    /** Returns the number of threads of the attempts in flight. */
     public int threadsInFlight() {
         return threadsInFlight;
     }
 
-    /** Returns the memory granted to the attempts in flight. */
+    /** Returns the memory that is reserved for the attempts in flight. */
     public double grantedMb() {
         return grantedMb;
     }
 
-    /** Returns what the engine is to new requests. */
+    /** Returns the engine's state with respect to new requests. */
     public EngineState state() {
         return EngineState.of(listing, maintenance, health.isEjected());
     }
 
-    /** Returns whether it is listed as ready and not under maintenance; it may be ejected. */
+    /** Returns whether the engine is listed as ready and not under maintenance; it may still be ejected. */
     public boolean isReady() {
         return listing == EndpointState.READY && !isUnderMaintenance();
     }
 
-    /** Returns whether service discovery does not list it, or lists its process as ended. */
+    /** Returns whether service discovery does not list the engine, or lists its process as ended. */
     public boolean isGone() {
         return listing == EndpointState.GONE;
     }
 
-    /** Returns whether an operator has taken it out. */
+    /** Returns whether an operator has taken the engine out of service. */
     public boolean isUnderMaintenance() {
         return maintenance == EngineMaintenance.UNDER_MAINTENANCE;
     }
 
-    /** Returns whether it was released from maintenance and has not answered since. */
+    /** Returns whether the engine was released from maintenance and has had no successful attempt since. */
     public boolean isAwaitingFirstAnswer() {
         return maintenance == EngineMaintenance.RELEASED;
     }
 
-    /** Applies its endpoint and returns whether its process has restarted since the last one. */
+    /**
+     * Applies a listed endpoint.
+     *
+     * @return whether the listed start time has changed, which means that the process was restarted; the
+     *     first endpoint is compared with {@link Endpoint#STARTED_LONG_AGO}
+     */
     boolean update(Endpoint listed, EngineKind kind) {
         double lastStartMs = endpoint == null ? Endpoint.STARTED_LONG_AGO : endpoint.startedAtMs();
         boolean restarted = listed.startedAtMs() != lastStartMs;
@@ -135,21 +140,22 @@
         return restarted;
     }
 
-    /** A full snapshot has come; the engine is gone unless the snapshot lists it. */
+    /** Marks the engine as gone, until a full snapshot or an update lists it again. */
     void unlist() {
         listing = EndpointState.GONE;
     }
 
-    /** An operator takes the engine out. Attempts in flight go on. */
+    /** Records that an operator takes the engine out of service. Attempts in flight continue. */
     public void beginMaintenance() {
         maintenance = maintenance.begin();
         health.setConsecutiveFailures(0);
     }
 
     /**
-     * An operator releases the engine. It counts as restarted then, as it may have been meanwhile.
+     * Records that an operator releases the engine. The engine counts as restarted at that time, since it may
+     * have been restarted during maintenance.
      *
-     * @param atMs when; a time before the clock's origin counts as long ago
+     * @param atMs time of the release; at or before the clock's origin it does not count as a restart
      */
     public void release(double atMs) {
         maintenance = maintenance.release();
@@ -158,21 +164,22 @@
         updateWarmupStart();
     }
 
-    /** The engine has answered an attempt. */
+    /** Records that an attempt on the engine succeeded. */
     public void recordSuccess(double nowMs) {
         health.recordSuccess(nowMs);
         maintenance = maintenance.answered();
     }
 
     /**
-     * Its process seems to have ended. It may restart, cold, before service discovery lists the new start.
+     * Records that the engine's process has probably ended. It may restart and need to warm up before service
+     * discovery lists the new start time.
      */
     public void recordConnectionLost(double nowMs) {
         connectionLostMs = OptionalDouble.of(nowMs);
         updateWarmupStart();
     }
 
-    /** Adds an attempt that starts now, and the work that it weighs in the slow-start budget. */
+    /** Adds an attempt that starts at {@code nowMs}, and the work that counts in the slow-start budget. */
     public void startAttempt(Attempt attempt, double slowStartWorkMs, double nowMs) {
         if (attempts.isEmpty()) {
             health.recordResponse(nowMs);
@@ -184,7 +191,7 @@
         sentWork.add(nowMs, slowStartWorkMs);
     }
 
-    /** Removes an attempt that has ended. */
+    /** Removes an ended attempt. */
     public void endAttempt(Attempt attempt) {
         attempts.remove(attempt);
         threadsInFlight -= attempt.threads();
@@ -196,22 +203,22 @@
         return sentWork.sum(nowMs);
     }
 
-    /** Records how much slower than usual an answer was, as a logarithm. */
+    /** Records the logarithm of a run time relative to the typical run time of its class. */
     public void recordSlowdown(double logRatio, double nowMs) {
         logSlowdown.add(nowMs, logRatio);
     }
 
-    /** Returns the factor by which it was recently slower than usual. */
+    /** Returns the factor by which recent runs on the engine were slower than typical. */
     public double slowdown(double nowMs) {
         return Math.exp(logSlowdown.mean(nowMs, PRIOR_ANSWERS, 0));
     }
 
-    /** Returns since when it may be warming up; empty if it has run for long. */
+    /** Returns the time of the last announced start, release or lost connection; empty if there was none. */
     public OptionalDouble warmupStartMs() {
         return warmupStartMs;
     }
 
-    /** Returns whether a lost connection is the only sign of its last start. */
+    /** Returns whether a lost connection is the only sign of the engine's last start. */
     public boolean isStartUnannounced() {
         OptionalDouble announced = latest(startedAtMs, releasedAtMs);
         return connectionLostMs.isPresent()
--- a/src/main/java/lineward/scheduling/state/EngineCapacity.java
+++ b/src/main/java/lineward/scheduling/state/EngineCapacity.java
@@ -3,9 +3,9 @@
 import java.util.OptionalDouble;
 import lineward.scheduling.SchedulerSettings;
 
-/** Estimates the capacity that an engine has now, from its warm-up and its recent speed. */
+/** Estimates the current capacity of an engine from its warm-up and its recent speed. */
 public final class EngineCapacity {
-    /** Fraction of the warm-up that is counted on, as engines may warm up late or unevenly. */
+    /** Fraction of the warm-up that the lower bound includes, as engines may warm up late or unevenly. */
     private static final double CERTAIN_WARMUP_RATIO = 0.75;
 
     private static final double MIN_SPEED = 0.1;
@@ -14,7 +14,7 @@
     private final SchedulerContext context;
     private final SchedulerSettings.SlowStartRule rule;
 
-    /** Creates an estimator over the engines of that scheduler. */
+    /** Creates an estimator for the engines of that scheduler. */
     public EngineCapacity(SchedulerContext context) {
         this.context = context;
         this.rule = context.settings().rules().slowStart();
@@ -26,7 +26,7 @@
         return startMs.isPresent() && context.nowMs() - startMs.getAsDouble() < rule.durationMs();
     }
 
-    /** Returns the fraction of its full capacity that the engine has at the time, by the settings. */
+    /** Returns the fraction of full capacity that the engine has at {@code atMs} by the slow-start rule. */
     private double ratioAt(Engine engine, double atMs) {
         if (!isWarmingUp(engine)) {
             return 1;
@@ -36,8 +36,9 @@
     }
 
     /**
-     * Returns the fraction of its full capacity that the engine has at least. A start that was not announced
-     * may be later than the lost connection that is its only sign, so such an engine counts as just started.
+     * Returns a lower bound of the fraction of its full capacity that the engine has. A start that service
+     * discovery has not announced may be later than the lost connection that indicates it, so such an engine
+     * counts as just started.
      */
     public double certainRatio(Engine engine) {
         if (engine.isStartUnannounced()) {
@@ -47,12 +48,12 @@
         return rule.initialRatio() + CERTAIN_WARMUP_RATIO * warmedUp;
     }
 
-    /** Returns the run time of a request on an engine that has just started. */
+    /** Returns the expected run time of a request on an engine that has just started. */
     public double runMsWhenCold(TrackedRequest request) {
         return request.expectedRunMs() / rule.initialRatio();
     }
 
-    /** Returns the engine's speed relative to the fleet, reduced by its errors and its warm-up. */
+    /** Returns the engine's speed relative to the fleet, reduced by its error ratio and its warm-up. */
     public double speed(Engine engine) {
         double nowMs = context.nowMs();
         double relative = Math.min(MAX_SPEED, context.serviceTimes().slowdown() / engine.slowdown(nowMs));
--- a/src/main/java/lineward/scheduling/state/EngineHealth.java
+++ b/src/main/java/lineward/scheduling/state/EngineHealth.java
@@ -2,7 +2,7 @@
 
 import lineward.scheduling.estimation.DecayingMean;
 
-/** The health of one engine as its answers show it. The outlier detector decides on ejection and return. */
+/** The health of one engine by the outcomes of its attempts. The outlier detector decides on ejection. */
 public final class EngineHealth {
     private enum State {
         HEALTHY,
@@ -10,7 +10,7 @@
     }
 
     private static final double ERRORS_HALF_LIFE_MS = 10_000;
-    /** Prior good answers, so that a single error has little weight. */
+    /** Number of prior successes, so that a single error has little weight. */
     private static final double PRIOR_ANSWERS = 2;
 
     private static final double ERROR = 1;
@@ -22,87 +22,90 @@
     private double nextRecoveryProbeMs;
     private double lastResponseMs;
 
-    /** Returns whether the engine is ejected: it gets recovery probes only. */
+    /** Returns whether the engine is ejected, so that it normally gets recovery probes only. */
     public boolean isEjected() {
         return state == State.EJECTED;
     }
 
-    /** Returns the failures since the last answer. */
+    /** Returns the number of failures since the last success. */
     public int consecutiveFailures() {
         return consecutiveFailures;
     }
 
-    /** Returns when an ejected engine may get its next recovery probe. */
+    /** Returns the earliest time of the next recovery probe of an ejected engine. */
     public double nextRecoveryProbeMs() {
         return nextRecoveryProbeMs;
     }
 
-    /** Returns when the engine last answered or reported progress, or began to have attempts in flight. */
+    /**
+     * Returns when an attempt on the engine last succeeded or reported progress, or when the idle engine last
+     * got an attempt, whichever is later.
+     */
     public double lastResponseMs() {
         return lastResponseMs;
     }
 
-    /** Returns the ratio of its requests that the engine recently failed. */
+    /** Returns the fraction of its recent attempts that the engine failed with an error. */
     public double errorRatio(double nowMs) {
         return errorRatio.mean(nowMs, PRIOR_ANSWERS, 0);
     }
 
-    /** Restarts the time of silence. */
+    /** Records the time from which a silence of the engine is measured. */
     public void recordResponse(double nowMs) {
         lastResponseMs = nowMs;
     }
 
-    /** Records an answer, which returns an ejected engine. */
+    /** Records a successful attempt, which also ends an ejection. */
     public void recordSuccess(double nowMs) {
         recordResponse(nowMs);
         errorRatio.add(nowMs, GOOD_ANSWER);
         clearFailures();
     }
 
-    /** Counts an error in the error ratio. */
+    /** Adds an error to the error ratio. */
     public void recordError(double nowMs) {
         errorRatio.add(nowMs, ERROR);
     }
 
-    /** Removes one error from the error ratio. */
+    /** Compensates one error in the error ratio, without removing its weight as an attempt. */
     public void revertError(double nowMs) {
         errorRatio.add(nowMs, -ERROR);
     }
 
-    /** Counts one more failure in a row. */
+    /** Increments the number of consecutive failures. */
     public void addFailure() {
         consecutiveFailures++;
     }
 
-    /** Sets the number of failures in a row, after an event that weighs as several. */
+    /** Sets the number of consecutive failures, for events that count as several failures or reset it. */
     public void setConsecutiveFailures(int failures) {
         consecutiveFailures = failures;
     }
 
-    /** Takes one failure in a row back. */
+    /** Decrements the number of consecutive failures. */
     public void revertFailure() {
         consecutiveFailures--;
     }
 
-    /** Ejects the engine; returns false if it was ejected before. */
+    /** Ejects the engine; returns false if it was ejected already. */
     public boolean eject() {
         boolean changed = state != State.EJECTED;
         state = State.EJECTED;
         return changed;
     }
 
-    /** Ends the ejection without an answer. */
+    /** Ends the ejection and keeps the number of consecutive failures. */
     public void returnToService() {
         state = State.HEALTHY;
     }
 
-    /** Ends the ejection and forgets the failures in a row. */
+    /** Ends the ejection and resets the number of consecutive failures. */
     public void clearFailures() {
         state = State.HEALTHY;
         consecutiveFailures = 0;
     }
 
-    /** Sets when an ejected engine may get its next recovery probe. */
+    /** Sets the earliest time of the next recovery probe of an ejected engine. */
     public void scheduleRecoveryProbe(double atMs) {
         nextRecoveryProbeMs = atMs;
     }
--- a/src/main/java/lineward/scheduling/state/EngineLoadState.java
+++ b/src/main/java/lineward/scheduling/state/EngineLoadState.java
@@ -2,7 +2,7 @@
 
 import java.util.OptionalDouble;
 
-/** The last load report of one engine and the health check in flight there. */
+/** The last load report of one engine and its health check in flight. */
 public final class EngineLoadState {
     private static final double[] NO_REPORT = {};
     private static final double NO_JITTER = 1;
@@ -13,22 +13,22 @@
     private double limitJitter = NO_JITTER;
     private int threadsSentSinceReport;
 
-    /** Returns when the last report came; empty if none has come. */
+    /** Returns when the last report was received; empty before the first one. */
     public OptionalDouble reportedAtMs() {
         return reportedAtMs;
     }
 
-    /** Returns a value of the last report, which must have come. */
+    /** Returns a value of the last report; at least one report must have been received. */
     public double value(int field) {
         return values[field];
     }
 
-    /** Returns the random factor on the engine's concurrency limit until the next report. */
+    /** Returns the random factor that is applied to the engine's concurrency limit until the next report. */
     public double limitJitter() {
         return limitJitter;
     }
 
-    /** Returns the threads of the attempts started since the last report. */
+    /** Returns the number of threads of the attempts started since the last report. */
     public int threadsSentSinceReport() {
         return threadsSentSinceReport;
     }
@@ -46,7 +46,7 @@
         return values;
     }
 
-    /** Replaces the last report. */
+    /** Replaces the last report and resets the threads sent since. */
     void applyReport(double[] reported, double nowMs, double jitter) {
         values = reported;
         reportedAtMs = OptionalDouble.of(nowMs);
--- a/src/main/java/lineward/scheduling/state/EngineMaintenance.java
+++ b/src/main/java/lineward/scheduling/state/EngineMaintenance.java
@@ -1,12 +1,12 @@
 package lineward.scheduling.state;
 
-/** An engine's maintenance by operators. It is independent of service discovery and of ejection. */
+/** The maintenance states of an engine, independent of service discovery and ejection. */
 public enum EngineMaintenance {
-    /** No operator has taken the engine out, or it has answered since its release. */
+    /** The engine is not under maintenance; if it was, an attempt has succeeded since its release. */
     NONE,
-    /** An operator has taken the engine out: it gets no requests. */
+    /** An operator has taken the engine out of service: it gets no requests. */
     UNDER_MAINTENANCE,
-    /** The engine is released and has not answered since. */
+    /** An operator has released the engine, and no attempt has succeeded since. */
     RELEASED;
 
     EngineMaintenance begin() {
@@ -17,7 +17,7 @@
         return RELEASED;
     }
 
-    /** Returns the state after an answer: answers of earlier attempts do not end maintenance. */
+    /** Returns the state after a successful attempt. Attempts sent before maintenance do not end it. */
     EngineMaintenance answered() {
         return this == RELEASED ? NONE : this;
     }
--- a/src/main/java/lineward/scheduling/state/FleetDemand.java
+++ b/src/main/java/lineward/scheduling/state/FleetDemand.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.List;
 
-/** The demand of all classes together against the cores of the ready engines. */
+/** The demand of all classes relative to the cores of the ready engines. */
 public final class FleetDemand {
     private static final double MIN_WORK_MS = 1;
     private static final double MIN_VALUE = 1e-9;
@@ -11,12 +11,12 @@
     private double readyCores = 1;
     private double threadsPerRequest = 1;
 
-    /** Returns the cores of all ready engines. */
+    /** Returns the total number of cores of the ready engines. */
     public double readyCores() {
         return readyCores;
     }
 
-    /** Returns the mean threads of a request by work; load reports count requests. */
+    /** Returns the mean threads of a request in flight, as load reports count requests instead of threads. */
     public double threadsPerRequest() {
         return threadsPerRequest;
     }
--- a/src/main/java/lineward/scheduling/state/GossipCodec.java
+++ b/src/main/java/lineward/scheduling/state/GossipCodec.java
@@ -6,18 +6,18 @@
 import lineward.scheduling.LoadReportField;
 
 /**
- * Encodes and decodes gossip: load reports, each with the engine's id folded to two bytes and one byte a
- * value. Reports are collected until the message is sent.
+ * Encodes and decodes gossip messages. A message is a sequence of load reports, each of which consists of the
+ * engine's id folded to two bytes and one byte per value. Reports are collected until the message is sent.
  */
 final class GossipCodec {
-    /** Bytes of the longest message that the platform accepts. */
+    /** Maximum size of a message that the platform accepts. */
     static final int MAX_PAYLOAD_BYTES = 256;
 
     private static final int ID_BYTES = 2;
     private static final int MAX_BYTE = 255;
 
-    /** One engine's load report; the values are those of the report. */
-    @SuppressWarnings("ArrayRecordComponent") // never compared
+    /** The load report of one engine, with its values in the order of the settings. */
+    @SuppressWarnings("ArrayRecordComponent") // instances are never compared
     record EngineReport(int gossipId, double[] values) {}
 
     private final double[] scales;
@@ -27,17 +27,17 @@
         scales = fields.stream().mapToDouble(LoadReportField::gossipScale).toArray();
     }
 
-    /** Returns the bytes of one report. */
+    /** Returns the encoded size of one report. */
     int reportBytes() {
         return ID_BYTES + scales.length;
     }
 
-    /** Returns whether the message contains a report. */
+    /** Returns whether the next message contains a report. */
     boolean hasPending() {
         return pending.size() > 0;
     }
 
-    /** Returns whether one more report fits into the message. */
+    /** Returns whether one more report fits into the next message. */
     boolean hasCapacity() {
         return pending.size() < MAX_PAYLOAD_BYTES - reportBytes();
     }
@@ -51,14 +51,14 @@
         }
     }
 
-    /** Returns the message collected so far and begins a new one. */
+    /** Returns the message collected so far and starts a new one. */
     byte[] drainPending() {
         byte[] payload = pending.toByteArray();
         pending.reset();
         return payload;
     }
 
-    /** Returns the reports of a message; what is left over at its end is ignored. */
+    /** Returns the reports of a message; an incomplete report at its end is ignored. */
     List<EngineReport> decode(byte[] payload) {
         List<EngineReport> reports = new ArrayList<>();
         for (int at = 0; at + reportBytes() <= payload.length; at += reportBytes()) {
--- a/src/main/java/lineward/scheduling/state/LoadReports.java
+++ b/src/main/java/lineward/scheduling/state/LoadReports.java
@@ -8,13 +8,13 @@
 
 /** The load reports of engines, from this front end's health checks and from gossip. */
 public final class LoadReports {
-    /** Least random factor on an engine's limit, so that front ends do not all act on one report. */
+    /** Minimum random factor on an engine's limit; it keeps front ends from all acting on the same report. */
     public static final double MIN_LIMIT_JITTER = 0.8;
 
     private static final double FRESH_FOR_MS = 1_500;
-    /** Threads a core assumed of load that no report shows: a busy fleet below saturation. */
+    /** Threads per core assumed where no report has shown the load: a busy fleet below saturation. */
     private static final double DEFAULT_THREADS_PER_CORE = 0.7;
-    /** Weight of one report in the fleet's mean threads a core. */
+    /** Weight of one report in the fleet's moving average of threads per core. */
     private static final double REPORT_WEIGHT = 0.05;
 
     private static final int NO_FIELD = -1;
@@ -26,7 +26,7 @@
     private final int memoryField;
     private double threadsPerCore = DEFAULT_THREADS_PER_CORE;
 
-    /** Creates the reports of a scheduler that has received none. */
+    /** Creates a store that has received no reports. */
     public LoadReports(SchedulerContext context) {
         this.context = context;
         List<LoadReportField> fields = context.settings().reporting().fields();
@@ -40,12 +40,12 @@
         return inFlightField != NO_FIELD;
     }
 
-    /** Returns whether reports state the memory in use. */
+    /** Returns whether reports include the memory in use. */
     public boolean includeMemory() {
         return memoryField != NO_FIELD;
     }
 
-    /** Returns whether the settings let front ends share load reports by gossip. */
+    /** Returns whether front ends share load reports by gossip, according to the settings. */
     public boolean areShared() {
         SchedulerSettings.Capabilities may = context.settings().capabilities();
         return may.healthChecks() && may.gossip() && includeLoad();
@@ -60,23 +60,23 @@
         return context.nowMs() - reportedAtMs.getAsDouble() < FRESH_FOR_MS;
     }
 
-    /** Returns the threads at an engine by its last report and the attempts started since. */
+    /** Returns the threads on an engine by its last report and own attempts since; at least the own ones. */
     public double threadsAt(Engine engine) {
         double reported = engine.load().value(inFlightField) * context.demand().threadsPerRequest();
         return Math.max(engine.threadsInFlight(), reported + engine.load().threadsSentSinceReport());
     }
 
-    /** Returns the mean threads a core at the engines that reported. */
+    /** Returns the moving average of the threads per core on the engines that reported. */
     public double threadsPerCore() {
         return threadsPerCore;
     }
 
-    /** Returns the fraction of its memory in use by an engine's last report. */
+    /** Returns the fraction of an engine's memory that is in use, by its last report. */
     public double memoryInUse(Engine engine) {
         return engine.load().value(memoryField);
     }
 
-    /** Applies a report; one without load or with values missing is ignored. */
+    /** Applies a report; it is ignored if reports do not include load or if values are missing. */
     public void apply(Engine engine, double[] values) {
         if (!includeLoad() || values.length < fieldCount) {
             return;
@@ -86,12 +86,12 @@
         threadsPerCore += REPORT_WEIGHT * (threadsAt(engine) / engine.cores() - threadsPerCore);
     }
 
-    /** Returns the size of one engine's report as a fraction of the longest gossip message. */
+    /** Returns the encoded size of one report as a fraction of the maximum gossip message. */
     public double gossipMessageRatio() {
         return gossip.reportBytes() / (double) GossipCodec.MAX_PAYLOAD_BYTES;
     }
 
-    /** Adds an engine's report to the next gossip message. */
+    /** Adds an engine's report to the next gossip message if it is fresh and fits. */
     public void collectGossip(Engine engine) {
         if (areShared() && gossip.hasCapacity() && areFresh(engine)) {
             gossip.collect(new GossipCodec.EngineReport(
@@ -99,7 +99,10 @@
         }
     }
 
-    /** Sends the collected reports, unless a health check started within that time may add to them. */
+    /**
+     * Sends the collected reports, unless a health check in flight that started within
+     * {@code checkDurationMs} may still add to them.
+     */
     public void publishGossip(double checkDurationMs) {
         if (gossip.hasPending() && !hasRecentCheck(checkDurationMs)) {
             context.emit(new SchedulerAction.BroadcastGossip(gossip.drainPending()));
@@ -116,7 +119,7 @@
         return false;
     }
 
-    /** Applies the reports of a gossip message; those of unknown engines are ignored. */
+    /** Applies the reports of a gossip message; reports of unknown engines are ignored. */
     public void applyGossip(byte[] payload) {
         for (GossipCodec.EngineReport report : gossip.decode(payload)) {
             for (Engine engine : context.engines()) {
--- a/src/main/java/lineward/scheduling/state/RequestState.java
+++ b/src/main/java/lineward/scheduling/state/RequestState.java
@@ -1,17 +1,17 @@
 package lineward.scheduling.state;
 
-/** The lifecycle of an admitted request. */
+/** The lifecycle states of an admitted request. */
 public enum RequestState {
-    /** It waits for an engine with capacity, and has no attempt in flight. */
+    /** The request waits for an engine with capacity and has no attempt in flight. */
     QUEUED,
-    /** An attempt was started, and no response has begun. */
+    /** An attempt was started, and no response has reached the client yet. */
     IN_FLIGHT,
-    /** An attempt was started, and its response has begun to reach the client. */
+    /** An attempt was started, and the client has received a part of a response. */
     STREAMING,
-    /** It has its final answer, or its client has gone; an attempt may still be in flight. */
+    /** The request has its final answer, or its client has gone; an attempt may still be in flight. */
     COMPLETED;
 
-    /** Returns whether the request has its final answer, or needs none. */
+    /** Returns whether the request has its final answer or no longer needs one. */
     public boolean isCompleted() {
         return this == COMPLETED;
     }
--- a/src/main/java/lineward/scheduling/state/RetryBudgetTracker.java
+++ b/src/main/java/lineward/scheduling/state/RetryBudgetTracker.java
@@ -18,17 +18,17 @@
         this.retries = new SlidingWindowCounter(budget.windowMs());
     }
 
-    /** Counts an admitted request, which adds to the budget. */
+    /** Counts an admitted request, which increases the budget. */
     public void recordAdmission() {
         admitted.add(context.nowMs(), 1);
     }
 
-    /** Counts a retry, which uses one of the budget. */
+    /** Counts a retry, which uses up one unit of the budget. */
     public void recordRetry() {
         retries.add(context.nowMs(), 1);
     }
 
-    /** Returns whether the budget allows that many additional retries now. */
+    /** Returns whether the budget currently allows that many additional retries. */
     public boolean allows(long additional) {
         return !budget.isLimited() || remaining() >= additional;
     }
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -17,9 +17,9 @@
 import lineward.scheduling.estimation.FleetServiceTimes;
 
 /**
- * What the mechanisms of one scheduler share: settings, engines, requests and classes, the time of the
- * present decision and the actions decided in it. Engines are walked by number, requests in order of
- * admission, so that a seed decides the same again.
+ * The state shared by the policies of one scheduler: settings, engines, requests and classes, the time of the
+ * current decision and the actions emitted in it. Engines are iterated by id and requests in order of
+ * admission, so that decisions are reproducible for a given seed.
  */
 public final class SchedulerContext {
     private static final double LOG_INTERVAL_MS = 1_000;
@@ -41,7 +41,7 @@
     /**
      * Creates the state of a scheduler without engines and requests.
      *
-     * @param seed of its random draws
+     * @param seed seed of the random number generator
      */
     public SchedulerContext(SchedulerSettings settings, long seed) {
         this.settings = settings;
@@ -51,7 +51,7 @@
                 .toList();
     }
 
-    /** Starts a decision at that time. */
+    /** Starts a decision at the given time. */
     public void beginDecision(double now) {
         nowMs = now;
         if (startedMs.isEmpty()) {
@@ -60,17 +60,17 @@
         actions = new ArrayList<>();
     }
 
-    /** Returns the actions of the decision, in order. */
+    /** Returns the actions of the decision, in the order in which they were emitted. */
     public List<SchedulerAction> endDecision() {
         return actions;
     }
 
-    /** Returns the time of the present decision. */
+    /** Returns the time of the current decision. */
     public double nowMs() {
         return nowMs;
     }
 
-    /** Returns the time of the first decision. */
+    /** Returns the time of the first decision; the current time before it. */
     public double startedMs() {
         return startedMs.orElse(nowMs);
     }
@@ -80,17 +80,17 @@
         return settings;
     }
 
-    /** Draws a number in [0, 1). */
+    /** Returns a random number in [0, 1). */
     public double drawRandom() {
         return random.nextDouble();
     }
 
-    /** Adds an action to the present decision. */
+    /** Adds an action to the current decision. */
     public void emit(SchedulerAction action) {
         actions.add(action);
     }
 
-    /** Asks for a log line, unless another was asked for within a second. */
+    /** Emits a log message; dropped if another one was emitted less than a second ago. */
     public void log(String text) {
         if (lastLogMs.isEmpty() || nowMs - lastLogMs.getAsDouble() >= LOG_INTERVAL_MS) {
             lastLogMs = OptionalDouble.of(nowMs);
@@ -103,58 +103,58 @@
         return classes;
     }
 
-    /** Returns the class of that index; an index out of range counts as the last one. */
+    /** Returns the class with the given index; an index past the end selects the last class. */
     public ClassState requestClass(int index) {
         return classes.get(Math.min(index, classes.size() - 1));
     }
 
-    /** Returns the run times of all classes together. */
+    /** Returns the run time statistics of all classes together. */
     public FleetServiceTimes serviceTimes() {
         return serviceTimes;
     }
 
-    /** Returns the demand against the fleet. */
+    /** Returns the demand on the fleet. */
     public FleetDemand demand() {
         return demand;
     }
 
-    /** Returns all known engines by number, including gone ones with attempts in flight. */
+    /** Returns all known engines by id, including engines that are gone but not yet removed. */
     public Collection<Engine> engines() {
         return enginesView;
     }
 
-    /** Returns the engine of that number; null if it is unknown. */
+    /** Returns the engine with the given id; null if it is unknown. */
     public Engine findEngine(long id) {
         return engines.get(id);
     }
 
-    /** Returns the engine of that number, which is created if it is unknown. */
+    /** Returns the engine with the given id, and creates it if it is unknown. */
     public Engine engine(long id) {
         double overloadWindowMs = settings.rules().slowStart().windowMs();
         return engines.computeIfAbsent(id, number -> new Engine(number, overloadWindowMs));
     }
 
-    /** Marks all engines as gone, before a full snapshot updates the listed ones. */
+    /** Marks all engines as gone, before a full snapshot updates those that it lists. */
     public void unlistEngines() {
         engines.values().forEach(Engine::unlist);
     }
 
-    /** Applies an endpoint to its engine and returns whether its process has restarted since the last one. */
+    /** Applies an endpoint to its engine, and returns whether the engine's process was restarted. */
     public boolean updateEngine(Endpoint endpoint) {
         return engine(endpoint.engine()).update(endpoint, settings.kindOf(endpoint));
     }
 
-    /** Forgets engines. */
+    /** Removes the engines that match the predicate. */
     public void removeEngines(Predicate<Engine> forgettable) {
         engines.values().removeIf(forgettable);
     }
 
-    /** Counts the cores of the ready engines, after a change of their listing or maintenance. */
+    /** Recounts the cores of the ready engines after a change in listing or maintenance. */
     public void countReadyCores() {
         demand.countReadyCores(engines.values());
     }
 
-    /** Recomputes the demand of all classes. */
+    /** Recomputes the demand of all classes relative to the ready engines. */
     public void recomputeDemand() {
         demand.recompute(classes, engines.values());
     }
@@ -164,12 +164,16 @@
         return requests.isEmpty();
     }
 
-    /** Returns the open request of that number; null if there is none. */
+    /** Returns the open request with the given id; null if there is none. */
     public TrackedRequest findRequest(long id) {
         return requests.get(id);
     }
 
-    /** Adds a request that has just been admitted. */
+    /**
+     * Adds a request that has just been admitted.
+     *
+     * @param exempt whether the speculative timeout (tau) does not apply to its attempts
+     */
     public TrackedRequest admit(SchedulerEvent.RequestArrived arrival, boolean exempt) {
         ClassState type = requestClass(arrival.requestClass());
         TrackedRequest request = new TrackedRequest(arrival, type, exempt, nowMs);
@@ -177,12 +181,12 @@
         return request;
     }
 
-    /** Forgets a request. */
+    /** Removes a request that is complete and has no attempt in flight. */
     public void release(TrackedRequest request) {
         requests.remove(request.id());
     }
 
-    /** Returns the attempt if it has not ended, else null. */
+    /** Returns the attempt if it is known and has not ended; else null. */
     public Attempt findUnendedAttempt(long requestId, int attempt) {
         TrackedRequest request = requests.get(requestId);
         if (request == null || attempt >= request.attempts().size()) {
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -10,9 +10,9 @@
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerEvent;
 
-/** One admitted request: its estimates, its lifecycle and its attempts. Times are milliseconds. */
+/** One admitted request: its estimates, its lifecycle and its attempts. Times are in milliseconds. */
 public final class TrackedRequest {
-    /** Run time assumed without an estimate, as a ratio of the latency objective. */
+    /** Run time assumed without an estimate, as a fraction of the latency objective. */
     private static final double DEFAULT_WORK_RATIO = 0.3;
 
     private static final long NO_KEY = 0;
@@ -35,11 +35,11 @@
 
     private RequestState state = RequestState.QUEUED;
     private int attemptsInFlight;
-    /** Stays set over a retry: the client has a part of the response. */
+    /** Stays set across retries, because the client has already received a part of a response. */
     private boolean responseStarted;
 
     private boolean relaunched;
-    /** The first attempt that may have run and did not answer; null if there is none. */
+    /** The first attempt that may have run and did not succeed; null if there is none. */
     private Attempt firstUnansweredRun;
 
     private int errors;
@@ -47,9 +47,9 @@
     private Engine firstEngineInError;
 
     /**
-     * Creates a request that is queued.
+     * Creates a queued request.
      *
-     * @param exempt whether none of its attempts is cancelled because it is slow
+     * @param exempt whether the speculative timeout (tau) does not apply to its attempts
      */
     TrackedRequest(SchedulerEvent.RequestArrived arrival, ClassState type, boolean exempt, double nowMs) {
         this.id = arrival.request();
@@ -72,102 +72,105 @@
         this.objectiveAtMs = Math.min(deadlineMs, objectiveMs);
     }
 
-    /** Returns its number, unique among the open requests. */
+    /** Returns the id of the request, unique among the open requests. */
     public long id() {
         return id;
     }
 
-    /** Returns its idempotency or ordering key. */
+    /** Returns the idempotency or ordering key; 0 if there is none. */
     public long key() {
         return key;
     }
 
-    /** Returns the number of the table group that it uses. */
+    /** Returns the number of the table group that the request uses. */
     public int tableGroup() {
         return tableGroup;
     }
 
-    /** Returns its class. */
+    /** Returns the class of the request. */
     public ClassState type() {
         return type;
     }
 
-    /** Returns when it was admitted. */
+    /** Returns when the request was admitted. */
     public double admittedAtMs() {
         return admittedAtMs;
     }
 
-    /** Returns when its client stops waiting. */
+    /** Returns the deadline, at which the client stops waiting. */
     public double deadlineMs() {
         return deadlineMs;
     }
 
-    /** Returns when its answer becomes late. */
+    /** Returns the end of the latency objective, after which an answer is late. */
     public double objectiveAtMs() {
         return objectiveAtMs;
     }
 
-    /** Returns its estimated run time, the unit of the run times of its class. */
+    /** Returns the estimated or default run time, the unit in which run times of the class are measured. */
     public double workUnitMs() {
         return workUnitMs;
     }
 
-    /** Returns the estimate of its work as it came; there must be one. */
+    /** Returns the uncorrected estimate of the work. Requires {@link #hasWorkEstimate()}. */
     public double estimatedWorkMs() {
         return estimatedWorkMs;
     }
 
-    /** Returns whether an estimate of its work came with it. */
+    /** Returns whether the request arrived with an estimate of its work. */
     public boolean hasWorkEstimate() {
         return estimatedWorkMs > 0;
     }
 
-    /** Returns the estimate of its memory; 0 if none came. */
+    /** Returns the uncorrected estimate of the memory, in megabytes; 0 if there is none. */
     public double estimatedMemoryMb() {
         return estimatedMemoryMb;
     }
 
-    /** Returns whether its attempts are never cancelled at tau, so that the curve has a tail. */
+    /**
+     * Returns whether the speculative timeout (tau) does not apply to the request. A fraction of the requests
+     * is exempt so that the survival curve keeps its tail.
+     */
     public boolean isExemptFromCancellation() {
         return exemptFromCancellation;
     }
 
-    /** Returns the run time expected on an engine that is not crowded. */
+    /** Returns the expected run time at typical speed, without the current slowdown of the class. */
     public double expectedRunMs() {
         return workUnitMs * type.model().typicalRatio();
     }
 
-    /** Returns the work expected of all its threads. */
+    /** Returns the expected work, summed over all threads. */
     public double expectedWorkMs() {
         return (hasWorkEstimate() ? workUnitMs : expectedRunMs()) * threads();
     }
 
-    /** Returns the threads that an attempt runs on. */
+    /** Returns the number of threads that an attempt runs on. */
     public int threads() {
         return type.settings().workload().threads();
     }
 
-    /** Returns whether it may run any number of times. */
+    /** Returns whether the request may run any number of times. */
     public boolean isIdempotent() {
         return type.settings().repeatability().idempotence() == Idempotence.IDEMPOTENT;
     }
 
-    /** Returns whether engines recognise a repeat by its key. */
+    /** Returns whether engines deduplicate repeated runs by the idempotency key. */
     public boolean isRepeatableByKey() {
         return type.settings().repeatability().idempotence() == Idempotence.BY_KEY;
     }
 
-    /** Returns whether it has a key whose requests run in order of arrival. */
+    /** Returns whether the request must run in order of arrival among the requests with its key. */
     public boolean isOrdered() {
         return key != NO_KEY && type.settings().repeatability().inOrder();
     }
 
-    /** Returns where it is in its lifecycle. */
+    /** Returns the lifecycle state of the request. */
     public RequestState state() {
         return state;
     }
 
-    /** Returns all its attempts, the ended ones included. */
+    /** Returns all attempts of the request, including the ended ones. */
     public List<Attempt> attempts() {
         return attemptsView;
     }
@@ -177,46 +180,46 @@
         return attemptsInFlight > 0;
     }
 
-    /** Returns whether an attempt was started on that engine and ended without an answer. */
+    /** Returns whether the request was requeued after an attempt on that engine. */
     public boolean hasTried(Engine engine) {
         return triedEngines.contains(engine);
     }
 
-    /** Returns the number of engines that it has tried. */
+    /** Returns the number of engines that the request has tried. */
     public int triedEngineCount() {
         return triedEngines.size();
     }
 
     /**
-     * Returns whether an attempt was cancelled because it was slow, so that later attempts are relaunches.
+     * Returns whether an attempt was cancelled because it was slow, which makes later attempts relaunches.
      */
     public boolean isRelaunched() {
         return relaunched;
     }
 
-    /** Returns the first attempt that may have run and did not answer; null if none may have run. */
+    /** Returns the first attempt that may have run and did not succeed; null if there is none. */
     public Attempt firstUnansweredRun() {
         return firstUnansweredRun;
     }
 
-    /** Returns the number of attempts that ended in an error of the engine. */
+    /** Returns the number of attempts that ended with an error response of the engine. */
     public int errors() {
         return errors;
     }
 
-    /** Returns the engine of its first error; null if there was none. */
+    /** Returns the engine of the first error; null if there was none. */
     public Engine firstEngineInError() {
         return firstEngineInError;
     }
 
-    /** Records that an attempt is started. */
+    /** Records the start of an attempt. */
     public void startAttempt(Attempt attempt) {
         attempts.add(attempt);
         attemptsInFlight++;
         state = state.attemptStarted(responseStarted);
     }
 
-    /** Records the end of an attempt that was in flight. */
+    /** Records the end of an attempt. */
     public void endAttempt(Attempt attempt, AttemptOutcome outcome) {
         attemptsInFlight--;
         boolean mayHaveRun = outcome.mayHaveRun() && outcome != AttemptOutcome.OK;
@@ -225,13 +228,13 @@
         }
     }
 
-    /** Records that the response has begun to reach the client. */
+    /** Records that the client has received the first part of a response. */
     public void startResponse() {
         responseStarted = true;
         state = state.responseStarted();
     }
 
-    /** Records that the engine of an attempt answered with an error. */
+    /** Records an error response of an engine. */
     public void recordError(Engine engine) {
         errors++;
         if (firstEngineInError == null) {
@@ -239,14 +242,14 @@
         }
     }
 
-    /** Queues the request for another attempt after one that has ended. */
+    /** Queues the request for another attempt after the given one has ended. */
     public void requeue(Attempt ended) {
         relaunched |= ended.isRelaunchedAfterCancel();
         triedEngines.add(ended.engine());
         state = state.requeued();
     }
 
-    /** Records that it has its final answer, or that its client has gone. */
+    /** Records that the request has its final answer or that its client has gone. */
     public void complete() {
         state = state.completed();
     }
--- a/src/main/java/lineward/scheduling/state/package-info.java
+++ b/src/main/java/lineward/scheduling/state/package-info.java
@@ -1,8 +1,9 @@
 /**
  * State of the scheduling module: requests, attempts, engines and classes, with one enum for each lifecycle.
- * A class changes its own fields only, by methods named after what has happened.
- * {@link lineward.scheduling.state.SchedulerContext} holds one scheduler's state and the actions of the
- * present decision. The package uses {@code estimation} and the types of {@code lineward.scheduling}, runs on
- * the scheduler's thread, and holds what is admitted, listed or in flight. The rules are in {@code decision}.
+ * A class modifies only its own fields, in methods named after the recorded events.
+ * {@link lineward.scheduling.state.SchedulerContext} holds the state of one scheduler and the actions of the
+ * current decision. The package depends on {@code estimation} and the types of {@code lineward.scheduling},
+ * and runs on the scheduler's thread. Its memory is bounded by the admitted requests, the listed engines and
+ * the attempts in flight. The scheduling rules are in {@code decision}.
  */
 package lineward.scheduling.state;
