--- a/src/test/java/lineward/scheduling/FleetQuotaTest.java
+++ b/src/test/java/lineward/scheduling/FleetQuotaTest.java
@@ -13,11 +13,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Front ends that share no load reports together start about as much as the engines can run. */
+/** Tests that front ends without shared load reports together start about what the engines can run. */
 public class FleetQuotaTest {
     private static final int CORES = 8;
     private static final int THREADS = 3;
-    /** Threads per core at saturation, times the excess over an even quota that a front end may use. */
+    /** Threads per core at saturation, times the factor by which the minimum quota exceeds an even one. */
     private static final double MAX_THREADS_PER_CORE = 1.5 * 1.3;
 
     private static RequestClass reportClass() {
@@ -60,7 +60,7 @@
         return new Object[][] {{20, 30}, {100, 37}, {100, 80}};
     }
 
-    /** Without a quota of the fleet, each of a hundred front ends would start a report on every engine. */
+    /** Without a fleet quota, each of a hundred front ends would start a report on every engine. */
     @Test(dataProvider = "fleets")
     public void burstOfReportsFillsTheFleetOnce(int frontEnds, int engines) {
         int started = 0;
@@ -70,17 +70,17 @@
                 scheduler.requestArrives(id, 1, 0, 9000, 15000);
             }
             scheduler.advance(200);
-            assertTrue(threads(scheduler) >= THREADS, "each front end starts something");
+            assertTrue(threads(scheduler) >= THREADS, "each front end starts a request");
             started += threads(scheduler);
         }
-        // The quota may have grown once.
+        // The quota may have grown by one step.
         double maxThreadsPerCore = MAX_THREADS_PER_CORE * Math.pow(frontEnds, 0.05);
         double maxThreads = maxThreadsPerCore * CORES * engines + THREADS * frontEnds;
         assertTrue(started <= maxThreads, started + " threads");
         assertTrue(started >= CORES * engines / 2, "the fleet is used: " + started + " threads");
     }
 
-    /** Lookups start although reports fill the quota, as they have more value for their work. */
+    /** Lookups start although reports fill the quota, because they have a higher value per work. */
     @Test(dataProvider = "largeFleets")
     public void lookupsStartPastAFullQuota(int frontEnds, int engines) {
         TestingScheduler scheduler = frontEnd(frontEnds, 0, engines);
@@ -92,7 +92,7 @@
         assertEquals(scheduler.allStarts().size(), before + 1);
     }
 
-    /** Past the quota, a class uses its fraction of the value, which does not fill the quota again. */
+    /** Past the quota, a class may use its fraction of the value, which must not fill the quota again. */
     @Test(dataProvider = "largeFleets")
     public void lookupsDoNotFillTheQuotaASecondTime(int frontEnds, int engines) {
         TestingScheduler scheduler = frontEnd(frontEnds, 0, engines);
@@ -111,7 +111,7 @@
         assertTrue(lookups + reports * THREADS <= quota * 1.3 + THREADS, lookups + " and " + reports);
     }
 
-    /** A report starts although lookups in flight fill the quota and more lookups arrive. */
+    /** A report must start although lookups in flight fill the quota and more lookups keep arriving. */
     @Test(dataProvider = "crowdedFleets")
     public void noClassStarvesBehindAnother(int frontEnds, int engines) {
         TestingScheduler scheduler = frontEnd(frontEnds, 0, engines);
@@ -130,7 +130,7 @@
         return new Object[][] {{20, 30}, {100, 37}, {120, 12}, {1024, 40}};
     }
 
-    /** An engine that pages counts the memory in use, so a large grant costs nothing and avoids a spill. */
+    /** An engine that pages counts memory in use, not grants, so a large grant avoids a spill at no cost. */
     @Test
     public void enginesThatPageGrantTheMaximum() {
         for (MemoryShortage shortage : MemoryShortage.values()) {
@@ -146,11 +146,11 @@
                     .get(0)
                     .grantMb();
             double expected = shortage == MemoryShortage.PAGE ? 0.4 * 16_000 : 100 * 1.25;
-            assertEquals(granted, expected, 1e-6, "" + shortage);
+            assertEquals(granted, expected, 1e-6, "grant with shortage " + shortage);
         }
     }
 
-    /** Reports in flight for long keep the quota from growing, although lookups are as fast as usual. */
+    /** Long-running reports must keep the quota from growing even if lookups run at their typical speed. */
     @Test
     public void quotaDoesNotGrowWhileReportsAreInFlight() {
         TestingScheduler scheduler = frontEnd(20, 0, 30);
--- a/src/test/java/lineward/scheduling/FleetSlowStartTest.java
+++ b/src/test/java/lineward/scheduling/FleetSlowStartTest.java
@@ -19,8 +19,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Front ends without gossip share the slow-start budget of an engine. They receive its start at different
- * times, some restart, some have several times the mean traffic, and attempts fail and are retried.
+ * Tests that front ends without gossip together stay within the slow-start budget of an engine. Service
+ * discovery notifies them of the start at different times, some of them restart, some have several times the
+ * mean traffic, and attempts fail and are retried.
  */
 public class FleetSlowStartTest {
     private static final List<RequestClass> CLASSES = List.of(
@@ -43,7 +44,7 @@
             0,
             new SchedulerSettings.RetryBudget(0, 0, 0));
     private static final EngineKind KIND = new EngineKind(8, 16_000);
-    /** Fraction of the cores at which an engine is at its capacity. */
+    /** Utilisation of the cores at which an engine has reached its capacity. */
     private static final double USABLE_CORE_RATIO = 0.85;
 
     private static final double LOAD = 0.85;
@@ -52,7 +53,7 @@
     private static final int MAX_ENGINES = 40;
     private static final double FAILURE_RATIO = 0.05;
 
-    /** Counts the work started at one engine in each window, in requests of mean work. */
+    /** Checks the work started on one engine within any sliding window, in requests of mean work. */
     private static final class Budget {
         private final Deque<double[]> starts = new ArrayDeque<>();
         private double used;
@@ -68,11 +69,11 @@
             double bound = meanAllowed + 2 * Math.sqrt(meanAllowed) + 2;
             maxUsedRatio = Math.max(maxUsedRatio, used / bound);
             if (used > bound) {
-                throw new AssertionError("overloaded at " + age + " ms: " + used + " of " + bound);
+                throw new AssertionError("overloaded at age " + age + " ms: " + used + ", limit " + bound);
             }
         }
 
-        /** Returns the requests of mean work that it survives in a window that begins at that age. */
+        /** Returns the requests of mean work that an engine tolerates in a window that starts at that age. */
         static double allowed(double age) {
             double capacityRatio = RULES.slowStart().initialRatio()
                     + (1 - RULES.slowStart().initialRatio())
@@ -88,7 +89,7 @@
 
     private record Due(double at, long order, Runnable task) {}
 
-    /** A fleet on one simulated clock. */
+    /** A simulated fleet with one clock. */
     private static final class Fleet {
         private final int frontEnds;
         private final SchedulerSettings.Rules rules;
@@ -105,7 +106,7 @@
         int startedInSlowStart;
         int retries;
 
-        /** @param rules of each front end */
+        /** @param rules settings of each front end */
         Fleet(int frontEnds, SchedulerSettings.Rules rules, int seed) {
             this.frontEnds = frontEnds;
             this.rules = rules;
@@ -151,13 +152,13 @@
             return list;
         }
 
-        /** One front end: its scheduler, its traffic and its restarts. */
+        /** A simulated front end with its scheduler, traffic and restarts. */
         private final class FrontEnd {
             private final int ordinal;
             private final double perMs;
             private final Map<Long, Double> works = new HashMap<>();
             private final Map<Long, Integer> attempts = new HashMap<>();
-            /** The attempt in flight of each request. */
+            /** The index of the attempt in flight by request. */
             private final Map<Long, Integer> inFlight = new HashMap<>();
 
             private SpeculativeScheduler scheduler;
@@ -236,7 +237,7 @@
                 }
             }
 
-            /** Schedules a task that is dropped if the front end restarts before. */
+            /** Schedules a task that is dropped if the front end restarts in the meantime. */
             private void whileRunning(double ms, Runnable task) {
                 int due = incarnation;
                 schedule(ms, () -> {
@@ -291,10 +292,10 @@
             assertTrue(fleet.retries > 0, "attempts are retried");
             startedInSlowStart += fleet.startedInSlowStart;
         }
-        assertTrue(startedInSlowStart > 0, "the engines in slow start are used");
+        assertTrue(startedInSlowStart > 0, "engines in slow start get requests");
     }
 
-    /** Front ends without a limit on slow-start work overload an engine, and the check finds it. */
+    /** Verifies the check itself: front ends without a limit on slow-start work must fail it. */
     @Test
     public void checkFindsAFleetWithoutABudget() {
         SchedulerSettings.Rules none = new SchedulerSettings.Rules(
@@ -322,6 +323,6 @@
         for (int i = 0; i < 10 * allowedRequests; i++) {
             later.recordStart(i * RULES.slowStart().windowMs() / allowedRequests * 1.01, MEAN_WORK_MS);
         }
-        assertFalse(later.maxUsedRatio < 0.9, "close to its bound: " + later.maxUsedRatio);
+        assertFalse(later.maxUsedRatio < 0.9, "used at most " + later.maxUsedRatio + " of the limit");
     }
 }
--- a/src/test/java/lineward/scheduling/LearnedStateTest.java
+++ b/src/test/java/lineward/scheduling/LearnedStateTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** State that front ends learn from load reports, gossip and answers. */
+/** Tests the state that a scheduler learns from load reports, gossip and the outcomes of attempts. */
 public class LearnedStateTest {
 
     private static TestingScheduler gossiping(int frontEnds) {
@@ -40,7 +40,7 @@
                 .listEngines(1, 2, 3, 4);
     }
 
-    /** Polls load reports, of so many requests at engine 1 and one elsewhere, until gossip is sent. */
+    /** Polls until gossip is sent; engine 1 reports {@code load} requests, each other engine one. */
     private static List<SchedulerAction.BroadcastGossip> pollGossip(TestingScheduler scheduler, double load) {
         List<SchedulerAction.BroadcastGossip> messages = new ArrayList<>();
         for (int i = 0; i < 400 && messages.isEmpty(); i++) {
@@ -104,11 +104,14 @@
             scheduler.advance(50);
         }
         assertThat(usedEngines)
-                .as("the gossip has expired and all four engines are used")
+                .as("engines used after the gossip has expired, as a bit set")
                 .isEqualTo(0b11110);
     }
 
-    /** Estimates are a third of the work. The objective grows with it, so a long request is not given up. */
+    /**
+     * Estimates are about a third of the reported work. With the correction learned from reports, the latency
+     * objective of a long request is large enough that the request is started.
+     */
     @Test
     public void reportedWorkCorrectsTheEstimatesOfTheClass() {
         RequestClass stretched = new RequestClass(
@@ -127,12 +130,12 @@
             }
             scheduler.requestArrives(100, 0, 0, 2000, 20_000);
             assertThat(scheduler.lastStartedEngine() > 0)
-                    .as("reported " + reportedMs)
+                    .as("started; reported work " + reportedMs + " ms")
                     .isEqualTo(reportedMs > 0);
         }
     }
 
-    /** A query that gets half of its memory spills, and then does several times its work. */
+    /** A query that is granted half of the memory it needs spills to disk and does several times its work. */
     @Test
     public void reportedMemoryRaisesTheGrantsOfTheClass() {
         TestingScheduler scheduler = new TestingScheduler(settings(lookupClass())).listEngines(1, 2, 3);
@@ -148,7 +151,10 @@
                 .isBetween(300.0, 600.0);
     }
 
-    /** One of many front ends gets few answers from an engine, so one straggler is no silence. */
+    /**
+     * A front end of a large fleet gets few responses from each engine, so a single straggler must not count
+     * as silence of the engine.
+     */
     @Test
     public void oneUnansweredAttemptDoesNotEjectAnEngine() {
         for (boolean twoOverdue : new boolean[] {false, true}) {
@@ -162,7 +168,10 @@
         }
     }
 
-    /** The first progress report may take one and a half intervals, so an earlier silence has no meaning. */
+    /**
+     * The first progress report may take one and a half intervals, so a lack of reports must not eject an
+     * engine earlier.
+     */
     @Test
     public void engineIsNotSilentBeforeItsFirstProgressReportIsDue() {
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
@@ -177,7 +186,7 @@
         assertThat(scheduler.allActions(SchedulerAction.LogMessage.class)).hasSize(1);
     }
 
-    /** Gossip may be permitted where engines report no load; its messages contain no reports then. */
+    /** If gossip is permitted but engines report no load, gossip messages must be ignored. */
     @Test
     public void gossipIsIgnoredWhereEnginesReportNoLoad() {
         SchedulerSettings withReports = gossiping(50).settings;
--- a/src/test/java/lineward/scheduling/MaintenanceTest.java
+++ b/src/test/java/lineward/scheduling/MaintenanceTest.java
@@ -13,13 +13,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** An engine under maintenance gets no attempts until an operator releases it. */
+/** Tests that an engine under maintenance gets no attempts, and its slow start after the release. */
 public class MaintenanceTest {
     private static Endpoint listed(EndpointState state, double startedAtMs) {
         return new Endpoint(1, 0, 1, startedAtMs, state, 0, 1);
     }
 
-    /** Updates of service discovery while engine 1 is under maintenance. */
+    /** Updates from service discovery while engine 1 is under maintenance. */
     @DataProvider
     public Object[][] endpointUpdates() {
         EndpointsChanged gone = new EndpointsChanged(false, List.of(listed(EndpointState.GONE, 0)));
@@ -64,7 +64,7 @@
         assertEquals(scheduler.allStarts().size(), 0);
         assertEquals(scheduler.excludedEngines(), 1);
         scheduler.receive(new MaintenanceChanged(1, false, scheduler.nowMs));
-        assertEquals(scheduler.lastStartedEngine(), 1, "the queued request starts with the release");
+        assertEquals(scheduler.lastStartedEngine(), 1, "engine of the queued request after the release");
         assertEquals(scheduler.excludedEngines(), 0);
     }
 
@@ -78,7 +78,7 @@
         for (int i = 0; i < 60; i++) {
             scheduler.requestArrives(10 + i, 0);
             atReleasedEngine += scheduler.lastStartedEngine() == 1 ? 1 : 0;
-            assertTrue(i > 0 || atReleasedEngine == 1, "the first request goes to the released engine");
+            assertTrue(i > 0 || atReleasedEngine == 1, "the first request must go to the released engine");
             if (i == 0) {
                 scheduler.attemptEnds(10, 0, AttemptOutcome.OK);
             }
@@ -87,7 +87,7 @@
         assertTrue(atReleasedEngine * 200 <= budget, atReleasedEngine + " requests of 200 ms at once");
     }
 
-    /** Age of the engine, number of requests of 1,000 ms that it gets at once. */
+    /** Age of the engine in ms, expected number of requests of 1,000 ms that it gets immediately. */
     @DataProvider
     public Object[][] ages() {
         return new Object[][] {{0, 3}, {1000, 3}, {6000, 4}, {12_000, 6}};
@@ -120,6 +120,6 @@
             started[process] = scheduler.allStarts().size();
         }
         boolean halved = started[1] > 0 && started[1] <= started[0] / 2 + 1 && started[0] > started[1];
-        assertTrue(halved, started[0] + " " + started[1]);
+        assertTrue(halved, "alone " + started[0] + ", as one of two " + started[1]);
     }
 }
--- a/src/test/java/lineward/scheduling/ZoneLossTest.java
+++ b/src/test/java/lineward/scheduling/ZoneLossTest.java
@@ -5,16 +5,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A zone fails for 5 s and restarts, while another is partitioned: each class is served throughout. */
+/** Tests that each class is served during and after a 5 s outage of a zone while a zone is partitioned. */
 public class ZoneLossTest {
     private static final double OUTAGE_MS = 5000;
     private static final double DAY_MS = 30_000;
     private static final int OUTAGE_START_S = 9;
     private static final int OUTAGE_END_S = 14;
-    /** Time after the outage in which engines warm up and all front ends receive their start. */
+    /** Time after the outage in which engines warm up and all front ends are notified of their starts. */
     private static final int RECOVERY_S = 10;
 
-    /** Front ends, engines, zones, the partitioned zone; zone 0 fails. */
+    /** Number of front ends, engines and zones, index of the partitioned zone; zone 0 fails. */
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {{4, 8, 2, 1}, {20, 20, 2, 0}, {93, 37, 4, 1}, {120, 20, 3, 1}, {93, 37, 2, 1}};
@@ -29,19 +29,19 @@
                             zones,
                             0.65,
                             0.3,
-                            0 /* lost */,
+                            0 /* failed zone */,
                             partition,
-                            8 /* one slow engine in so many */,
+                            8 /* one in 8 engines is slow */,
                             OUTAGE_MS,
                             DAY_MS,
-                            seed /* of the day */))
+                            seed /* of the simulated day */))
                     .play();
             for (int type = 0; type <= 1; type++) {
-                String message = "class " + type + ", seed " + seed + ": ";
+                String message = "class " + type + ", seed " + seed + ": served ";
                 double duringOutage = day.served(type, OUTAGE_START_S, OUTAGE_END_S);
                 assertTrue(duringOutage >= 0.3, message + duringOutage + " during the outage");
                 double afterRecovery = day.served(type, OUTAGE_END_S + RECOVERY_S, (int) (DAY_MS / 1000));
-                String when = " from " + RECOVERY_S + " s after it";
+                String when = " from " + RECOVERY_S + " s after the outage";
                 assertTrue(afterRecovery >= 0.75, message + afterRecovery + when);
             }
             String message = "seed " + seed + ": slow-start budget used " + day.maxSlowStartRatio;
--- a/src/test/java/lineward/scheduling/state/AttemptStateTest.java
+++ b/src/test/java/lineward/scheduling/state/AttemptStateTest.java
@@ -8,10 +8,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of an attempt. */
+/** Tests all state transitions of an attempt. */
 public class AttemptStateTest {
 
-    /** State, then the state after: cancelled, ended. */
+    /** Initial state, expected state after cancel, expected state after end. */
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/state/EngineStateTest.java
+++ b/src/test/java/lineward/scheduling/state/EngineStateTest.java
@@ -8,12 +8,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The lifecycle of an engine: listing, maintenance and health, and the state that follows from them. */
+/** Tests the engine state that is derived from listing, maintenance and health, and the warm-up start. */
 public class EngineStateTest {
     private static final EngineKind KIND = new EngineKind(8, 16_000);
     private static final double NOW_MS = 1_000;
 
-    /** What may happen to an engine. */
+    /** An event in the lifecycle of an engine. */
     private enum Step {
         LIST_READY,
         LIST_DRAINING,
@@ -50,7 +50,7 @@
         return engine;
     }
 
-    /** Steps before, the last step, the state after it. */
+    /** Sequence of events, expected state after it. */
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
@@ -89,7 +89,7 @@
         assertThat(engine.state()).isEqualTo(expected);
         boolean mayGetAttempts = expected == EngineState.READY || expected == EngineState.EJECTED;
         assertThat(engine.isReady() && !mayGetAttempts)
-                .as("ready in spite of " + expected)
+                .as("isReady() in state " + expected)
                 .isFalse();
     }
 
@@ -101,7 +101,7 @@
         assertThat(engine.isAwaitingFirstAnswer()).isFalse();
     }
 
-    /** Announced start, time of a lost connection (0: none), expected start of the warm-up (0: none). */
+    /** Announced start, lost connection, expected warm-up start (0: none), whether it is unannounced. */
     @DataProvider
     public Object[][] warmupStarts() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/state/RequestStateTest.java
+++ b/src/test/java/lineward/scheduling/state/RequestStateTest.java
@@ -9,10 +9,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of a request. */
+/** Tests all state transitions of a request. */
 public class RequestStateTest {
 
-    /** State, then the state after: an attempt started, a response started, requeued, completed. */
+    /** Initial state, expected states after attempt started, response started, requeued, completed. */
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
