--- a/src/main/java/lineward/scheduling/AttemptOutcome.java
+++ b/src/main/java/lineward/scheduling/AttemptOutcome.java
@@ -6,17 +6,17 @@
     OK(true),
     /** The engine answered with an error. */
     ERROR(true),
-    /** It did not begin: the engine rejected it, or it was not sent. */
+    /** It did not run: the engine rejected it, or it was not sent. */
     REJECTED(false),
-    /** No answer came in time. */
+    /** No answer arrived in time. */
     TIMEOUT(true),
-    /** No connection to the engine came up. */
+    /** No connection to the engine could be established. */
     CONNECT_FAILED(false),
-    /** The connection broke. */
+    /** The connection to the engine broke. */
     RESET(true),
     /** This front end cancelled it, or its connection broke while the engine is up. */
     CANCELLED(true),
-    /** It was not sent because its request was complete or its time was up. */
+    /** It was not sent because its request had completed or its time had run out. */
     NOT_STARTED(false);
 
     private final boolean mayHaveRun;
@@ -25,12 +25,12 @@
         this.mayHaveRun = mayHaveRun;
     }
 
-    /** Returns false where the outcome proves that the attempt never ran. */
+    /** Returns whether the attempt may have run; false where the outcome proves that it did not. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Returns whether the outcome leaves open if the attempt ran, or still runs. */
+    /** Returns whether the outcome leaves open whether the attempt ran or is still running. */
     public boolean isIndeterminate() {
         return this == TIMEOUT || this == RESET || this == CANCELLED;
     }
--- a/src/main/java/lineward/scheduling/DeduplicationScope.java
+++ b/src/main/java/lineward/scheduling/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package lineward.scheduling;
 
-/** Which engines recognise the idempotency keys of the first one. */
+/** The engines that recognise an idempotency key after a first engine has received it. */
 public enum DeduplicationScope {
     /** All engines. */
     ALL {
@@ -9,14 +9,14 @@
             return true;
         }
     },
-    /** Those of its zone. */
+    /** The engines in the zone of the first one. */
     ZONE {
         @Override
         public boolean covers(Endpoint first, Endpoint second) {
             return first.zone() == second.zone();
         }
     },
-    /** Those of its cell. */
+    /** The engines in the cell of the first one. */
     CELL {
         @Override
         public boolean covers(Endpoint first, Endpoint second) {
@@ -24,6 +24,6 @@
         }
     };
 
-    /** Returns whether the second engine recognises the keys of the first one. */
+    /** Returns whether the second engine recognises keys that the first one has received. */
     public abstract boolean covers(Endpoint first, Endpoint second);
 }
--- a/src/main/java/lineward/scheduling/EndpointState.java
+++ b/src/main/java/lineward/scheduling/EndpointState.java
@@ -2,7 +2,7 @@
 
 /** State of an engine's process as service discovery lists it. */
 public enum EndpointState {
-    /** It takes requests. */
+    /** It accepts requests. */
     READY,
     /** It completes its open requests and accepts no new ones. */
     DRAINING,
--- a/src/main/java/lineward/scheduling/Idempotence.java
+++ b/src/main/java/lineward/scheduling/Idempotence.java
@@ -5,7 +5,7 @@
     /** Always. */
     IDEMPOTENT,
     /**
-     * Where engines drop duplicates by an idempotency key, for a time and within a {@link
+     * Where engines detect duplicates by an idempotency key, for a limited time and within a {@link
      * DeduplicationScope}.
      */
     BY_KEY,
--- a/src/main/java/lineward/scheduling/InvalidSettingException.java
+++ b/src/main/java/lineward/scheduling/InvalidSettingException.java
@@ -1,6 +1,6 @@
 package lineward.scheduling;
 
-/** A setting is out of its range. */
+/** Thrown for a setting that is outside its valid range. */
 public final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
@@ -11,9 +11,9 @@
     /**
      * Checks one setting.
      *
-     * @param key names the setting
-     * @param found its value
-     * @param allowed its range in words
+     * @param key name of the setting
+     * @param found the configured value
+     * @param allowed description of the valid range
      * @throws InvalidSettingException if the condition does not hold
      */
     public static void require(boolean inRange, String key, Object found, String allowed) {
--- a/src/main/java/lineward/scheduling/LoadReportField.java
+++ b/src/main/java/lineward/scheduling/LoadReportField.java
@@ -6,19 +6,19 @@
     IN_FLIGHT(1),
     /** Requests queued. */
     QUEUED(1),
-    /** Ratio of the cores in use. */
+    /** Fraction of the cores in use. */
     UTILISATION(100),
-    /** Recent time a request, in milliseconds. */
+    /** Recent latency of a request, in milliseconds. */
     LATENCY(1),
-    /** Requests a second. */
+    /** Requests per second. */
     THROUGHPUT(1),
-    /** Errors a second. */
+    /** Errors per second. */
     ERRORS(1),
-    /** Ratio of the memory in use. */
+    /** Fraction of the memory in use. */
     MEMORY(100),
-    /** Ratio of the disks in use. */
+    /** Fraction of the disks in use. */
     DISKS(100),
-    /** A field without a meaning to this version. */
+    /** A field that this version does not know. */
     OTHER(1);
 
     private final double gossipScale;
@@ -27,7 +27,7 @@
         this.gossipScale = gossipScale;
     }
 
-    /** Returns the factor by which gossip encodes it: ratios as hundredths, counts as they are. */
+    /** Returns the factor by which gossip scales a value: fractions become hundredths, counts stay. */
     public double gossipScale() {
         return gossipScale;
     }
--- a/src/main/java/lineward/scheduling/MemoryShortage.java
+++ b/src/main/java/lineward/scheduling/MemoryShortage.java
@@ -1,11 +1,11 @@
 package lineward.scheduling;
 
-/** What an engine does with a request whose memory grant does not fit. */
+/** What an engine does with a request whose memory grant exceeds the engine's free memory. */
 public enum MemoryShortage {
-    /** The request waits. */
+    /** The request waits for memory. */
     WAIT,
-    /** The request gets what is left. */
+    /** The request is granted the free memory only. */
     SHRINK,
-    /** The request is admitted and all work on the engine slows down. */
+    /** The request runs, the engine pages, and all work on it slows down. */
     PAGE
 }
--- a/src/main/java/lineward/scheduling/RequestClass.java
+++ b/src/main/java/lineward/scheduling/RequestClass.java
@@ -6,7 +6,7 @@
 
 import java.util.List;
 
-/** One class of requests, as the settings describe it. */
+/** A class of requests, as configured in the settings. */
 public record RequestClass(
         Objective objective,
         Repeatability repeatability,
@@ -17,10 +17,10 @@
      * The latency objective of a request and the value of its answer.
      *
      * @param latencyMs constant part of the objective
-     * @param latencyPerWork part of the objective for each millisecond of its run time
+     * @param latencyPerWork part of the objective for each millisecond of the request's run time
      * @param deadlineMs how long clients wait
      * @param priorityWeight value of an answer within the objective
-     * @param overdueValueRatio fraction of that value of a late answer
+     * @param overdueValueRatio fraction of that value that a late answer still has
      */
     public record Objective(
             double latencyMs,
@@ -28,7 +28,7 @@
             double deadlineMs,
             double priorityWeight,
             double overdueValueRatio /* 0 to 1 */) {
-        /** Checks the ranges. */
+        /** Validates the ranges. */
         public Objective {
             requireNotNegative("classes: aim", latencyMs);
             requireNotNegative("classes: aim stretch", latencyPerWork);
@@ -39,25 +39,25 @@
     }
 
     /**
-     * Whether a request may run again.
+     * Whether, where and for how long a request may run again.
      *
      * @param scope which engines recognise an idempotency key
-     * @param keyTtlMs how long they do
-     * @param inOrder whether requests of one key run one after another, in order of arrival
+     * @param keyTtlMs how long they recognise it
+     * @param inOrder whether requests with the same key run one after another, in order of arrival
      */
     public record Repeatability(
             Idempotence idempotence,
             DeduplicationScope scope,
             double keyTtlMs /* 0: none */,
             boolean inOrder /* of a key */) {
-        /** Checks the ranges. */
+        /** Validates the ranges. */
         public Repeatability {
-            require(idempotence != null, "classes: effect", idempotence, "a known word");
-            require(scope != null, "classes: scope", scope, "a known word");
+            require(idempotence != null, "classes: effect", idempotence, "a known value");
+            require(scope != null, "classes: scope", scope, "a known value");
             requireNotNegative("classes: key time", keyTtlMs);
         }
 
-        /** Returns whether a repeat is harmless at whatever engine, for a time at least. */
+        /** Returns whether a repeat is harmless on any engine, for a limited time at least. */
         public boolean isRepeatableAnywhere() {
             return idempotence == Idempotence.IDEMPOTENT
                     || (idempotence == Idempotence.BY_KEY && scope == DeduplicationScope.ALL);
@@ -65,16 +65,16 @@
     }
 
     /**
-     * Which engines a request may run on; a null list restricts nothing.
+     * The engines that a request may run on; null stands for no restriction.
      *
-     * @param kinds indices of engine kinds
-     * @param zones indices of zones
+     * @param kinds indices of the allowed engine kinds
+     * @param zones indices of the allowed zones
      */
     public record Placement(List<Integer> kinds, List<Integer> zones) {
-        /** A placement on any engine. */
+        /** A placement without restrictions. */
         public static final Placement ANYWHERE = new Placement(null, null);
 
-        /** Returns whether a request may run on that engine. */
+        /** Returns whether a request may run on the engine. */
         public boolean allows(Endpoint endpoint) {
             return (kinds == null || kinds.contains(endpoint.kind()))
                     && (zones == null || zones.contains(endpoint.zone()));
@@ -84,17 +84,17 @@
     /**
      * How a request runs on an engine.
      *
-     * @param load whether it loads a table group, and holds it meanwhile
-     * @param waitsForLoads whether it waits while its table group is loaded
-     * @param threads threads that it runs on
+     * @param load whether the request loads a table group, which it locks while it runs
+     * @param waitsForLoads whether the request waits while its table group is being loaded
+     * @param threads number of threads that the request runs on
      */
     public record Workload(boolean load, boolean waitsForLoads, int threads) {
-        /** Checks the ranges. */
+        /** Validates the ranges. */
         public Workload {
             require(threads >= 1, "classes: threads", threads, "1 or more");
         }
 
-        /** Returns whether the two delay each other on one engine if they use one table group. */
+        /** Returns whether one delays the other on an engine if both use the same table group. */
         public boolean conflictsWith(Workload other) {
             return (load && (other.waitsForLoads || other.load)) || (other.load && waitsForLoads);
         }
--- a/src/main/java/lineward/scheduling/SchedulerAction.java
+++ b/src/main/java/lineward/scheduling/SchedulerAction.java
@@ -1,12 +1,12 @@
 package lineward.scheduling;
 
-/** What the scheduler asks for. */
+/** An action that the scheduler asks its caller to carry out. */
 public sealed interface SchedulerAction {
 
-    /** Hands this action to the method of the handler that takes its type. */
+    /** Calls the handler's method for the type of this action. */
     void dispatchTo(Handler handler);
 
-    /** Takes the actions apart: one method for each type. */
+    /** Visitor of actions, with one method for each type. */
     interface Handler {
         /** Start an attempt. */
         void startAttempt(StartAttempt action);
@@ -20,7 +20,7 @@
         /** Answer a request as failed. */
         void fail(Fail action);
 
-        /** Set memory and priority of a request. */
+        /** Set the memory grant and the priority of a request. */
         void setResourceLimits(SetResourceLimits action);
 
         /** Check an engine's health. */
@@ -29,10 +29,10 @@
         /** Send gossip to all other front ends. */
         void broadcastGossip(BroadcastGossip action);
 
-        /** Set a timer. */
+        /** Schedule a timer event. */
         void scheduleTimer(ScheduleTimer action);
 
-        /** Watch service discovery. */
+        /** Subscribe to endpoint changes. */
         void watchEndpoints(WatchEndpoints action);
 
         /** Write a line to the log. */
@@ -42,9 +42,9 @@
     /**
      * Starts an attempt. The attempts of a request are numbered 0, 1, 2 in the order of these actions.
      *
-     * @param timeoutMs how long it may take at most; 0: no bound of its own
-     * @param startWithinMs later than this it must not reach the engine any more, as it might run twice;
-     *     {@link #ANY_TIME}: no limit
+     * @param timeoutMs longest duration; 0: none besides the deadline of the request
+     * @param startWithinMs time within which it must reach the engine; sent later, the request might run
+     *     twice; {@link #ANY_TIME}: no limit
      */
     record StartAttempt(long request, long engine, double timeoutMs /* 0: none */, double startWithinMs)
             implements SchedulerAction {
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Final answer: rejected, and a retry is harmless.
+     * Answers a request as rejected; a retry by the client is harmless.
      *
-     * @param retryAfterMs advice on when to retry; 0: none
+     * @param retryAfterMs time after which the client is advised to retry; 0: no advice
      */
     record Reject(long request, double retryAfterMs) implements SchedulerAction {
         @Override
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Final answer: failed; the request may have run. */
+    /** Answers a request as failed; it may have run. */
     record Fail(long request) implements SchedulerAction {
         @Override
         public void dispatchTo(Handler handler) {
@@ -93,8 +93,8 @@
     /**
      * Sets the limits of a request's further attempts.
      *
-     * @param grantMb memory; 0 leaves it to the engine
-     * @param priority from 0, the lowest, to 3; it holds at once for attempts in flight
+     * @param grantMb memory grant; 0: the engine decides
+     * @param priority from 0, the lowest, to 3; it also applies at once to attempts in flight
      */
     record SetResourceLimits(long request, double grantMb, int priority) implements SchedulerAction {
         @Override
@@ -111,8 +111,8 @@
         }
     }
 
-    /** Sends bytes to every other front end; they may be lost. */
-    @SuppressWarnings("ArrayRecordComponent") // handed on once, never compared
+    /** Sends a message to every other front end; it may be lost. */
+    @SuppressWarnings("ArrayRecordComponent") // passed on once, never compared
     record BroadcastGossip(byte[] payload) implements SchedulerAction {
         @Override
         public void dispatchTo(Handler handler) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Asks for changes of the endpoints from now on. */
+    /** Subscribes to endpoint changes from now on. */
     record WatchEndpoints() implements SchedulerAction {
         @Override
         public void dispatchTo(Handler handler) {
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Asks for a line in the log. */
+    /** Writes a line to the log. */
     record LogMessage(String text) implements SchedulerAction {
         @Override
         public void dispatchTo(Handler handler) {
--- a/src/main/java/lineward/scheduling/SchedulerEvent.java
+++ b/src/main/java/lineward/scheduling/SchedulerEvent.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** What the scheduler is notified of. */
+/** An event that the scheduler is notified of. */
 public sealed interface SchedulerEvent {
 
-    /** Hands this event to the method of the handler that takes its type. */
+    /** Calls the handler's method for the type of this event. */
     void dispatchTo(Handler handler);
 
-    /** Takes the events apart: one method for each type. */
+    /** Visitor of events, with one method for each type. */
     interface Handler {
         /** Endpoints have changed. */
         void endpointsChanged(EndpointsChanged event);
@@ -16,10 +16,10 @@
         /** A call to service discovery has failed. */
         void discoveryFailed(DiscoveryFailed event);
 
-        /** An engine was taken out for maintenance, or released. */
+        /** An engine was put under maintenance, or released. */
         void maintenanceChanged(MaintenanceChanged event);
 
-        /** This process's part of the front end's work has changed. */
+        /** This process's fraction of the front end's quota has changed. */
         void quotaChanged(QuotaChanged event);
 
         /** A request was admitted by the front end. */
@@ -34,7 +34,7 @@
         /** An attempt has ended. */
         void attemptEnded(AttemptEnded event);
 
-        /** The client of a request has gone. */
+        /** A request needs no answer any more. */
         void requestCancelled(RequestCancelled event);
 
         /** A health check has completed. */
@@ -50,7 +50,7 @@
     /**
      * Service discovery has sent endpoints.
      *
-     * @param fullSnapshot whether engines missing here are gone; else these are incremental updates
+     * @param fullSnapshot whether engines missing here are gone; otherwise this is an incremental update
      */
     record EndpointsChanged(boolean fullSnapshot, List<Endpoint> endpoints) implements SchedulerEvent {
         @Override
@@ -68,10 +68,10 @@
     }
 
     /**
-     * An operator takes an engine out, whatever service discovery says, or releases it. The engine need not
-     * be listed.
+     * An operator has put an engine under maintenance or released it. This overrides service discovery, and
+     * the engine need not be listed.
      *
-     * @param sinceMs when the operator said so
+     * @param sinceMs when the operator gave the order
      */
     record MaintenanceChanged(long engine, boolean underMaintenance, double sinceMs /* Unix time */)
             implements SchedulerEvent {
@@ -82,7 +82,7 @@
     }
 
     /**
-     * The part of this front end's quota that falls to this process.
+     * This process's fraction of the front end's quota has changed.
      *
      * @param ratio 1 when it serves alone, 0.5 while another process serves beside it during a hot restart
      */
@@ -96,14 +96,14 @@
     /**
      * A request was admitted.
      *
-     * @param requestClass its class's index in the settings
-     * @param key requests of one key may have to run in order; 0: none
+     * @param requestClass index of its class in the settings
+     * @param key its idempotency or ordering key; requests of one key may have to run in order; 0: none
      * @param timeLeftMs how long the client still waits
-     * @param estimatedWorkMs estimated work of all its threads; 0: not known
+     * @param estimatedWorkMs estimated work of all its threads together; 0: not known
      * @param estimatedMemoryMb estimated memory; 0: not known
-     * @param tableGroup the group of tables that it uses
-     * @param clientRetry whether the client marks it as its retry
-     * @param tenant its tenant's index in the settings
+     * @param tableGroup number of the table group that it uses
+     * @param clientRetry whether the client marks it as a retry
+     * @param tenant index of its tenant in the settings
      */
     record RequestArrived(
             long request,
@@ -122,7 +122,10 @@
         }
     }
 
-    /** The response of an attempt has begun to reach the client, to whom it belongs from now on. */
+    /**
+     * The response of an attempt has begun to reach the client. From now on the attempt is not cancelled to
+     * be relaunched or migrated.
+     */
     record ResponseStarted(long request, int attempt) implements SchedulerEvent {
         @Override
         public void dispatchTo(Handler handler) {
@@ -133,7 +136,7 @@
     /**
      * An engine has reported on an attempt in flight.
      *
-     * @param amount the ratio that is done, or the megabytes that are missing
+     * @param amount the fraction that is done, or the megabytes that are missing
      */
     record AttemptProgress(long request, int attempt, ProgressKind kind, double amount /* by its kind */)
             implements SchedulerEvent {
@@ -146,12 +149,12 @@
     /**
      * An attempt has ended.
      *
-     * @param requestCompleted whether the request has had its final answer
+     * @param requestCompleted whether the request has its final answer
      * @param workMs the work that it took; 0: not reported
      * @param memoryMb the memory that it needed; 0: not reported
-     * @param loadReport the engine's load report, empty if none came with it
+     * @param loadReport the engine's load report; empty if the response had none
      */
-    @SuppressWarnings("ArrayRecordComponent") // handed on once, never compared
+    @SuppressWarnings("ArrayRecordComponent") // passed on once, never compared
     record AttemptEnded(
             long request,
             int attempt,
@@ -167,7 +170,7 @@
         }
     }
 
-    /** The client of a request has gone, so it needs no answer. */
+    /** A request needs no answer any more, as when its client has disconnected. */
     record RequestCancelled(long request) implements SchedulerEvent {
         @Override
         public void dispatchTo(Handler handler) {
@@ -175,8 +178,8 @@
         }
     }
 
-    /** A health check has completed; the load report is empty if none came with it. */
-    @SuppressWarnings("ArrayRecordComponent") // handed on once, never compared
+    /** A health check has completed; the load report is empty if the response had none. */
+    @SuppressWarnings("ArrayRecordComponent") // passed on once, never compared
     record HealthCheckCompleted(long engine, AttemptOutcome outcome, double latencyMs, double[] loadReport)
             implements SchedulerEvent {
         @Override
@@ -193,8 +196,8 @@
         }
     }
 
-    /** Gossip of another front end, which may be late or no longer run. */
-    @SuppressWarnings("ArrayRecordComponent") // handed on once, never compared
+    /** Gossip from another front end; it may arrive late, even after the sender has stopped. */
+    @SuppressWarnings("ArrayRecordComponent") // passed on once, never compared
     record GossipReceived(int sender, byte[] payload) implements SchedulerEvent {
         @Override
         public void dispatchTo(Handler handler) {
--- a/src/main/java/lineward/scheduling/SchedulerSettings.java
+++ b/src/main/java/lineward/scheduling/SchedulerSettings.java
@@ -18,7 +18,7 @@
         Costs costs,
         Quotas quotas) {
 
-    /** Checks the ranges and the references between the parts. */
+    /** Validates the ranges and the references between the parts. */
     public SchedulerSettings {
         require(!classes.isEmpty(), "classes", "none", "one or more");
         require(!kinds.isEmpty(), "kinds", "none", "one or more");
@@ -33,7 +33,7 @@
 
     private static void requireWithin(String key, List<Integer> indices, int size) {
         boolean within = indices == null || indices.stream().allMatch(i -> i >= 0 && i < size);
-        require(within, key, indices, "names that the settings list");
+        require(within, key, indices, "names listed in the settings");
     }
 
     /** Returns what the deployment permits. */
@@ -41,12 +41,12 @@
         return limits.capabilities();
     }
 
-    /** Returns the bounds on attempts. */
+    /** Returns the limits on attempts. */
     public AttemptLimits attempts() {
         return limits.attempts();
     }
 
-    /** Returns how engines grant memory. */
+    /** Returns the limits on memory grants. */
     public MemoryLimits memory() {
         return limits.memory();
     }
@@ -57,21 +57,21 @@
     }
 
     /**
-     * Where this front end stands in the fleet.
+     * The position of this front end in the fleet.
      *
      * @param zones number of zones
      * @param zone index of its own zone
      * @param frontEnds number of front ends, at least 1
-     * @param ordinal its own number among them, from 0
+     * @param ordinal number of this front end among them, from 0
      */
     public record FleetPosition(int zones, int zone, int frontEnds, int ordinal) {
-        /** Checks the ranges. */
+        /** Validates the ranges. */
         public FleetPosition {
             require(frontEnds >= 1, "fronts", frontEnds, "1 or more");
         }
     }
 
-    /** What the deployment permits, and the bounds that it sets. */
+    /** What the deployment permits, and the limits that it sets. */
     public record Limits(Capabilities capabilities, AttemptLimits attempts, MemoryLimits memory) {}
 
     /**
@@ -79,11 +79,11 @@
      *
      * @param cancel attempts in flight may be cancelled
      * @param healthChecks engines may be asked for their health
-     * @param hedging two attempts of a request may be in flight at once
-     * @param retryAfter a rejection may carry advice on when to retry
-     * @param grants memory grants are heeded
-     * @param priorities priorities are heeded
-     * @param gossip front ends may talk to each other
+     * @param hedging two attempts of one request may be in flight at once
+     * @param retryAfter a rejection may advise when to retry
+     * @param grants engines honour memory grants
+     * @param priorities engines honour priorities
+     * @param gossip front ends may send messages to each other
      */
     public record Capabilities(
             boolean cancel,
@@ -95,14 +95,14 @@
             boolean gossip) {}
 
     /**
-     * Bounds on attempts.
+     * Limits on attempts.
      *
      * @param maxPerRequest attempts of one request, at least 1
-     * @param maxRetryAfterMs longest advice on when to retry
+     * @param maxRetryAfterMs longest time after which a client may be advised to retry
      * @param progressIntervalMs how often engines report progress; 0: never
      */
     public record AttemptLimits(int maxPerRequest, double maxRetryAfterMs, double progressIntervalMs) {
-        /** Checks the ranges. */
+        /** Validates the ranges. */
         public AttemptLimits {
             require(maxPerRequest >= 1, "limits: attempts", maxPerRequest, "1 or more");
             requireNotNegative("limits: longest retry-after", maxRetryAfterMs);
@@ -111,12 +111,13 @@
     }
 
     /**
-     * How engines grant memory.
+     * Limits on memory grants.
      *
      * @param maxGrantRatio largest fraction of an engine's memory for one request, more than 0 and up to 1
+     * @param shortage what an engine does with a request whose grant does not fit
      */
     public record MemoryLimits(double maxGrantRatio, MemoryShortage shortage) {
-        /** Checks the ranges. */
+        /** Validates the ranges. */
         public MemoryLimits {
             boolean inRange = maxGrantRatio > 0 && maxGrantRatio <= 1;
             require(inRange, "limits: most grant", maxGrantRatio, "more than 0, up to 1");
@@ -124,17 +125,18 @@
     }
 
     /**
-     * The rules that the platform checks.
+     * Rules of the platform, which checks that front ends follow them.
      *
-     * @param drainGraceMs how long after a drain was announced the engine may still get requests
-     * @param settleMs how long a key rests after an indeterminate outcome
+     * @param drainGraceMs how long an engine may still get requests after its drain was announced
+     * @param settleMs how long the next request of an ordering key is held back after an attempt with an
+     *     indeterminate outcome
      */
     public record Rules(
             double drainGraceMs,
             SlowStartRule slowStart,
             double settleMs /* 0: none */,
-            RetryBudget retryBudget /* of all */) {
-        /** Checks the ranges. */
+            RetryBudget retryBudget /* of all requests */) {
+        /** Validates the ranges. */
         public Rules {
             requireNotNegative("rules: drain grace", drainGraceMs);
             requireNotNegative("rules: settle time", settleMs);
@@ -142,17 +144,17 @@
     }
 
     /**
-     * How an engine warms up, and when it falls over meanwhile.
+     * How an engine warms up, and how much work overloads it meanwhile.
      *
-     * @param durationMs how long it warms up
-     * @param initialRatio ratio of its capacity that it has at the start
-     * @param overloadFactor work sent within the window, as a multiple of its present capacity, that it
-     *     survives; 0: any
-     * @param windowMs the window
+     * @param durationMs duration of the warm-up
+     * @param initialRatio fraction of its capacity that an engine has at the start
+     * @param overloadFactor most work that it can be sent within the window without failing, as a multiple
+     *     of its current capacity; 0: any amount
+     * @param windowMs length of the window
      */
     public record SlowStartRule(
             double durationMs, double initialRatio, double overloadFactor /* 0: any */, double windowMs) {
-        /** Checks the ranges. */
+        /** Validates the ranges. */
         public SlowStartRule {
             requireNotNegative("rules: cold time", durationMs);
             requireRatio("rules: cold share", initialRatio);
@@ -160,36 +162,38 @@
             requireNotNegative("rules: overload window", windowMs);
         }
 
-        /** Returns whether an engine that warms up survives only so much work. */
+        /** Returns whether the work that may be sent to an engine during its warm-up is limited. */
         public boolean limitsWork() {
             return overloadFactor > 0;
         }
     }
 
     /**
-     * Retries allowed within a window: a base, and a number for each request admitted.
+     * Retries allowed within a sliding window: a constant number, and a number for each admitted request.
      *
-     * @param windowMs the window; 0: retries are not limited
+     * @param windowMs length of the window; 0: retries are not limited
+     * @param base constant number of retries
+     * @param perRequest retries for each admitted request
      */
     public record RetryBudget(double windowMs, double base, double perRequest) {
-        /** Checks the ranges. */
+        /** Validates the ranges. */
         public RetryBudget {
             requireNotNegative("rules: attempt budget's window", windowMs);
             requireNotNegative("rules: attempt budget", base);
             requireNotNegative("rules: attempt budget for each request", perRequest);
         }
 
-        /** Returns whether there is a budget at all. */
+        /** Returns whether retries are limited. */
         public boolean isLimited() {
             return windowMs > 0;
         }
     }
 
     /**
-     * What engines report of their load.
+     * What engines report about their load.
      *
      * @param fields the values of a report, in order; empty: engines report nothing
-     * @param inResponses whether reports come with responses
+     * @param inResponses whether responses contain a report
      */
     public record Reporting(List<LoadReportField> fields, boolean inResponses) {
         /** Copies the list. */
@@ -199,22 +203,22 @@
     }
 
     /**
-     * How endpoints become known.
+     * How front ends learn of endpoints.
      *
-     * @param subscribe whether the list comes only to subscribers
-     * @param pollWithinMs how often to ask; 0: not said
-     * @param weightsAreMeaningful whether the weights in the list mean something
+     * @param subscribe whether service discovery sends the list to subscribers only
+     * @param pollWithinMs longest time between polls; 0: not specified
+     * @param weightsAreMeaningful whether the weights in the list carry information
      */
     public record Discovery(boolean subscribe, double pollWithinMs, boolean weightsAreMeaningful) {}
 
     /**
-     * What messages cost, in points of the result for one a request.
+     * What messages cost: points of the evaluation score at a rate of one message per request.
      *
-     * @param healthCheck a health check
-     * @param gossip gossip of the largest payload delivered to one front end
+     * @param healthCheck cost of a health check
+     * @param gossip cost of a gossip message of the largest size, for each front end that receives it
      */
     public record Costs(double healthCheck, double gossip) {
-        /** Checks the ranges. */
+        /** Validates the ranges. */
         public Costs {
             requireNotNegative("prices: probe", healthCheck);
             requireNotNegative("prices: peer", gossip);
@@ -224,11 +228,11 @@
     /**
      * The tenants' quotas.
      *
-     * @param perTenant requests a second within each tenant's quota, over all front ends
-     * @param overQuotaValueRatio the ratio of its value that a request beyond its tenant's quota keeps
+     * @param perTenant requests per second within each tenant's quota, over all front ends
+     * @param overQuotaValueRatio fraction of its value that a request beyond its tenant's quota keeps
      */
     public record Quotas(List<Double> perTenant, double overQuotaValueRatio) {
-        /** Checks the ranges. */
+        /** Validates the ranges. */
         public Quotas {
             perTenant = List.copyOf(perTenant);
             perTenant.forEach(quota -> requireNotNegative("tenants: quota", quota));
