--- a/src/main/java/lineward/scheduling/execution/AdmissionQueue.java
+++ b/src/main/java/lineward/scheduling/execution/AdmissionQueue.java
@@ -44,7 +44,7 @@
         this.starter = starter;
     }
 
-    /** Queues a request, or gives it up at once if it can't be in time. */
+    /** Queues a request, or gives it up at once if it cannot be answered in time. */
     void add(TrackedRequest request) {
         if (policy.cannotBeInTime(request)) {
             lifecycle.giveUp(request);
@@ -58,7 +58,7 @@
         return blocked;
     }
 
-    /** Starts attempts of queued requests, by priority, while engines have capacity. */
+    /** Starts attempts of queued requests in order of priority, where engines have capacity. */
     void dispatch() {
         blocked = false;
         if (queue.isEmpty()) {
@@ -93,7 +93,7 @@
         return engine.isPresent();
     }
 
-    /** Gives up queued requests that can't be in time any more. */
+    /** Gives up queued requests that can no longer be answered in time. */
     void giveUpOverdue() {
         for (TrackedRequest request : queue) {
             if (isQueued(request) && policy.cannotBeInTime(request)) {
--- a/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
@@ -8,7 +8,7 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Handles the ends of attempts: records them, learns from them, and completes or requeues the request. */
+/** Handles ended attempts: updates state and estimates, and completes or requeues the request. */
 final class AttemptOutcomes {
     private final SchedulerContext context;
     private final OutcomeLearning learning;
@@ -32,7 +32,7 @@
         this.queue = queue;
     }
 
-    /** Handles the end of an attempt; it is ignored if the attempt is unknown or has ended. */
+    /** Handles the end of an attempt; ignored if the attempt is unknown or has already ended. */
     void end(SchedulerEvent.AttemptEnded end) {
         Attempt attempt = context.findUnendedAttempt(end.request(), end.attempt());
         if (attempt == null) {
--- a/src/main/java/lineward/scheduling/execution/AttemptStarter.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptStarter.java
@@ -10,7 +10,7 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Starts attempts on the engines that were selected. */
+/** Starts attempts on the selected engines. */
 final class AttemptStarter {
     private static final double NO_TIMEOUT = 0;
 
--- a/src/main/java/lineward/scheduling/execution/Mechanisms.java
+++ b/src/main/java/lineward/scheduling/execution/Mechanisms.java
@@ -20,7 +20,7 @@
 import lineward.scheduling.state.RetryBudgetTracker;
 import lineward.scheduling.state.SchedulerContext;
 
-/** Creates the policies of one scheduler and the classes that carry out what they decide. */
+/** Creates and wires the policies of one scheduler and the classes that carry out their decisions. */
 final class Mechanisms {
     final RetryBudgetTracker budget;
     final LoadReports reports;
--- a/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
@@ -9,7 +9,7 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Passes the end of an attempt to the estimators and to the outlier detector. */
+/** Updates the estimators and the outlier detector with the outcomes of attempts. */
 final class OutcomeLearning {
     private final SchedulerContext context;
     private final OutlierDetector outliers;
@@ -36,7 +36,7 @@
             case CONNECT_FAILED -> outliers.recordConnectFailure(attempt.engine());
             case ERROR -> outliers.attributeError(attempt.request(), attempt.engine());
             case REJECTED, NOT_STARTED -> {
-                // Nothing ran, and the engine is not at fault.
+                // Nothing ran, and the outcome is no sign of a faulty engine.
             }
         }
     }
@@ -81,7 +81,11 @@
         }
     }
 
-    /** A first run cancelled before tau counts as one up to tau; else the curve would lose its tail. */
+    /**
+     * Adds a first run that did not complete as a censored one. If it was due before tau by its predicted
+     * run time, it counts as having run up to tau, or up to the prediction if that is less: at its actual
+     * run time the curve would lose its tail.
+     */
     private void learnCensoredRun(Attempt attempt) {
         if (!attempt.isFirstRun() || attempt.isMigrated()) {
             return;
--- a/src/main/java/lineward/scheduling/execution/RequestLifecycle.java
+++ b/src/main/java/lineward/scheduling/execution/RequestLifecycle.java
@@ -9,7 +9,7 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Ends requests: each gets one final answer at most, and its attempts in flight are cancelled. */
+/** Completes requests: emits at most one final answer for each and cancels its attempts in flight. */
 final class RequestLifecycle {
     private final SchedulerContext context;
     private final CancellationPolicy cancellation;
@@ -33,7 +33,7 @@
         complete(request);
     }
 
-    /** The request has its final answer, or its client has gone: nothing more is started. */
+    /** Completes a request that has its final answer or needs none: no further attempt is started. */
     void complete(TrackedRequest request) {
         request.complete();
         for (Attempt attempt : request.attempts()) {
@@ -44,13 +44,13 @@
         releaseIfDone(request);
     }
 
-    /** Cancels an attempt; its end is reported later, as any other's. */
+    /** Cancels an attempt. Its end is reported later, like that of any other attempt. */
     void cancel(Attempt attempt, CancelCause cause) {
         attempt.cancel(cause);
         context.emit(new SchedulerAction.CancelAttempt(attempt.request().id(), attempt.index()));
     }
 
-    /** Forgets a completed request once nothing of it is in flight. */
+    /** Removes a completed request once it has no attempt in flight. */
     void releaseIfDone(TrackedRequest request) {
         if (request.state().isCompleted() && !request.hasAttemptInFlight()) {
             context.release(request);
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -14,12 +14,13 @@
 import lineward.scheduling.state.TrackedRequest;
 
 /**
- * The scheduler of one pool of engines: passes each event to the mechanism that it concerns, sweeps over the
- * attempts in flight every {@value #SWEEP_INTERVAL_MS} ms, and dispatches the queue. Time comes from events,
- * random draws from the seed, and all loops run in a fixed order, so that equal events give equal actions.
+ * The scheduler of one pool of engines: passes each event to the class that handles it, sweeps over the
+ * attempts in flight every {@value #SWEEP_INTERVAL_MS} ms, and dispatches queued requests. It is
+ * deterministic: callers pass the time, random draws depend on the seed, and all loops run in a fixed order,
+ * so the same events give the same actions.
  */
 public final class SpeculativeScheduler implements Scheduler, SchedulerEvent.Handler {
-    /** Time between sweeps: short against any objective, long against the duration of a sweep. */
+    /** Time between sweeps: short compared to any objective, long compared to the duration of a sweep. */
     private static final double SWEEP_INTERVAL_MS = 25;
 
     private static final int SWEEP_TIMER = 0;
@@ -33,8 +34,8 @@
     /**
      * Creates a scheduler without engines.
      *
-     * @param settings what the deployment permits and asks for
-     * @param seed of its random draws
+     * @param settings the settings, fixed for the life of the scheduler
+     * @param seed seed of its random draws
      */
     public SpeculativeScheduler(SchedulerSettings settings, long seed) {
         context = new SchedulerContext(settings, seed);
@@ -47,13 +48,14 @@
         context.beginDecision(nowMs);
         startSubscriptions();
         events.forEach(event -> event.dispatchTo(this));
-        // Sweeps after all events: when the process was stalled, answers may come after the timer in one
-        // batch.
+        // Sweeps after all events: if the process was stalled, answers may follow the timer in the same
+        // batch, and the sweep must not count their attempts as unanswered.
         if (events.stream().anyMatch(SchedulerEvent.TimerFired.class::isInstance)) {
             sweep();
         }
         mechanisms.sweep.migrateWaiting();
-        // Gossip comes far more often than requests, so the queue waits for the next sweep.
+        // Gossip arrives far more often than requests, so the queue is not dispatched for it alone, but by the
+        // next sweep.
         if (!events.stream().allMatch(SchedulerEvent.GossipReceived.class::isInstance)) {
             mechanisms.queue.dispatch();
         }
@@ -192,7 +194,7 @@
         context.countReadyCores();
     }
 
-    /** No endpoint update ends maintenance. */
+    /** Begins or ends maintenance, which endpoint updates never end. */
     @Override
     public void maintenanceChanged(SchedulerEvent.MaintenanceChanged change) {
         Engine engine = context.engine(change.engine());
--- a/src/main/java/lineward/scheduling/execution/Sweep.java
+++ b/src/main/java/lineward/scheduling/execution/Sweep.java
@@ -12,7 +12,7 @@
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.SchedulerContext;
 
-/** Applies the rules that depend on time to all attempts in flight, and migrates attempts that wait. */
+/** Applies time-dependent rules to all attempts in flight, and migrates attempts that wait at an engine. */
 final class Sweep {
     private final SchedulerContext context;
     private final OutlierDetector outliers;
@@ -44,7 +44,7 @@
         context.engines().forEach(outliers::detectSilence);
     }
 
-    /** Cancels attempts that are slow, and gives up requests whose answer has no value any more. */
+    /** Cancels slow attempts, and gives up requests whose answer no longer has a value. */
     void cancelAttempts() {
         for (Engine engine : context.engines()) {
             for (Attempt attempt : new ArrayList<>(engine.attempts())) {
@@ -57,7 +57,10 @@
         }
     }
 
-    /** Forgets keys that may be used again, and engines that are gone and leave nothing to count. */
+    /**
+     * Removes the state of keys whose settle time has passed, and of gone engines without maintenance,
+     * attempts in flight and work that still counts in their slow-start budget.
+     */
     void forgetSettled() {
         keyOrder.forgetSettledKeys();
         context.removeEngines(this::isForgettable);
@@ -70,12 +73,12 @@
                 && engine.sentWorkMs(context.nowMs()) == 0;
     }
 
-    /** Records an attempt that waits at its engine, to be judged at the end of the decision. */
+    /** Records an attempt that waits at its engine, to be considered for migration after all events. */
     void recordWaiting(Attempt attempt) {
         waitingAttempts.add(attempt);
     }
 
-    /** Migrates the recorded attempts where another engine can take them. */
+    /** Migrates the recorded attempts that another engine can take. */
     void migrateWaiting() {
         for (Attempt attempt : waitingAttempts) {
             if (migration.shouldMigrate(attempt)) {
