--- a/src/main/java/lineward/scheduling/simulator/BatchReader.java
+++ b/src/main/java/lineward/scheduling/simulator/BatchReader.java
@@ -10,7 +10,7 @@
 import lineward.scheduling.ProgressKind;
 import lineward.scheduling.SchedulerEvent;
 
-/** Reads one batch and notifies a sink, in order, of what it holds. Endpoint lists outlive a batch. */
+/** Reads batches and passes their contents to a sink in order. Endpoint lists are kept across batches. */
 final class BatchReader {
     private static final int CLOCK_BYTES = Double.BYTES;
     private static final int MAX_ENDPOINT_LISTS = 16;
@@ -33,18 +33,18 @@
     private static final int ENDPOINT_LIST = 0x1b;
     private static final int GOSSIP_RECEIVED = 0x1c;
 
-    /** Takes what a batch says, record by record. */
+    /** Receives the contents of a batch, record by record. */
     interface Sink {
-        /** The records that follow belong to that instance. */
+        /** The records that follow belong to this instance. */
         void selectInstance(int instance);
 
-        /** The instance is created. */
+        /** The selected instance is created. */
         void openInstance(long seed, String settings);
 
-        /** The instance has been killed. */
+        /** The selected instance has been killed. */
         void killInstance();
 
-        /** An event for the instance. */
+        /** An event for the selected instance. */
         void event(SchedulerEvent event);
     }
 
@@ -57,8 +57,8 @@
     /**
      * Reads a batch.
      *
-     * @param count its number of records
-     * @param body what follows the length field: clock, records, tail
+     * @param count number of records in the batch
+     * @param body the bytes after the length field: clock, records, tail
      */
     void read(int count, ByteBuffer body, Sink sink) {
         long end = CLOCK_BYTES + (long) count * EventRecord.LENGTH;
--- a/src/main/java/lineward/scheduling/simulator/EventRecord.java
+++ b/src/main/java/lineward/scheduling/simulator/EventRecord.java
@@ -3,9 +3,9 @@
 import java.nio.ByteBuffer;
 import lineward.scheduling.AttemptOutcome;
 
-/** One record of fixed length in a batch; what is of variable length stands in the batch's tail. */
+/** One record of fixed length in a batch; data of variable length is in the tail of the batch. */
 final class EventRecord {
-    /** Bytes of a record. */
+    /** Length of a record in bytes. */
     static final int LENGTH = 48;
 
     private static final int MAX_REPORT_VALUES = 4;
@@ -54,12 +54,12 @@
         return bytes.getDouble(offset);
     }
 
-    /** Reads an engine's id: six bytes. */
+    /** Reads an engine's number, an unsigned integer of six bytes. */
     long engine(int offset) {
         return unsignedInt(offset) << Short.SIZE | unsignedShort(offset + Integer.BYTES);
     }
 
-    /** Reads a load report: the number of its values, and the values. */
+    /** Reads a load report: a byte with the number of values, then the values as floats. */
     double[] loadReport(int offset) {
         double[] values = new double[Math.max(0, Math.min(MAX_REPORT_VALUES, signedByte(offset)))];
         for (int i = 0; i < values.length; i++) {
@@ -68,7 +68,7 @@
         return values;
     }
 
-    /** Reads how an attempt or a health check ended. */
+    /** Reads the outcome of an attempt or a health check. */
     AttemptOutcome outcome(int offset) {
         int code = bytes.getShort(offset);
         return switch (code) {
--- a/src/main/java/lineward/scheduling/simulator/Main.java
+++ b/src/main/java/lineward/scheduling/simulator/Main.java
@@ -11,7 +11,7 @@
 import java.io.PrintStream;
 import java.nio.ByteBuffer;
 
-/** Joins schedulers to the simulator: batches on standard input, replies on standard output. */
+/** Connects schedulers to the simulator: batches on standard input, replies on standard output. */
 public final class Main {
     private static final String PROGRAM = "lineward adapter: ";
     private static final int MAX_FRAME_BYTES = 1 << 30;
@@ -21,7 +21,7 @@
 
     private Main() {}
 
-    /** Runs until the end of the input; the one argument is the word {@code adapter}. */
+    /** Runs until the end of the input; the only argument is {@code adapter}. */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("adapter")) {
             System.err.println("usage: java -jar lineward.jar adapter");
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Returns the exit status: 0 after the end of the input, else 1 with a plain line on the error stream.
+     * Returns the exit status: 0 at the end of the input, else 1 after a message on the error stream.
      */
     static int run(InputStream input, OutputStream output, PrintStream errors) {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(input, INPUT_BUFFER_BYTES))) {
--- a/src/main/java/lineward/scheduling/simulator/ReplyWriter.java
+++ b/src/main/java/lineward/scheduling/simulator/ReplyWriter.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import lineward.scheduling.SchedulerAction;
 
-/** Writes the actions of instances as one reply frame. */
+/** Encodes the actions of all instances as one reply frame. */
 final class ReplyWriter implements SchedulerAction.Handler {
     private static final int RECORD_BYTES = 24;
     private static final int INITIAL_BYTES = 1 << 16;
@@ -35,12 +35,12 @@
         count = 0;
     }
 
-    /** The actions that follow are that instance's. */
+    /** The actions that follow belong to this instance. */
     void selectInstance(int instance) {
         finish(begin(INSTANCE_SELECTED).putInt(instance));
     }
 
-    /** The instance has crashed, for the reason given. */
+    /** The selected instance has failed with an exception. */
     void instanceCrashed(String reason) {
         writeText(INSTANCE_CRASHED, reason);
     }
@@ -104,7 +104,7 @@
         writeText(LOG_MESSAGE, action.text());
     }
 
-    /** Returns the reply frame: the number of records, the length of what follows, records, tail. */
+    /** Returns the reply frame: number of records, length of the rest, records, tail. */
     byte[] frame() {
         int recordBytes = count * RECORD_BYTES;
         int length = recordBytes + tail.size();
--- a/src/main/java/lineward/scheduling/simulator/SchedulerInstances.java
+++ b/src/main/java/lineward/scheduling/simulator/SchedulerInstances.java
@@ -9,7 +9,7 @@
 import lineward.scheduling.SchedulerEvent;
 import lineward.scheduling.execution.SpeculativeScheduler;
 
-/** Hosts the simulator's schedulers and hands each its own events. They share nothing. */
+/** Runs the simulator's schedulers and passes each one its own events. They share no state. */
 final class SchedulerInstances implements BatchReader.Sink {
     private final BatchReader reader = new BatchReader();
     private final ReplyWriter writer = new ReplyWriter();
@@ -56,7 +56,7 @@
         batch.put(selected, new ArrayList<>());
     }
 
-    /** What was reported for an instance before it was killed is void with it. */
+    /** Removes the instance, and its events from earlier in the batch. */
     @Override
     public void killInstance() {
         schedulers.remove(selected);
--- a/src/main/java/lineward/scheduling/simulator/SettingsReader.java
+++ b/src/main/java/lineward/scheduling/simulator/SettingsReader.java
@@ -13,7 +13,7 @@
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerSettings;
 
-/** Turns the settings' JSON text into the scheduler's settings; unknown keys are ignored. */
+/** Reads the scheduler's settings from JSON; unknown keys are ignored. */
 public final class SettingsReader {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -37,7 +37,7 @@
      * Reads the settings.
      *
      * @param text the settings as JSON
-     * @throws WireException if the text is no JSON object, or a setting is out of its range
+     * @throws WireException if the text is not a JSON object, or a setting is outside its valid range
      */
     public static SchedulerSettings read(String text) {
         try {
@@ -222,7 +222,7 @@
         return names;
     }
 
-    /** Returns the indices of what a list names, or null without a list; it may hold names or indices. */
+    /** Returns the indices of a list's entries, each a name or an index; null if there is no list. */
     private static List<Integer> indices(JsonNode list, List<String> names) {
         if (list == null || !list.isArray()) {
             return null;
--- a/src/main/java/lineward/scheduling/simulator/package-info.java
+++ b/src/main/java/lineward/scheduling/simulator/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The simulator's protocol: hosts {@link lineward.scheduling.execution.SpeculativeScheduler}s for a simulator
- * that speaks on standard input and output. {@code BatchReader} turns records into events,
- * {@code ReplyWriter} turns actions into records; the codes stand there alone. {@code SettingsReader} maps
- * the settings' keys, which the platform's protocol shares. It uses the scheduling package and a JSON parser,
- * runs on the thread that calls it, and bounds a frame at 1 GB.
+ * The simulator's protocol: runs {@link lineward.scheduling.execution.SpeculativeScheduler}s for a simulator
+ * that communicates over standard input and output. {@code BatchReader} and {@code EventRecord} decode
+ * records to events, {@code ReplyWriter} encodes actions as records; no other class knows the codes.
+ * {@code SettingsReader} maps the keys of the settings, which the platform's protocol uses too. The package
+ * uses the scheduling package and a JSON parser, runs on the thread that calls it, and limits a frame to
+ * 1 GB.
  */
 package lineward.scheduling.simulator;
