--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -54,8 +54,8 @@
             sweep();
         }
         mechanisms.sweep.migrateWaiting();
-        // Gossip arrives far more often than requests, so the queue is not dispatched for it alone, but by the
-        // next sweep.
+        // Gossip arrives far more often than requests, so the queue is not dispatched for gossip alone, but
+        // by the next sweep.
         if (!events.stream().allMatch(SchedulerEvent.GossipReceived.class::isInstance)) {
             mechanisms.queue.dispatch();
         }
