--- a/src/main/java/lineward/scheduling/InvalidSettingException.java
+++ b/src/main/java/lineward/scheduling/InvalidSettingException.java
@@ -5,7 +5,7 @@
     private static final long serialVersionUID = 1L;
 
     private InvalidSettingException(String key, Object found, String allowed) {
-        super("bad setting: " + key + " (found " + found + ", allowed is " + allowed + ")");
+        super("invalid setting: " + key + " (found " + found + ", allowed: " + allowed + ")");
     }
 
     /**
--- a/src/main/java/lineward/scheduling/simulator/Main.java
+++ b/src/main/java/lineward/scheduling/simulator/Main.java
@@ -46,7 +46,7 @@
         } catch (WireException e) {
             errors.println(PROGRAM + e.getMessage());
         } catch (IOException e) {
-            errors.println(PROGRAM + "cannot read or write: " + e.getMessage());
+            errors.println(PROGRAM + "I/O error: " + e.getMessage());
         }
         return 1;
     }
