--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -16,8 +16,8 @@
 import lineward.scheduling.execution.SpeculativeScheduler;
 
 /**
- * A day of a fleet in simulated time: front ends without gossip, engines whose runs share their cores, a
- * zone that fails and restarts, and a zone that is partitioned from the others.
+ * Simulates a fleet over a period that tests call a day: front ends without gossip, engines whose runs share
+ * their cores, a zone that fails and restarts, and a zone that is partitioned from the others.
  */
 final class FleetDay {
     /** Lookups, reports, and loads that are not idempotent. */
@@ -43,7 +43,7 @@
     private static final double REPORT_RATIO = 0.15;
     private static final double RUNAWAY_RATIO = 0.065;
     private static final double[] RUNAWAY_FACTORS = {8.5, 16.5};
-    /** Ratio of the estimate to the work, by class. */
+    /** Median ratio of the estimate to the actual work, by class. */
     private static final double[] ESTIMATE_RATIO = {0.7, 0.5, 1};
 
     private static final int CORES = 8;
@@ -52,17 +52,23 @@
     private static final double INITIAL_CAPACITY_RATIO = 0.4;
     private static final double WARMUP_MS = 11_000;
     private static final double OVERLOAD_WINDOW_MS = 1500;
-    /** Time within which service discovery notifies all front ends of a start. */
+    /** Time within which service discovery notifies all front ends of an engine's start. */
     private static final double MAX_DISCOVERY_DELAY_MS = 4000;
 
     private static final double OVERLOAD_FACTOR = 2.5;
     private static final double[] WEIGHTS = {1, 4, 8, 16};
 
     /**
+     * Parameters of a simulation.
+     *
      * @param load requested work relative to the capacity of all cores
+     * @param skew standard deviation of the logarithm of the front ends' numbers of requests; besides, one
+     *     front end in ten gets three times as many
      * @param lost the zone that fails, or -1
      * @param partitionedZone the zone that is partitioned from the others, or -1
-     * @param slowEngineInterval one engine in so many is three times slower; 0: none
+     * @param slowEngineInterval one engine in this many is three times slower; 0: none
+     * @param outageMs duration of the failure and of the partition
+     * @param lengthMs period in which requests arrive
      * @param loads fraction of the requests that are loads
      * @param retryBudget retries of each front end in 10 s, besides a fifth of its requests; 0: no limit
      */
@@ -120,7 +126,7 @@
     private double now;
     private long nextOrder;
     private final double startMs = 100_000;
-    /** By second and class: requests, answers in time, late answers. */
+    /** By second of arrival and by class: requests, answers in time, late answers. */
     final TreeMap<Integer, double[][]> seconds = new TreeMap<>();
 
     double maxSlowStartRatio;
@@ -188,7 +194,7 @@
             return INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (now - startedAtMs) / WARMUP_MS;
         }
 
-        /** Divides the cores among the runs by priority, up to the threads of each. */
+        /** Divides the cores among the runs by priority and threads, with at most one core for each thread. */
         void shareCores() {
             double threads = runs.stream()
                     .mapToInt(run -> CLASSES.get(run.type).workload().threads())
@@ -540,7 +546,7 @@
                 }));
     }
 
-    /** Returns the fraction of the requests of a period that was answered, late or not. */
+    /** Returns the fraction of the requests that arrived in a period and were answered, late or not. */
     double served(int type, int from, int to) {
         double[] sum = new double[3];
         seconds.subMap(from, to).values().forEach(rows -> {
@@ -552,7 +558,8 @@
     }
 
     /**
-     * Plays days with a failed and a partitioned zone, and prints the ratio of answers by class.
+     * Runs simulations with a failed and a partitioned zone, and prints the fraction of answered requests by
+     * class.
      *
      * @param args numbers of front ends, engines, zones and seeds, and the load
      */
--- a/src/measure/java/lineward/scheduling/RuleChecker.java
+++ b/src/measure/java/lineward/scheduling/RuleChecker.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * Checks the events and actions of one front end and throws at the first violated rule: one final answer, one
- * attempt in flight, no second run of a non-idempotent request, retries within their budget.
+ * Checks the events and actions of one front end and throws at the first violated rule: a request has one
+ * final answer and at most one attempt in flight, a non-idempotent one never runs twice, and retries stay
+ * within their budget.
  */
 final class RuleChecker {
     private static final class RequestRecord {
--- a/src/test/java/lineward/scheduling/ActionDigest.java
+++ b/src/test/java/lineward/scheduling/ActionDigest.java
@@ -6,8 +6,8 @@
 import java.util.HexFormat;
 
 /**
- * A digest of a sequence of values. It covers numbers and fixed tags and no names of types, so that a
- * renamed type does not change it.
+ * A digest of a sequence of actions and other values. It covers numbers and fixed tags but no type names, so
+ * renaming a type does not change it.
  */
 public final class ActionDigest {
     private final MessageDigest sha256;
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Adds the tag of a kind of message and its numbers. */
+    /** Adds the tag of a type of value, and its numbers. */
     public ActionDigest add(char tag, double... values) {
         sha256.update((byte) tag);
         for (double value : values) {
@@ -33,7 +33,7 @@
         return this;
     }
 
-    /** Adds bytes, after their number. */
+    /** Adds a tag, the number of bytes, and the bytes. */
     public ActionDigest add(char tag, byte[] bytes) {
         add(tag, bytes.length);
         sha256.update(bytes);
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Returns the first 16 hexadecimal digits of the digest; nothing can be added after it. */
+    /** Returns the first 16 hexadecimal digits of the digest. Call it last, as it resets the digest. */
     public String toHex() {
         return HexFormat.of().formatHex(sha256.digest()).substring(0, 16);
     }
--- a/src/test/java/lineward/scheduling/DecisionCostTest.java
+++ b/src/test/java/lineward/scheduling/DecisionCostTest.java
@@ -6,11 +6,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Decisions use a small fraction of a core, with 1,024 engines too. */
+/** Checks that decisions use a small fraction of a core, even with 1,024 engines. */
 public class DecisionCostTest {
     private static final int QUEUED = 200;
     private static final double SECONDS = 5;
-    /** Processor time for a second of a busy front end, in ms; the bench's machines have 400. */
+    /** Limit on the CPU time of a busy front end per second, in ms; the benchmark's machines have 400. */
     private static final double MAX_MS = 200;
 
     @DataProvider
@@ -18,7 +18,7 @@
         return new Object[][] {{100, 80}, {120, 300}, {1024, 300}, {1024, 1024}};
     }
 
-    /** Queued reports are considered again with every event, here forty a second. */
+    /** Queued requests are considered again at every event, here at forty timer events per second. */
     @Test(dataProvider = "fleets")
     public void queuedRequestsCostAFractionOfACore(int frontEnds, int engines) {
         TestingScheduler scheduler = FleetQuotaTest.frontEnd(frontEnds, 0, engines);
--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -14,9 +14,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Compares every decision, its order and each random draw with digests of all actions on seeded days. A
- * change that decides otherwise on purpose records new digests. The digests are those of x86-64, whose
- * mathematical intrinsics Java treats alike.
+ * Compares digests of all actions in seeded simulations with recorded ones. A digest changes with any
+ * decision, the order of decisions and each random draw; a change that alters decisions on purpose records
+ * new digests. The digests are valid on x86-64, on which Java's mathematical intrinsics give equal results.
  */
 public class DecisionDigestTest {
     private static final int ENGINES = 9;
--- a/src/test/java/lineward/scheduling/HostExampleTest.java
+++ b/src/test/java/lineward/scheduling/HostExampleTest.java
@@ -16,7 +16,7 @@
 import lineward.scheduling.execution.SpeculativeScheduler;
 import org.testng.annotations.Test;
 
-/** The host program of the README, with simulated engines that answer after 150 ms. */
+/** Runs a scheduler in a minimal host program, with simulated engines that answer after 150 ms. */
 public class HostExampleTest {
     private static AttemptEnded served(long request) {
         return new AttemptEnded(request, 0, OK, true, 0, 0, new double[0]);
--- a/src/test/java/lineward/scheduling/LargeFleetTest.java
+++ b/src/test/java/lineward/scheduling/LargeFleetTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Front ends without gossip together use engines in slow start within their budget. */
+/** Checks fleets of many front ends without gossip: slow start, placement, slowdowns, recovery probes. */
 public class LargeFleetTest {
     private static final int CORES = 8;
 
@@ -41,7 +41,7 @@
 
     private final Map<Long, Double> costs = new HashMap<>();
 
-    /** Schedules the answer of each attempt after its work, and each timer. */
+    /** Schedules the answer of each attempt for when its work is done, and each timer. */
     private void perform(
             int frontEnd,
             List<SchedulerAction> actions,
@@ -59,7 +59,10 @@
         }
     }
 
-    /** Half of the engines have just started; the work of their attempts is added up. */
+    /**
+     * Half of the engines have just started. The front ends together use each of them, and send no more work
+     * within any window than its slow-start budget.
+     */
     @DataProvider
     public Object[][] fleetSizes() {
         return new Object[][] {{1}, {3}, {50}, {300}};
@@ -143,8 +146,9 @@
     }
 
     /**
-     * Each front end has one request at a time and sees idle engines. Still the larger kind must not get all
-     * requests, and the class without a placement leaves that kind to the class that is placed there.
+     * Each front end has one request at a time and sees only idle engines. Still the larger engine kind must
+     * not get all requests: the class that may run anywhere must leave that kind to the class that is
+     * restricted to it.
      */
     @DataProvider
     public Object[][] largeFleetSizes() {
@@ -186,12 +190,16 @@
                 scheduler.decide(now + 200, List.of(served(request)));
             }
         }
-        // Half of the work is placed on kind 0, with 16 of 28 cores: even load leaves it 1 in 7 others.
+        // Half of the work is restricted to kind 0, which has 16 of the 28 cores. With equal load on all
+        // cores, kind 0 gets 1 in 7 of the other requests.
         assertThat(lookupsByKind[0]).isGreaterThan(frontEnds / 4);
         assertThat(lookupsByKind[1]).isGreaterThan(2 * lookupsByKind[0]);
     }
 
-    /** A few answers a second from forty engines show a slow fleet together, although not one by one. */
+    /**
+     * A few answers per second from forty engines are too few to tell that any one engine is slow, but enough
+     * to tell that the fleet is.
+     */
     @Test
     public void frontEndWithLittleTrafficDetectsASlowFleet() {
         List<Endpoint> list = new ArrayList<>();
@@ -229,7 +237,7 @@
                 .hasSize(1);
     }
 
-    /** Half of the engines refuse connections, and their probes stay a small fraction of the traffic. */
+    /** Half of the engines refuse connections; recovery probes to them stay a fraction of the traffic. */
     @DataProvider
     public Object[][] probedFleetSizes() {
         return new Object[][] {{1}, {50}, {300}};
--- a/src/test/java/lineward/scheduling/RandomDaysTest.java
+++ b/src/test/java/lineward/scheduling/RandomDaysTest.java
@@ -28,7 +28,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Random but legal events under varied settings: the rules hold, and equal events give equal actions. */
+/** Random valid events with random settings: the rules hold, and the same events give the same actions. */
 public class RandomDaysTest {
     private record Due(double at, int order, SchedulerEvent event) {}
 
--- a/src/test/java/lineward/scheduling/RulesTest.java
+++ b/src/test/java/lineward/scheduling/RulesTest.java
@@ -108,7 +108,7 @@
 
     @Test
     public void engineInSlowStartStaysWithinItsBudget() {
-        // Two windows of 1 s at 3 x 0.33 x 0.85 x 8 cores contain 13,464 ms of work, 67 requests of 200 ms.
+        // Two windows of 1 s at 3 x 0.33 x 0.85 x 8 cores allow 13,464 ms of work: 67 requests of 200 ms.
         assertThat(startedAtEngineInSlowStart(1)).isBetween(10, 67);
         int ofFour = startedAtEngineInSlowStart(4);
         assertThat(ofFour).as("a quarter for each of four front ends").isBetween(2, 17);
@@ -209,8 +209,9 @@
     }
 
     /**
-     * Without estimates, a class counts with its mean work, which is high before the first outcome. So 300
-     * front ends with one request each do not overload an engine in slow start.
+     * A request without an estimate counts with the mean work of its class, for which a high value is assumed
+     * before the first outcome. So 300 front ends with one request each do not overload an engine in slow
+     * start.
      */
     @Test
     public void slowStartCountsTheMeanWorkOfRequestsWithoutEstimates() {
@@ -242,7 +243,7 @@
         assertThat(started).isLessThanOrEqualTo(1);
     }
 
-    /** A restarted front end does not remember its earlier attempts, which count at the engine. */
+    /** A restarted front end does not know its earlier attempts, which still count at the engine. */
     @Test
     public void restartedFrontEndSkipsEnginesInSlowStartAtFirst() {
         TestingScheduler scheduler = new TestingScheduler(settings(lookupClass()));
@@ -253,7 +254,7 @@
         assertThat(scheduler.advance(1100).lastStarts()).hasSize(1);
     }
 
-    /** Without budget for a relaunch, the attempt on a silent engine continues: it may still be answered. */
+    /** Without budget for a relaunch, an attempt on a silent engine continues, as it may still succeed. */
     @Test
     public void attemptIsNotCancelledWithoutBudgetForARelaunch() {
         for (int budget : new int[] {1, 0}) {
--- a/src/test/java/lineward/scheduling/SeededDay.java
+++ b/src/test/java/lineward/scheduling/SeededDay.java
@@ -31,9 +31,9 @@
 import lineward.scheduling.execution.SpeculativeScheduler;
 
 /**
- * A day of random but legal events for one scheduler. Engines answer, straggle, fail, fall silent, drain and
- * restart; clients cancel; peers send gossip. The same seed and settings give the same events as long as the
- * scheduler gives the same actions.
+ * Simulates random valid events for one scheduler. Engines answer, straggle, fail, stop responding, drain and
+ * restart; clients cancel; other front ends send gossip. The same seed and settings give the same events as
+ * long as the scheduler gives the same actions.
  */
 final class SeededDay {
     private static final double START_MS = 1_000;
@@ -72,7 +72,7 @@
         this.scheduler = new SpeculativeScheduler(settings, seed);
     }
 
-    /** Plays the day to its end. */
+    /** Runs the simulation to its end. */
     SeededDay play() {
         scheduleEndpoints();
         scheduleArrivals();
@@ -242,7 +242,7 @@
         return new AttemptEnded(request, attempt, outcome, completed, work, memory, new double[0]);
     }
 
-    /** A cancelled attempt may end on its own meanwhile; the scheduler ignores the second end. */
+    /** A cancelled attempt may end by itself before the cancel; the scheduler ignores the second end. */
     private void cancel(SchedulerAction.CancelAttempt cancel, double nowMs) {
         AttemptOutcome outcome = random.nextInt(10) == 0 ? OK : CANCELLED;
         schedule(nowMs + 1 + random.nextInt(40), attemptEnded(cancel.request(), cancel.attempt(), outcome));
--- a/src/test/java/lineward/scheduling/SeededRulesTest.java
+++ b/src/test/java/lineward/scheduling/SeededRulesTest.java
@@ -16,12 +16,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Days of fleets of several sizes with non-idempotent loads and few retries. */
+/** Simulates fleets of several sizes with non-idempotent loads and a small retry budget. */
 public class SeededRulesTest {
     private static final double LOADS = 0.06;
     private static final int DAY_MS = 15_000;
 
-    /** Front ends, engines, zones, retries allowed in 10 s besides a fifth of the admitted requests. */
+    /** Front ends, engines, zones, and retries allowed in 10 s besides a fifth of the admitted requests. */
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {{2, 7, 2, 5}, {3, 8, 2, 5}, {14, 60, 2, 5}, {100, 20, 4, 1}};
@@ -56,7 +56,7 @@
         };
     }
 
-    /** The checker finds each planted fault, and accepts the same steps without the last one. */
+    /** The checker detects each injected violation, and accepts the same steps without the last one. */
     @Test(dataProvider = "faults")
     public void checkerFindsAPlantedFault(String fault, int type, List<Object> steps) {
         assertThrows(AssertionError.class, () -> play(type, steps));
--- a/src/test/java/lineward/scheduling/StyleTest.java
+++ b/src/test/java/lineward/scheduling/StyleTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** Limits on the size of decision classes and the length of lines. */
+/** Checks that decision classes are listed for deployment and limited in size, and the length of lines. */
 public class StyleTest {
     private static final int MAX_DECISION_LINES = 300;
     private static final int MAX_COLUMNS = 110;
--- a/src/test/java/lineward/scheduling/TestingScheduler.java
+++ b/src/test/java/lineward/scheduling/TestingScheduler.java
@@ -6,7 +6,7 @@
 import lineward.scheduling.SchedulerSettings.Rules;
 import lineward.scheduling.execution.SpeculativeScheduler;
 
-/** A scheduler on a simulated clock that records its actions. */
+/** A scheduler with a simulated clock whose actions are recorded. */
 final class TestingScheduler {
     static final SchedulerSettings.Costs NO_COSTS = new SchedulerSettings.Costs(0, 0);
 
@@ -36,7 +36,7 @@
                 new RequestClass.Workload(false, true, 1));
     }
 
-    /** Loads of tables, which are not idempotent and run in the order of their keys. */
+    /** Loads of tables, which are not idempotent; those with the same key run in order of arrival. */
     static RequestClass loadClass() {
         return new RequestClass(
                 new RequestClass.Objective(3000, 2, 20000, 3, 0.5),
@@ -54,7 +54,7 @@
                 new RequestClass.Workload(false, false, 1));
     }
 
-    /** Requests that run on one kind of engines only. */
+    /** Requests that run on one kind of engine only. */
     static RequestClass classOnKind(int kind) {
         return new RequestClass(
                 new RequestClass.Objective(2000, 1, 5000, 1, 0),
@@ -124,7 +124,7 @@
         return this;
     }
 
-    /** Moves the clock with a timer event at every tick; the last actions are those of all ticks. */
+    /** Advances the clock with a timer event at every tick; the last actions are those of all ticks. */
     TestingScheduler advance(double ms) {
         List<SchedulerAction> recorded = new ArrayList<>();
         for (double endMs = nowMs + ms; nowMs < endMs; ) {
