--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -194,7 +194,7 @@
             return INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (now - startedAtMs) / WARMUP_MS;
         }
 
-        /** Divides the cores among the runs by priority and threads, with at most one core for each thread. */
+        /** Divides the cores among the runs by priority and threads, with at most one core per thread. */
         void shareCores() {
             double threads = runs.stream()
                     .mapToInt(run -> CLASSES.get(run.type).workload().threads())
