--- a/src/main/java/lineward/core/ActionExecutor.java
+++ b/src/main/java/lineward/core/ActionExecutor.java
@@ -6,13 +6,13 @@
 import lineward.scheduling.SchedulerEvent;
 
 /**
- * Turns the scheduler's actions into commands and deadlines. Actions on requests that have been released are
- * ignored. The coordinator calls it, on the event loop.
+ * Translates the scheduler's actions into commands for the forwarder and deadlines. Actions that refer to a
+ * request that has already been released are ignored. Called by the coordinator, on the event loop.
  *
- * @param <X> the protocol's own record of a request
+ * @param <X> the protocol's representation of a request
  */
 final class ActionExecutor<X> implements SchedulerAction.Handler {
-    /** An attempt times out this long before the client does, so that the answer still reaches the client. */
+    /** An attempt times out this long before its client, which leaves time to send the client an answer. */
     private static final double ANSWER_MARGIN_MS = 10;
 
     private final Coordinator<X> coordinator;
@@ -24,7 +24,7 @@
         this.cancelDurationMs = cancelDurationMs;
     }
 
-    /** Executes the actions in order, all at the same time. */
+    /** Executes the actions in order. The time is the same for all of them. */
     void execute(List<SchedulerAction> actions, double now) {
         nowMs = now;
         actions.forEach(action -> action.dispatchTo(this));
@@ -155,7 +155,7 @@
         coordinator.deadlines().add(atMs, now -> coordinator.addEvent(fired));
     }
 
-    /** Does nothing: service discovery pushes endpoints to the coordinator. */
+    /** Does nothing, because service discovery pushes endpoint updates to the coordinator. */
     @Override
     public void watchEndpoints(SchedulerAction.WatchEndpoints watch) {}
 
--- a/src/main/java/lineward/core/AttemptState.java
+++ b/src/main/java/lineward/core/AttemptState.java
@@ -1,27 +1,25 @@
 package lineward.core;
 
-/**
- * States of an attempt. A transition that a state does not name leaves it as it is; {@link #ENDED} is final.
- */
+/** States of an attempt. A transition that does not apply to a state leaves it unchanged. */
 enum AttemptState {
-    /** It was handed to the forwarder and has not ended. */
+    /** The attempt was passed to the forwarder and is neither cancelled nor ended. */
     RUNNING,
-    /** It was cancelled, and its end has not been reported. */
+    /** The attempt was cancelled, but its end has not been reported yet. */
     CANCELLING,
-    /** Its end was reported. */
+    /** The end of the attempt was reported. Final state. */
     ENDED;
 
-    /** The scheduler cancels the attempt. */
+    /** Returns the state after the scheduler cancels the attempt. */
     AttemptState cancelled() {
         return this == RUNNING ? CANCELLING : this;
     }
 
-    /** The end of the attempt is reported. */
+    /** Returns the state after the end of the attempt is reported. */
     AttemptState ended() {
         return ENDED;
     }
 
-    /** Returns whether the attempt may still hold capacity at its engine. */
+    /** Returns whether the attempt may still use capacity of its engine. */
     boolean isInFlight() {
         return this != ENDED;
     }
--- a/src/main/java/lineward/core/ByteBudget.java
+++ b/src/main/java/lineward/core/ByteBudget.java
@@ -1,16 +1,16 @@
 package lineward.core;
 
-/** A bound on the bytes held for one purpose. Used on the event loop only. */
+/** Limits the number of bytes that may be reserved at the same time. Not thread-safe. */
 public final class ByteBudget {
     private final long capacity;
     private long used;
 
-    /** @param capacity maximum of bytes reserved at once */
+    /** @param capacity maximum number of bytes reserved at the same time */
     public ByteBudget(long capacity) {
         this.capacity = capacity;
     }
 
-    /** Reserves that many bytes until {@link #release}; returns false if the budget does not allow it. */
+    /** Reserves the bytes; returns false, and reserves none, if that would exceed the capacity. */
     public boolean reserve(long bytes) {
         if (used + bytes > capacity) {
             return false;
@@ -19,12 +19,12 @@
         return true;
     }
 
-    /** Returns the bytes that are reserved. */
+    /** Returns the number of bytes currently reserved. */
     public long used() {
         return used;
     }
 
-    /** Releases bytes that were reserved. */
+    /** Releases bytes that were reserved with {@link #reserve}. */
     public void release(long bytes) {
         used -= bytes;
     }
--- a/src/main/java/lineward/core/Command.java
+++ b/src/main/java/lineward/core/Command.java
@@ -1,22 +1,23 @@
 package lineward.core;
 
 /**
- * A command of a coordinator to its forwarder. Immutable.
+ * A command from a coordinator to its forwarder. Immutable.
  *
- * @param <X> the protocol's own record of a request
+ * @param <X> the protocol's representation of a request
  */
 public sealed interface Command<X> {
-    /** Calls the method of the forwarder for this type of command. */
+    /** Calls the forwarder's method for this type of command. */
     void executeBy(Forwarder<X> forwarder);
 
     /**
-     * Starts an attempt; its end is reported to {@link Coordinator#attemptEnded}.
+     * Starts an attempt. The forwarder reports its end to {@link Coordinator#attemptEnded}.
      *
      * @param engine id of the engine; null if the engine is no longer known
-     * @param timeoutMs how long the attempt may take
-     * @param startWithinMs time after which it must not be sent any more; it counts as never run then
-     * @param grantMb memory to grant; 0 leaves it to the engine
-     * @param priority from 0, the lowest, to 3
+     * @param timeoutMs maximum duration of the attempt
+     * @param startWithinMs time after which the attempt must no longer be sent to the engine; an attempt
+     *     that was not sent by then is reported as one that never ran
+     * @param grantMb memory to grant; 0 lets the engine decide
+     * @param priority from 0 (lowest) to 3 (highest)
      */
     record StartAttempt<X>(
             X exchange,
@@ -34,7 +35,10 @@
         }
     }
 
-    /** Cancels an attempt. The coordinator records the end itself, after the time that a cancel takes. */
+    /**
+     * Cancels an attempt. The forwarder need not report the end: the coordinator records it, at the latest
+     * after the maximum duration of a cancel.
+     */
     record CancelAttempt<X>(X exchange, long request, int attempt, String engine) implements Command<X> {
         @Override
         public void executeBy(Forwarder<X> forwarder) {
@@ -42,7 +46,7 @@
         }
     }
 
-    /** Changes the priority of an attempt in flight. */
+    /** Changes the priority of a running attempt. */
     record ChangePriority<X>(X exchange, long request, int attempt, String engine, int priority /* 0 to 3 */)
             implements Command<X> {
         @Override
@@ -51,7 +55,7 @@
         }
     }
 
-    /** Checks an engine's health; the answer goes to {@link Coordinator#healthCheckCompleted}. */
+    /** Checks an engine's health. The result goes to {@link Coordinator#healthCheckCompleted}. */
     record CheckHealth<X>(String engine) implements Command<X> {
         @Override
         public void executeBy(Forwarder<X> forwarder) {
@@ -59,7 +63,7 @@
         }
     }
 
-    /** Sends bytes to every other front end of the tier; they may be lost. */
+    /** Sends a gossip message to every other front end of the tier. Delivery is not guaranteed. */
     @SuppressWarnings("ArrayRecordComponent") // read once, never compared
     record BroadcastGossip<X>(byte[] payload) implements Command<X> {
         @Override
@@ -69,12 +73,12 @@
     }
 
     /**
-     * Answers a request as rejected; a retry is harmless.
+     * Answers a request as rejected. The request has not run, so the client may safely retry it.
      *
-     * @param retryAfterMs the time after which the client should retry, or {@link #NO_RETRY_AFTER}
+     * @param retryAfterMs delay after which the client should retry, or {@link #NO_RETRY_AFTER}
      */
     record Reject<X>(X exchange, long retryAfterMs) implements Command<X> {
-        /** Value of {@link #retryAfterMs} of an answer without advice on a retry. */
+        /** Value of {@link #retryAfterMs} if the answer suggests no delay. */
         public static final long NO_RETRY_AFTER = 0;
 
         @Override
@@ -83,7 +87,7 @@
         }
     }
 
-    /** Answers a request as failed; it may have run. */
+    /** Answers a request as failed. The request may have run. */
     record Fail<X>(X exchange) implements Command<X> {
         @Override
         public void executeBy(Forwarder<X> forwarder) {
--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -12,11 +12,12 @@
 import lineward.scheduling.SchedulerEvent;
 
 /**
- * Drives the scheduler of one pool of engines. It batches events until the next tick and returns the
- * scheduler's actions as commands. It is independent of the protocol, and has no clock: callers pass the
- * time in milliseconds, which never goes back. All methods are called on the event loop.
+ * Drives the scheduler of one pool of engines. It collects events until the next tick, passes them to the
+ * scheduler as a batch, and returns the resulting commands. It does not depend on the protocol and has no
+ * clock of its own: callers pass a monotonic time in milliseconds. All methods must be called on the event
+ * loop.
  *
- * @param <X> the protocol's own record of a request
+ * @param <X> the protocol's representation of a request
  */
 public final class Coordinator<X> {
     private static final double[] NO_REPORT = new double[0];
@@ -36,10 +37,10 @@
     /**
      * Creates a coordinator without engines.
      *
-     * @param scheduler serves this pool only
-     * @param capacity maximum of requests in the table; further requests are rejected
-     * @param cancelDurationMs longest time from a cancel to the end of the attempt; a relaunch waits for it
-     * @param tracer is notified of the progress and end of requests and attempts
+     * @param scheduler scheduler used by this coordinator only
+     * @param capacity maximum number of requests in the request table; further requests are rejected
+     * @param cancelDurationMs maximum time from a cancel to the end of the attempt; a relaunch waits for it
+     * @param tracer receives the progress and end of requests and attempts
      */
     public Coordinator(Scheduler scheduler, int capacity, double cancelDurationMs, Tracer<X> tracer) {
         this.scheduler = scheduler;
@@ -51,8 +52,8 @@
     /**
      * Admits a request.
      *
-     * @return the request's id, or {@link GenerationalTable#FULL} if the table is full and the caller must
-     *     reject the request
+     * @return the request's id, or {@link GenerationalTable#FULL} if the request table is full; the caller
+     *     must then reject the request
      */
     public long admit(double nowMs, RequestAttributes attributes, X exchange) {
         double timeLeftMs = boundedTimeLeftMs(attributes, nowMs);
@@ -75,14 +76,14 @@
     }
 
     /**
-     * Bounds the time of requests that are admitted from now on. The scheduler rejects a request that cannot
-     * complete by then, so that its client retries at another front end.
+     * Limits the deadline of requests that are admitted from now on. The scheduler rejects a request that
+     * cannot complete by then, so that its client can retry at another front end.
      */
     public void setShutdownDeadline(double atMs) {
         shutdownDeadlineMs = OptionalDouble.of(atMs);
     }
 
-    /** Cancels a request whose client has disconnected. A completed request is ignored. */
+    /** Cancels a request whose client has disconnected. Does nothing if the request is completed. */
     public void cancelRequest(long requestId) {
         TrackedRequest<X> request = requests.get(requestId);
         if (request != null) {
@@ -90,7 +91,7 @@
         }
     }
 
-    /** Completes the request and cancels its attempts; returns false where it was completed before. */
+    /** Completes the request and has its attempts cancelled; returns false if it was already completed. */
     private boolean cancel(TrackedRequest<X> request, Tracer.Ending ending) {
         if (!complete(request, ending)) {
             return false;
@@ -110,9 +111,9 @@
     }
 
     /**
-     * Records the end of an attempt. An attempt that has ended before, or an unknown one, is ignored.
+     * Records the end of an attempt. Does nothing if the attempt is unknown or has already ended.
      *
-     * @return whether the caller must now send the attempt's result to the client; true at most once for a
+     * @return whether the caller must now send the attempt's result to the client; true at most once per
      *     request
      */
     public boolean attemptEnded(long requestId, int attempt, AttemptOutcome outcome) {
@@ -135,8 +136,8 @@
     }
 
     /**
-     * Records that an attempt's response has begun to reach the client. The attempt has no timeout from now
-     * on, and the request fails if the attempt does.
+     * Records that the first part of an attempt's response was sent to the client. From then on the attempt
+     * has no timeout, and the request fails if the attempt fails.
      *
      * @return false if the request is completed, or the attempt has ended or is being cancelled
      */
@@ -152,7 +153,7 @@
         return true;
     }
 
-    /** Records an engine's progress report. It is ignored if the attempt has ended or was cancelled. */
+    /** Records an engine's progress report. Does nothing if the attempt has ended or was cancelled. */
     public void attemptProgressed(long requestId, int attempt, ProgressKind kind, double amount) {
         TrackedRequest<X> request = requests.get(requestId);
         TrackedAttempt reported = request == null ? null : request.attemptInFlight(attempt);
@@ -161,7 +162,7 @@
         }
     }
 
-    /** Records an engine's answer to a health check. Late and unsolicited answers are ignored. */
+    /** Records the result of a health check. Late and unsolicited results are ignored. */
     public void healthCheckCompleted(double nowMs, String engine, AttemptOutcome outcome, double[] report) {
         OptionalLong number = engines.existingNumber(engine);
         if (number.isPresent()) {
@@ -169,7 +170,7 @@
         }
     }
 
-    /** Records gossip of another front end of the tier. */
+    /** Records a gossip message from another front end of the tier. */
     public void gossipReceived(int sender, byte[] payload) {
         addEvent(new SchedulerEvent.GossipReceived(sender, payload));
     }
@@ -177,7 +178,7 @@
     /**
      * Applies an update of the endpoint list.
      *
-     * @param fullSnapshot whether engines that are not among the endpoints are gone
+     * @param fullSnapshot whether the list is complete, so that engines missing from it are removed
      */
     public void endpointsChanged(boolean fullSnapshot, List<EngineEndpoint> endpoints) {
         List<Endpoint> numbered = endpoints.stream()
@@ -187,15 +188,15 @@
         engines.update(fullSnapshot, endpoints);
     }
 
-    /** Returns whether that engine is listed or under maintenance. */
+    /** Returns whether the engine is listed or under maintenance. */
     public boolean hasEngine(String engine) {
         return engines.hasEngine(engine);
     }
 
     /**
-     * Puts an engine under maintenance, or releases it, independently of the endpoint list.
+     * Starts or ends the maintenance of an engine, independently of the endpoint list.
      *
-     * @param sinceMs when the operator gave the order, in Unix milliseconds
+     * @param sinceMs when the operator requested the change, in Unix milliseconds
      */
     public void setMaintenance(String engine, boolean underMaintenance, double sinceMs) {
         long number = engines.numberOf(engine);
@@ -203,7 +204,10 @@
         engines.setMaintenance(engine, underMaintenance);
     }
 
-    /** Sets the ratio of this front end's work that this process does from now on. */
+    /**
+     * Sets the fraction of this front end's quota that this process may use from now on. Below 1 while
+     * another process of the same front end serves requests during a hot restart.
+     */
     public void setQuota(double ratio) {
         addEvent(new SchedulerEvent.QuotaChanged(ratio));
     }
@@ -213,23 +217,23 @@
         return engines.listedCount();
     }
 
-    /** Returns the number of listed engines that get no attempts at present. */
+    /** Returns the number of listed engines that are ejected or under maintenance, and so get no attempts. */
     public int excludedEngines() {
         return scheduler.excludedEngines();
     }
 
-    /** Returns the number of requests without a final answer. */
+    /** Returns the number of admitted requests that are not completed. */
     public int openRequests() {
         return openRequests;
     }
 
-    /** Returns whether events wait for the next tick. */
+    /** Returns whether events are waiting for the next tick. */
     public boolean hasPendingEvents() {
         return !events.isEmpty();
     }
 
     /**
-     * Runs the deadlines that are due, passes the collected events to the scheduler, and returns the
+     * Runs the tasks of expired deadlines, passes the collected events to the scheduler, and returns the
      * commands in the order in which the forwarder must execute them.
      */
     public List<Command<X>> tick(double nowMs) {
@@ -273,7 +277,7 @@
         commands.add(command);
     }
 
-    /** Completes the request and returns true; returns false where it was completed before. */
+    /** Completes the request; returns false if it was already completed. */
     boolean complete(TrackedRequest<X> request, Tracer.Ending ending) {
         if (!request.complete()) {
             return false;
@@ -283,7 +287,7 @@
         return true;
     }
 
-    /** Frees the slot of a completed request once no attempt is in flight. */
+    /** Releases the table slot of the request if it is completed and none of its attempts is in flight. */
     void releaseIfDone(TrackedRequest<X> request) {
         if (request.isReleasable()) {
             requests.release(request.id());
--- a/src/main/java/lineward/core/DeadlineQueue.java
+++ b/src/main/java/lineward/core/DeadlineQueue.java
@@ -5,11 +5,11 @@
 import java.util.function.DoubleConsumer;
 
 /**
- * Deadlines in the order of their times; equal times run in the order in which they were added. Times are
- * milliseconds of the caller's clock. Used on the event loop only.
+ * A queue of tasks ordered by deadline; tasks with equal deadlines run in insertion order. Times are in
+ * milliseconds of the caller's clock. Not thread-safe.
  */
 public final class DeadlineQueue {
-    /** The handle of a deadline, by which it can be cancelled. */
+    /** Handle with which a deadline can be cancelled. */
     public static final class Entry {
         private final double atMs;
         private final long sequence;
@@ -31,7 +31,7 @@
     /**
      * Adds a deadline.
      *
-     * @param task is called once with the time at which it runs, unless the deadline is cancelled first
+     * @param task called once with the time of the run, unless the deadline is cancelled before
      */
     public Entry add(double atMs, DoubleConsumer task) {
         Entry entry = new Entry(atMs, nextSequence++, task);
@@ -39,14 +39,14 @@
         return entry;
     }
 
-    /** Cancels a deadline; null, or a deadline that has run, is ignored. */
+    /** Cancels a deadline. Does nothing if the entry is null or its task has run. */
     public void cancel(Entry entry) {
         if (entry != null) {
             entries.remove(entry);
         }
     }
 
-    /** Runs all deadlines that are due, and passes them the time. */
+    /** Runs the tasks of all deadlines up to the given time, which is passed to them. */
     public void runDue(double nowMs) {
         while (!entries.isEmpty() && entries.first().atMs <= nowMs) {
             entries.pollFirst().task.accept(nowMs);
--- a/src/main/java/lineward/core/EngineEndpoint.java
+++ b/src/main/java/lineward/core/EngineEndpoint.java
@@ -4,15 +4,15 @@
 import lineward.scheduling.EndpointState;
 
 /**
- * An engine as service discovery lists it. Immutable.
+ * An entry of the endpoint list of service discovery. Immutable.
  *
- * @param id its name, the same at every front end
- * @param address where it listens, {@code host:port}
- * @param kind index of its kind of machine in the settings
- * @param weight relative weight in the list
- * @param startedAtMs when its process started, in Unix milliseconds, or {@link Endpoint#STARTED_LONG_AGO}
- * @param zone index of its zone in the settings
- * @param cell index of the cell, whose engines share idempotency keys
+ * @param id name of the engine, the same at every front end
+ * @param address address on which the engine listens, as {@code host:port}
+ * @param kind index of the engine's hardware type in the settings
+ * @param weight weight relative to the other engines
+ * @param startedAtMs start of the engine's process in Unix milliseconds, or {@link Endpoint#STARTED_LONG_AGO}
+ * @param zone index of the engine's zone in the settings
+ * @param cell index of the engine's cell; the engines of a cell share idempotency keys
  */
 public record EngineEndpoint(
         String id,
@@ -24,7 +24,7 @@
         int zone,
         int cell) {
 
-    /** @param number the scheduler's number of the engine */
+    /** @param number number that identifies the engine to the scheduler */
     Endpoint toEndpoint(long number) {
         return new Endpoint(number, kind, weight, startedAtMs, state, zone, cell);
     }
--- a/src/main/java/lineward/core/EngineNumbers.java
+++ b/src/main/java/lineward/core/EngineNumbers.java
@@ -9,17 +9,18 @@
 import lineward.scheduling.EndpointState;
 
 /**
- * The scheduler's numbers of the engines that are known: listed, or under maintenance. A number is a hash of
- * the id and so the same at every front end, because the front ends take turns at an engine in slow start by
- * its number. Engines restart under new ids, so numbers of engines that are no longer known are removed. The
- * coordinator calls it, on the event loop.
+ * Assigns the numbers that identify engines to the scheduler. An engine is known while it is listed or under
+ * maintenance. Its number is a hash of its id, so that all front ends compute the same one: slow start uses
+ * it to assign time slots at a warming engine to front ends. The numbers of engines that are no longer known are
+ * removed, because a restarted engine gets a new id and the map would grow. Called by the coordinator, on the
+ * event loop.
  */
 final class EngineNumbers {
-    // The hash is FNV-1a.
+    // Parameters of the 64-bit FNV-1a hash.
     private static final long FNV_SEED = 0xcbf29ce484222325L;
 
     private static final long FNV_PRIME = 0x100000001b3L;
-    /** The simulator's protocol encodes a number in six bytes. */
+    /** The simulator's protocol encodes an engine number in six bytes. */
     private static final int UNUSED_BITS = 16;
 
     private final Map<String, Long> numbers = new HashMap<>();
@@ -27,7 +28,7 @@
     private final Set<String> listed = new HashSet<>();
     private final Set<String> underMaintenance = new HashSet<>();
 
-    /** Returns the engine's number, and assigns one if it has none. */
+    /** Returns the number of an engine; assigns one if the engine has none. */
     long numberOf(String id) {
         return numbers.computeIfAbsent(id, this::freeNumber);
     }
@@ -44,13 +45,13 @@
         return number;
     }
 
-    /** Returns the engine's number; empty if it has none. */
+    /** Returns the number of an engine; empty if none is assigned. */
     OptionalLong existingNumber(String id) {
         Long number = numbers.get(id);
         return number == null ? OptionalLong.empty() : OptionalLong.of(number);
     }
 
-    /** Returns the id of the engine with that number; null if there is none. */
+    /** Returns the id of the engine with this number; null if there is none. */
     String idOf(long number) {
         return ids.get(number);
     }
--- a/src/main/java/lineward/core/GenerationalTable.java
+++ b/src/main/java/lineward/core/GenerationalTable.java
@@ -7,24 +7,24 @@
 import java.util.function.Consumer;
 
 /**
- * A bounded table of numbered slots. An id is made of the slot's number and its generation, so an id that is
- * used after its release finds nothing, even if the slot is in use again. Used on the event loop only.
+ * A table of bounded capacity that assigns ids to its values. An id consists of a slot number and the slot's
+ * generation, so a released id is not found, even if its slot has been reused. Not thread-safe.
  *
- * @param <T> what the slots hold
+ * @param <T> type of the values
  */
 public final class GenerationalTable<T> {
     private record Slot<T>(int generation, T value) {}
 
-    /** Returned by {@link #add} if the table is full; never an id. */
+    /** Returned by {@link #add} if the table is full; never a valid id. */
     public static final long FULL = -1;
 
     private final int capacity;
-    /** A free slot has the value null. */
+    /** The value of a free slot is null. */
     private final List<Slot<T>> slots = new ArrayList<>();
 
     private final Deque<Integer> free = new ArrayDeque<>();
 
-    /** @param capacity maximum of slots in use at once */
+    /** @param capacity maximum number of slots in use at the same time */
     public GenerationalTable(int capacity) {
         this.capacity = capacity;
     }
@@ -44,7 +44,7 @@
         return (long) generation << 32 | number;
     }
 
-    /** Returns the value with that id; null if the id is stale or was never assigned. */
+    /** Returns the value with this id; null if the id was released or never assigned. */
     public T get(long id) {
         int number = (int) id;
         if (id < 0 || number < 0 || number >= slots.size()) {
@@ -54,7 +54,7 @@
         return slot.generation() == (int) (id >>> 32) ? slot.value() : null;
     }
 
-    /** Frees the slot of that id; a stale id is ignored. */
+    /** Releases the slot of this id. Does nothing if the id was released or never assigned. */
     public void release(long id) {
         if (get(id) != null) {
             slots.set((int) id, new Slot<>((int) (id >>> 32), null));
@@ -67,7 +67,7 @@
         return slots.size() - free.size();
     }
 
-    /** Passes every value to the visitor, in the order of the slots. The visitor may release slots. */
+    /** Passes every value to the visitor, in slot order. The visitor may release slots. */
     public void forEach(Consumer<? super T> visitor) {
         for (Slot<T> slot : List.copyOf(slots)) {
             if (slot.value() != null) {
--- a/src/main/java/lineward/core/HealthChecks.java
+++ b/src/main/java/lineward/core/HealthChecks.java
@@ -7,8 +7,8 @@
 import lineward.scheduling.SchedulerEvent;
 
 /**
- * The health checks in flight: at most one for each engine, each with a timeout. The coordinator calls it, on
- * the event loop.
+ * Tracks the health checks in flight: at most one per engine, each with a timeout. Called by the coordinator,
+ * on the event loop.
  */
 final class HealthChecks {
     private static final double TIMEOUT_MS = 250;
@@ -21,16 +21,16 @@
     private final Consumer<SchedulerEvent> events;
 
     /**
-     * Creates an empty set of checks.
+     * Creates a tracker without checks in flight.
      *
-     * @param events receives the end of each check
+     * @param events receives an event at the end of each check
      */
     HealthChecks(DeadlineQueue deadlines, Consumer<SchedulerEvent> events) {
         this.deadlines = deadlines;
         this.events = events;
     }
 
-    /** Records a check that starts now; returns false if one of that engine is already in flight. */
+    /** Records the start of a check; returns false if a check of the engine is already in flight. */
     boolean start(long engine, double nowMs) {
         if (inFlight.containsKey(engine)) {
             return false;
@@ -44,7 +44,7 @@
         complete(nowMs, engine, AttemptOutcome.TIMEOUT, NO_REPORT);
     }
 
-    /** Records the end of a check; late and unsolicited answers are ignored. */
+    /** Records the end of a check. Does nothing if no check of the engine is in flight. */
     void complete(double nowMs, long engine, AttemptOutcome outcome, double[] loadReport) {
         Check check = inFlight.remove(engine);
         if (check != null) {
--- a/src/main/java/lineward/core/MonotonicClock.java
+++ b/src/main/java/lineward/core/MonotonicClock.java
@@ -3,8 +3,8 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * A clock in milliseconds that never goes back. It returns the Unix time of its creation plus the
- * elapsed time of the monotonic clock, so a later change of the Unix clock has no effect. Thread-safe.
+ * A monotonic clock in milliseconds. It returns the Unix time of its creation plus the time elapsed since
+ * then, so later adjustments of the system clock have no effect. Thread-safe.
  */
 public final class MonotonicClock implements DoubleSupplier {
     private static final double NANOS_PER_MS = 1e6;
--- a/src/main/java/lineward/core/RequestAttributes.java
+++ b/src/main/java/lineward/core/RequestAttributes.java
@@ -3,15 +3,16 @@
 import lineward.scheduling.SchedulerEvent;
 
 /**
- * The fields of a request on which the scheduler decides.
+ * The attributes of a request that the scheduler uses for its decisions.
  *
- * @param requestClass index of the class in the settings
- * @param tenant index of the tenant in the settings; {@link #DEFAULT_TENANT} where the settings name none
- * @param timeLeftMs how long the client still waits
- * @param estimatedWorkMs estimated work in milliseconds on one core, or {@link #NO_ESTIMATE}
- * @param estimatedMemoryMb estimated memory, or {@link #NO_ESTIMATE}
- * @param tableGroup number of the group of tables, or {@link #NO_TABLE_GROUP}
- * @param clientRetry whether the client marks the request as a retry of its own
+ * @param requestClass index of the request class in the settings
+ * @param tenant index of the tenant in the settings; {@link #DEFAULT_TENANT} if the settings list no tenants
+ * @param timeLeftMs time until the client's deadline
+ * @param estimatedWorkMs estimated work of all threads, in milliseconds of one core, or
+ *     {@link #NO_ESTIMATE}
+ * @param estimatedMemoryMb estimated memory in megabytes, or {@link #NO_ESTIMATE}
+ * @param tableGroup number of the table group, or {@link #NO_TABLE_GROUP}
+ * @param clientRetry whether the client has marked the request as a retry
  */
 public record RequestAttributes(
         int requestClass,
@@ -21,16 +22,16 @@
         double estimatedMemoryMb,
         int tableGroup,
         boolean clientRetry) {
-    /** The only tenant where the settings name none. */
+    /** Index of the only tenant if the settings list no tenants. */
     public static final int DEFAULT_TENANT = 0;
-    /** Value of an estimate that the client does not give. */
+    /** Value of an estimate that the client has not provided. */
     public static final double NO_ESTIMATE = 0;
-    /** The group of a statement that names no numbered schema. */
+    /** Table group of a statement that references no numbered schema. */
     public static final int NO_TABLE_GROUP = 0;
 
     private static final long NO_KEY = 0;
 
-    /** @param boundedTimeLeftMs the time left, bounded by the shutdown deadline */
+    /** @param boundedTimeLeftMs time left, limited by the shutdown deadline */
     SchedulerEvent toEvent(long requestId, double boundedTimeLeftMs) {
         return new SchedulerEvent.RequestArrived(
                 requestId,
--- a/src/main/java/lineward/core/RequestState.java
+++ b/src/main/java/lineward/core/RequestState.java
@@ -1,28 +1,25 @@
 package lineward.core;
 
-/**
- * States of an admitted request. A transition that a state does not name leaves it as it is; {@link
- * #COMPLETED} is final.
- */
+/** States of an admitted request. A transition that does not apply to a state leaves it unchanged. */
 enum RequestState {
-    /** The client waits, and has received no part of a response. */
+    /** No part of a response was sent to the client. */
     OPEN,
-    /** An attempt's response has begun to reach the client. */
+    /** The first part of an attempt's response was sent to the client. */
     RESPONDING,
-    /** The final answer is decided, or the client is gone. */
+    /** The final answer is decided, or the request was cancelled. Final state. */
     COMPLETED;
 
-    /** A response begins to reach the client. */
+    /** Returns the state after the first part of a response is sent to the client. */
     RequestState responseStarted() {
         return this == OPEN ? RESPONDING : this;
     }
 
-    /** The final answer is decided, or the client is gone. */
+    /** Returns the state after the final answer is decided or the request is cancelled. */
     RequestState completed() {
         return COMPLETED;
     }
 
-    /** Returns whether no further answer may be sent. */
+    /** Returns whether the request is completed, so that no further answer may be sent. */
     boolean isCompleted() {
         return this == COMPLETED;
     }
--- a/src/main/java/lineward/core/SqlTokens.java
+++ b/src/main/java/lineward/core/SqlTokens.java
@@ -1,23 +1,23 @@
 package lineward.core;
 
 /**
- * Iterates over the tokens of an SQL statement. It skips comments and distinguishes strings from names. Not
- * thread-safe.
+ * A tokenizer for SQL statements. It skips comments and distinguishes string literals from quoted
+ * identifiers. Not thread-safe.
  */
 public final class SqlTokens {
-    /** Kinds of token. */
+    /** Token types. */
     public enum Kind {
-        /** A keyword or an unquoted name. */
+        /** A keyword or an unquoted identifier. */
         WORD,
-        /** A name in double quotes or backticks. */
+        /** An identifier in double quotes or backticks. */
         NAME,
-        /** Text in single quotes. */
+        /** A string literal in single quotes. */
         STRING,
-        /** A word that begins with a digit. */
+        /** A sequence of identifier characters that begins with a digit. */
         NUMBER,
-        /** One character of any other kind. */
+        /** Any other single character. */
         SYMBOL,
-        /** A comment whose text a MySQL or MariaDB server executes. */
+        /** A comment whose contents a MySQL or MariaDB server executes. */
         EXECUTABLE_COMMENT
     }
 
@@ -27,12 +27,12 @@
     private Kind kind;
     private String token = "";
 
-    /** @param text one SQL statement */
+    /** @param text an SQL statement */
     public SqlTokens(CharSequence text) {
         this.text = text.toString();
     }
 
-    /** Advances to the next token and returns true; returns false at the end of the statement. */
+    /** Advances to the next token; returns false at the end of the statement. */
     public boolean next() {
         while (position < text.length()) {
             char character = text.charAt(position);
@@ -53,12 +53,12 @@
         return false;
     }
 
-    /** Returns the kind of the current token; null before the first one. */
+    /** Returns the type of the current token; null before the first one. */
     public Kind kind() {
         return kind;
     }
 
-    /** Returns the text of a word, number, name or symbol, without quotes; empty for strings and comments. */
+    /** Returns the token's text without quotes; empty for string literals and executable comments. */
     public String text() {
         return token;
     }
@@ -73,7 +73,7 @@
         return position;
     }
 
-    /** Returns whether the current token is this keyword or symbol, in upper or lower case. */
+    /** Returns whether the current token is this keyword or symbol, ignoring case. False for quoted names. */
     public boolean is(String keyword) {
         return kind != Kind.NAME && token.equalsIgnoreCase(keyword);
     }
--- a/src/main/java/lineward/core/TableGroups.java
+++ b/src/main/java/lineward/core/TableGroups.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Finds the group of tables that a statement uses: the number at the end of a schema's name. */
+/** Determines the table group of an SQL statement from the number at the end of a schema name. */
 public final class TableGroups {
     private static final Set<String> BEFORE_TABLES = Set.of("from", "join", "into", "update", "table", ",");
     private static final int MAX_DIGITS = 6;
@@ -11,10 +11,10 @@
     private TableGroups() {}
 
     /**
-     * Returns the number after the last underscore of a schema's name. The first numbered schema in a table
-     * reference counts; without one, the first numbered name before a dot does.
+     * Returns the number after the last underscore of a schema name. Uses the first numbered schema in a
+     * table reference, or the first numbered name before a dot if there is no such reference.
      *
-     * @return the number, or {@link RequestAttributes#NO_TABLE_GROUP}
+     * @return the number, or {@link RequestAttributes#NO_TABLE_GROUP} if there is none
      */
     public static int of(CharSequence statement) {
         SqlTokens tokens = new SqlTokens(statement);
--- a/src/main/java/lineward/core/Tracer.java
+++ b/src/main/java/lineward/core/Tracer.java
@@ -3,36 +3,36 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * Is notified of the progress and end of requests and attempts, for logs, spans and metrics. The coordinator
- * calls it on the event loop.
+ * Receives the progress and end of requests and attempts, for logs, spans and metrics. Called by the
+ * coordinator, on the event loop.
  *
- * @param <X> the protocol's own record of a request
+ * @param <X> the protocol's representation of a request
  */
 public interface Tracer<X> {
-    /** How a request ended. */
+    /** Final status of a request. */
     enum Ending {
-        /** An engine's answer was sent to its client. */
+        /** An engine's result was sent to the client. */
         SERVED,
-        /** It was rejected, so a retry is harmless. */
+        /** The request was rejected without having run, so it may safely be retried. */
         REJECTED,
-        /** It failed; it may have run. */
+        /** The request failed and may have run. */
         FAILED,
-        /** Its client disconnected or cancelled it. */
+        /** The client disconnected or cancelled the request. */
         CANCELLED
     }
 
-    /** A request was admitted. */
+    /** Called when a request is admitted. */
     void requestAdmitted(X exchange);
 
-    /** An attempt was started at an engine. */
+    /** Called when an attempt is started at an engine. */
     void attemptStarted(X exchange, int attempt, String engine);
 
-    /** An attempt has ended. */
+    /** Called when an attempt ends. */
     void attemptEnded(X exchange, int attempt, AttemptOutcome outcome);
 
-    /** A request has completed. */
+    /** Called when a request is completed. */
     void requestEnded(X exchange, Ending ending);
 
-    /** The scheduler logs a line for the on-call engineer. */
+    /** Logs a message of the scheduler for the operator. */
     void log(String text);
 }
--- a/src/main/java/lineward/core/TrackedAttempt.java
+++ b/src/main/java/lineward/core/TrackedAttempt.java
@@ -1,14 +1,11 @@
 package lineward.core;
 
-/**
- * The coordinator's record of one attempt of a request. Only the coordinator's classes call it, on the event
- * loop.
- */
+/** The coordinator's bookkeeping for one attempt of a request. Used on the event loop only. */
 final class TrackedAttempt {
     private final int number;
     private final String engine;
     private AttemptState state = AttemptState.RUNNING;
-    /** Its timeout, or the end of its cancellation; null while neither is set. */
+    /** The timeout of the attempt or, after a cancel, of the cancellation; null if none is set. */
     private DeadlineQueue.Entry deadline;
 
     TrackedAttempt(int number, String engine) {
@@ -16,7 +13,7 @@
         this.engine = engine;
     }
 
-    /** Returns its number among the attempts of the request, from 0. */
+    /** Returns the number of the attempt within its request, starting at 0. */
     int number() {
         return number;
     }
@@ -26,34 +23,34 @@
         return engine;
     }
 
-    /** Returns the timeout, or the end of the cancellation; null if neither is set. */
+    /** Returns the timeout of the attempt or of its cancellation; null if none is set. */
     DeadlineQueue.Entry deadline() {
         return deadline;
     }
 
-    /** Sets the timeout, or the end of the cancellation. The caller cancels the earlier deadline. */
+    /** Sets the timeout of the attempt or of its cancellation. The caller must cancel the previous one. */
     void setDeadline(DeadlineQueue.Entry next) {
         deadline = next;
     }
 
-    /** Returns whether it has not ended. */
+    /** Returns whether the attempt has not ended. */
     boolean isInFlight() {
         return state.isInFlight();
     }
 
-    /** Returns whether it has neither ended nor been cancelled. */
+    /** Returns whether the attempt is neither cancelled nor ended. */
     boolean isRunning() {
         return state == AttemptState.RUNNING;
     }
 
-    /** Cancels it and returns whether it was running. */
+    /** Cancels the attempt; returns whether it was running. */
     boolean cancel() {
         boolean wasRunning = isRunning();
         state = state.cancelled();
         return wasRunning;
     }
 
-    /** Records its end. */
+    /** Records the end of the attempt. */
     void end() {
         state = state.ended();
     }
--- a/src/main/java/lineward/core/TrackedRequest.java
+++ b/src/main/java/lineward/core/TrackedRequest.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * The coordinator's record of one admitted request. Only the coordinator's classes call it, on the event
- * loop. Times are milliseconds of the coordinator's clock.
+ * The coordinator's bookkeeping for one admitted request. Times are in milliseconds of the clock whose time
+ * is passed to the coordinator. Used on the event loop only.
  *
- * @param <X> the protocol's own record of a request
+ * @param <X> the protocol's representation of a request
  */
 final class TrackedRequest<X> {
     private static final int DEFAULT_PRIORITY = 1;
@@ -21,44 +21,44 @@
     private RequestState state = RequestState.OPEN;
     private long id = GenerationalTable.FULL;
     private int attemptsInFlight;
-    /** The attempt whose response was the last to begin; null while the state is {@code OPEN}. */
+    /** The attempt that was the last to start sending its response; null if there is none. */
     private TrackedAttempt responding;
 
     private double grantMb = ENGINE_DECIDES_MEMORY;
     private int priority = DEFAULT_PRIORITY;
 
-    /** @param deadlineMs when the client stops waiting */
+    /** @param deadlineMs time of the client's deadline */
     TrackedRequest(X exchange, double deadlineMs) {
         this.exchange = exchange;
         this.deadlineMs = deadlineMs;
     }
 
-    /** Returns the protocol's own record of the request. */
+    /** Returns the protocol's representation of the request. */
     X exchange() {
         return exchange;
     }
 
-    /** Returns when the client stops waiting. */
+    /** Returns the time of the client's deadline. */
     double deadlineMs() {
         return deadlineMs;
     }
 
-    /** Returns its id in the table of requests; {@link GenerationalTable#FULL} if it has no slot. */
+    /** Returns the id in the request table; {@link GenerationalTable#FULL} before one is assigned. */
     long id() {
         return id;
     }
 
-    /** Sets the id that the table of requests returned. */
+    /** Sets the id that the request table assigned. */
     void setId(long assigned) {
         id = assigned;
     }
 
-    /** Returns all attempts, in the order of their numbers. */
+    /** Returns all attempts, ordered by number. */
     List<TrackedAttempt> attempts() {
         return attemptsView;
     }
 
-    /** Adds an attempt that is in flight from now on. */
+    /** Adds an attempt, which is in flight until {@link #endAttempt}. */
     TrackedAttempt addAttempt(String engine) {
         TrackedAttempt attempt = new TrackedAttempt(attempts.size(), engine);
         attempts.add(attempt);
@@ -66,7 +66,7 @@
         return attempt;
     }
 
-    /** Returns the attempt with that number; null if there is none or it has ended. */
+    /** Returns the attempt with this number; null if it does not exist or has ended. */
     TrackedAttempt attemptInFlight(int number) {
         if (number >= attempts.size() || !attempts.get(number).isInFlight()) {
             return null;
@@ -80,45 +80,45 @@
         attemptsInFlight--;
     }
 
-    /** Records that this attempt's response has begun to reach the client. */
+    /** Records that the first part of this attempt's response was sent to the client. */
     void startResponse(TrackedAttempt attempt) {
         state = state.responseStarted();
         responding = attempt;
     }
 
-    /** Returns whether this attempt's response was the last to begin. */
+    /** Returns whether this attempt was the last to start sending its response. */
     boolean isResponding(TrackedAttempt attempt) {
         return responding == attempt;
     }
 
-    /** Completes the request and returns whether it was not completed before. */
+    /** Completes the request; returns false if it was already completed. */
     boolean complete() {
         boolean wasOpen = !isCompleted();
         state = state.completed();
         return wasOpen;
     }
 
-    /** Returns whether its final answer is decided or its client is gone. */
+    /** Returns whether the final answer is decided or the request was cancelled. */
     boolean isCompleted() {
         return state.isCompleted();
     }
 
-    /** Returns whether it is completed and no attempt is in flight, so that its slot can be reused. */
+    /** Returns whether the request is completed and no attempt is in flight, so its slot can be reused. */
     boolean isReleasable() {
         return isCompleted() && attemptsInFlight == 0;
     }
 
-    /** Returns the memory that further attempts are granted; 0 leaves it to the engine. */
+    /** Returns the memory granted to further attempts, in megabytes; 0 lets the engine decide. */
     double grantMb() {
         return grantMb;
     }
 
-    /** Returns the priority of its attempts, from 0, the lowest, to 3. */
+    /** Returns the priority of the request's attempts, from 0 (lowest) to 3 (highest). */
     int priority() {
         return priority;
     }
 
-    /** Sets the memory of further attempts and the priority; returns whether the priority has changed. */
+    /** Sets the memory grant of further attempts and the priority; returns whether the priority changed. */
     boolean setResourceLimits(double nextGrantMb, int nextPriority) {
         boolean priorityChanged = priority != nextPriority;
         grantMb = nextGrantMb;
--- a/src/main/java/lineward/core/package-info.java
+++ b/src/main/java/lineward/core/package-info.java
@@ -1,12 +1,13 @@
 /**
- * The core of a front end, independent of any protocol. {@link lineward.core.Coordinator} drives one
- * scheduler for one pool of engines; it owns the table of open requests, the deadlines, the engines' numbers
- * and the health checks in flight. Each protocol implements {@link lineward.core.Forwarder}, which executes
- * the coordinator's commands.
+ * The protocol-independent core of a front end. {@link lineward.core.Coordinator} drives the scheduler of one
+ * pool of engines and owns the request table, the deadlines, the engine numbers and the health checks in
+ * flight. Each protocol implements {@link lineward.core.Forwarder}, which executes the coordinator's
+ * commands.
  *
- * <p>It may use {@code scheduling} only. Everything runs on the event loop and nothing blocks.
+ * <p>This package may depend on {@code lineward.scheduling} only. All code runs on the event loop and never
+ * blocks, except that a {@link lineward.core.MonotonicClock} may be used on any thread.
  *
- * <p>Bounds: the capacity of the request table; one timeout for each attempt in flight; one health check for
- * each engine. The design is described in {@code docs/architecture.md}.
+ * <p>Limits: the capacity of the request table, one timeout per attempt in flight, and one health check in
+ * flight per engine. See {@code docs/architecture.md} for the design.
  */
 package lineward.core;
