--- a/src/main/java/lineward/frontend/Channels.java
+++ b/src/main/java/lineward/frontend/Channels.java
@@ -5,18 +5,18 @@
 import io.netty.channel.socket.DuplexChannel;
 
 /**
- * Operations on channels whose result is ignored, because Netty releases the descriptor even if they fail.
- * May be called from any thread.
+ * Channel operations whose result can be ignored, because Netty releases the file descriptor even if they
+ * fail. Thread-safe.
  */
 public final class Channels {
     private Channels() {}
 
-    /** Closes the channel without waiting for it. */
+    /** Closes the channel without waiting for completion. */
     public static void close(Channel channel) {
         ChannelFuture unused = channel.close();
     }
 
-    /** Closes the sending half of the channel without waiting for it. */
+    /** Shuts down the output of the channel without waiting for completion. */
     public static void shutdownOutput(DuplexChannel channel) {
         ChannelFuture unused = channel.shutdownOutput();
     }
--- a/src/main/java/lineward/frontend/ClientRegistry.java
+++ b/src/main/java/lineward/frontend/ClientRegistry.java
@@ -10,11 +10,11 @@
 import lineward.scheduling.decision.ClientEvictionPolicy;
 
 /**
- * The connections of a protocol's clients, by state: silent (has never sent a request), awaiting a response,
- * idle, or closing. When the registry is full, a silent or idle connection is evicted, but never one that
- * awaits a response. Used on the event loop only.
+ * The client connections of a protocol server, by state: silent (has not sent a request yet), awaiting a
+ * response, idle, or closing. If a new connection exceeds the capacity, a silent or idle connection is
+ * evicted, but never one that awaits a response. Used on the event loop only.
  *
- * @param <C> a connection
+ * @param <C> type of a connection
  */
 public final class ClientRegistry<C> {
     private final int capacity;
@@ -22,20 +22,20 @@
     private final Consumer<C> closer;
     private final Consumer<C> gracefulCloser;
 
-    /** Each map holds the time at which a connection entered the state, in nanoseconds, the oldest first. */
+    /** Each map holds the time in nanoseconds at which a connection entered the state, oldest first. */
     private final Map<C, Long> silent = new LinkedHashMap<>();
 
     private final Map<C, Long> awaitingResponse = new LinkedHashMap<>();
     private final Map<C, Long> idle = new LinkedHashMap<>();
-    /** A closing connection disconnects soon, or leaves the state because it sends a request. */
+    /** A closing connection leaves this state when it disconnects or sends another request. */
     private final Map<C, Long> closing = new LinkedHashMap<>();
 
     /**
      * Creates an empty registry.
      *
-     * @param capacity maximum of connections, not counting closing ones
-     * @param clock the time in nanoseconds, as of {@link System#nanoTime}
-     * @param closer closes a connection at once
+     * @param capacity maximum number of connections that are not closing
+     * @param clock time in nanoseconds, like {@link System#nanoTime}
+     * @param closer closes a connection immediately
      * @param gracefulCloser closes a connection unless it sends a request first
      */
     public ClientRegistry(int capacity, LongSupplier clock, Consumer<C> closer, Consumer<C> gracefulCloser) {
@@ -45,7 +45,7 @@
         this.gracefulCloser = gracefulCloser;
     }
 
-    /** Registers a new connection. If the registry is full, one connection is closed, possibly this one. */
+    /** Registers a new connection. If that exceeds the capacity, closes a connection, possibly this one. */
     public void connected(C client) {
         changeState(client, silent);
         if (size() - closing.size() > capacity) {
@@ -61,17 +61,17 @@
         }
     }
 
-    /** The connection has sent a request and awaits the response. */
+    /** Records that the connection has sent a request and awaits the response. */
     public void becameWaiting(C client) {
         changeState(client, awaitingResponse);
     }
 
-    /** The connection has sent a request before and awaits no response. */
+    /** Records that the connection, which has sent a request before, awaits no response. */
     public void becameIdle(C client) {
         changeState(client, idle);
     }
 
-    /** The connection is closed. */
+    /** Removes a connection that was closed. */
     public void disconnected(C client) {
         silent.remove(client);
         awaitingResponse.remove(client);
@@ -79,7 +79,7 @@
         closing.remove(client);
     }
 
-    /** Closes a connection without an open request, unless it sends one first. */
+    /** Closes a connection that awaits no response, unless it sends a request first. */
     public void closeGracefully(C client) {
         changeState(client, closing);
         gracefulCloser.accept(client);
@@ -99,9 +99,10 @@
     }
 
     /**
-     * Closes each of these connections with this probability, so that not all clients reconnect at once.
+     * Closes each of the connections with the given probability, so that not all clients reconnect at the
+     * same time.
      *
-     * @param probability in [0, 1]; 1 closes all
+     * @param probability between 0 and 1; 1 closes all connections
      */
     public static <C> void closeSome(List<C> clients, double probability, Consumer<C> closer) {
         clients.stream()
@@ -109,7 +110,7 @@
                 .forEach(closer);
     }
 
-    /** Gracefully closes connections that have been silent for at least that long. */
+    /** Gracefully closes the connections that have been silent for at least this long. */
     public void closeSilent(long silentNanos) {
         long latestNanos = nanoClock.getAsLong() - silentNanos;
         while (!silent.isEmpty() && silent.values().iterator().next() <= latestNanos) {
--- a/src/main/java/lineward/frontend/CoordinatorDriver.java
+++ b/src/main/java/lineward/frontend/CoordinatorDriver.java
@@ -10,10 +10,10 @@
 import lineward.scheduling.ProgressKind;
 
 /**
- * A protocol server's access to its coordinator. It passes the time of the program's clock, and requests a
- * tick after each event. Used on the event loop only.
+ * Connects a protocol server to its coordinator: passes the current time and requests a tick after each
+ * event. Used on the event loop only.
  *
- * @param <X> the protocol's own record of a request
+ * @param <X> the protocol's representation of a request
  */
 public final class CoordinatorDriver<X> {
     private final Coordinator<X> coordinator;
@@ -21,10 +21,10 @@
     private final Runnable tickRequest;
 
     /**
-     * Creates a driver of one coordinator.
+     * Creates a driver for one coordinator.
      *
-     * @param clock milliseconds, never going back
-     * @param tickRequest arranges that {@link #tick} is called soon; it must not call it itself
+     * @param clock monotonic time in milliseconds
+     * @param tickRequest schedules a call of {@link #tick}; must not call it directly
      */
     public CoordinatorDriver(Coordinator<X> coordinator, DoubleSupplier clock, Runnable tickRequest) {
         this.coordinator = coordinator;
@@ -37,12 +37,16 @@
         return coordinator;
     }
 
-    /** Lets the scheduler decide on the events since the last tick, and executes its commands in order. */
+    /** Processes the events since the last tick and executes the resulting commands in order. */
     public void tick(Forwarder<X> forwarder) {
         coordinator.tick(clock.getAsDouble()).forEach(command -> command.executeBy(forwarder));
     }
 
-    /** Admits a request and returns its id; empty if the table is full and the request must be rejected. */
+    /**
+     * Admits a request.
+     *
+     * @return the request's id; empty if the request table is full and the caller must reject the request
+     */
     public OptionalLong admit(RequestAttributes attributes, X exchange) {
         long id = coordinator.admit(clock.getAsDouble(), attributes, exchange);
         if (id == GenerationalTable.FULL) {
@@ -52,13 +56,13 @@
         return OptionalLong.of(id);
     }
 
-    /** Cancels a request whose client no longer waits for it. */
+    /** Cancels a request whose client no longer needs the answer. */
     public void cancel(long request) {
         coordinator.cancelRequest(request);
         tickRequest.run();
     }
 
-    /** Records the end of an attempt; returns whether its result must be sent to the client. */
+    /** Records the end of an attempt; returns whether the caller must send its result to the client. */
     public boolean attemptEnded(long request, int attempt, AttemptOutcome outcome) {
         boolean served = coordinator.attemptEnded(request, attempt, outcome);
         tickRequest.run();
@@ -71,23 +75,27 @@
         tickRequest.run();
     }
 
-    /** Records an engine's answer to a health check. */
+    /** Records the result of a health check. */
     public void healthCheckCompleted(String engine, AttemptOutcome outcome, double[] loadReport) {
         coordinator.healthCheckCompleted(clock.getAsDouble(), engine, outcome, loadReport);
         tickRequest.run();
     }
 
     /**
-     * Puts an engine under maintenance, or releases it.
+     * Starts or ends the maintenance of an engine.
      *
-     * @param sinceMs when the operator gave the order, in Unix milliseconds
+     * @param sinceMs when the operator requested the change, in Unix milliseconds
      */
     public void setMaintenance(String engine, boolean underMaintenance, double sinceMs) {
         coordinator.setMaintenance(engine, underMaintenance, sinceMs);
         tickRequest.run();
     }
 
-    /** Bounds the time of requests that are admitted from now on. */
+    /**
+     * Limits the deadline of requests that are admitted from now on.
+     *
+     * @param deadlineMs time from now
+     */
     public void setShutdownDeadline(int deadlineMs) {
         coordinator.setShutdownDeadline(clock.getAsDouble() + deadlineMs);
     }
@@ -98,7 +106,7 @@
         tickRequest.run();
     }
 
-    /** Returns the number of requests without a final answer. */
+    /** Returns the number of admitted requests that are not completed. */
     public int openRequests() {
         return coordinator.openRequests();
     }
--- a/src/main/java/lineward/frontend/LingeringClose.java
+++ b/src/main/java/lineward/frontend/LingeringClose.java
@@ -10,31 +10,31 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Closes an idle connection so that no request or response is lost. Bytes that the peer has already sent are
- * read first, and a request among them keeps the connection open. Otherwise the sending half is shut down,
- * and later bytes are read and dropped until the peer closes too: a close with unread bytes would reset the
- * connection and drop responses in flight. Used on the channel's event loop.
+ * Closes an idle connection without losing a request or response. Bytes that have already arrived are read
+ * first, and a request among them keeps the connection open. Otherwise the output is shut down, and bytes
+ * that arrive later are discarded until the peer closes the connection: closing a socket with unread bytes
+ * would reset the connection and lose responses in flight. Used on the channel's event loop.
  */
 public final class LingeringClose extends ChannelInboundHandlerAdapter {
     private static final String HANDLER_NAME = "lingering-close";
-    /** Delay between decision and shutdown, in which the event loop reads the bytes that have arrived. */
+    /** Delay before the shutdown, during which the event loop reads the bytes that have arrived. */
     private static final int READ_AHEAD_MS = 1;
-    /** Time until a connection is closed whose peer does not close; other peers close within a round trip. */
+    /** Time after which a connection is closed if the peer has not; most peers close within a round trip. */
     private static final int LINGER_MS = 500;
 
     private LingeringClose() {}
 
     /**
-     * Closes the connection unless a request arrives first. A connection that is already closing is ignored.
+     * Closes the connection unless a request arrives first. Does nothing if it is already closing.
      *
-     * @param idle returns whether the connection is still idle after the bytes that have arrived were read
-     * @param staysOpen is called if it is not
+     * @param idle returns whether the connection is idle; called after the bytes that have arrived were read
+     * @param staysOpen called if the connection is not idle and therefore stays open
      */
     public static void begin(Channel channel, BooleanSupplier idle, Runnable staysOpen) {
         afterRead(channel, idle, staysOpen, () -> shutdownAndLinger(channel));
     }
 
-    /** Does the same for a peer that has never sent anything, but closes at once instead of lingering. */
+    /** Like {@link #begin}, but closes without lingering. For a peer that has not sent anything yet. */
     public static void closeSilent(Channel channel, BooleanSupplier idle, Runnable staysOpen) {
         afterRead(channel, idle, staysOpen, () -> Channels.close(channel));
     }
--- a/src/main/java/lineward/frontend/Listener.java
+++ b/src/main/java/lineward/frontend/Listener.java
@@ -7,20 +7,20 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import java.net.InetSocketAddress;
 
-/** Opens and closes the listening socket of a protocol's clients. May be called from any thread. */
+/** Opens and closes the listening socket of a protocol server. May be called from any thread. */
 public interface Listener {
     /**
      * Starts to accept connections.
      *
-     * @param clients configures the connections
-     * @param loop runs the listening socket and the connections
+     * @param clients bootstrap that configures the accepted connections
+     * @param loop event loop of the listening socket and the connections
      */
     ChannelFuture bind(ServerBootstrap clients, EventLoopGroup loop);
 
     /** Stops accepting connections on the channel that {@link #bind} opened. */
     void stopAccepting(Channel listener);
 
-    /** Returns a listener that opens its own socket at that address. */
+    /** Returns a listener that opens its own socket at the given address. */
     static Listener at(InetSocketAddress address) {
         return new Listener() {
             @Override
--- a/src/main/java/lineward/frontend/ProtocolServer.java
+++ b/src/main/java/lineward/frontend/ProtocolServer.java
@@ -5,54 +5,62 @@
 import lineward.core.Coordinator;
 import lineward.scheduling.decision.ServerAdmissionPolicy;
 
-/** The program's interface to a client protocol. All methods but {@link #listen} run on the event loop. */
+/** A server for one client protocol. All methods except {@link #listen} must be called on the event loop. */
 public interface ProtocolServer {
-    /** Starts to accept clients, whose connections run on the loop. May be called from any thread. */
+    /** Starts to accept clients, whose connections use the event loop. May be called from any thread. */
     ChannelFuture listen(EventLoopGroup loop);
 
-    /** Lets the scheduler decide on the events since the last tick, and executes its commands. */
+    /** Processes the events since the last tick and executes the resulting commands. */
     void tick();
 
-    /** Sets which clients and requests are admitted from now on. */
+    /** Sets the phase, which determines the clients and requests that are admitted from now on. */
     void setAdmission(ServerAdmissionPolicy.Phase phase);
 
     /**
-     * Bounds the time of requests that arrive from now on, even if their clients set a later deadline.
+     * Limits the deadline of requests that arrive from now on, even if their clients set a later one. Ignored
+     * by protocols whose requests keep the deadline of their class.
      *
      * @param deadlineMs time from now
      */
     void setShutdownDeadline(int deadlineMs);
 
-    /** Fails all open requests, because the process is about to be killed. */
+    /**
+     * Fails all open requests, because the process is about to be killed. Ignored by protocols whose requests
+     * fail at the deadline of their class.
+     */
     void failOpenRequests();
 
-    /** Closes the listening socket; a socket that other processes share stays open there. */
+    /** Closes the listening socket. Other processes that share the socket keep it open. */
     void stopListening();
 
     /**
-     * Closes idle connections, each with this probability.
+     * Closes each idle client connection with the given probability. During a shutdown, also closes the other
+     * connections once the server's time limit for them has passed.
      *
-     * @param probability in [0, 1]; 1 closes all
+     * @param probability between 0 and 1; 1 closes all idle connections
      */
     void closeIdleClients(double probability);
 
-    /** Closes connections that are silent or whose message stays incomplete. Called ten times a second. */
+    /**
+     * Closes connections of clients that do not send a complete message or do not log in within the timeout,
+     * and does the server's other periodic work, such as engine heartbeats. Called ten times a second.
+     */
     void closeUnresponsive();
 
-    /** Closes connections to engines that have been idle past their timeout. */
+    /** Closes connections to engines that have exceeded the idle timeout. */
     void closeIdleEngineConnections();
 
     /**
-     * Puts an engine under maintenance, or releases it.
+     * Starts or ends the maintenance of an engine.
      *
-     * @param underMaintenance true: the engine gets no requests from now on; false: it gets requests again
-     * @param sinceMs when the operator gave the order, in Unix milliseconds
+     * @param underMaintenance true if the engine must get no requests from now on
+     * @param sinceMs when the operator requested the change, in Unix milliseconds
      */
     void setMaintenance(String engine, boolean underMaintenance, double sinceMs);
 
-    /** Returns the coordinator of this server's requests. */
+    /** Returns the coordinator that schedules this server's requests. */
     Coordinator<?> coordinator();
 
-    /** Returns whether no request is open and every response has been written. */
+    /** Returns whether no request is open and no client is connected. */
     boolean isDrained();
 }
--- a/src/main/java/lineward/frontend/RateLimitedLog.java
+++ b/src/main/java/lineward/frontend/RateLimitedLog.java
@@ -4,8 +4,8 @@
 import org.slf4j.Logger;
 
 /**
- * Logs at most one line a second and counts the others, so that malformed input at full speed does not slow
- * the program down. Used on the event loop only.
+ * Logs at most one line per second and counts the suppressed lines, so that a flood of malformed input does
+ * not slow down the program. Not thread-safe.
  */
 public final class RateLimitedLog {
     private static final long INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -16,21 +16,21 @@
     private int suppressedLines;
 
     /**
-     * Creates a log whose first line is never suppressed.
+     * Creates a log that does not suppress its first line.
      *
-     * @param log receives the lines
+     * @param log logger that receives the lines
      */
     public RateLimitedLog(Logger log) {
         this.log = log;
     }
 
     /**
-     * Logs a line, unless one was logged within the last second.
+     * Logs a line at level INFO, unless one was logged within the last second.
      *
-     * @param event what happened
-     * @param key key of the subject, as {@code engine} or {@code client}
-     * @param subject the engine or client that the event concerns
-     * @param cause logged without its stack trace
+     * @param event description of the event
+     * @param key log key of the subject, such as {@code engine} or {@code client}
+     * @param subject engine or client that the event concerns
+     * @param cause cause of the event, logged without a stack trace
      */
     public void info(String event, String key, Object subject, Object cause) {
         long nowNanos = System.nanoTime();
--- a/src/main/java/lineward/gossip/GossipSocket.java
+++ b/src/main/java/lineward/gossip/GossipSocket.java
@@ -18,27 +18,27 @@
 import java.util.Map;
 
 /**
- * The UDP socket with which a front end exchanges gossip with the other front ends of its tier. Runs on the
- * event loop, except {@link #open}, which may be called on any thread.
+ * The UDP socket through which the front ends of a tier exchange gossip. Used on the event loop, except
+ * {@link #open}, which may be called from any thread.
  */
 public final class GossipSocket extends SimpleChannelInboundHandler<DatagramPacket> {
-    /** Receives the messages of the other front ends, on the event loop. */
+    /** Receives the messages from the other front ends, on the event loop. */
     @FunctionalInterface
     public interface Listener {
         /**
-         * A message has come.
+         * Called for each message received.
          *
-         * @param senderNumber the sender's number in the tier
-         * @param message 1 to {@link #MAX_MESSAGE_BYTES} bytes, which may be corrupt
+         * @param senderNumber number of the sender within the tier
+         * @param message 1 to {@link #MAX_MESSAGE_BYTES} bytes, possibly corrupt
          */
         void received(int senderNumber, byte[] message);
     }
 
-    /** Limit on a message; longer datagrams are ignored. */
+    /** Maximum size of a message; longer datagrams are ignored. */
     public static final int MAX_MESSAGE_BYTES = 256;
-    /** Datagrams read in one turn of the event loop, so that a flood does not delay clients. */
+    /** Datagrams read per iteration of the event loop, so that a flood does not delay client requests. */
     private static final int MAX_DATAGRAMS_PER_READ = 64;
-    /** One byte above the limit, so that a datagram that is too long can be detected. */
+    /** One byte more than the maximum size, so that oversized datagrams can be detected. */
     private static final int RECEIVE_BUFFER_BYTES = MAX_MESSAGE_BYTES + 1;
 
     private final Map<InetSocketAddress, Integer> peerNumbers;
@@ -49,9 +49,9 @@
     /**
      * Creates a socket that is not open.
      *
-     * @param peerNumbers the numbers of the other front ends, by the address from which they send;
-     *     datagrams from other addresses are ignored
-     * @param groupAddress to which broadcasts are sent
+     * @param peerNumbers numbers of the other front ends, by the address from which they send; datagrams from
+     *     other addresses are ignored
+     * @param groupAddress address to which messages are broadcast
      */
     public GossipSocket(
             Map<InetSocketAddress, Integer> peerNumbers, InetSocketAddress groupAddress, Listener listener) {
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Opens the socket at the address. During a hot restart two processes have it open, and the later one
-     * receives.
+     * Binds the socket to the address. During a hot restart two processes are bound to it, and the one that
+     * bound it later receives the datagrams.
      */
     public ChannelFuture open(EventLoopGroup loop, InetSocketAddress address) {
         FixedRecvByteBufAllocator allocator = new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES);
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Sends a message to all other front ends. It is dropped if it is too long, the socket is not open, or
-     * its buffer is full.
+     * Sends a message to all other front ends. The message is dropped if it is too long, the socket is not
+     * open, or its send buffer is full.
      */
     public void broadcast(byte[] message) {
         if (message.length <= MAX_MESSAGE_BYTES && channel != null && channel.isWritable()) {
@@ -101,9 +101,7 @@
         return content.isReadable() && content.readableBytes() <= MAX_MESSAGE_BYTES;
     }
 
-    /**
-     * Ignores errors: a peer that is down causes them, and later messages may reach it.
-     */
+    /** Ignores errors, which occur while a peer is down; later messages may reach it again. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
 }
--- a/src/main/java/lineward/gossip/package-info.java
+++ b/src/main/java/lineward/gossip/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Gossip between the front ends of one tier: UDP datagrams of at most 256 bytes, which may be lost, late,
- * duplicated or corrupt. {@link lineward.gossip.GossipSocket} owns the socket. It decides from which
- * addresses messages are accepted, how long they may be and how many are read in one turn of the event loop;
- * {@code lineward.scheduling} decides their content. If the settings forbid gossip, no socket is opened.
+ * Gossip between the front ends of one tier over UDP, in datagrams of at most 256 bytes that may be lost,
+ * late, duplicated or corrupt. {@link lineward.gossip.GossipSocket} owns the socket and determines the
+ * accepted sender addresses, the maximum message size and the number of datagrams read per iteration of the
+ * event loop. The contents of the messages are defined in {@code lineward.scheduling}. If the settings
+ * disable gossip, no socket is opened.
  *
- * <p>The package uses Netty only. It runs on one event loop and keeps only the addresses of the tier; a
- * message is dropped if the socket's buffer is full. {@code docs/architecture.md} gives the overview.
+ * <p>This package depends on Netty only. It runs on one event loop and stores only the addresses of the tier.
+ * A message is dropped if the socket's send buffer is full. See {@code docs/architecture.md} for an overview.
  */
 package lineward.gossip;
