--- a/src/main/java/lineward/core/EngineNumbers.java
+++ b/src/main/java/lineward/core/EngineNumbers.java
@@ -11,9 +11,9 @@
 /**
  * Assigns the numbers that identify engines to the scheduler. An engine is known while it is listed or under
  * maintenance. Its number is a hash of its id, so that all front ends compute the same one: slow start uses
- * it to assign time slots at a warming engine to front ends. The numbers of engines that are no longer known are
- * removed, because a restarted engine gets a new id and the map would grow. Called by the coordinator, on the
- * event loop.
+ * it to assign time slots at a warming engine to front ends. The numbers of engines that are no longer known
+ * are removed, because a restarted engine gets a new id and the map would grow. Called by the coordinator, on
+ * the event loop.
  */
 final class EngineNumbers {
     // Parameters of the 64-bit FNV-1a hash.
--- a/src/test/java/lineward/core/CoordinatorTest.java
+++ b/src/test/java/lineward/core/CoordinatorTest.java
@@ -26,9 +26,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The coordinator with a scripted scheduler: requests, attempts, timeouts, health checks and engines. */
+/** Tests requests, attempts, timeouts, health checks and engines with a scripted scheduler. */
 public class CoordinatorTest {
-    /** Records the events and returns the actions that the test has set. */
+    /** Records all events and returns the actions that the test has prepared. */
     private static final class ScriptedScheduler implements Scheduler {
         final List<SchedulerEvent> events = new ArrayList<>();
         List<SchedulerAction> next = List.of();
@@ -118,7 +118,7 @@
     public void requestFailsWithTheAttemptThatResponds() {
         long id = admitAndStart(2000, 300);
         assertTrue(coordinator.responseStarted(id, 0));
-        assertEquals(coordinator.tick(2299), List.of(), "a response that has begun has no timeout");
+        assertEquals(coordinator.tick(2299), List.of(), "no timeout once the response has started");
         assertFalse(coordinator.attemptEnded(id, 0, ERROR));
         assertFalse(coordinator.responseStarted(id, 0));
         assertEquals(coordinator.openRequests(), 0);
@@ -126,7 +126,7 @@
         assertTrue(last(ERROR).requestCompleted());
     }
 
-    /** The end is reported after the time that a cancel takes, so that no relaunch overtakes the cancel. */
+    /** The end is reported after the duration of a cancel, so that a relaunch can't overtake the cancel. */
     @Test
     public void cancelledAttemptEndsOnceTheCancelHasReachedItsEngine() {
         long id = admitAndStart(3000, 5000);
@@ -154,10 +154,10 @@
         coordinator.attemptProgressed(id, 0, RATIO_DONE, 0.7);
         coordinator.tick(4003);
         double lastAmount = scheduler.last(SchedulerEvent.AttemptProgress.class).amount();
-        assertEquals(lastAmount, 0.5, "not after a cancel");
+        assertEquals(lastAmount, 0.5, "progress after the cancel is ignored");
     }
 
-    /** At most one check of an engine is in flight; the first answer or the timeout ends it. */
+    /** At most one check per engine is in flight. It ends with the first result or with the timeout. */
     @Test
     public void healthCheckEndsOnceByItsAnswerOrItsTimeout() {
         coordinator.endpointsChanged(true, List.of(engine("s-1", READY)));
--- a/src/test/java/lineward/core/DeadlineQueueTest.java
+++ b/src/test/java/lineward/core/DeadlineQueueTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The order of deadlines, and their cancellation. */
+/** Tests the order in which deadlines run, and their cancellation. */
 public class DeadlineQueueTest {
     @Test
     public void deadlinesRunOnceInOrderUnlessCancelled() {
--- a/src/test/java/lineward/core/GenerationalTableTest.java
+++ b/src/test/java/lineward/core/GenerationalTableTest.java
@@ -6,7 +6,7 @@
 
 import org.testng.annotations.Test;
 
-/** Ids of the request table after their release. */
+/** Tests that a released id is not found, even if its slot has been reused. */
 public class GenerationalTableTest {
     @Test
     public void staleIdFindsNothingAfterItsSlotIsReused() {
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -34,7 +34,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Compares the digest of every command of the coordinator, in order, over seeded days with the recorded one.
+ * Compares a digest of the coordinator's commands, results and counters with the recorded one. The workloads
+ * are random but reproducible, with requests, cancels, engine changes and a shutdown. The digest changes with
+ * any change to a scheduling decision or to the order of the commands.
  */
 public class PlannerDigestTest {
     private static final double CANCEL_DURATION_MS = 6;
--- a/src/test/java/lineward/core/SilentTracer.java
+++ b/src/test/java/lineward/core/SilentTracer.java
@@ -3,9 +3,9 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * Ignores all events.
+ * A tracer that ignores all events.
  *
- * @param <X> the test's own record of a request
+ * @param <X> the test's representation of a request
  */
 final class SilentTracer<X> implements Tracer<X> {
     @Override
--- a/src/test/java/lineward/core/TableGroupsTest.java
+++ b/src/test/java/lineward/core/TableGroupsTest.java
@@ -5,7 +5,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The table group of a statement. */
+/** Tests which table group is derived from a statement. */
 public class TableGroupsTest {
     @DataProvider
     public Object[][] statements() {
--- a/src/test/java/lineward/core/TrackedRequestTest.java
+++ b/src/test/java/lineward/core/TrackedRequestTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition tables of requests and attempts, and the record that uses them. */
+/** Tests the state transitions of requests and attempts, and the bookkeeping that uses them. */
 public class TrackedRequestTest {
     private static final RequestState OPEN = RequestState.OPEN;
     private static final RequestState RESPONDING = RequestState.RESPONDING;
@@ -19,7 +19,7 @@
     private static final AttemptState CANCELLING = AttemptState.CANCELLING;
     private static final AttemptState ENDED = AttemptState.ENDED;
 
-    /** A state, its targets (response started, completed), and whether it is completed. */
+    /** A state, the states after responseStarted() and completed(), and whether it is completed. */
     @DataProvider
     public Object[][] requestTransitions() {
         return new Object[][] {
@@ -37,7 +37,7 @@
         assertEquals(state.isCompleted(), isCompleted);
     }
 
-    /** A state, its targets (cancelled, ended), and whether it is in flight. */
+    /** A state, the states after cancelled() and ended(), and whether it is in flight. */
     @DataProvider
     public Object[][] attemptTransitions() {
         return new Object[][] {
@@ -72,13 +72,13 @@
     @Test
     public void requestIsReleasableOnceCompletedWithoutAttemptsInFlight() {
         TrackedRequest<String> request = new TrackedRequest<>("r", 1_000);
-        assertFalse(request.isReleasable(), "not completed");
+        assertFalse(request.isReleasable(), "the request is not completed");
         TrackedAttempt attempt = request.addAttempt("s-1");
         assertTrue(request.complete());
         assertFalse(request.complete(), "only the first completion counts");
         assertTrue(attempt.cancel());
         assertFalse(attempt.cancel(), "only the first cancel counts");
-        assertFalse(request.isReleasable(), "the cancelled attempt is in flight");
+        assertFalse(request.isReleasable(), "the cancelled attempt is still in flight");
         request.endAttempt(attempt);
         assertTrue(request.isReleasable());
     }
--- a/src/test/java/lineward/frontend/ClientRegistryTest.java
+++ b/src/test/java/lineward/frontend/ClientRegistryTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Which connections are evicted or closed, and how many at a time. */
+/** Tests which connections are evicted or closed, and how many of them gracefully. */
 public class ClientRegistryTest {
     @DataProvider
     public Object[][] probabilities() {
@@ -35,16 +35,16 @@
         registry.connected("third");
         assertEquals(closed, List.of("first"));
         registry.closeSilent(0);
-        assertEquals(closed, List.of("first"), "a silent connection closes gracefully");
+        assertEquals(closed, List.of("first"), "silent connections are closed gracefully");
         assertEquals(closing, List.of("second", "third"));
         assertEquals(registry.all(), List.of("awaiting"));
-        assertEquals(registry.size(), 3, "both count until they are disconnected");
+        assertEquals(registry.size(), 3, "closing connections count until they are disconnected");
         registry.disconnected("second");
         registry.becameWaiting("third");
-        assertEquals(registry.all(), List.of("awaiting", "third"), "it sent a request first");
+        assertEquals(registry.all(), List.of("awaiting", "third"), "a request reopens a closing connection");
     }
 
-    /** Closing connections hold descriptors beyond the capacity, so only a few may close gracefully. */
+    /** Closing connections use file descriptors beyond the capacity, so only a few may close gracefully. */
     @Test
     public void gracefulClosesAreBounded() {
         List<Integer> closed = new ArrayList<>();
--- a/src/test/java/lineward/frontend/LingeringCloseTest.java
+++ b/src/test/java/lineward/frontend/LingeringCloseTest.java
@@ -30,9 +30,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The graceful close on real sockets: the event loop blocks at a point until the peer has acted. */
+/**
+ * Tests the graceful close on real sockets. To provoke races, a test blocks the event loop until the peer has
+ * sent its bytes, or waits until the output is shut down.
+ */
 public class LingeringCloseTest {
-    /** More than the sockets buffer: part of it is still unsent when the close is decided. */
+    /** More than the socket buffers hold, so that part of the response is unsent when the close begins. */
     private static final int LONG_RESPONSE_BYTES = 2 << 20;
 
     private static final int SMALL_BUFFER_BYTES = 64 * 1024;
@@ -120,7 +123,7 @@
         }
     }
 
-    /** What arrives after the shutdown is dropped, and the response on its way arrives complete. */
+    /** Bytes that arrive after the shutdown are discarded, and the response in flight arrives complete. */
     @Test
     public void bytesAfterTheShutdownAreDroppedAndHarmNoResponse() throws Exception {
         SocketChannel channel;
@@ -128,12 +131,12 @@
             channel = (SocketChannel) accepted.take();
             channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[LONG_RESPONSE_BYTES]))
                     .addListener(written -> LingeringClose.begin(channel, () -> true, () -> {}));
-            // The peer reads until the rest fits into the buffers between the two.
+            // Reads until the rest of the response fits into the socket buffers, so that the output is shut down.
             int received = 0;
             byte[] buffer = new byte[SMALL_BUFFER_BYTES];
             long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
             while (!channel.isOutputShutdown()) {
-                assertTrue(System.nanoTime() < deadlineNanos, "no shutdown");
+                assertTrue(System.nanoTime() < deadlineNanos, "the output was not shut down");
                 if (peer.getInputStream().available() > 0) {
                     received += peer.getInputStream().read(buffer);
                 }
@@ -143,7 +146,7 @@
             assertEquals(received, LONG_RESPONSE_BYTES);
             assertEquals(read, List.of());
         }
-        Program.await("it is closed here too", () -> !channel.isOpen());
+        Program.await("the server closes the connection after the peer", () -> !channel.isOpen());
     }
 
     @Test
@@ -152,7 +155,7 @@
             Channel channel = accepted.take();
             LingeringClose.begin(channel, () -> true, () -> {});
             long startNanos = System.nanoTime();
-            Program.await("it is closed", () -> !channel.isOpen());
+            Program.await("the connection is closed", () -> !channel.isOpen());
             assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(3));
             assertTrue(peer.isConnected());
         }
--- a/src/test/java/lineward/gossip/GossipSocketTest.java
+++ b/src/test/java/lineward/gossip/GossipSocketTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Gossip over real datagrams: accepted senders and the limit on the length of a message. */
+/** Tests the accepted senders and the maximum message size with real datagrams. */
 public class GossipSocketTest {
     private final List<String> received = new CopyOnWriteArrayList<>();
     private EventLoopGroup loop;
@@ -87,7 +87,7 @@
         assertEquals(message, new byte[GossipSocket.MAX_MESSAGE_BYTES]);
     }
 
-    /** Two processes of one front end have the same address during a hot restart. */
+    /** During a hot restart two processes of one front end are bound to the same address. */
     @Test
     public void aSecondProcessOpensTheSameAddress() {
         GossipSocket second = new GossipSocket(Map.of(), socketAddress, (senderNumber, message) -> {});
