--- a/src/test/java/lineward/frontend/LingeringCloseTest.java
+++ b/src/test/java/lineward/frontend/LingeringCloseTest.java
@@ -131,7 +131,7 @@
             channel = (SocketChannel) accepted.take();
             channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[LONG_RESPONSE_BYTES]))
                     .addListener(written -> LingeringClose.begin(channel, () -> true, () -> {}));
-            // Reads until the rest of the response fits into the socket buffers, so that the output is shut down.
+            // Reads until the rest of the response fits into the socket buffers and the output is shut down.
             int received = 0;
             byte[] buffer = new byte[SMALL_BUFFER_BYTES];
             long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
