--- a/src/main/java/lineward/core/AttemptState.java
+++ b/src/main/java/lineward/core/AttemptState.java
@@ -2,7 +2,7 @@
 
 /** States of an attempt. A transition that does not apply to a state leaves it unchanged. */
 enum AttemptState {
-    /** The attempt was passed to the forwarder and is neither cancelled nor ended. */
+    /** The attempt is neither cancelled nor ended. */
     RUNNING,
     /** The attempt was cancelled, but its end has not been reported yet. */
     CANCELLING,
--- a/src/main/java/lineward/core/Command.java
+++ b/src/main/java/lineward/core/Command.java
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Answers a request as rejected. The request has not run, so the client may safely retry it.
+     * Answers a request as rejected. A retry is safe: the request has not run, or may run more than once.
      *
      * @param retryAfterMs delay after which the client should retry, or {@link #NO_RETRY_AFTER}
      */
--- a/src/main/java/lineward/core/Tracer.java
+++ b/src/main/java/lineward/core/Tracer.java
@@ -13,7 +13,7 @@
     enum Ending {
         /** An engine's result was sent to the client. */
         SERVED,
-        /** The request was rejected without having run, so it may safely be retried. */
+        /** The request was rejected. A retry is safe: it has not run, or may run more than once. */
         REJECTED,
         /** The request failed and may have run. */
         FAILED,
