--- a/src/main/java/lineward/discovery/AddressFileReader.java
+++ b/src/main/java/lineward/discovery/AddressFileReader.java
@@ -9,9 +9,9 @@
 import java.util.function.Supplier;
 
 /**
- * Reads the address of service discovery from the configuration file, on a thread of its own that ends when
- * it is idle. Called on the event loop, where the results arrive too. At most one read is pending: the poll
- * policy starts the next one after the result of the last.
+ * Reads the address of service discovery from the configuration file on a separate thread, which ends when
+ * idle. Called on the event loop, on which results are delivered too. At most one read is pending: {@link
+ * PollPolicy} starts the next one only after the result of the previous one.
  */
 final class AddressFileReader {
     private static final int THREAD_KEEP_ALIVE_S = 5;
@@ -21,7 +21,7 @@
         /** The file has been read and contains this address. */
         void addressRead(String address);
 
-        /** The file can't be read or used. */
+        /** The file can't be read or has no valid content. */
         void readFailed(String reason);
     }
 
@@ -32,8 +32,8 @@
     /**
      * Creates a reader.
      *
-     * @param file returns the address in the file; throws a runtime exception with a message of one line if
-     *     it can't be read
+     * @param file reads the file and returns the address; throws a runtime exception with a one-line message
+     *     on failure
      */
     AddressFileReader(EventLoop loop, Supplier<String> file) {
         this.loop = loop;
--- a/src/main/java/lineward/discovery/DiscoveryClient.java
+++ b/src/main/java/lineward/discovery/DiscoveryClient.java
@@ -15,9 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the endpoint list up to date by long polls of service discovery: carries out the steps of {@link
- * PollPolicy} and reports their results to it. All methods are called on the event loop; only the reads of
- * the configuration file run on another thread.
+ * Keeps the endpoint list up to date by long polling of service discovery: performs the steps that {@link
+ * PollPolicy} requests and reports their results to it. All methods are called on the event loop; only the
+ * reads of the configuration file run on another thread.
  */
 public final class DiscoveryClient {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
@@ -32,13 +32,13 @@
     private final AddressFileReader.Listener fileListener = new FileListener();
 
     /**
-     * Creates a client, which does nothing before its first {@link #tick}.
+     * Creates a client, which does no I/O before the first call of {@link #tick}.
      *
-     * @param loop on which the methods are called
-     * @param address of service discovery, {@code host:port}
-     * @param file reads the address in the configuration file; throws a runtime exception with a message of
-     *     one line if the file can't be used; called on a thread of its own
-     * @param clock in milliseconds, monotonic
+     * @param loop event loop on which the methods are called
+     * @param address address of service discovery, as {@code host:port}
+     * @param file reads the configuration file and returns the address; called on a separate thread; throws
+     *     a runtime exception with a one-line message on failure
+     * @param clock monotonic clock in milliseconds
      */
     public DiscoveryClient(
             EventLoop loop, String address, EndpointList list, Supplier<String> file, DoubleSupplier clock) {
@@ -49,18 +49,18 @@
         fileReader = new AddressFileReader(loop, file);
     }
 
-    /** Carries out the steps that are due; to be called every few milliseconds. */
+    /** Performs the steps that are due; called every few milliseconds. */
     public void tick() {
         perform(policy.tick(clock.getAsDouble()));
     }
 
-    /** SIGHUP: reads the file, with retries until it can be read, and polls the address in it. */
+    /** Handles SIGHUP: reads the file, with retries until a read succeeds, and polls the address in it. */
     public void reloadAddress() {
         policy.reloadAddress(clock.getAsDouble());
         tick();
     }
 
-    /** Returns milliseconds since the last usable response, or since the start if there was none. */
+    /** Returns the milliseconds since the last valid response, or since the start if there was none. */
     public long ageMs() {
         return Math.round(policy.silentMs(clock.getAsDouble()));
     }
--- a/src/main/java/lineward/discovery/DiscoveryFormatException.java
+++ b/src/main/java/lineward/discovery/DiscoveryFormatException.java
@@ -1,10 +1,10 @@
 package lineward.discovery;
 
-/** A response of service discovery, or a list of endpoints in the same form, that can't be used. */
+/** A response of service discovery, or an endpoint list in the same format, is invalid. */
 public final class DiscoveryFormatException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
-    /** Creates the error; {@link JournalFormat} words the message, which is one line. */
+    /** Creates an exception with a one-line message of {@link JournalFormat}. */
     DiscoveryFormatException(String message) {
         super(message);
     }
--- a/src/main/java/lineward/discovery/EndpointList.java
+++ b/src/main/java/lineward/discovery/EndpointList.java
@@ -10,18 +10,18 @@
 import lineward.scheduling.EndpointState;
 
 /**
- * The endpoints that service discovery lists: the last entry of each, merged from full snapshots and
- * incremental updates, and the number of the last event. Used on the event loop.
+ * The endpoints listed by service discovery: the last entry of each, merged from full snapshots and
+ * incremental updates, and the number of the last event applied. Used on the event loop.
  */
 public final class EndpointList {
-    /** Is notified of full snapshots and incremental updates. */
+    /** Notified of full snapshots and incremental updates. */
     @FunctionalInterface
     public interface Listener {
         /**
-         * The list has changed.
+         * An update was applied to the list.
          *
          * @param fullSnapshot whether engines without an entry are gone
-         * @param entries complete, also in an incremental update
+         * @param entries the entries of the update, with all fields even if the update is incremental
          */
         void changed(boolean fullSnapshot, List<EngineEndpoint> entries);
     }
@@ -48,9 +48,10 @@
     }
 
     /**
-     * Applies the events of a response; events that were applied before are ignored.
+     * Applies the events of a response in order. Events that were applied before are ignored.
      *
-     * @throws DiscoveryFormatException if an event has an invalid form; that event changes nothing
+     * @throws DiscoveryFormatException if the response or an event is invalid; that event and the later ones
+     *     are not applied
      */
     public void apply(JsonNode response) {
         for (JsonNode event : JournalFormat.events(response)) {
@@ -76,7 +77,7 @@
         listener.changed(fullSnapshot, changed);
     }
 
-    /** An incremental update may contain only the fields that changed: the other fields keep their values. */
+    /** Merges an entry, which may contain only the changed fields; the other fields keep their values. */
     private EngineEndpoint mergeEntry(JsonNode entry, Map<String, ObjectNode> merged) {
         String id = JournalFormat.endpointId(entry);
         ObjectNode complete = (ObjectNode) entry;
--- a/src/main/java/lineward/discovery/FileReadSchedule.java
+++ b/src/main/java/lineward/discovery/FileReadSchedule.java
@@ -5,17 +5,17 @@
 
 /**
  * Decides when the configuration file with the address of service discovery is read: on SIGHUP, with retries
- * while it can't be read, and repeatedly while the service fails. At most one read is in progress. Times are
- * milliseconds of a monotonic clock. Used by {@link PollPolicy} only.
+ * until a read succeeds, and periodically while the service fails. At most one read is in progress. Times are
+ * in milliseconds of a monotonic clock. Used by {@link PollPolicy} only.
  */
 final class FileReadSchedule {
-    /** Time for which the service fails before the file is read, and interval of further reads. */
+    /** Time from the first fault of the service to a read of the file, and interval of further reads. */
     static final double FAULT_READ_INTERVAL_MS = 250;
-    /** Interval of retries soon after SIGHUP. */
+    /** Retry interval in the first {@link #SHORT_RETRIES_MS} after SIGHUP. */
     static final double RETRY_INTERVAL_MS = 50;
-    /** Time after SIGHUP in which retries use the short interval. */
+    /** Time after SIGHUP in which retries use {@link #RETRY_INTERVAL_MS}. */
     static final double SHORT_RETRIES_MS = 4000;
-    /** Interval of later retries. */
+    /** Retry interval after that time. */
     static final double LONG_RETRY_INTERVAL_MS = 1000;
 
     /** Whether a read of the file is in progress. */
@@ -24,10 +24,10 @@
         IDLE,
         /** A read is in progress. */
         READING,
-        /** A read is in progress that began before the last SIGHUP: another read has to follow. */
+        /** A read that began before the last SIGHUP is in progress; another read has to follow. */
         READING_STALE;
 
-        /** Returns the states that may follow. */
+        /** Returns the states to which a transition is allowed. */
         Set<State> successors() {
             return switch (this) {
                 case IDLE -> EnumSet.of(READING);
@@ -39,15 +39,15 @@
 
     private State state = State.IDLE;
     private double nextReadAtMs = PollPolicy.NEVER;
-    /** Time of the SIGHUP whose address has not been read yet; {@link PollPolicy#NEVER} if there is none. */
+    /** Time of the last SIGHUP without a successful read since; {@link PollPolicy#NEVER} if there is none. */
     private double reloadRequestedAtMs = PollPolicy.NEVER;
 
-    /** Returns whether a read is in progress. */
+    /** Returns the current state. */
     State state() {
         return state;
     }
 
-    /** SIGHUP: the file has been replaced and has to be read. */
+    /** Requests a read, because SIGHUP has announced a new file. */
     void requestReload(double nowMs) {
         reloadRequestedAtMs = nowMs;
         nextReadAtMs = nowMs;
@@ -57,24 +57,24 @@
     }
 
     /**
-     * Returns whether a read has to start.
+     * Returns whether a read is due.
      *
      * @param failingSinceMs time of the service's first fault; {@link PollPolicy#NEVER} if it is healthy
      */
     boolean isReadDue(double nowMs, double failingSinceMs) {
-        // A fault schedules the first read only; each read that ends schedules the next one.
+        // A fault schedules only the first read; the end of each read schedules the next one.
         double faultReadAtMs = failingSinceMs + FAULT_READ_INTERVAL_MS;
         double dueAtMs = nextReadAtMs < PollPolicy.NEVER ? nextReadAtMs : faultReadAtMs;
         return state == State.IDLE && nowMs >= dueAtMs;
     }
 
-    /** A read starts. */
+    /** Records the start of a read. */
     void beginRead() {
         transitionTo(State.READING);
         nextReadAtMs = PollPolicy.NEVER;
     }
 
-    /** The read has ended with an address. */
+    /** Records that the read has returned an address. */
     void readSucceeded(double nowMs, boolean serviceFailing) {
         if (state != State.READING_STALE) {
             reloadRequestedAtMs = PollPolicy.NEVER;
@@ -82,7 +82,7 @@
         endRead(nowMs, serviceFailing);
     }
 
-    /** The read has failed: the file is missing, truncated or not valid. */
+    /** Records that the read has failed: the file is missing, truncated or invalid. */
     void readFailed(double nowMs, boolean serviceFailing) {
         endRead(nowMs, serviceFailing);
         if (reloadRequestedAtMs < PollPolicy.NEVER) {
@@ -102,7 +102,7 @@
 
     private void transitionTo(State next) {
         if (!state.successors().contains(next)) {
-            throw new IllegalStateException("file read: from " + state + " to " + next);
+            throw new IllegalStateException("invalid file read transition: from=" + state + " to=" + next);
         }
         state = next;
     }
--- a/src/main/java/lineward/discovery/JournalFormat.java
+++ b/src/main/java/lineward/discovery/JournalFormat.java
@@ -8,9 +8,9 @@
 import lineward.scheduling.EndpointState;
 
 /**
- * The journal, as the platform names service discovery, on the wire. Only this class names its fields, its
- * path and its states; the other classes use the terms of service discovery. Reads single values and keeps no
- * state, so it may be used on any thread.
+ * The wire format of service discovery, which the platform calls the journal. Only this class contains the
+ * names of its fields, its path and its states; other classes use the terms of service discovery. Immutable
+ * and thread-safe.
  */
 final class JournalFormat {
     private static final String EVENTS = "entries";
@@ -39,16 +39,16 @@
     private final List<String> kinds;
     private final List<String> zones;
 
-    /** Creates the format for the machine kinds and zones of the settings, in their order. */
+    /** Creates a format with the names of the machine kinds and zones, in the order of the settings. */
     JournalFormat(List<String> kinds, List<String> zones) {
         this.kinds = kinds;
         this.zones = zones;
     }
 
     /**
-     * Returns the URI of a poll for the events after that number.
+     * Returns the URI of a poll for the events after the given event number.
      *
-     * @param timeoutMs after which the service answers even if there is no event
+     * @param timeoutMs time after which the service responds even if there is no event
      */
     static String pollUri(long afterEvent, int timeoutMs) {
         return PATH + '?' + AFTER_EVENT + '=' + afterEvent + '&' + TIMEOUT + '=' + timeoutMs;
@@ -72,7 +72,7 @@
         return number;
     }
 
-    /** Returns whether an event has an endpoint update. */
+    /** Returns whether an event contains an endpoint update. */
     static boolean hasEndpointUpdate(JsonNode event) {
         return event.has(ENDPOINTS);
     }
@@ -101,7 +101,7 @@
         return id;
     }
 
-    /** Returns the endpoint that a complete entry describes. */
+    /** Parses a complete entry into an endpoint. */
     EngineEndpoint endpoint(String id, JsonNode entry) {
         String address = entry.path(ADDRESS).asText("");
         if (!HOST_AND_PORT.matcher(address).matches()) {
@@ -127,7 +127,7 @@
         };
     }
 
-    /** Returns the index of a name in the settings; 0 for a name that they do not have. */
+    /** Returns the index of a name in the settings, or 0 if it is unknown or missing. */
     private static int indexOrFirst(List<String> names, JsonNode name) {
         return Math.max(0, names.indexOf(name.asText()));
     }
--- a/src/main/java/lineward/discovery/PollConnection.java
+++ b/src/main/java/lineward/discovery/PollConnection.java
@@ -4,22 +4,22 @@
 import java.util.Set;
 
 /**
- * One connection to service discovery as {@link PollPolicy} sees it. Times are milliseconds of a monotonic
- * clock.
+ * State of one connection to service discovery, without I/O. Used by {@link PollPolicy}. Times are in
+ * milliseconds of a monotonic clock.
  */
 final class PollConnection {
-    /** Limit on the time to connect, above the connect timeout of {@link PollTransport}. */
+    /** Limit on the time to connect; longer than the connect timeout of {@link PollTransport}. */
     static final double CONNECT_LIMIT_MS = 600;
-    /** Limit on the time to a complete response; partial responses do not extend it. */
+    /** Limit on the time to a complete response; a partial response does not extend it. */
     static final double RESPONSE_LIMIT_MS = PollPolicy.LONG_POLL_TIMEOUT_MS + 700;
 
-    /** What the connection waits for, with the limit on the wait. */
+    /** What the connection waits for, and the limit on that wait. */
     enum State {
-        /** The end of connecting. */
+        /** The connection is being established. */
         CONNECTING(CONNECT_LIMIT_MS),
-        /** The response to the last poll. */
+        /** A poll was sent; the connection waits for the response. */
         POLLING(RESPONSE_LIMIT_MS),
-        /** The end of a pause before the next poll. */
+        /** The next poll is delayed. */
         PAUSED(PollPolicy.NEVER);
 
         private final double limitMs;
@@ -28,7 +28,10 @@
             this.limitMs = limitMs;
         }
 
-        /** Returns the states that may follow; an unsolicited response may repeat the last two. */
+        /**
+         * Returns the states to which a transition is allowed. An unsolicited response may repeat {@link
+         * #POLLING} or {@link #PAUSED}.
+         */
         Set<State> successors() {
             return switch (this) {
                 case CONNECTING -> EnumSet.of(POLLING);
@@ -40,10 +43,10 @@
     private final int number;
     private State state = State.CONNECTING;
     private double waitingSinceMs;
-    /** {@link PollPolicy#NEVER} before the first pause. */
+    /** Time at which the pause ends; {@link PollPolicy#NEVER} before the first pause. */
     private double resumeAtMs = PollPolicy.NEVER;
 
-    /** Creates a connection that is being opened. */
+    /** Creates a connection in the state {@link State#CONNECTING}. */
     PollConnection(int number, double nowMs) {
         this.number = number;
         waitingSinceMs = nowMs;
@@ -59,24 +62,24 @@
         return state;
     }
 
-    /** Returns when connecting started or, once the connection is open, when the last poll was sent. */
+    /** Returns the time of the last poll, or that of the connect if no poll was sent yet. */
     double waitingSinceMs() {
         return waitingSinceMs;
     }
 
-    /** A poll is sent now. */
+    /** Records that a poll is sent. */
     void poll(double nowMs) {
         transitionTo(State.POLLING);
         waitingSinceMs = nowMs;
     }
 
-    /** The next poll is delayed. */
+    /** Delays the next poll until the given time. */
     void pause(double untilMs) {
         transitionTo(State.PAUSED);
         resumeAtMs = untilMs;
     }
 
-    /** Returns whether a pause has ended. */
+    /** Returns whether the connection is paused and the pause has ended. */
     boolean isResumeDue(double nowMs) {
         return state == State.PAUSED && resumeAtMs <= nowMs;
     }
@@ -88,7 +91,8 @@
 
     private void transitionTo(State next) {
         if (!state.successors().contains(next)) {
-            throw new IllegalStateException("connection " + number + ": from " + state + " to " + next);
+            throw new IllegalStateException(
+                    "invalid transition of connection " + number + ": from=" + state + " to=" + next);
         }
         state = next;
     }
--- a/src/main/java/lineward/discovery/PollFault.java
+++ b/src/main/java/lineward/discovery/PollFault.java
@@ -1,12 +1,12 @@
 package lineward.discovery;
 
 /**
- * The reason why a poll failed.
+ * The reason for which a poll or its connection failed.
  *
- * @param detail for the log
+ * @param detail text for the log
  */
 record PollFault(Kind kind, String detail) {
-    /** No complete response within the limit. */
+    /** No complete response was received within the limit. */
     static final PollFault NO_RESPONSE = new PollFault(Kind.NO_RESPONSE, "no response");
 
     /** The service closed the connection. */
@@ -21,7 +21,7 @@
         INVALID_RESPONSE
     }
 
-    /** Returns the fault of a connection that could not be opened. */
+    /** Returns the fault of a connection that was not established. */
     static PollFault connectFailed(Throwable cause) {
         return new PollFault(Kind.CONNECT_FAILED, cause.toString());
     }
@@ -31,7 +31,7 @@
         return new PollFault(Kind.HTTP_STATUS, "status " + status);
     }
 
-    /** Returns the fault of a response that can't be read or used, or of a connection that failed. */
+    /** Returns the fault of a response that can't be parsed, or of a connection that failed. */
     static PollFault invalidResponse(Throwable cause) {
         return new PollFault(Kind.INVALID_RESPONSE, cause.toString());
     }
--- a/src/main/java/lineward/discovery/PollPolicy.java
+++ b/src/main/java/lineward/discovery/PollPolicy.java
@@ -5,36 +5,36 @@
 
 /**
  * Decides how service discovery is polled: when to connect, to poll, to close a connection, to read the file
- * with the service's address, and to warn of silence. Does no I/O; times are milliseconds of one monotonic
- * clock. {@link DiscoveryClient} calls it on the event loop, {@link #tick} every few milliseconds; each
- * method returns the steps that are due, in order.
+ * with the service's address, and to warn that the service does not respond. Does no I/O; times are in
+ * milliseconds of one monotonic clock. {@link DiscoveryClient} calls it on the event loop, {@link #tick}
+ * every few milliseconds. A returned list contains the steps that are due, in order.
  *
- * <p>A service may refuse connections, accept them and stay silent, close them at once, or answer slowly, and
- * the file may be incomplete when it is read. No such fault may delay an event for long: every wait has a
- * limit, and a lasting fault causes another read of the file. {@code docs/service-discovery.md} compares the
- * alternatives.
+ * <p>A service may refuse connections, accept them without responding, close them at once, or respond slowly,
+ * and the file may be incomplete when it is read. To bound the delay of an event under such faults, every
+ * wait has a limit, and the file is read again while a fault lasts. {@code docs/service-discovery.md}
+ * compares the alternatives.
  */
 final class PollPolicy {
     /**
-     * Time for which the service holds a poll without an event. Short, because the service
-     * counts its events as delivered at once.
+     * Time for which the service holds a poll without an event. Kept short because the service counts an
+     * event as delivered once it is published, even if a front end has not received it.
      */
     static final int LONG_POLL_TIMEOUT_MS = 1000;
-    /** Pause after a failure, and before the next poll after an early empty response. */
+    /** Delay of a connect after a failure, and of the next poll after an early empty response. */
     static final double PAUSE_MS = 100;
-    /** Limit on connections; overdue ones stay open because a slow service may still answer on them. */
+    /** Limit on connections; overdue ones stay open because a slow service may still respond on them. */
     static final int MAX_CONNECTIONS = 3;
-    /** Time without a usable response after which a warning is logged. */
+    /** Time without a valid response after which a warning is logged. */
     static final double SILENCE_MS = 2000;
-    /** Interval of these warnings. */
+    /** Interval between these warnings. */
     static final double WARNING_INTERVAL_MS = 1000;
-    /** An empty response is early before this time: the service does not hold polls. */
+    /** An empty response sooner than this after its poll is early: the service does not hold polls. */
     private static final double EARLY_RESPONSE_MS = LONG_POLL_TIMEOUT_MS / 2.0;
 
-    /** A time that does not come. */
+    /** A time that is never reached. */
     static final double NEVER = Double.POSITIVE_INFINITY;
 
-    /** In the order in which they were opened: the newest is last. */
+    /** The open connections, oldest first. */
     private final List<PollConnection> connections = new ArrayList<>(MAX_CONNECTIONS);
 
     private final FileReadSchedule fileReads = new FileReadSchedule();
@@ -42,25 +42,25 @@
     private int lastNumber;
     private double connectNotBeforeMs;
     private double lastResponseAtMs;
-    /** Time of the first fault since the last response; {@link #NEVER} for a healthy service. */
+    /** Time of the first fault since the last valid response; {@link #NEVER} if there was none. */
     private double failingSinceMs = NEVER;
 
     private PollFault lastFault = PollFault.NO_RESPONSE;
     private double nextWarningAtMs;
 
-    /** Creates the policy for a service at this address; the first tick connects to it. */
+    /** Creates a policy for a service at this address; the first tick connects to it. */
     PollPolicy(String address, double nowMs) {
         this.address = address;
         connectNotBeforeMs = nowMs;
         lastResponseAtMs = nowMs;
     }
 
-    /** Returns the time since the last usable response, or since the start if there was none. */
+    /** Returns the time since the last valid response, or since the start if there was none. */
     double silentMs(double nowMs) {
         return nowMs - lastResponseAtMs;
     }
 
-    /** Returns the address of the service as last read. */
+    /** Returns the current address of the service. */
     String address() {
         return address;
     }
@@ -85,7 +85,7 @@
         return steps;
     }
 
-    /** A connection is open. */
+    /** Handles an established connection: polls on it, or closes it if it is no longer in use. */
     List<PollStep> connected(int number, double nowMs) {
         List<PollStep> steps = new ArrayList<>(1);
         PollConnection connection = find(number);
@@ -97,12 +97,12 @@
         return steps;
     }
 
-    /** Returns whether the connection is in use; the caller ignores responses on any other. */
+    /** Returns whether the connection is in use; the caller ignores responses on other connections. */
     boolean isOpen(int number) {
         return find(number) != null;
     }
 
-    /** A complete, usable response has come; all other connections are closed. */
+    /** Handles a valid response: closes all other connections and continues to poll. */
     List<PollStep> responded(int number, PollResponse response, double nowMs) {
         List<PollStep> steps = new ArrayList<>(2);
         PollConnection connection = find(number);
@@ -117,7 +117,7 @@
             steps.add(new PollStep.Close(number));
             remove(connection, nowMs);
         } else if (!response.changed() && nowMs - connection.waitingSinceMs() < EARLY_RESPONSE_MS) {
-            // Pauses after an early empty response, to avoid a busy loop.
+            // An immediate poll would cause a busy loop with a service that does not hold polls.
             connection.pause(nowMs + PAUSE_MS);
         } else {
             poll(connection, nowMs, steps);
@@ -125,7 +125,7 @@
         return steps;
     }
 
-    /** A connection has ended, could not be opened, or was closed after an unusable response. */
+    /** Handles a connection that was closed, not established, or aborted after an invalid response. */
     void failed(int number, PollFault fault, double nowMs) {
         PollConnection connection = find(number);
         if (connection != null) {
@@ -134,12 +134,12 @@
         }
     }
 
-    /** SIGHUP: the file has been replaced and has to be read. */
+    /** Schedules a read of the file, because SIGHUP has announced a new one. */
     void reloadAddress(double nowMs) {
         fileReads.requestReload(nowMs);
     }
 
-    /** The file has been read and contains this address. */
+    /** Handles the address read from the file: if it differs, replaces all connections. */
     List<PollStep> fileRead(String addressRead, double nowMs) {
         List<PollStep> steps = new ArrayList<>(MAX_CONNECTIONS);
         fileReads.readSucceeded(nowMs, isFailing());
@@ -154,7 +154,7 @@
         return steps;
     }
 
-    /** The file is missing, truncated or not valid: the address does not change. */
+    /** Handles a failed read: the file is missing, truncated or invalid, and the address is kept. */
     void fileUnreadable(double nowMs) {
         fileReads.readFailed(nowMs, isFailing());
     }
--- a/src/main/java/lineward/discovery/PollResponse.java
+++ b/src/main/java/lineward/discovery/PollResponse.java
@@ -1,9 +1,9 @@
 package lineward.discovery;
 
 /**
- * A usable response, as far as the poll policy needs it.
+ * The properties of a valid response on which {@link PollPolicy} decides.
  *
- * @param changed whether it had a new event
- * @param closesConnection whether the service closes the connection after it
+ * @param changed whether it contained a new event
+ * @param closesConnection whether the service closes the connection after this response
  */
 record PollResponse(boolean changed, boolean closesConnection) {}
--- a/src/main/java/lineward/discovery/PollStep.java
+++ b/src/main/java/lineward/discovery/PollStep.java
@@ -1,30 +1,30 @@
 package lineward.discovery;
 
-/** A step that {@link PollPolicy} decides and {@link DiscoveryClient} carries out on the event loop. */
+/** An action that {@link PollPolicy} requests and {@link DiscoveryClient} performs on the event loop. */
 sealed interface PollStep {
 
-    /** Calls the method of the handler for this type of step. */
+    /** Calls the handler's method for this type of step. */
     void dispatchTo(Handler handler);
 
-    /** Carries out the steps, with one method for each type. */
+    /** Performs steps; has one method for each type of step. */
     interface Handler {
-        /** Open a connection. */
+        /** Opens a connection. */
         void connect(Connect step);
 
-        /** Send a poll. */
+        /** Sends a poll. */
         void sendPoll(SendPoll step);
 
-        /** Close a connection. */
+        /** Closes a connection. */
         void close(Close step);
 
-        /** Read the configuration file. */
+        /** Reads the configuration file. */
         void readFile(ReadFile step);
 
-        /** Warn that the service is silent. */
+        /** Logs that the service has not responded for some time. */
         void warnOfSilence(WarnOfSilence step);
     }
 
-    /** Opens a connection to the address, under this number. */
+    /** Opens a connection to the address, identified by the given number. */
     record Connect(int connection, String address) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Sends a poll on a connection that is open. */
+    /** Sends a poll on an established connection. */
     record SendPoll(int connection) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Closes a connection, whose events are ignored from then on. */
+    /** Closes a connection; later events of it are ignored. */
     record Close(int connection) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Reads the configuration file and reports {@link PollPolicy#fileRead} or {@link
-     * PollPolicy#fileUnreadable}. There is no other such step before that report.
+     * Reads the configuration file and reports the result by {@link PollPolicy#fileRead} or {@link
+     * PollPolicy#fileUnreadable}. The policy requests no other read before that report.
      */
     record ReadFile() implements PollStep {
         @Override
@@ -60,10 +60,10 @@
     }
 
     /**
-     * Logs a warning: there was no usable response for some time.
+     * Logs a warning that no valid response was received for some time.
      *
-     * @param silentMs time since the last usable response, or since the start if there was none
-     * @param lastFault the latest fault
+     * @param silentMs time since the last valid response, or since the start if there was none
+     * @param lastFault the most recent fault
      */
     record WarnOfSilence(String address, double silentMs, PollFault lastFault) implements PollStep {
         @Override
--- a/src/main/java/lineward/discovery/PollTransport.java
+++ b/src/main/java/lineward/discovery/PollTransport.java
@@ -26,9 +26,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The HTTP/1.1 connections to service discovery, by the numbers that {@link PollPolicy} assigns. Runs on the
- * event loop. Bounds: the policy limits the number of connections, {@value #MAX_RESPONSE_BYTES} bytes for a
- * response.
+ * The HTTP/1.1 connections to service discovery, identified by the numbers that {@link PollPolicy} assigns.
+ * Runs on the event loop. A response has at most {@value #MAX_RESPONSE_BYTES} bytes; the policy limits the
+ * number of connections.
  */
 final class PollTransport {
     private static final Logger LOG = LoggerFactory.getLogger(PollTransport.class);
@@ -37,17 +37,17 @@
 
     /** Receives the events of the connections, on the event loop. */
     interface Listener {
-        /** A connection is open. */
+        /** A connection has been established. */
         void connected(int number);
 
         /**
-         * A complete response has come; its content is released when the method returns.
+         * A complete response was received; its content is released when the method returns.
          *
          * @throws IOException if the content can't be read; the connection is then closed as failed
          */
         void responded(int number, FullHttpResponse response) throws IOException;
 
-        /** A connection has ended, could not be opened or has failed; may be called repeatedly for one. */
+        /** A connection was closed, not established or failed; may be called more than once for one. */
         void failed(int number, PollFault fault);
     }
 
@@ -83,7 +83,7 @@
         });
     }
 
-    /** Sends a GET for this URI if the connection still exists. */
+    /** Sends a GET request for this URI if the connection still exists. */
     void get(int number, String uri) {
         Connection connection = connections.get(number);
         if (connection != null) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Closes a connection whose response can't be used, and reports the fault. */
+    /** Closes a connection after an invalid response, and reports the fault to the listener. */
     void abort(int number, PollFault fault) {
         Connection connection = connections.get(number);
         fail(number, fault);
