--- a/src/main/java/lineward/discovery/FileReadSchedule.java
+++ b/src/main/java/lineward/discovery/FileReadSchedule.java
@@ -39,7 +39,7 @@
 
     private State state = State.IDLE;
     private double nextReadAtMs = PollPolicy.NEVER;
-    /** Time of the last SIGHUP without a successful read since; {@link PollPolicy#NEVER} if there is none. */
+    /** Time of the last SIGHUP if no read begun after it has succeeded; else {@link PollPolicy#NEVER}. */
     private double reloadRequestedAtMs = PollPolicy.NEVER;
 
     /** Returns the current state. */
--- a/src/main/java/lineward/engine/ConnectionState.java
+++ b/src/main/java/lineward/engine/ConnectionState.java
@@ -1,21 +1,21 @@
 package lineward.engine;
 
 /**
- * States of a connection to an engine. A transition that a state does not name leaves it as it is; {@link
- * #CLOSED} is final.
+ * States of a connection to an engine. An event without a transition from the current state leaves it
+ * unchanged; {@link #CLOSED} is final.
  */
 enum ConnectionState {
     /** The connection is being established; attempts may wait for it. */
     CONNECTING,
-    /** The connect timeout has passed; the connection may still come up, but no attempt waits for it. */
+    /** The connect timeout has passed; the connection may still be established, but accepts no attempts. */
     CONNECT_OVERDUE,
-    /** Established, with no heartbeat in flight. */
+    /** Established, without a pending heartbeat. */
     READY,
-    /** Established; a heartbeat was sent and no reply has followed. */
+    /** Established; no reply was received since a heartbeat was sent. */
     HEARTBEAT_PENDING,
-    /** Established; an attempt was cancelled and no reply has followed. New attempts wait for a reply. */
+    /** Established; an attempt was cancelled. No attempt is accepted before the next reply. */
     AWAITING_RESPONSE,
-    /** The connection accepts nothing any more. */
+    /** Closed, or about to be closed. */
     CLOSED;
 
     /** The connect timeout has passed. */
@@ -33,7 +33,7 @@
         return this == READY ? HEARTBEAT_PENDING : this;
     }
 
-    /** An attempt whose request was written was cancelled, and a heartbeat was sent after the cancel. */
+    /** An attempt whose request was written was cancelled, and a heartbeat is pending. */
     ConnectionState attemptCancelled() {
         return isUp() ? AWAITING_RESPONSE : this;
     }
@@ -43,12 +43,12 @@
         return isUp() ? READY : this;
     }
 
-    /** The connection broke, was not established or was closed by this front end. */
+    /** The connection broke, was not established, or was closed by this front end. */
     ConnectionState closed() {
         return CLOSED;
     }
 
-    /** Returns whether the connection is not established yet. */
+    /** Returns whether the connection is being established. */
     boolean isConnecting() {
         return this == CONNECTING || this == CONNECT_OVERDUE;
     }
@@ -58,12 +58,12 @@
         return this == READY || isHeartbeatPending();
     }
 
-    /** Returns whether a heartbeat was sent and no reply has followed. */
+    /** Returns whether no reply was received since a heartbeat was sent. */
     boolean isHeartbeatPending() {
         return this == HEARTBEAT_PENDING || this == AWAITING_RESPONSE;
     }
 
-    /** Returns whether new attempts may be started here. */
+    /** Returns whether new attempts may be started on the connection. */
     boolean acceptsAttempts() {
         return this == CONNECTING || this == READY || this == HEARTBEAT_PENDING;
     }
--- a/src/main/java/lineward/engine/EndedAttempts.java
+++ b/src/main/java/lineward/engine/EndedAttempts.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * Attempts that have ended on a connection, while a late or duplicate reply to them may still arrive. Their
- * ids must not be used again on the connection until their timeouts have passed. Used on the event loop only.
+ * Ended attempts of a connection to which late or duplicate replies may still arrive. Their ids must not be
+ * reused on the connection until their timeouts have passed. Used on the event loop only.
  */
 final class EndedAttempts {
-    /** Bounds the ids at an engine that rejects every request; a full connection accepts no attempts. */
+    /** Bounds the ids kept if an engine rejects every request; when full, no attempts are accepted. */
     static final int MAX_ATTEMPTS = 1024;
 
     private final Map<String, QueryAttempt> attempts = new HashMap<>();
--- a/src/main/java/lineward/engine/EngineCluster.java
+++ b/src/main/java/lineward/engine/EngineCluster.java
@@ -18,17 +18,17 @@
 import lineward.scheduling.EndpointState;
 
 /**
- * The engines on the endpoint list, each with the pool of connections to it. All methods are called on the
- * event loop. An engine whose id is null or unknown has no pool.
+ * The engines on the endpoint list, each with its connection pool. All methods are called on the event loop.
+ * An engine whose id is null or unknown has no pool.
  */
 public final class EngineCluster {
     /**
-     * Idle connections are closed at this ratio of the engines' idle timeout. A connection that the engine
-     * closes could break while a request is being sent.
+     * Idle connections are closed after this ratio of the engines' idle timeout. If the engine closed them,
+     * a request that is being sent could fail.
      */
     private static final double IDLE_TIMEOUT_RATIO = 0.7;
 
-    /** One engine, its listing and its pool. */
+    /** One engine: its state on the endpoint list and its connection pool. */
     private static final class Member {
         private final EnginePool pool;
         private double startedAtUnixMs = Endpoint.STARTED_LONG_AGO;
@@ -60,12 +60,12 @@
     }
 
     /**
-     * Bounds of the connections to engines.
+     * Limits of the connections to engines.
      *
      * @param connectTimeoutMs time after which a connection that is not established is overdue
      * @param engineIdleTimeoutMs time after which engines close idle connections
-     * @param maxAttemptsPerConnection maximum of attempts in flight on one connection
-     * @param maxConnections maximum of connections to all engines
+     * @param maxAttemptsPerConnection maximum number of attempts in flight on one connection
+     * @param maxConnections maximum number of connections to all engines
      * @param loadReports whether a health check requests a load report
      */
     public record Limits(
@@ -75,13 +75,13 @@
             int maxConnections,
             boolean loadReports) {}
 
-    /** Is notified of the answer to a health check, on the event loop. */
+    /** Notified of the answer to a health check, on the event loop. */
     @FunctionalInterface
     public interface HealthCheckListener {
         /**
-         * The engine answered.
+         * The engine answered the health check.
          *
-         * @param loadReport the figures of the load report, empty if the answer has none
+         * @param loadReport the numbers of the load report; empty if the answer contains none
          */
         void answered(AttemptOutcome outcome, double[] loadReport);
     }
@@ -94,8 +94,8 @@
     /**
      * Creates a cluster without engines.
      *
-     * @param loop runs all connections
-     * @param onRequestSent is called once a socket has taken the last byte of a request
+     * @param loop event loop that runs all connections
+     * @param onRequestSent called once the last byte of a request was written to its socket
      */
     public EngineCluster(EventLoopGroup loop, Limits limits, Runnable onRequestSent) {
         this.onRequestSent = onRequestSent;
@@ -118,7 +118,7 @@
             members.values().forEach(Member::unlist);
         }
         endpoints.forEach(this::updateEndpoint);
-        // A connection that comes up later could lead to another engine with the same address.
+        // A connection that is established later could lead to another engine at the same address.
         List.copyOf(members.values()).stream()
                 .filter(member -> !member.isReady())
                 .forEach(member -> member.pool.cancelWaiting());
@@ -129,7 +129,7 @@
         memberAt(endpoint.id(), parse(endpoint.address())).update(endpoint);
     }
 
-    /** Returns the engine with that id; it gets a new pool if it is new or its address has changed. */
+    /** Returns the member with that id, with a new pool if the engine is new or its address has changed. */
     private Member memberAt(String engine, InetSocketAddress address) {
         Member member = members.get(engine);
         if (member != null && member.pool.address().equals(address)) {
@@ -144,7 +144,7 @@
         return added;
     }
 
-    /** Starts an attempt. Its listener is notified of the end, possibly before this method returns. */
+    /** Starts an attempt. Its listener is notified when it ends, possibly before this method returns. */
     public void start(String engine, QueryAttempt attempt) {
         Member member = members.get(engine);
         if (member == null) {
@@ -186,7 +186,7 @@
         }
     }
 
-    /** Changes an attempt's priority and sends it to the engine. */
+    /** Sets an attempt's priority and sends it to the engine. */
     public void changePriority(String engine, QueryAttempt attempt, int priority) {
         attempt.setPriority(priority);
         Member member = members.get(engine);
@@ -206,14 +206,14 @@
         members.values().removeIf(member -> member.isGone() && member.pool.size() == 0);
     }
 
-    /** Sends and checks heartbeats on all connections; called ten times a second. */
+    /** Sends heartbeats and checks their timeouts on all connections; called ten times a second. */
     public void keepAlive() {
         members.values().forEach(member -> member.pool.keepAlive());
     }
 
     /**
-     * Returns whether one more connection may be opened. At the limit the connection that has been idle
-     * longest is evicted; otherwise idle connections would block new ones until their timeout.
+     * Returns whether one more connection may be opened. At the limit, the least recently used idle
+     * connection is evicted; otherwise idle connections would block new ones until their idle timeout.
      */
     private boolean acquireConnectionQuota() {
         int connections =
--- a/src/main/java/lineward/engine/EngineConnection.java
+++ b/src/main/java/lineward/engine/EngineConnection.java
@@ -11,32 +11,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to an engine and the attempts in flight on it. The pool and the channel call it on the
+ * One connection to an engine and the attempts in flight on it. Called by the pool and the channel on the
  * channel's event loop.
  */
 final class EngineConnection extends SimpleChannelInboundHandler<Reply> {
     private static final Logger LOGGER = LoggerFactory.getLogger(EngineConnection.class);
     private static final RateLimitedLog LOG = new RateLimitedLog(LOGGER);
-    /** A heartbeat is sent after this time without a reply while attempts are in flight. */
+    /** A heartbeat is sent after this time without activity while attempts are in flight. */
     private static final long HEARTBEAT_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
     /** A connection counts as alive for this time after a reply. */
     private static final long ALIVE_WITHIN_NANOS = TimeUnit.SECONDS.toNanos(1);
     /**
-     * Calls of {@link #keepAlive} after which an unanswered heartbeat has timed out. An engine may pause for
-     * half a second. Calls are counted, not time: after a pause of this process the answer may be unread.
+     * Calls of {@link #keepAlive} after which an unanswered heartbeat has timed out. The timeout exceeds the
+     * half second for which an engine may pause. Calls are counted instead of time because after a pause of
+     * this process the answer may have arrived but not been read.
      */
     private static final int HEARTBEAT_TIMEOUT_TICKS = 7;
 
     private static final String HEARTBEAT_TAG_PREFIX = "t";
     private static final String HEALTH_CHECK_TAG_PREFIX = "p";
-    /** Time within which a close reaches the engine. */
+    /** Time allowed for a close to reach the engine. */
     static final int CLOSE_DELAY_MS = 6;
 
     private final InFlightAttempts attempts = new InFlightAttempts();
     private final long openedAtUnixMs = System.currentTimeMillis();
     private final ConnectionListener listener;
     private ConnectionState state = ConnectionState.CONNECTING;
-    /** Null until {@link #connecting}, as is the writer. */
+    /** Null until {@link #connecting} is called, like the writer. */
     private Channel channel;
 
     private RequestWriter writer;
@@ -46,7 +47,7 @@
     private long lastUsedNanos = System.nanoTime();
     private long lastReplyNanos = lastUsedNanos;
     private int ticksSinceHeartbeat;
-    /** The health check without an answer; null if there is none. An engine has at most one in flight. */
+    /** The health check in flight; null if there is none. An engine has at most one in flight. */
     private HealthCheck healthCheck;
 
     EngineConnection(ConnectionListener listener) {
@@ -58,29 +59,29 @@
         return state.isUp();
     }
 
-    /** Returns whether it is up and had a reply recently; a connection to a dead machine stays open. */
+    /** Returns whether it is up and a reply came recently; a connection to a dead machine stays open. */
     boolean isAlive() {
         return isUp() && System.nanoTime() - lastReplyNanos < ALIVE_WITHIN_NANOS;
     }
 
-    /** Sets the channel that is being connected. */
+    /** Sets the channel, which is being connected. */
     void connecting(Channel connectingChannel) {
         channel = connectingChannel;
         writer = new RequestWriter(connectingChannel);
     }
 
-    /** Returns whether an attempt of this id may be started here, given the maximum in flight. */
+    /** Returns whether an attempt with this id may be started, given the maximum in flight. */
     boolean accepts(String id, int maxAttempts) {
         boolean channelIsUsable = isReadable() && isWritable();
         return state.acceptsAttempts() && channelIsUsable && attempts.accepts(id, maxAttempts);
     }
 
-    /** Returns false if part of a reply has arrived while no attempt is in flight: the stream is corrupt. */
+    /** Returns false if part of a reply arrived with no attempt in flight: the stream may be corrupt. */
     private boolean isReadable() {
         return !attempts.isEmpty() || decoder == null || !decoder.hasPartialReply();
     }
 
-    /** Returns whether the channel accepts writes, or is not up yet and queues them. */
+    /** Returns whether the channel accepts writes, or is being connected: attempts then wait for it. */
     private boolean isWritable() {
         return !isUp() || (channel.isOpen() && channel.isWritable());
     }
@@ -134,7 +135,7 @@
         return isUp() && channel.isWritable();
     }
 
-    /** Checks the engine's health once the connection is up. There is no answer if the connection breaks. */
+    /** Checks the engine's health once the connection is up. The listener is not called if it breaks. */
     void checkHealth(HealthCheck.Kind kind, Consumer<Reply> answerListener) {
         healthCheck = new HealthCheck(kind, HEALTH_CHECK_TAG_PREFIX + System.nanoTime(), answerListener);
         lastUsedNanos = System.nanoTime();
@@ -143,7 +144,7 @@
         }
     }
 
-    /** Sends a heartbeat if one is due, or closes if one was not answered; called ten times a second. */
+    /** Sends a heartbeat if due, or closes after an unanswered one; called ten times a second. */
     void keepAlive() {
         long now = System.nanoTime();
         if (state.isHeartbeatPending()) {
@@ -162,7 +163,7 @@
         return isSilent || !isReadable();
     }
 
-    /** Sends a heartbeat, which detects a broken connection that the socket still reports as open. */
+    /** Sends a heartbeat, to detect a broken connection that the socket still reports as open. */
     private void sendHeartbeat() {
         if (!state.isHeartbeatPending()) {
             ticksSinceHeartbeat = 0;
@@ -177,7 +178,7 @@
         release(listener::attemptsLost);
     }
 
-    /** Closes the channel. The attempts end once the channel reports the close. */
+    /** Closes the channel. The attempts are handled once the channel reports the close. */
     void close() {
         if (channel != null) {
             closeChannel();
@@ -188,18 +189,18 @@
         channel.close().addListener(FailureLog.CHANNEL);
     }
 
-    /** Closes an idle connection and removes it from the pool before the channel reports the close. */
+    /** Closes an idle connection, and removes it from the pool without waiting for the close. */
     void evict() {
         close();
         release(none -> {});
     }
 
-    /** Removes and returns the attempts that wait for the connection; the caller becomes their owner. */
+    /** Removes and returns the attempts that wait for the connection; the caller takes ownership. */
     List<QueryAttempt> removeWaiting() {
         return state.isConnecting() ? attempts.removeAll() : List.of();
     }
 
-    /** Records that the connect timeout has passed; returns whether the connection is not up by then. */
+    /** Records that the connect timeout has passed; returns whether the connection is still not up. */
     boolean setConnectOverdue() {
         state = state.connectOverdue();
         return state == ConnectionState.CONNECT_OVERDUE;
@@ -213,7 +214,7 @@
         }
     }
 
-    /** The connection is up. Sends the attempts that waited for it. */
+    /** Sends the attempts that waited for the connection, which is now up. */
     @Override
     public void channelActive(ChannelHandlerContext context) {
         state = state.connected();
@@ -235,7 +236,7 @@
         listener.replyReceived();
         completeHealthCheck(reply);
         if (state == ConnectionState.CLOSED) {
-            // The reply was decoded in the same read as an earlier one that is malformed.
+            // An earlier reply that was decoded in the same read was malformed.
             reply.body().release();
         } else {
             attempts.handle(reply, writer);
@@ -250,12 +251,12 @@
         }
     }
 
-    /** Closes the connection. A malformed reply ends all attempts, as no later reply can be decoded. */
+    /** Closes the connection. After a malformed reply all attempts end, as no later one can be decoded. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         LOG.info("engine connection failed", "engine", context.channel().remoteAddress(), cause);
         if (cause instanceof MalformedReplyException || cause.getCause() instanceof MalformedReplyException) {
-            // The engine must see the close before a retry arrives.
+            // The delay lets the engine see the close before a retry arrives.
             release(lost -> {
                 Runnable endLost = () -> endAll(lost, AttemptEnd.MALFORMED_REPLY);
                 context.executor()
@@ -275,12 +276,12 @@
         release(listener::attemptsLost);
     }
 
-    /** The connection was not established, so none of its attempts was sent. */
+    /** Handles a failure to connect: none of the attempts was sent. */
     void connectFailed(Throwable cause) {
         release(waiting -> listener.attemptsNotSent(waiting, cause));
     }
 
-    /** Marks the connection as closed and passes its attempts on; only the first call has an effect. */
+    /** Marks the connection as closed and hands over its attempts; only the first call has an effect. */
     private void release(Consumer<List<QueryAttempt>> successor) {
         if (state != ConnectionState.CLOSED) {
             state = state.closed();
--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -17,15 +17,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connections to one engine. A new engine at the address of an earlier one gets a pool of its own. The
- * cluster calls it on the event loop, on which also its connections run.
+ * The connections to one engine. A new engine at the address of an earlier one gets a separate pool. Called
+ * by the cluster on the event loop, which also runs the connections.
  */
 final class EnginePool implements ConnectionListener {
-    /** Maximum of connections to one engine; under heavy load attempts share connections. */
+    /** Maximum number of connections to one engine; under heavy load attempts share connections. */
     private static final int MAX_CONNECTIONS = 16;
-    /** After this fraction of the connect timeout, waiting attempts migrate to a connection that is up. */
+    /** Waiting attempts migrate to a live connection after the connect timeout divided by this. */
     private static final int MIGRATE_AFTER_DIVISOR = 4;
-    /** A connection attempt is abandoned after this multiple of the connect timeout. */
+    /** Connecting is abandoned after this multiple of the connect timeout. */
     static final int CONNECT_ABANDON_FACTOR = 8;
 
     private static final RateLimitedLog LOG = new RateLimitedLog(LoggerFactory.getLogger(EnginePool.class));
@@ -41,7 +41,7 @@
      * Creates a pool without connections.
      *
      * @param connectionQuota returns whether one more connection may be opened
-     * @param onRequestSent is called once a socket has taken the last byte of a request
+     * @param onRequestSent called once the last byte of a request was written to its socket
      */
     EnginePool(
             Bootstrap bootstrap,
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Starts an attempt, if possible on a connection without other attempts: a malformed reply fails all
-     * attempts of its connection.
+     * Starts an attempt, if possible on a connection without other attempts, because a malformed reply fails
+     * all attempts on its connection.
      */
     void start(QueryAttempt attempt) {
         EngineConnection connection = leastLoaded(candidate -> accepts(candidate, attempt));
@@ -84,7 +84,7 @@
         return connections.size() < MAX_CONNECTIONS && connectionQuota.getAsBoolean();
     }
 
-    /** Returns the matching connection with the fewest attempts; null if none matches. */
+    /** Returns the matching connection with the fewest attempts in flight; null if none matches. */
     private EngineConnection leastLoaded(Predicate<EngineConnection> condition) {
         return connections.stream()
                 .filter(condition)
@@ -126,7 +126,7 @@
                 .addListener(FailureLog.TASK);
     }
 
-    /** Migrates attempts from a slow connection to others that are alive; without one they keep waiting. */
+    /** Migrates waiting attempts from a slow connection to live ones; without one they keep waiting. */
     private void migrateWaiting(EngineConnection slow) {
         for (QueryAttempt attempt : slow.removeWaiting()) {
             EngineConnection target = leastLoaded(other -> other.isAlive() && accepts(other, attempt));
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Ends the attempts that wait for a connection whose connect timeout has passed. */
+    /** Ends the attempts that wait for a connection after its connect timeout has passed. */
     private void endOverdue(EngineConnection connection) {
         if (connection.setConnectOverdue()) {
             faults.connectOverdue();
@@ -165,7 +165,7 @@
         faults.replyReceived();
     }
 
-    /** Ends the attempts after a short delay, when all connections that broke together are reported. */
+    /** Ends the attempts after a delay, by which all connections that broke together are reported. */
     @Override
     public void attemptsLost(List<QueryAttempt> attempts) {
         if (!attempts.isEmpty()) {
@@ -181,7 +181,7 @@
         }
     }
 
-    /** Ends the attempts if the failure is the engine's fault, else starts them on another connection. */
+    /** Ends the attempts if the engine is at fault; otherwise starts them on another connection. */
     @Override
     public void attemptsNotSent(List<QueryAttempt> attempts, Throwable cause) {
         if (attempts.isEmpty()) {
@@ -196,7 +196,7 @@
         }
     }
 
-    /** Checks the engine's health on a connection that is up, or on a new one if the quota allows it. */
+    /** Checks the engine's health on an established connection, or on a new one if the quota allows it. */
     void checkHealth(HealthCheck.Kind kind, Consumer<Reply> answerListener) {
         EngineConnection connection = leastLoaded(EngineConnection::acceptsHealthCheck);
         if (connection == null && mayConnect()) {
@@ -231,7 +231,7 @@
         connections.stream().filter(condition).toList().forEach(EngineConnection::close);
     }
 
-    /** Returns the idle connection that was used longest ago; null if none is idle. */
+    /** Returns the least recently used idle connection; null if none is idle. */
     EngineConnection longestIdle() {
         return connections.stream()
                 .filter(connection -> connection.isIdleSince(System.nanoTime()))
@@ -240,10 +240,10 @@
     }
 
     /**
-     * Closes connections that were opened before the engine's start, as their process has ended. Waiting
-     * attempts end too: they were placed on the earlier process, not on one that is warming up.
+     * Closes connections that were opened before the engine's process started, as they lead to an earlier
+     * process. Waiting attempts end too: they were meant for the earlier process, not for one in slow start.
      *
-     * @param unixMs when the engine's process started
+     * @param unixMs start time of the engine's process
      */
     void engineStarted(double unixMs) {
         List<EngineConnection> stale = connections.stream()
@@ -255,7 +255,7 @@
         });
     }
 
-    /** Sends and checks heartbeats on all connections; called ten times a second. */
+    /** Sends heartbeats and checks their timeouts on all connections; called ten times a second. */
     void keepAlive() {
         List.copyOf(connections).forEach(EngineConnection::keepAlive);
     }
--- a/src/main/java/lineward/engine/EngineWarmup.java
+++ b/src/main/java/lineward/engine/EngineWarmup.java
@@ -9,8 +9,8 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * Runs attempts through a connection in memory, so that the JVM has loaded and compiled their code before the
- * first request. Called once, on the event loop.
+ * Runs attempts on an in-memory connection, so that the JVM loads and compiles the code before the first
+ * request. Called once, on the event loop.
  */
 public final class EngineWarmup {
     private static final int ATTEMPTS = 60;
@@ -39,7 +39,7 @@
 
     private EngineWarmup() {}
 
-    /** Runs attempts of two pages each. */
+    /** Runs the attempts, each with a result of two pages. */
     public static void run() {
         EngineConnection connection = new EngineConnection(NO_LISTENER);
         EmbeddedChannel channel = new EmbeddedChannel(new ReplyDecoder(), connection);
--- a/src/main/java/lineward/engine/FailureLog.java
+++ b/src/main/java/lineward/engine/FailureLog.java
@@ -5,15 +5,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs failures of futures whose result is not used otherwise. Thread-safe. */
+/** Logs failures of futures whose result is otherwise ignored. Thread-safe. */
 final class FailureLog {
     /**
-     * For writes and closes of a channel. A failure needs no other handling: the channel closes, which ends
-     * its attempts and is logged.
+     * For writes to a channel and its close. A failure needs no other handling: the channel closes, which
+     * ends its attempts and is logged.
      */
     static final GenericFutureListener<Future<? super Void>> CHANNEL = FailureLog::logChannelFailure;
 
-    /** For scheduled tasks, which fail only because of a defect of this program. */
+    /** For scheduled tasks, which fail only because of a bug in this program. */
     static final GenericFutureListener<Future<Object>> TASK = FailureLog::logTaskFailure;
 
     private static final Logger LOG = LoggerFactory.getLogger(FailureLog.class);
--- a/src/main/java/lineward/engine/FaultAttribution.java
+++ b/src/main/java/lineward/engine/FaultAttribution.java
@@ -4,55 +4,55 @@
 import java.net.ConnectException;
 
 /**
- * Decides whether failures of connections are their engine's fault. A single failure may be caused by the
- * network; failures that repeat without a reply between them are attributed to the engine. The pool calls it
+ * Decides whether connection failures are attributed to the engine. A single failure may be caused by the
+ * network; failures that repeat without a reply between them are attributed to the engine. Called by the pool
  * on the event loop.
  */
 final class FaultAttribution {
-    /** The engine is at fault after this many lost or failed connections without a reply between them. */
+    /** Lost or failed connections without a reply between them after which the engine is at fault. */
     static final int REPEATED_FAILURES = 4;
-    /** The engine is unreachable after this many overdue connections without an established one between. */
+    /** Number of consecutive overdue connections after which the engine counts as unreachable. */
     static final int REPEATED_OVERDUE = 2;
 
     private int failedConnections;
     private int overdueConnections;
 
-    /** A connection is established. */
+    /** Records that a connection was established. */
     void connected() {
         overdueConnections = 0;
     }
 
-    /** The engine has sent a reply. */
+    /** Records that the engine has sent a reply. */
     void replyReceived() {
         failedConnections = 0;
         overdueConnections = 0;
     }
 
-    /** A connection with attempts in flight broke. */
+    /** Records that a connection with attempts in flight broke. */
     void connectionLost() {
         failedConnections++;
     }
 
-    /** A connection is overdue. Nothing was sent on it, and the cause may be the network. */
+    /** Records an overdue connection. Nothing was sent on it, and the cause may be the network. */
     void connectOverdue() {
         overdueConnections++;
     }
 
-    /** Returns the number of consecutive overdue connections. */
+    /** Returns the number of overdue connections since the last established one or reply. */
     int overdueConnections() {
         return overdueConnections;
     }
 
-    /** Returns the end of attempts that waited for an overdue connection. */
+    /** Returns how attempts that waited for an overdue connection end. */
     AttemptEnd endOfOverdue() {
         boolean isUnreachable = overdueConnections >= REPEATED_OVERDUE;
         return isUnreachable ? AttemptEnd.ENGINE_UNREACHABLE : AttemptEnd.NOT_SENT;
     }
 
     /**
-     * A connection could not be established.
+     * Records that a connection was not established.
      *
-     * @return whether that is the engine's fault: it refused the connection, or this has repeated
+     * @return whether this is the engine's fault: it refused the connection, or failures have repeated
      */
     boolean connectFailed(Throwable cause) {
         failedConnections++;
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Returns the end of attempts whose connection broke after their request was sent. A process that ends
-     * resets all its connections, so a single failure is the connection's own if another connection is up.
+     * Returns how attempts end whose connection broke after their request was sent. A process that ends
+     * resets all its connections; if another connection is up, a single failure concerns one connection only.
      *
      * @param otherIsUp whether another connection to the engine is up
      */
--- a/src/main/java/lineward/engine/HealthCheck.java
+++ b/src/main/java/lineward/engine/HealthCheck.java
@@ -5,11 +5,11 @@
 /**
  * A health check in flight on a connection. Immutable.
  *
- * @param tag the id that the answer must carry
+ * @param tag the id that the answer must have
  * @param listener receives the answer, on the event loop
  */
 record HealthCheck(Kind kind, String tag, Consumer<Reply> listener) {
-    /** Kinds of health check. */
+    /** Kinds of health checks. */
     enum Kind {
         /** Checks whether the engine is healthy. */
         PING(LineProtocol.PING),
@@ -22,7 +22,7 @@
             this.token = token;
         }
 
-        /** Returns the request's word in the line protocol. */
+        /** Returns the request's token in the line protocol. */
         String token() {
             return token;
         }
--- a/src/main/java/lineward/engine/InFlightAttempts.java
+++ b/src/main/java/lineward/engine/InFlightAttempts.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** The attempts in flight on one connection. It applies each reply to its attempt, on the event loop. */
+/** The attempts in flight on one connection. Dispatches each reply to its attempt, on the event loop. */
 final class InFlightAttempts {
-    /** Attempts by id, in the order of their start; the pool bounds their number. */
+    /** Attempts by id, in the order in which they started; the pool limits their number. */
     private final Map<String, QueryAttempt> attempts = new LinkedHashMap<>();
 
     private final EndedAttempts endedAttempts = new EndedAttempts();
 
-    /** Returns whether an attempt of this id may be added, given the maximum of attempts in flight. */
+    /** Returns whether an attempt with this id may be added, given the maximum in flight. */
     boolean accepts(String id, int maxAttempts) {
         boolean idIsFree = !attempts.containsKey(id) && !endedAttempts.contains(id);
         return idIsFree && attempts.size() < maxAttempts && !endedAttempts.isFull();
@@ -36,7 +36,7 @@
     /**
      * Sends the request of an attempt, or ends the attempt if it is past its start deadline.
      *
-     * @param onSent is called once the socket has taken the last byte of the request
+     * @param onSent called once the last byte of the request was written to the socket
      */
     void send(QueryAttempt attempt, RequestWriter writer, Runnable onSent) {
         if (attempt.isPastStartDeadline(System.nanoTime())) {
@@ -51,7 +51,7 @@
         });
     }
 
-    /** Calls {@link #send} for every attempt. */
+    /** Calls {@link #send} for each attempt. */
     void sendAll(RequestWriter writer, Runnable onSent) {
         List.copyOf(attempts.values()).forEach(attempt -> send(attempt, writer, onSent));
     }
@@ -77,10 +77,10 @@
     }
 
     /**
-     * Handles a reply and becomes the owner of its body. Duplicates, and replies to attempts that are not in
+     * Handles a reply and takes ownership of its body. Duplicates, and replies to attempts that are not in
      * flight, are ignored.
      *
-     * @throws MalformedReplyException if a page was not requested or is not acceptable
+     * @throws MalformedReplyException if a page was not requested or is invalid
      */
     void handle(Reply reply, RequestWriter writer) {
         try {
@@ -141,14 +141,14 @@
         attempt.end(end);
     }
 
-    /** Removes and returns all attempts; the caller becomes their owner. */
+    /** Removes and returns all attempts; the caller takes ownership. */
     List<QueryAttempt> removeAll() {
         List<QueryAttempt> removed = List.copyOf(attempts.values());
         attempts.clear();
         return removed;
     }
 
-    /** Allows the ids of ended attempts again whose timeouts have passed. */
+    /** Makes the ids of ended attempts available again once the timeouts have passed. */
     void freeExpiredIds(long nowNanos) {
         endedAttempts.removeExpired(nowNanos);
     }
--- a/src/main/java/lineward/engine/LineProtocol.java
+++ b/src/main/java/lineward/engine/LineProtocol.java
@@ -1,12 +1,13 @@
 package lineward.engine;
 
 /**
- * The words of the line protocol. All other code uses these constants, whose names are the field's terms.
+ * The tokens of the line protocol. Other code uses these constants, which are named after the meaning of the
+ * token.
  */
 final class LineProtocol {
-    /** Terminates a line, and the body after it. */
+    /** Terminates a header line, and the body that follows it. */
     static final String LINE_TERMINATOR = "\r\n";
-    /** The value of the fields of a reply that has none. */
+    /** Stands for the fields in a reply without fields. */
     static final String NO_FIELDS = "-";
 
     // Requests.
--- a/src/main/java/lineward/engine/MalformedReplyException.java
+++ b/src/main/java/lineward/engine/MalformedReplyException.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.DecoderException;
 
-/** An engine sent bytes that the line protocol does not allow. */
+/** Thrown if an engine's reply violates the line protocol. */
 final class MalformedReplyException extends DecoderException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/lineward/engine/ProgressReports.java
+++ b/src/main/java/lineward/engine/ProgressReports.java
@@ -6,9 +6,9 @@
 import lineward.engine.QueryAttempt.Listener;
 import lineward.scheduling.ProgressKind;
 
-/** Parses an engine's progress reports on a query. Unknown kinds and invalid amounts are ignored. */
+/** Parses an engine's progress reports on a query. Reports of unknown kind or invalid amount are ignored. */
 final class ProgressReports {
-    /** A decimal number without sign or exponent; the digits suffice for a ratio or megabytes. */
+    /** A decimal number without sign or exponent, with enough digits for a ratio or megabytes. */
     private static final Pattern AMOUNT = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,18})?");
 
     private static final int WAITING_FOR_MEMORY = 1;
@@ -16,7 +16,7 @@
 
     private ProgressReports() {}
 
-    /** Notifies the listener of the report in these fields, if its kind is known and its amount valid. */
+    /** Notifies the listener of the report in these fields if its kind is known and its amount is valid. */
     static void notify(Map<String, String> fields, Listener listener) {
         String text = fields.getOrDefault(LineProtocol.PROGRESS_AMOUNT_FIELD, "");
         if (!AMOUNT.matcher(text).matches()) {
--- a/src/main/java/lineward/engine/QueryAttempt.java
+++ b/src/main/java/lineward/engine/QueryAttempt.java
@@ -7,33 +7,33 @@
 import lineward.scheduling.ProgressKind;
 
 /**
- * One attempt to run a query at an engine: the request, the pages received and the listener to notify. It
- * owns a reference to its statement, and the pages, until it ends. Used on the event loop only.
+ * One attempt to run a query on an engine: the request, the pages received and the listener. It owns a
+ * reference to its statement, and the pages, until it ends. Used on the event loop only.
  */
 public final class QueryAttempt {
-    /** Is notified of an attempt's progress and end, on the event loop. */
+    /** Notified of an attempt's progress and end, on the event loop. */
     @FunctionalInterface
     public interface Listener {
         /**
          * The attempt has ended; called at most once.
          *
-         * @param result all rows if the outcome is OK, else null; the listener becomes its owner
+         * @param result all rows if the outcome is OK, else null; the listener takes ownership
          */
         void ended(AttemptOutcome outcome, ByteBuf result);
 
         /**
          * The engine reported progress.
          *
-         * @param amount depends on the kind: the ratio done, the megabytes missing, or the number of a reason
+         * @param amount by kind: the ratio done, the megabytes missing, or the code of what it waits for
          */
         default void progressed(ProgressKind kind, double amount) {}
     }
 
     /**
-     * Bounds of an attempt in time, counted from its creation.
+     * Time limits of an attempt, counted from its creation.
      *
      * @param timeoutMs how long the attempt may take
-     * @param startWithinMs time after which its request must not be sent any more
+     * @param startWithinMs time after which its request must no longer be sent
      */
     public record Timing(long timeoutMs, long startWithinMs) {}
 
@@ -53,12 +53,12 @@
      * Creates an attempt that has not been sent.
      *
      * @param id the request's id, forwarded unchanged
-     * @param requestClass name of the class
-     * @param statement the statement to run. It is retained until the attempt ends: the request may end, and
-     *     release it, in the same event loop run in which the connection comes up
+     * @param requestClass name of the request's class
+     * @param statement the statement to run. It is retained until the attempt ends, because the request may
+     *     end and release it in the same event loop run in which the connection is established
      * @param timing how long the attempt may take, and until when its request may be sent
-     * @param memoryGrantMb memory to reserve at the engine, rounded up; 0 leaves it to the engine
-     * @param priority from 0, the lowest, to 3
+     * @param memoryGrantMb memory to reserve at the engine, rounded up; 0 lets the engine decide
+     * @param priority priority from 0, the lowest, to 3
      */
     public QueryAttempt(
             String id,
@@ -85,7 +85,7 @@
         return id;
     }
 
-    /** Returns the name of the class. */
+    /** Returns the name of the request's class. */
     String requestClass() {
         return requestClass;
     }
@@ -115,12 +115,12 @@
         state = state.requestWritten();
     }
 
-    /** Records that the socket has taken the last byte of the request. */
+    /** Records that the last byte of the request was written to the socket. */
     void requestSent() {
         state = state.requestSent();
     }
 
-    /** Returns whether a part of the request may have been sent and the attempt has not ended. */
+    /** Returns whether part of the request may have been sent and the attempt has not ended. */
     boolean isRequestWritten() {
         return state.isRequestWritten();
     }
@@ -135,7 +135,7 @@
         return Math.max(1, TimeUnit.NANOSECONDS.toMillis(deadlineNanos - nowNanos));
     }
 
-    /** Returns whether the request must not be sent any more. */
+    /** Returns whether the request must no longer be sent. */
     boolean isPastStartDeadline(long nowNanos) {
         return startByNanos - nowNanos < 0;
     }
@@ -146,7 +146,7 @@
     }
 
     /**
-     * Returns whether the reply repeats a page that was received before.
+     * Returns whether the reply is a page that was received before.
      *
      * @throws MalformedReplyException if the reply has no valid page index
      */
@@ -167,9 +167,9 @@
     }
 
     /**
-     * Adds the first page and becomes its owner.
+     * Adds the first page and takes ownership of it.
      *
-     * @throws MalformedReplyException if the count or the page is not acceptable; the caller keeps the page
+     * @throws MalformedReplyException if the count or the page is invalid; the caller keeps ownership
      */
     void addFirstPage(int pageCount, ByteBuf page) {
         pages = ResultPages.ofCount(pageCount);
@@ -177,14 +177,13 @@
     }
 
     /**
-     * Adds a page that was not received before and becomes its owner.
+     * Adds a page that was not received before and takes ownership of it.
      *
-     * @throws MalformedReplyException if the page was not requested or is not acceptable; the caller keeps
-     *     the page
+     * @throws MalformedReplyException if the page was not requested or is invalid; the caller keeps ownership
      */
     void addPage(int index, ByteBuf page) {
         if (pages == null || !pages.accepts(index, page)) {
-            throw new MalformedReplyException("page " + index + " was not requested or has invalid rows");
+            throw new MalformedReplyException("page " + index + " was not requested or is invalid");
         }
         pages.add(index, page);
     }
@@ -199,7 +198,7 @@
         return pages.count();
     }
 
-    /** Ends the attempt and notifies the listener; ignored if it has already ended. */
+    /** Ends the attempt and notifies the listener; no effect if it has already ended. */
     void end(AttemptEnd end) {
         if (!endOnce()) {
             return;
@@ -213,7 +212,7 @@
         listener.ended(end.outcome(), result);
     }
 
-    /** Notifies the listener of a progress report; ignored if the attempt has ended. */
+    /** Notifies the listener of a progress report; no effect if the attempt has ended. */
     void progressed(Reply report) {
         if (state != QueryAttemptState.ENDED) {
             ProgressReports.notify(report.fields(), listener);
@@ -227,7 +226,7 @@
         }
     }
 
-    /** Ends the attempt and returns true; returns false if it has already ended. */
+    /** Ends the attempt; returns false if it has already ended. */
     private boolean endOnce() {
         if (state == QueryAttemptState.ENDED) {
             return false;
--- a/src/main/java/lineward/engine/Reply.java
+++ b/src/main/java/lineward/engine/Reply.java
@@ -5,10 +5,10 @@
 import java.util.regex.Pattern;
 
 /**
- * One reply of an engine. The receiver owns the body.
+ * A reply of an engine. The receiver owns the body.
  *
- * @param id id of the attempt, or tag of the heartbeat or health check, that it answers
- * @param fields by the names of {@link LineProtocol}; absent fields have no entry
+ * @param id id of the attempt, or tag of the heartbeat or health check, to which this is the reply
+ * @param fields values by the field names of {@link LineProtocol}; absent fields have no entry
  */
 record Reply(String id, ReplyType type, Map<String, String> fields, ByteBuf body) {
     private static final Pattern NUMBER_LIST =
@@ -16,8 +16,8 @@
     private static final Pattern NUMBER_SEPARATOR = Pattern.compile("[^0-9.]+");
 
     /**
-     * Returns the numbers in the field, whose separators vary; empty if the field is absent or is not a list
-     * of numbers.
+     * Returns the numbers in the field, which may be separated by any of {@code ; : | /}. The result is empty
+     * if the field is absent or not a list of at most 16 numbers.
      */
     double[] numbers(String field) {
         String text = fields.getOrDefault(field, "");
@@ -44,7 +44,7 @@
         try {
             return Integer.parseInt(text);
         } catch (NumberFormatException e) {
-            throw new MalformedReplyException("field " + field + " is not a number", e);
+            throw new MalformedReplyException("field " + field + " is not an integer", e);
         }
     }
 }
--- a/src/main/java/lineward/engine/ReplyDecoder.java
+++ b/src/main/java/lineward/engine/ReplyDecoder.java
@@ -10,25 +10,25 @@
 import java.util.regex.Pattern;
 
 /**
- * Decodes replies: a line of id, type, fields and body length, then the body and a line terminator. Runs on
- * its channel's event loop.
+ * Decodes replies. A reply is a header line of id, type, fields and body length, followed by the body and a
+ * line terminator. Runs on its channel's event loop.
  */
 final class ReplyDecoder extends ByteToMessageDecoder {
     /** Maximum length of a header line. */
     private static final int MAX_HEADER_BYTES = 1024;
-    /** Maximum length of a body; the text of an error may be longer than a page. */
+    /** Maximum length of a body. It exceeds that of a page because the text of an error may be longer. */
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
     private static final int HEADER_PARTS = 4;
     private static final int LINE_TERMINATOR_BYTES = LineProtocol.LINE_TERMINATOR.length();
     private static final Pattern FIELD_SEPARATOR = Pattern.compile(",");
 
-    /** The header of the reply whose body has not arrived completely; null if there is none. */
+    /** The header of the reply whose body is incomplete; null if there is none. */
     private Header header;
 
     private record Header(String id, ReplyType type, Map<String, String> fields, int bodyBytes) {}
 
-    /** Returns whether part of an incomplete reply was received. */
+    /** Returns whether the start of a reply was received, but not its end. */
     boolean hasPartialReply() {
         return header != null || actualReadableBytes() > 0;
     }
@@ -43,7 +43,7 @@
         }
         int bodyEnd = in.readerIndex() + header.bodyBytes;
         if (in.getByte(bodyEnd) != '\r' || in.getByte(bodyEnd + 1) != '\n') {
-            throw new MalformedReplyException("no line terminator after a body");
+            throw new MalformedReplyException("body is not followed by CRLF");
         }
         ByteBuf body = in.readRetainedSlice(header.bodyBytes);
         output.add(new Reply(header.id, header.type, header.fields, body));
@@ -51,17 +51,17 @@
         header = null;
     }
 
-    /** Returns the next header, or null while its line is incomplete. */
+    /** Returns the next header, or null if its line is incomplete. */
     private static Header readHeader(ByteBuf in) {
         int newlineOffset = in.bytesBefore((byte) '\n');
         if (newlineOffset < 0 || newlineOffset > MAX_HEADER_BYTES) {
             if (in.readableBytes() > MAX_HEADER_BYTES) {
-                throw new MalformedReplyException("line too long");
+                throw new MalformedReplyException("header line is too long");
             }
             return null;
         }
         if (newlineOffset < 1 || in.getByte(in.readerIndex() + newlineOffset - 1) != '\r') {
-            throw new MalformedReplyException("line feed without carriage return");
+            throw new MalformedReplyException("header line does not end with CRLF");
         }
         CharSequence header = in.readCharSequence(newlineOffset - 1, StandardCharsets.ISO_8859_1);
         in.skipBytes(LINE_TERMINATOR_BYTES);
@@ -71,7 +71,7 @@
     private static Header parseHeader(String text) {
         String[] parts = text.split(" ", -1);
         if (parts.length != HEADER_PARTS || parts[0].isEmpty()) {
-            throw new MalformedReplyException("line of " + parts.length + " words");
+            throw new MalformedReplyException("invalid header of " + parts.length + " parts");
         }
         ReplyType type = ReplyType.parse(parts[1]);
         return new Header(parts[0], type, parseFields(parts[2]), parseBodyLength(parts[3]));
@@ -82,10 +82,10 @@
         try {
             bytes = Integer.parseInt(text);
         } catch (NumberFormatException e) {
-            throw new MalformedReplyException("body length is not a number", e);
+            throw new MalformedReplyException("body length is not an integer", e);
         }
         if (bytes < 0 || bytes > MAX_BODY_BYTES) {
-            throw new MalformedReplyException("body of " + bytes + " bytes");
+            throw new MalformedReplyException("body length " + bytes + " is out of range");
         }
         return bytes;
     }
@@ -98,7 +98,7 @@
         FIELD_SEPARATOR.splitAsStream(text).forEach(field -> {
             int equalsSign = field.indexOf('=');
             if (equalsSign < 1) {
-                throw new MalformedReplyException("field without a name");
+                throw new MalformedReplyException("header field has no name");
             }
             fields.put(field.substring(0, equalsSign), field.substring(equalsSign + 1));
         });
--- a/src/main/java/lineward/engine/ReplyType.java
+++ b/src/main/java/lineward/engine/ReplyType.java
@@ -5,19 +5,19 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** Kinds of reply that an engine can send. */
+/** Types of replies that an engine sends. */
 enum ReplyType {
     /** The first page of a result. */
     FIRST_PAGE(LineProtocol.FIRST_PAGE),
     /** A later page of a result. */
     NEXT_PAGE(LineProtocol.NEXT_PAGE),
-    /** The engine has no capacity; the query did not start. */
+    /** The engine rejected the query for lack of capacity; the query did not start. */
     REJECTED(LineProtocol.REJECTED),
-    /** The engine received the query after its timeout; it did not start. */
+    /** The engine received the query after its timeout; the query did not start. */
     EXPIRED(LineProtocol.EXPIRED),
-    /** The query failed, or the engine has already dropped the query or its result. */
+    /** The query failed, or the engine no longer has the query or its result. */
     ERROR(LineProtocol.ERROR),
-    /** Progress of a query that has not ended. */
+    /** A progress report on a query in flight. */
     PROGRESS(LineProtocol.PROGRESS),
     /** The answer to a heartbeat, or to a health check of a healthy engine. */
     HEALTHY(LineProtocol.HEALTHY),
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Returns the type with this word in the line protocol.
+     * Returns the type with this token in the line protocol.
      *
-     * @throws MalformedReplyException if the protocol has no such word
+     * @throws MalformedReplyException if no type has this token
      */
     static ReplyType parse(String token) {
         ReplyType type = BY_TOKEN.get(token);
--- a/src/main/java/lineward/engine/RequestWriter.java
+++ b/src/main/java/lineward/engine/RequestWriter.java
@@ -4,7 +4,7 @@
 import io.netty.channel.Channel;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes requests to an engine and writes them to its channel, on the channel's event loop. */
+/** Encodes requests to an engine and writes them to a channel, on the channel's event loop. */
 final class RequestWriter {
     private final Channel channel;
 
@@ -15,7 +15,7 @@
     /**
      * Sends the query of an attempt.
      *
-     * @param onSent is called once the socket has taken the last byte; never if a write fails
+     * @param onSent called once the last byte was written to the socket; not called if that write fails
      */
     void startQuery(QueryAttempt attempt, Runnable onSent) {
         channel.write(encode(encodeQueryHeader(attempt))).addListener(FailureLog.CHANNEL);
--- a/src/main/java/lineward/engine/ResultPages.java
+++ b/src/main/java/lineward/engine/ResultPages.java
@@ -4,14 +4,14 @@
 import io.netty.buffer.CompositeByteBuf;
 import io.netty.buffer.Unpooled;
 
-/** The pages of one result, which it owns until they are detached or released. Not thread-safe. */
+/** Owns the pages of one result until they are detached or released. Not thread-safe. */
 final class ResultPages {
-    /** Maximum bytes of a result. */
+    /** Maximum size of a result. */
     private static final int MAX_RESULT_BYTES = 48_000;
 
-    /** Maximum bytes of a page. */
+    /** Maximum size of a page. */
     private static final int MAX_PAGE_BYTES = 6_000;
-    /** Maximum pages of a result, enough for short rows that each have a page of their own. */
+    /** Maximum number of pages of a result; enough for short rows with one row a page. */
     private static final int MAX_PAGES = 1024;
 
     private final ByteBuf[] pages;
@@ -24,13 +24,13 @@
     }
 
     /**
-     * Returns a result of that many pages, all missing.
+     * Returns a result of that many pages, none of them received.
      *
      * @throws MalformedReplyException if the count is out of range
      */
     static ResultPages ofCount(int count) {
         if (count < 1 || count > MAX_PAGES) {
-            throw new MalformedReplyException("result of " + count + " pages");
+            throw new MalformedReplyException("page count " + count + " is out of range");
         }
         return new ResultPages(count);
     }
@@ -43,12 +43,12 @@
         return missingPages == 0;
     }
 
-    /** Returns whether the page at that index was added. */
+    /** Returns whether the page at this index was added. */
     boolean contains(int index) {
         return index >= 0 && index < pages.length && pages[index] != null;
     }
 
-    /** Returns whether the index is in range, the size within the bounds and each row complete. */
+    /** Returns whether the index is in range, the size within the limits and each row complete. */
     boolean accepts(int index, ByteBuf page) {
         int bytes = page.readableBytes();
         boolean inRange = index >= 0 && index < pages.length;
@@ -56,14 +56,14 @@
         return inRange && withinBounds && Rows.areComplete(page);
     }
 
-    /** Adds a page that is acceptable and missing, and becomes its owner. */
+    /** Adds a missing page that is acceptable, and takes ownership of it. */
     void add(int index, ByteBuf page) {
         pages[index] = page;
         receivedBytes += page.readableBytes();
         missingPages--;
     }
 
-    /** Returns all pages of a complete result in one buffer, whose owner is the caller. */
+    /** Returns all pages of a complete result in one buffer, which the caller owns. */
     ByteBuf detach() {
         CompositeByteBuf result = Unpooled.compositeBuffer(pages.length);
         result.addComponents(true, pages);
