--- a/src/test/java/lineward/discovery/DiscoveryClientTest.java
+++ b/src/test/java/lineward/discovery/DiscoveryClientTest.java
@@ -32,7 +32,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The client on real sockets, with services that fail in each way and a file truncated at each length. */
+/** Tests the client on real sockets with each fault of a service, and a file truncated at each length. */
 public class DiscoveryClientTest {
     private static final int TICK_MS = 5;
 
@@ -44,7 +44,7 @@
         ANSWERS_MALFORMED
     }
 
-    /** A service that answers each client at once with its only event, or fails in the given way. */
+    /** A service that responds to each poll at once with its only event, or fails in the given way. */
     private static final class Service implements AutoCloseable {
         final ServerSocket server;
         final List<Socket> sockets = new CopyOnWriteArrayList<>();
@@ -75,7 +75,7 @@
                         try {
                             task.run();
                         } catch (IOException e) {
-                            // The client has disconnected or this service is closed.
+                            // The client has disconnected, or this service was closed.
                         }
                     },
                     "service");
@@ -163,7 +163,7 @@
         return service;
     }
 
-    /** The file contains an address and an end marker, without which it counts as incomplete. */
+    /** Writes the file. Its content is an address and an end marker, without which it is incomplete. */
     private void write(String text) throws IOException {
         Files.writeString(file, text);
     }
@@ -220,7 +220,7 @@
         awaitEvent(3);
     }
 
-    /** The old service is gone or silent and the signal is lost: its failure causes a read of the file. */
+    /** Without SIGHUP, the failure of the old service causes a read of the file with the new address. */
     @Test(dataProvider = "faults")
     public void aServiceThatFailsLaterIsReplacedByTheOneInTheFile(Behaviour fault) throws IOException {
         Service old = service(3, Behaviour.ANSWERS);
--- a/src/test/java/lineward/discovery/DiscoverySimulation.java
+++ b/src/test/java/lineward/discovery/DiscoverySimulation.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 
 /**
- * A poll policy in simulated time, with three services that fail and a configuration file that names one of
- * them. Measures the longest time without a poll at the named service while the file was complete and the
- * service healthy.
+ * Runs a poll policy in simulated time, with three services that fail and a configuration file that contains
+ * the address of one of them. Measures the longest time without a poll at that service while the file is
+ * complete and the service is healthy.
  */
 final class DiscoverySimulation implements PollStep.Handler {
     private static final List<String> ADDRESSES = List.of("a:1", "b:1", "c:1");
@@ -27,7 +27,7 @@
     }
 
     /**
-     * One service and its behaviour; a connection that is open during a fault keeps the fault until it ends.
+     * One service and its behaviour. A connection that is open during a fault keeps it until it is closed.
      */
     static final class Service {
         Behaviour behaviour = Behaviour.HEALTHY;
@@ -64,7 +64,7 @@
         return ADDRESSES.get(random.nextInt(ADDRESSES.size()));
     }
 
-    /** Returns a random faulty behaviour. */
+    /** Returns a random behaviour other than {@link Behaviour#HEALTHY}. */
     Behaviour randomFault() {
         Behaviour[] all = Behaviour.values();
         return all[1 + random.nextInt(all.length - 1)];
@@ -74,7 +74,7 @@
         tasks.computeIfAbsent(atMs, key -> new ArrayList<>()).add(task);
     }
 
-    /** A reload by the platform: the file changes, the old service becomes silent and closes. */
+    /** Schedules a reload: the file is replaced, and the old service stops responding and closes later. */
     void reload(double atMs, boolean signalled) {
         String target = randomAddress();
         double brokenMs = random.nextInt(3) == 0 ? random.nextDouble() * 3000 : 0;
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Heals the service if the file names it; otherwise it has moved and stays faulty. */
+    /** Makes the service healthy if the file contains its address; otherwise it stays faulty. */
     void heal(String name) {
         if (name.equals(file)) {
             services.get(name).behaviour = Behaviour.HEALTHY;
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Records the time without a poll at the healthy service, in which no event can be received. */
+    /** Updates the longest time without a poll at the healthy service, when no event can be received. */
     private void measure() {
         boolean available = file != null && services.get(file).behaviour == Behaviour.HEALTHY;
         boolean polled = available && connections.keySet().stream().anyMatch(this::isPollAtNamedService);
--- a/src/test/java/lineward/discovery/EndpointListTest.java
+++ b/src/test/java/lineward/discovery/EndpointListTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Responses of service discovery: full snapshots, incremental updates and malformed ones. */
+/** Tests full snapshots, incremental updates and malformed responses of service discovery. */
 public class EndpointListTest {
     private static final String ENTRY = "{'instanceId':'s-1','hostPort':'127.0.0.1:9','zone':'b',"
             + "'machineType':'std','cell':2,'lifecycle':'ready','weight':4,'startedAtMs':7}";
--- a/src/test/java/lineward/discovery/FileReadScheduleTest.java
+++ b/src/test/java/lineward/discovery/FileReadScheduleTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of the file's reads, and when the next one is due. */
+/** Tests the state transitions of file reads, and when the next read is due. */
 public class FileReadScheduleTest {
     private static final double HEALTHY = Double.POSITIVE_INFINITY;
 
@@ -58,7 +58,7 @@
         };
     }
 
-    /** No state after the event: the transition does not exist. */
+    /** Null as the state after the event means that the transition is invalid. */
     @Test(dataProvider = "transitions")
     public void eachEventLeadsToTheStateOfTheTable(State before, Event event, State after) {
         FileReadSchedule schedule = in(before);
--- a/src/test/java/lineward/discovery/PollConnectionTest.java
+++ b/src/test/java/lineward/discovery/PollConnectionTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of a connection, and the limit on the wait in each state. */
+/** Tests the state transitions of a connection, and the limit on the wait in each state. */
 public class PollConnectionTest {
     private enum Event {
         POLL,
@@ -46,7 +46,7 @@
         };
     }
 
-    /** No state after the event: the transition does not exist. */
+    /** Null as the state after the event means that the transition is invalid. */
     @Test(dataProvider = "transitions")
     public void eachEventLeadsToTheStateOfTheTable(State before, Event event, State after) {
         PollConnection connection = in(before);
--- a/src/test/java/lineward/discovery/PollPolicyTest.java
+++ b/src/test/java/lineward/discovery/PollPolicyTest.java
@@ -9,14 +9,14 @@
 import org.testng.annotations.Test;
 
 /**
- * Seeded schedules of reloads, broken files and faulty services: after each fault a poll soon waits at the
- * service again.
+ * Tests over seeded schedules of reloads, incomplete files and faulty services that an available service is
+ * polled again within a limit after each fault.
  */
 public class PollPolicyTest {
     private static final double MAX_UNPOLLED_MS = 2000;
     private static final PollResponse CHANGED = new PollResponse(true, false);
 
-    /** Reloads and faults at seeded times; every third schedule begins with a faulty service. */
+    /** Returns a schedule of reloads and faults at seeded times; every third starts with a faulty service. */
     private static DiscoverySimulation seededSchedule(int seed) {
         DiscoverySimulation simulation = new DiscoverySimulation(seed, seed % 5 == 0);
         if (seed % 3 == 0) {
@@ -55,7 +55,7 @@
         assertTrue(longestUnpolledMs > 500, "the schedules contain faults");
     }
 
-    /** The silence of the old service causes a read of a file that was replaced without a signal. */
+    /** Without SIGHUP, the file is read again because the old service has stopped responding. */
     @Test
     public void aFileReplacedWithoutASignalIsReadOnceTheOldServiceIsSilent() {
         for (int seed = 0; seed < 20; seed++) {
--- a/src/test/java/lineward/engine/AttemptEndTest.java
+++ b/src/test/java/lineward/engine/AttemptEndTest.java
@@ -29,7 +29,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The outcome of each end of an attempt, and whether the request may have run. */
+/** Tests the outcome of each end of an attempt, and whether the request may have run. */
 public class AttemptEndTest {
     private static final EngineCluster.Limits LIMITS = new EngineCluster.Limits(250, 30_000, 10, 100, false);
     /** The only ends after which a request that is not idempotent may be retried. */
@@ -87,7 +87,7 @@
         return new Object[][] {{0, false}, {1, false}, {2, false}, {3, true}};
     }
 
-    /** A request is written in three parts; the engine has it only once the socket has taken the last. */
+    /** A request is written in three parts; it counts as sent once the last was written to the socket. */
     @Test(dataProvider = "writes")
     public void requestCountsAsSentOnceTheSocketHasItsLastByte(int succeedingWrites, boolean sent) {
         RecordingListener listener = new RecordingListener();
--- a/src/test/java/lineward/engine/ConnectionAttemptsTest.java
+++ b/src/test/java/lineward/engine/ConnectionAttemptsTest.java
@@ -15,7 +15,7 @@
 import lineward.scheduling.AttemptOutcome;
 import org.testng.annotations.Test;
 
-/** Lifecycle of attempts on one connection to an engine. */
+/** Tests the lifecycle of attempts on one connection to an engine. */
 public class ConnectionAttemptsTest {
     private static ByteBuf statement(String text) {
         return PooledByteBufAllocator.DEFAULT.buffer(64).writeBytes(text.getBytes(StandardCharsets.UTF_8));
@@ -30,7 +30,7 @@
         return all.toString();
     }
 
-    /** A client aborts its request in the same event loop run in which the connection comes up. */
+    /** A client may abort its request in the event loop run in which the connection is established. */
     @Test
     public void attemptRetainsItsStatementWhenItsRequestEnds() {
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_LISTENER);
@@ -62,7 +62,7 @@
         statement.release();
     }
 
-    /** Engines forget idempotency keys: a retry whose connection came up too late would run a second time. */
+    /** Engines drop idempotency keys after a time: a retry that is sent too late would run a second time. */
     @Test
     public void attemptPastItsStartDeadlineIsNotSent() {
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_LISTENER);
@@ -74,7 +74,7 @@
         statement.release();
     }
 
-    /** An engine that rejects everything must not let ids pile up. */
+    /** If an engine rejects every request, the ids of ended attempts must not accumulate without bound. */
     @Test
     public void numberOfRememberedEndedAttemptsIsBounded() {
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_LISTENER);
--- a/src/test/java/lineward/engine/ConnectionStateTest.java
+++ b/src/test/java/lineward/engine/ConnectionStateTest.java
@@ -5,7 +5,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of a connection's states. */
+/** Tests the state transitions of a connection. */
 public class ConnectionStateTest {
     private static final ConnectionState CONNECTING = ConnectionState.CONNECTING;
     private static final ConnectionState OVERDUE = ConnectionState.CONNECT_OVERDUE;
@@ -15,8 +15,8 @@
     private static final ConnectionState CLOSED = ConnectionState.CLOSED;
 
     /**
-     * A state, then its targets: connect overdue, connected, heartbeat sent, cancelled, reply received,
-     * closed.
+     * Rows of a state and its successor on each event: connect overdue, connected, heartbeat sent, attempt
+     * cancelled, reply received, closed.
      */
     @DataProvider
     public Object[][] transitions() {
--- a/src/test/java/lineward/engine/FaultAttributionTest.java
+++ b/src/test/java/lineward/engine/FaultAttributionTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Which failures of connections are their engine's fault. */
+/** Tests which connection failures are attributed to the engine. */
 public class FaultAttributionTest {
     @DataProvider
     public Object[][] connectFailures() {
--- a/src/test/java/lineward/engine/HealthCheckTest.java
+++ b/src/test/java/lineward/engine/HealthCheckTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The request of a health check, and the replies that answer it. */
+/** Tests the request of a health check, and which replies answer it. */
 public class HealthCheckTest {
     private final List<String> received = new ArrayList<>();
 
@@ -53,7 +53,7 @@
         };
     }
 
-    /** A duplicate answer, and one with another tag, is ignored. */
+    /** A duplicate answer and an answer with another tag are ignored. */
     @Test(dataProvider = "answers")
     public void onlyTheFirstAnswerWithItsTagCounts(
             HealthCheck.Kind kind, String verb, String answer, List<String> expected) {
--- a/src/test/java/lineward/engine/InFlightAttemptsTest.java
+++ b/src/test/java/lineward/engine/InFlightAttemptsTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Ownership of the body of a reply. */
+/** Tests that the body of a malformed reply is released. */
 public class InFlightAttemptsTest {
     private static final QueryAttempt.Timing TIMING = new QueryAttempt.Timing(1000, 1000);
 
--- a/src/test/java/lineward/engine/ProgressReportsTest.java
+++ b/src/test/java/lineward/engine/ProgressReportsTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Which progress reports notify the listener, and which are ignored. */
+/** Tests which progress reports notify the listener, and which are ignored. */
 public class ProgressReportsTest {
     @DataProvider
     public Object[][] reports() {
@@ -51,7 +51,7 @@
         assertEquals(listener.events, expected == null ? List.of() : List.of(expected + " " + value));
     }
 
-    /** A report may cross the cancellation of its attempt. */
+    /** A report may arrive after its attempt was cancelled. */
     @Test
     public void reportAfterTheEndIsIgnored() {
         RecordingListener listener = new RecordingListener();
--- a/src/test/java/lineward/engine/QueryAttemptStateTest.java
+++ b/src/test/java/lineward/engine/QueryAttemptStateTest.java
@@ -5,14 +5,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of an attempt's states. */
+/** Tests the state transitions of an attempt. */
 public class QueryAttemptStateTest {
     private static final QueryAttemptState WAITING = QueryAttemptState.WAITING;
     private static final QueryAttemptState WRITTEN = QueryAttemptState.WRITTEN;
     private static final QueryAttemptState SENT = QueryAttemptState.SENT;
     private static final QueryAttemptState ENDED = QueryAttemptState.ENDED;
 
-    /** A state, its targets (request written, request sent, ended), and whether its request is written. */
+    /** Rows of a state, its successors (request written, sent, ended), and whether the request is written. */
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
--- a/src/test/java/lineward/engine/ReplyDecoderTest.java
+++ b/src/test/java/lineward/engine/ReplyDecoderTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Decoding of replies, and rejection of malformed ones. */
+/** Tests the decoding of replies, and the rejection of malformed ones. */
 public class ReplyDecoderTest {
     @Test
     public void repliesAreDecodedWhereverTheBytesAreSplit() {
--- a/src/test/java/lineward/engine/RequestWriterTest.java
+++ b/src/test/java/lineward/engine/RequestWriterTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The bytes of each request in the line protocol. */
+/** Tests the encoding of each request of the line protocol. */
 public class RequestWriterTest {
     private static String written(Consumer<RequestWriter> request) {
         EmbeddedChannel channel = new EmbeddedChannel();
