--- a/src/test/java/lineward/discovery/DiscoverySimulation.java
+++ b/src/test/java/lineward/discovery/DiscoverySimulation.java
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Makes the service healthy if the file contains its address; otherwise it stays faulty. */
+    /** Makes the service healthy if the file has its address; otherwise it was moved and stays faulty. */
     void heal(String name) {
         if (name.equals(file)) {
             services.get(name).behaviour = Behaviour.HEALTHY;
