--- a/src/main/java/lineward/lifecycle/DrainSchedule.java
+++ b/src/main/java/lineward/lifecycle/DrainSchedule.java
@@ -1,18 +1,18 @@
 package lineward.lifecycle;
 
 /**
- * Decides when the connections of a drain close: over a period, so that clients do not reconnect all at the
- * same time. Does no I/O; times are milliseconds since the start of the drain.
+ * Decides when connections are closed during a drain. The closes are spread over a period, so that clients do
+ * not all reconnect at the same time. Does no I/O; times are milliseconds since the start of the drain.
  */
 enum DrainSchedule {
-    /** An operator drains this process: its clients reconnect to other front ends. */
+    /** A drain started by an operator: clients reconnect to other front ends. */
     OPERATOR_DRAIN(1500) {
         @Override
         boolean rejectsRequests(double elapsedMs) {
             return elapsedMs >= REJECT_AFTER_MS;
         }
     },
-    /** A hot restart: clients reconnect to the same socket, and two processes share the work until then. */
+    /** A hot restart: clients reconnect to the same socket, and two processes share the load until then. */
     HOT_RESTART(400) {
         @Override
         boolean rejectsRequests(double elapsedMs) {
@@ -20,10 +20,11 @@
         }
     };
 
-    /** Clients still open connections before this time; afterwards idle ones are closed. */
+    /** Clients may still open connections before this time; afterwards idle connections are closed. */
     private static final double FIRST_CLOSE_AFTER_MS = 300;
     /**
-     * A connection that is open at 4 s must not have carried a request for 2 s, so rejections start earlier.
+     * A connection that is still open after 4 s must have carried no request for the last 2 s, so requests
+     * are rejected from shortly before 2 s on.
      */
     private static final double REJECT_AFTER_MS = 1800;
 
@@ -44,8 +45,8 @@
     /**
      * Returns the probability with which each idle connection is closed now; 1 at the end of the schedule.
      *
-     * @param elapsedMs since the start of the drain
-     * @param intervalMs until the next call
+     * @param elapsedMs time since the start of the drain
+     * @param intervalMs time until the next call
      */
     double closeProbability(double elapsedMs, double intervalMs) {
         double remainingMs = allClosedAfterMs - elapsedMs;
--- a/src/main/java/lineward/lifecycle/HotRestart.java
+++ b/src/main/java/lineward/lifecycle/HotRestart.java
@@ -7,24 +7,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Shares the operators' maintenance orders among the processes of one front end during a hot restart, and
- * with the process that takes over. Each process writes its own file and reads the files of the others. A
- * file that can't be read, or that is out of date, is skipped. {@link HotRestartPolicy} decides; this class
- * reads, writes, logs and notifies. Runs on the event loop, which waits for its reads and writes: the files
- * are a few hundred bytes in a directory of the local machine.
+ * Shares operators' maintenance commands among the processes of one front end during a hot restart, including
+ * the process that takes over. Each process writes its own file and reads the files of the others. A file
+ * that can't be read is skipped; one that has expired is deleted. {@link HotRestartPolicy} decides; this
+ * class reads, writes, logs and notifies. Runs on the event loop and blocks it during reads and writes,
+ * which is short: the files are a few hundred bytes in a directory of the local machine.
  */
 public final class HotRestart {
-    /** Is notified of changes, on the event loop. */
+    /** Is notified of changes; called on the event loop. */
     public interface Listener {
         /**
-         * An engine is excluded from requests or used again.
+         * An engine has been excluded from requests, or released.
          *
          * @param excluded true while the engine gets no requests
-         * @param sinceMs when the operator gave the order, in Unix milliseconds
+         * @param sinceMs when the operator gave the command, in Unix milliseconds
          */
         void maintenanceChanged(String engine, boolean excluded, double sinceMs);
 
-        /** This process's quota of the front end's work has changed; it is in (0, 1]. */
+        /** This process's quota of the front end's load has changed; it is in (0, 1]. */
         void quotaChanged(double quota);
     }
 
@@ -34,13 +34,13 @@
         READ
     }
 
-    /** The interval at which a running process rewrites its file. */
+    /** Interval at which a running process rewrites its file. */
     static final int HEARTBEAT_MS = 500;
 
     private static final Logger LOG = LoggerFactory.getLogger(HotRestart.class);
 
     private final HotRestartPolicy policy = new HotRestartPolicy();
-    /** Null if the processes share no directory. */
+    /** Null if no shared directory is configured. */
     private final PeerStateFiles files;
 
     private final DoubleSupplier clock;
@@ -49,11 +49,11 @@
     private boolean left;
 
     /**
-     * Prepares the exchange; nothing is read or written yet.
+     * Prepares the exchange without reading or writing anything.
      *
-     * @param directory which only the processes of a hot restart share; null if nothing is shared
-     * @param name of this front end, the same for the process that takes over
-     * @param clock Unix milliseconds
+     * @param directory that only the processes of a hot restart share; null if nothing is shared
+     * @param name of this front end; the process that takes over uses the same name
+     * @param clock the current time in Unix milliseconds
      */
     public HotRestart(Path directory, String name, DoubleSupplier clock, Listener listener) {
         long startedAtMs = Math.round(clock.getAsDouble());
@@ -67,7 +67,10 @@
         return policy.isExcluded(engine);
     }
 
-    /** An operator gives an order, which is in effect and written to the file when this returns. */
+    /**
+     * Applies an operator's command. When this method returns, the command is in effect and has been written
+     * to this process's file, unless the write failed.
+     */
     public void setMaintenance(String engine, boolean excluded) {
         apply(new MaintenanceOrder(engine, excluded, clock.getAsDouble()));
         writeState();
@@ -81,7 +84,7 @@
         }
     }
 
-    /** Writes this process's file, which is also its heartbeat. */
+    /** Writes this process's file, whose time is also its heartbeat. */
     public void writeState() {
         if (files == null || left) {
             return;
@@ -94,7 +97,7 @@
         }
     }
 
-    /** Applies the orders of the other processes of this front end, and updates the quota. */
+    /** Applies the commands of this front end's other processes, and updates the quota. */
     public void readPeers() {
         if (files == null) {
             return;
@@ -114,7 +117,8 @@
     }
 
     /**
-     * Applies the orders in a file, or deletes the file if it has expired; returns whether its process runs.
+     * Applies the commands in a file, or deletes the file if it has expired. Returns whether the process that
+     * wrote it is running.
      */
     private boolean isRunningAfterReading(Path file) {
         try {
@@ -136,7 +140,10 @@
         }
     }
 
-    /** This process ends: another process has read its orders. */
+    /**
+     * Deletes this process's file at the end of the process, when the process that takes over has read it; no
+     * further file is written.
+     */
     public void leave() {
         left = true;
         if (files != null) {
@@ -144,7 +151,7 @@
         }
     }
 
-    /** Logs the first of consecutive failures, which the next successful write ends. */
+    /** Logs only the first of consecutive failures; the next successful write ends the series. */
     private void logFirstFailure(Operation operation, Path file, IOException failure) {
         if (!failureLogged) {
             failureLogged = true;
--- a/src/main/java/lineward/lifecycle/HotRestartPolicy.java
+++ b/src/main/java/lineward/lifecycle/HotRestartPolicy.java
@@ -5,31 +5,31 @@
 import java.util.TreeMap;
 
 /**
- * Decides which maintenance orders are in effect, and this process's quota of the front end's work. Of two
- * orders on one engine the later one is in effect. Does no I/O; times are Unix milliseconds. {@link
+ * Decides which maintenance commands are in effect, and this process's quota of the front end's load. Of two
+ * commands for one engine the later one is in effect. Does no I/O; times are Unix milliseconds. {@link
  * HotRestart} calls it on the event loop.
  */
 final class HotRestartPolicy {
-    /** The status of another process, by the age of its file. */
+    /** The status of another process, judged by the time in its file. */
     enum PeerStatus {
         /** It is running and has a quota. */
         RUNNING,
-        /** It has ended; its orders are still in effect. */
+        /** It has ended; its commands are still in effect. */
         ENDED,
-        /** It ended long ago; its file has to be deleted. */
+        /** It ended long ago, or its time is unusable; its file has to be deleted. */
         EXPIRED
     }
 
-    /** Several heartbeats, so that a late one does not end a running process. */
+    /** Several heartbeats, so that a process with a late heartbeat still counts as running. */
     private static final double RUNNING_MAX_AGE_MS = 3_000;
-    /** Long enough for a process that takes over to read the file. */
+    /** Gives the process that takes over enough time to read the file. */
     private static final double ENDED_MAX_AGE_MS = 10_000;
-    /** Longer than a slow start, so that the order is remembered while it affects the engine. */
+    /** Longer than a slow start, so that a release is remembered while it still affects the engine. */
     private static final double REVOKED_ORDER_TTL_MS = 60_000;
-    /** Limit on the difference between the clocks of two processes. */
+    /** Maximum tolerated difference between the clocks of two processes. */
     private static final double MAX_CLOCK_SKEW_MS = 1_000;
 
-    /** The order in effect for each engine; bounded by the engines that operators have named. */
+    /** The command in effect for each engine; bounded by the engines that operators have named. */
     private final Map<String, MaintenanceOrder> orders = new TreeMap<>();
 
     private double quota = 1;
@@ -40,7 +40,10 @@
         return order != null && order.excluded();
     }
 
-    /** Applies an order unless it is out of date; returns whether it changes its engine's exclusion. */
+    /**
+     * Applies a command unless it is no later than the one in effect. Returns whether the engine's exclusion
+     * changes; the first command for an engine always counts as a change.
+     */
     boolean apply(MaintenanceOrder order) {
         MaintenanceOrder previous = orders.get(order.engine());
         if (previous != null && previous.sinceMs() >= order.sinceMs()) {
@@ -51,14 +54,14 @@
     }
 
     /**
-     * Returns whether an order of another process is credible: one from the future would override later
-     * orders.
+     * Returns whether the time of another process's command is credible: a command from the future would
+     * override later ones.
      */
     boolean isCredible(MaintenanceOrder order, double nowMs) {
         return order.sinceMs() < nowMs + MAX_CLOCK_SKEW_MS;
     }
 
-    /** Returns the state to share with other processes, and removes orders revoked long ago. */
+    /** Returns the state to share with other processes, after removing releases given long ago. */
     PeerState snapshot(double nowMs) {
         double oldestMs = nowMs - REVOKED_ORDER_TTL_MS;
         orders.values().removeIf(order -> !order.excluded() && order.sinceMs() < oldestMs);
@@ -66,7 +69,8 @@
     }
 
     /**
-     * Returns the status of the process that wrote this state; a time in the future counts like the past.
+     * Returns the status of the process that wrote this state; a time in the future counts like the same age
+     * in the past.
      */
     PeerStatus statusOf(PeerState peer, double nowMs) {
         double ageMs = Math.abs(nowMs - peer.writtenAtMs());
@@ -76,14 +80,14 @@
         return ageMs < RUNNING_MAX_AGE_MS ? PeerStatus.RUNNING : PeerStatus.ENDED;
     }
 
-    /** Sets the number of other running processes; returns whether this process's quota changes. */
+    /** Sets the number of other running processes; returns whether this changes the quota. */
     boolean setRunningPeers(int peers) {
         double previous = quota;
         quota = 1.0 / (1 + peers);
         return quota != previous;
     }
 
-    /** Returns this process's quota of the front end's work, in (0, 1]. */
+    /** Returns this process's quota of the front end's load, in (0, 1]. */
     double quota() {
         return quota;
     }
--- a/src/main/java/lineward/lifecycle/InheritedListener.java
+++ b/src/main/java/lineward/lifecycle/InheritedListener.java
@@ -16,9 +16,9 @@
 
 /**
  * A listening socket that was inherited as descriptor 0 and is shared with other processes. Two processes may
- * wake up for the same connection, and they share the flag that makes the socket non-blocking: if another
- * process clears it, the second accept blocks until the next connection. Therefore a thread of its own
- * accepts.
+ * wake up for the same connection, and all share the flag that makes the socket non-blocking: if another
+ * process clears it, the second accept blocks until the next connection arrives. Accepts therefore run on a
+ * dedicated thread.
  */
 public final class InheritedListener implements Listener {
     private final ServerSocketChannel socket;
@@ -30,7 +30,7 @@
     /**
      * Returns the listener on descriptor 0.
      *
-     * @throws IllegalArgumentException if the descriptor is not 0, or is no listening socket
+     * @throws IllegalArgumentException if the descriptor is not 0, or not a listening socket
      */
     public static InheritedListener fromDescriptor(String descriptor) {
         try {
@@ -40,14 +40,14 @@
         } catch (IOException e) {
             throw new IllegalArgumentException("descriptor 0 can't be used: " + e.getMessage(), e);
         }
-        throw new IllegalArgumentException("descriptor " + descriptor + " is no listening socket");
+        throw new IllegalArgumentException("descriptor " + descriptor + " is not a listening socket");
     }
 
     @Override
     public ChannelFuture bind(ServerBootstrap clients, EventLoopGroup loop) {
         DefaultThreadFactory threads = new DefaultThreadFactory("accept", true);
         EventLoopGroup acceptor = new MultiThreadIoEventLoopGroup(1, threads, NioIoHandler.newFactory());
-        // One accept for each wake-up: a second one may block, and delay the connection accepted first.
+        // One accept per wake-up: a second one may block and delay the connection that was accepted first.
         ServerChannelRecvByteBufAllocator singleAccept = new ServerChannelRecvByteBufAllocator();
         singleAccept.maxMessagesPerRead(1);
         return clients.group(acceptor, loop)
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Stops accepting without closing the socket: other processes share it, and a close would replace the log
-     * by the null device.
+     * Stops accepting without closing the socket. Other processes share it, and closing an inherited channel
+     * makes the Java runtime redirect the standard streams, and so the log, to the null device.
      */
     @Override
     public void stopAccepting(Channel listener) {
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -13,23 +13,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out the transitions of this process: start, operators' drains, and the graceful shutdown after
- * SIGTERM. All methods are called on the event loop, except {@link #shutdownGracefully}.
+ * Carries out the state transitions of this process: start, operators' drains, and the graceful shutdown
+ * after SIGTERM. All methods are called on the event loop, except {@link #shutdownGracefully}.
  */
 public final class Lifecycle implements AdminOperations {
     /**
-     * How this process ends after SIGTERM.
+     * How this process shuts down after SIGTERM.
      *
      * @param inherited whether other processes accept on the clients' socket, so that this one stops
-     *     accepting
+     *     accepting at once
      * @param shutdownDeadlineMs time after SIGTERM at which open requests are failed
      */
     public record ShutdownOptions(boolean inherited, int shutdownDeadlineMs) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(Lifecycle.class);
-    /** Requests still arrive for 0.6 s after SIGTERM, and a little longer on a slow network. */
+    /** Requests still arrive for 0.6 s after SIGTERM, and slightly longer on a slow network. */
     private static final int REQUEST_ARRIVAL_GRACE_MS = 900;
-    /** Interval of polls for other processes' maintenance orders, which must be in effect within a second. */
+    /**
+     * Interval of polls for other processes' maintenance commands, which must be in effect within a second.
+     */
     private static final int PEER_POLL_MS = 100;
 
     private static final double NANOS_PER_MS = 1e6;
@@ -42,14 +44,14 @@
     private final ShutdownOptions shutdown;
     private final CountDownLatch drained = new CountDownLatch(1);
     private ProcessState state = ProcessState.STARTING;
-    /** Set by each transition to a drain or a shutdown; not read in other states. */
+    /** Set at the start of each drain or shutdown; not read in other states. */
     private long drainStartNanos;
 
     /**
-     * Creates the lifecycle of a process that starts.
+     * Creates the lifecycle of a process that is starting.
      *
      * @param servers the servers of all protocols; servers may be added until {@link #serve}
-     * @param shutdown how this process ends
+     * @param shutdown how this process shuts down
      */
     public Lifecycle(
             EventLoop loop,
@@ -66,7 +68,10 @@
         this.shutdown = shutdown;
     }
 
-    /** Applies the maintenance orders of other processes, and polls for further ones. */
+    /**
+     * Joins the other processes of this front end: applies their maintenance commands and writes this
+     * process's state, now and periodically.
+     */
     public void joinHotRestart() {
         hotRestart.readPeers();
         hotRestart.writeState();
@@ -74,7 +79,7 @@
         ticker.every(HotRestart.HEARTBEAT_MS, hotRestart::writeState);
     }
 
-    /** All protocols listen: this process is ready. */
+    /** Makes this process ready, once all protocols listen. */
     public void serve() {
         state = state.afterListening();
         ticker.every(Ticker.TICK_MS, this::closeDrainedConnections);
@@ -86,7 +91,7 @@
     }
 
     /**
-     * Ignores an order that is in effect already: the release of an engine that was not excluded would
+     * Ignores a command that is already in effect, because releasing an engine that is not excluded would
      * restart its slow start.
      */
     @Override
@@ -151,7 +156,7 @@
 
     /**
      * Shuts down gracefully after SIGTERM: serves requests that still arrive, completes all open ones, and
-     * returns when every answer has been written. Blocks; called once, on the thread of the shutdown hook.
+     * returns when every response has been written. Blocks; called once, on the thread of the shutdown hook.
      */
     public void shutdownGracefully() {
         LOG.info("graceful shutdown started: signal=SIGTERM deadlineMs={}", shutdown.shutdownDeadlineMs());
@@ -185,7 +190,7 @@
     }
 
     private static void logFailure(Future<?> task) {
-        // The shutdown of the event loop cancels tasks, which is no failure.
+        // The shutdown of the event loop cancels tasks, which is not a failure.
         if (!task.isSuccess() && !task.isCancelled()) {
             LOG.error("shutdown task failed", task.cause());
         }
--- a/src/main/java/lineward/lifecycle/MaintenanceOrder.java
+++ b/src/main/java/lineward/lifecycle/MaintenanceOrder.java
@@ -1,10 +1,10 @@
 package lineward.lifecycle;
 
 /**
- * An operator's order on an engine.
+ * An operator's command to exclude an engine from requests or to release it.
  *
  * @param engine the engine's id
- * @param excluded whether the engine is excluded from requests; false once it is used again
- * @param sinceMs when the order was given, in Unix milliseconds
+ * @param excluded whether the engine is excluded from requests; false if it is released
+ * @param sinceMs when the command was given, in Unix milliseconds
  */
 record MaintenanceOrder(String engine, boolean excluded, double sinceMs) {}
--- a/src/main/java/lineward/lifecycle/PeerStateCodec.java
+++ b/src/main/java/lineward/lifecycle/PeerStateCodec.java
@@ -10,7 +10,7 @@
 
 /**
  * The JSON form of {@link PeerState}. Processes of earlier and later versions read and write it too, so its
- * keys and types can't change. Stateless; may be used on any thread.
+ * keys and types must not change. Stateless; may be used on any thread.
  */
 final class PeerStateCodec {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Returns the state in the content of a file; orders of another form are ignored.
+     * Returns the state in the content of a file; commands of an unexpected form are ignored.
      *
      * @throws JsonProcessingException if the content is not JSON
      */
--- a/src/main/java/lineward/lifecycle/PeerStateFiles.java
+++ b/src/main/java/lineward/lifecycle/PeerStateFiles.java
@@ -8,8 +8,8 @@
 import java.util.stream.Stream;
 
 /**
- * The directory in which the processes of one front end share their states, with one file for each process.
- * Used on the event loop; reads and writes block.
+ * The directory in which the processes of one front end share their states, one file per process. Used on the
+ * event loop; reads and writes block.
  */
 final class PeerStateFiles {
     private static final String SUFFIX = ".engines.json";
@@ -22,10 +22,11 @@
     private final Path draft;
 
     /**
-     * Creates the names; nothing is written yet.
+     * Determines the file names without writing anything.
      *
      * @param name of this front end
-     * @param startedAtMs distinguishes this process from earlier ones with the same process id
+     * @param startedAtMs start time, which distinguishes this process from earlier ones with the same process
+     *     id
      */
     PeerStateFiles(Path directory, String name, long startedAtMs) {
         this.directory = directory;
--- a/src/main/java/lineward/lifecycle/ProcessState.java
+++ b/src/main/java/lineward/lifecycle/ProcessState.java
@@ -3,9 +3,9 @@
 /**
  * The states of this process, and the transitions that operators and signals cause.
  *
- * <p>The process starts, serves, may be drained, and terminates. A drain may start in any state; a drain in
- * effect at SIGTERM can't be stopped any more. {@code TERMINATING_DRAINED} differs from {@code TERMINATING}
- * in that a further order to drain changes nothing.
+ * <p>The process starts, serves, may be drained, and terminates. A drain may start in any state; a drain that
+ * is in effect at SIGTERM can no longer be stopped. {@code TERMINATING_DRAINED} differs from {@code
+ * TERMINATING} in that starting a drain has no effect.
  */
 enum ProcessState {
     /** Not all protocols listen yet. */
@@ -14,11 +14,11 @@
     STARTING_DRAINED,
     /** All protocols listen, and new clients are accepted. */
     SERVING,
-    /** An operator drains the process, which goes on running without clients. */
+    /** An operator is draining the process, which keeps running without clients. */
     DRAINING,
-    /** SIGTERM has come: open requests are completed. */
+    /** SIGTERM was received: open requests are completed. */
     TERMINATING,
-    /** SIGTERM has come, and an operator has started a drain before or after it. */
+    /** SIGTERM was received, and an operator started a drain before or after it. */
     TERMINATING_DRAINED;
 
     /** Returns the state once all protocols listen. */
@@ -62,12 +62,12 @@
         return this == SERVING;
     }
 
-    /** Returns whether an operator's drain is in effect and SIGTERM has not come. */
+    /** Returns whether an operator's drain is in effect and SIGTERM was not received. */
     boolean isDraining() {
         return this == STARTING_DRAINED || this == DRAINING;
     }
 
-    /** Returns whether SIGTERM has come. */
+    /** Returns whether SIGTERM was received. */
     boolean isTerminating() {
         return this == TERMINATING || this == TERMINATING_DRAINED;
     }
--- a/src/test/java/lineward/lifecycle/DrainScheduleTest.java
+++ b/src/test/java/lineward/lifecycle/DrainScheduleTest.java
@@ -5,7 +5,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What each schedule does at each time of a drain. */
+/** What each schedule decides at each time of a drain. */
 public class DrainScheduleTest {
     /** Schedule, time; whether idle connections are closed, with what probability, and requests rejected. */
     @DataProvider
--- a/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
+++ b/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
@@ -9,7 +9,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Which orders are in effect, what a peer's age says of it, and this process's quota. */
+/**
+ * Which maintenance commands are in effect, how a peer's age decides its status, and this process's quota.
+ */
 public class HotRestartPolicyTest {
     private static final double NOW_MS = 1_000_000;
 
@@ -44,7 +46,9 @@
         assertEquals(status, PeerStatus.EXPIRED);
     }
 
-    /** First order, second order; whether the second changes the exclusion, and the exclusion then. */
+    /**
+     * First command, second command; whether the second changes the exclusion, and the exclusion afterwards.
+     */
     @DataProvider
     public Object[][] orders() {
         return new Object[][] {
--- a/src/test/java/lineward/lifecycle/HotRestartTest.java
+++ b/src/test/java/lineward/lifecycle/HotRestartTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Maintenance orders reach the other process; expired and malformed files have no effect. */
+/** Maintenance commands reach the other process; expired and malformed files have no effect. */
 public class HotRestartTest {
     private static final class RecordingListener implements HotRestart.Listener {
         private final List<String> events = new ArrayList<>();
@@ -79,7 +79,7 @@
         assertEquals(second.events.subList(3, 5), List.of("s-1 back", "quota 1.0"));
     }
 
-    /** Content of another process's file, and whether its order on s-1 is accepted. */
+    /** Content of another process's file, and whether its command for s-1 is accepted. */
     @DataProvider
     public Object[][] files() {
         String order = "\"engines\":{\"s-1\":{\"out\":true,\"since\":999000}}}";
@@ -110,7 +110,7 @@
         HotRestart next = process(listener);
         next.readPeers();
         assertEquals(next.isExcluded("s-1"), accepted);
-        assertFalse(next.isExcluded("s-2"), "an order of another front end");
+        assertFalse(next.isExcluded("s-2"), "a command of another front end");
         next.setMaintenance("s-1", true);
         assertTrue(next.isExcluded("s-1"));
     }
@@ -138,7 +138,7 @@
         assertEquals(PeerStateCodec.encode(PeerStateCodec.decode(content)), content);
     }
 
-    /** The same orders are written to the same bytes as by the version of commit 3520411. */
+    /** The same commands are written to the same bytes as by the version of commit 3520411. */
     @Test
     public void stateIsWrittenAsTheEarlierVersionWroteIt() throws IOException {
         writeState(directory, "n1", true);
@@ -162,7 +162,7 @@
         }
     }
 
-    /** Writes the state of a process that has had several orders, or none. */
+    /** Writes the state of a process that has received several commands, or none. */
     private static void writeState(Path folder, String name, boolean hasOrders) {
         double[] clock = {1.764654100e12};
         HotRestart process = new HotRestart(folder, name, () -> clock[0], new RecordingListener());
@@ -177,7 +177,8 @@
     }
 
     /**
-     * Writes files 2 and 3 into the folder given; was run once, with the version whose files stay readable.
+     * Writes the stored files 2 and 3 into the given folder. Was run once, with the version whose files must
+     * stay readable.
      */
     public static void main(String[] args) {
         writeState(Path.of(args[0]), "n1", true);
--- a/src/test/java/lineward/lifecycle/ProcessStateTest.java
+++ b/src/test/java/lineward/lifecycle/ProcessStateTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of the process, every state against every event. */
+/** The transition table of the process: every state with every event. */
 public class ProcessStateTest {
     /** State; next state after: all protocols listen, drain started, drain stopped, SIGTERM. */
     @DataProvider
@@ -40,7 +40,7 @@
         assertEquals(state.afterTermination(), terminated);
     }
 
-    /** State; is it ready, draining, terminating. */
+    /** State; whether it is ready, draining, terminating. */
     @DataProvider
     public Object[][] properties() {
         return new Object[][] {
