--- a/src/main/java/lineward/operations/AdminHandler.java
+++ b/src/main/java/lineward/operations/AdminHandler.java
@@ -43,7 +43,9 @@
         clients.disconnected(ctx.channel());
     }
 
-    /** Receives a complete request, or the aggregator's marker of one that is too large. */
+    /**
+     * Receives a complete request, or the marker that the aggregator puts in place of one that is too large.
+     */
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Object message) {
         // Each connection carries one request; later ones are dropped.
@@ -59,8 +61,8 @@
     }
 
     /**
-     * Shuts down the output only: a close with unread bytes of the client would reset the connection and drop
-     * the response. The client or the request timeout closes the connection.
+     * Shuts down the output only: closing the socket while bytes of the client are unread would reset the
+     * connection and lose the response. The client or the request timeout closes the connection.
      */
     private static void send(ChannelHandlerContext ctx, AdminReply reply) {
         ByteBuf body = ByteBufUtil.writeUtf8(ctx.alloc(), reply.text());
@@ -80,7 +82,7 @@
         });
     }
 
-    /** Closes the connection without a reply: its client has disconnected or its request is malformed. */
+    /** Closes the connection without a reply: the client has disconnected or its request is malformed. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         Channels.close(ctx.channel());
--- a/src/main/java/lineward/operations/AdminOperations.java
+++ b/src/main/java/lineward/operations/AdminOperations.java
@@ -6,19 +6,20 @@
     boolean isReady();
 
     /**
-     * Excludes an engine from new requests, or uses it again.
+     * Excludes an engine from new requests, or releases it.
      *
      * @param engine the engine's id
+     * @param excluded true to exclude the engine, false to release it
      * @return false if no such engine is listed
      */
     boolean setMaintenance(String engine, boolean excluded);
 
-    /** Returns the counters and gauges of this process, in the text format of Prometheus. */
+    /** Returns the counters and gauges of this process in the Prometheus text format. */
     String metrics();
 
-    /** Starts to drain this process, which goes on running. No effect if it is draining. */
+    /** Starts to drain this process, which keeps running. Has no effect if a drain is already in effect. */
     void startDrain();
 
-    /** Stops a drain; returns false if the process is terminating, which can't be stopped. */
+    /** Stops a drain; returns false if the process is terminating, because a shutdown can't be stopped. */
     boolean stopDrain();
 }
--- a/src/main/java/lineward/operations/AdminReply.java
+++ b/src/main/java/lineward/operations/AdminReply.java
@@ -8,7 +8,7 @@
  * A response of the admin endpoint.
  *
  * @param text the body
- * @param allowedMethod value of the header {@code Allow}; empty unless the request's method was wrong
+ * @param allowedMethod value of the header {@code Allow}; empty unless the request's method is not allowed
  */
 record AdminReply(HttpResponseStatus status, String text, Optional<HttpMethod> allowedMethod) {
     static AdminReply ok(String text) {
--- a/src/main/java/lineward/operations/AdminRequestAggregator.java
+++ b/src/main/java/lineward/operations/AdminRequestAggregator.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 
-/** Aggregates a request with its body, which is an engine's id at most. Runs on the event loop. */
+/** Aggregates a request and its body, which contains at most an engine's id. Runs on the event loop. */
 final class AdminRequestAggregator extends HttpObjectAggregator {
     /** Marker that replaces a request whose body is too large. */
     static final Object TOO_LARGE = new Object();
--- a/src/main/java/lineward/operations/AdminRoutes.java
+++ b/src/main/java/lineward/operations/AdminRoutes.java
@@ -9,9 +9,9 @@
 import java.util.function.BiFunction;
 import java.util.function.Function;
 
-/** The paths of the admin endpoint, with the operation and the reply of each. Runs on the event loop. */
+/** The paths of the admin endpoint, each with its method, operation and replies. Runs on the event loop. */
 final class AdminRoutes {
-    /** The method of a path, and its operation, which gets the body of the request. */
+    /** The method that a path allows, and its operation, which receives the body of the request. */
     private record Route(HttpMethod method, BiFunction<AdminOperations, String, AdminReply> operation) {}
 
     private static final Map<String, Route> ROUTES = Map.of(
--- a/src/main/java/lineward/operations/AdminServer.java
+++ b/src/main/java/lineward/operations/AdminServer.java
@@ -15,11 +15,11 @@
 import lineward.frontend.ClientRegistry;
 
 /**
- * The admin endpoint: HTTP/1.1 with one request for each connection. Connections run on the event loop that
- * is passed to {@link #listen}.
+ * The admin endpoint: HTTP/1.1 with one request per connection. Connections run on the event loop that is
+ * passed to {@link #listen}.
  */
 public final class AdminServer {
-    /** Limit on connections; beyond it the one that has been silent longest is closed. */
+    /** Limit on connections; above it the connection that has been open longest is closed. */
     private static final int MAX_CLIENTS = 32;
     /** Limit on the time in which a client sends its request and reads the response. */
     private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -16,7 +16,7 @@
 public final class Metrics {
     /** The outcome of a request in the counters. */
     public enum RequestStatus {
-        /** Its client has received the engine's response. */
+        /** The engine's response was sent to its client. */
         SERVED("fulfilled"),
         /** It was rejected. */
         REJECTED("throttled"),
@@ -51,7 +51,7 @@
     /** Null if the process has no spool. */
     private Supplier<SpoolPolicy.Statistics> spool;
 
-    /** Adds classes, whose counters start at 0. */
+    /** Registers classes, so that their counters are exported, starting at 0. */
     public void registerClasses(Collection<String> classes) {
         for (String className : classes) {
             endedRequests.computeIfAbsent(className, name -> emptyRow());
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Counts an attempt that has been written completely to an engine. */
+    /** Counts an attempt whose request has been written completely to an engine. */
     public void countForwarded() {
         forwardedAttempts++;
     }
@@ -82,16 +82,16 @@
     /**
      * Sets the source of the endpoint list's age.
      *
-     * @param ageMs milliseconds since discovery's last usable response
+     * @param ageMs milliseconds since the last usable response of service discovery
      */
     public void setListAge(LongSupplier ageMs) {
         listAgeMs = ageMs;
     }
 
     /**
-     * Sets the source of the bytes that clients have not read.
+     * Sets the source of the number of response bytes that are buffered because clients have not read them.
      *
-     * @param bytes of responses that are buffered for clients
+     * @param bytes returns the current number
      */
     public void setUnreadBytes(LongSupplier bytes) {
         unreadBytes = bytes;
@@ -106,7 +106,7 @@
         spool = statistics;
     }
 
-    /** Returns all metrics in the text format of Prometheus, with the gauges of these servers. */
+    /** Returns all metrics in the Prometheus text format, including the gauges of these servers. */
     public String text(Collection<ProtocolServer> servers) {
         PrometheusText text = new PrometheusText();
         writeRequests(text, servers);
--- a/src/main/java/lineward/operations/MetricsTracer.java
+++ b/src/main/java/lineward/operations/MetricsTracer.java
@@ -6,10 +6,10 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * Counts each request that the scheduler completes; requests that their clients cancelled are not counted.
- * Called on the event loop.
+ * Counts each request that the coordinator completes, except those that their clients cancelled. Called on
+ * the event loop.
  *
- * @param <X> the protocol's own record of a request
+ * @param <X> the protocol's type of a request
  */
 public final class MetricsTracer<X> implements Tracer<X> {
     private final Metrics metrics;
--- a/src/main/java/lineward/operations/PrometheusText.java
+++ b/src/main/java/lineward/operations/PrometheusText.java
@@ -2,9 +2,9 @@
 
 import java.util.Map;
 
-/** Writes metrics in the text format of Prometheus, version 0.0.4. */
+/** Builds metrics in the Prometheus text format, version 0.0.4. */
 final class PrometheusText {
-    /** The types of metrics, as the format names them. */
+    /** The types of metrics, under the names that the format gives them. */
     private enum Kind {
         COUNTER("counter"),
         GAUGE("gauge");
@@ -25,7 +25,7 @@
         sample(name, value);
     }
 
-    /** Writes the header of a counter with labels; its samples must follow. */
+    /** Writes the header of a counter with labels; the caller writes its samples next. */
     void labelledCounter(String name, String help) {
         header(name, Kind.COUNTER, help);
     }
--- a/src/main/java/lineward/telemetry/OutcomeAttribute.java
+++ b/src/main/java/lineward/telemetry/OutcomeAttribute.java
@@ -4,8 +4,8 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * The values of the exported attribute {@code lineward.outcome}. Dashboards and alerts read them, so they
- * must not change when an enum constant is renamed.
+ * The values of the exported attribute {@code lineward.outcome}. Dashboards and alerts depend on them, so
+ * they must not change when an enum constant is renamed.
  */
 final class OutcomeAttribute {
     private OutcomeAttribute() {}
--- a/src/main/java/lineward/telemetry/Telemetry.java
+++ b/src/main/java/lineward/telemetry/Telemetry.java
@@ -10,15 +10,15 @@
 import lineward.core.Tracer;
 
 /**
- * The export of spans and metrics over OTLP, configured by the standard environment variables. The SDK
- * exports on its own threads from a bounded queue and drops what the collector does not accept, so requests
- * never wait for it.
+ * Exports spans and metrics over OTLP, configured by the standard environment variables. The SDK exports on
+ * its own threads from a bounded queue and drops what the collector does not accept, so requests never wait
+ * for it.
  */
 public final class Telemetry implements AutoCloseable {
     private static final String ENDPOINT = "OTEL_EXPORTER_OTLP_ENDPOINT";
     private static final String TRACES_ENDPOINT = "OTEL_EXPORTER_OTLP_TRACES_ENDPOINT";
     private static final String METRICS_ENDPOINT = "OTEL_EXPORTER_OTLP_METRICS_ENDPOINT";
-    /** Limit on the last export at shutdown, which happens after the last response. */
+    /** Limit on the final export at shutdown, which happens after the last response. */
     private static final int LAST_EXPORT_TIMEOUT_MS = 1500;
 
     private final OpenTelemetrySdk sdk;
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Starts the export as the environment configures it.
+     * Starts the export that the environment configures.
      *
      * @param name of this front end, exported as the id of the service instance
      * @throws IllegalArgumentException with a message of one line if a variable can't be used
@@ -58,7 +58,7 @@
         return !environment.getOrDefault(variable, "").isBlank();
     }
 
-    /** Returns defaults of the SDK's properties; environment variables take precedence. */
+    /** Returns defaults for the properties of the SDK; environment variables take precedence over them. */
     private static Map<String, String> defaults(String name, boolean traces, boolean metrics) {
         return Map.of(
                 "otel.service.name",
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Returns a tracer that exports and forwards each event.
+     * Returns a tracer that exports each event and forwards it.
      *
      * @param classOf returns a request's class
      * @param idOf returns a request's id
@@ -90,7 +90,7 @@
         return new OtlpTracer<>(sdk, classOf, idOf, next);
     }
 
-    /** Exports the queued spans and metrics, and blocks for {@value #LAST_EXPORT_TIMEOUT_MS} ms at most. */
+    /** Exports the queued spans and metrics; blocks for at most {@value #LAST_EXPORT_TIMEOUT_MS} ms. */
     @Override
     public void close() {
         sdk.shutdown().join(LAST_EXPORT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
--- a/src/test/java/lineward/operations/AdminServerTest.java
+++ b/src/test/java/lineward/operations/AdminServerTest.java
@@ -18,7 +18,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The admin endpoint replies correctly and in time while other clients are silent or malformed. */
+/**
+ * The admin endpoint replies correctly and in time while other clients send nothing or malformed requests.
+ */
 public class AdminServerTest {
     private TestingPlatform platform;
     private AdminClient operator;
--- a/src/test/java/lineward/telemetry/OutcomeAttributeTest.java
+++ b/src/test/java/lineward/telemetry/OutcomeAttributeTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The exported outcomes, which dashboards read, do not depend on the names of constants. */
+/** The exported outcomes, on which dashboards depend, are independent of the names of enum constants. */
 public class OutcomeAttributeTest {
     @DataProvider
     public Object[][] attemptOutcomes() {
--- a/src/test/java/lineward/telemetry/TelemetryTest.java
+++ b/src/test/java/lineward/telemetry/TelemetryTest.java
@@ -21,7 +21,7 @@
 import lineward.testing.TestingPlatform;
 import org.testng.annotations.Test;
 
-/** The export over OTLP, against a fake collector. */
+/** The export over OTLP to a fake collector. */
 public class TelemetryTest {
     private final List<Span> spans = new CopyOnWriteArrayList<>();
     private final List<String> metrics = new CopyOnWriteArrayList<>();
@@ -80,7 +80,7 @@
     @Test
     public void requestsAndAttemptsAreExportedAsSpansAndMetrics() throws IOException {
         HttpServer collector = collector(new CountDownLatch(0));
-        // Ignores spans that another test's program exported late.
+        // Discards spans that the program of another test exported late.
         spans.clear();
         metrics.clear();
         try (TestingPlatform platform = new TestingPlatform(variables(collector))) {
@@ -97,7 +97,7 @@
             assertEquals(outcome(attempt), "ok");
             assertEquals(outcome(request), "served");
             Program.await(
-                    "the refusal", () -> spans.stream().anyMatch(s -> outcome(s).equals("refused")));
+                    "the rejection", () -> spans.stream().anyMatch(s -> outcome(s).equals("refused")));
             List<String> expected = List.of("lineward.requests", "look", "refused");
             Predicate<String> isExpected = metric -> expected.stream().allMatch(metric::contains);
             Program.await("counts by class and outcome", () -> metrics.stream().anyMatch(isExpected));
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Requests do not wait for a collector that accepts connections and never responds. */
+    /** Requests do not wait for a collector that accepts connections but never responds. */
     @Test
     public void anUnresponsiveCollectorDelaysNoRequestAndSpansAreDropped() throws IOException {
         CountDownLatch release = new CountDownLatch(1);
@@ -115,7 +115,7 @@
         try (TestingPlatform platform = new TestingPlatform(variables(collector))) {
             long start = System.nanoTime();
             platform.exercise(200);
-            assertTrue((System.nanoTime() - start) / 1e9 < 10, "200 requests in " + start);
+            assertTrue((System.nanoTime() - start) / 1e9 < 10, "200 requests took 10 s or longer");
             Program.await("the first batch", () -> !spans.isEmpty());
             assertTrue(spans.size() <= 16, "queue of 8 and batch of 8, got " + spans.size());
         } finally {
