--- a/src/main/java/lineward/app/CoalescedTick.java
+++ b/src/main/java/lineward/app/CoalescedTick.java
@@ -4,8 +4,8 @@
 import lineward.frontend.ProtocolServer;
 
 /**
- * Runs the tick of a protocol server once at the end of a turn of the event loop, for all events of the turn.
- * All methods are called on the event loop, except {@link #attach}.
+ * Combines the events of one iteration of the event loop into a single tick of a protocol server. All methods
+ * are called on the event loop, except {@link #attach}.
  */
 final class CoalescedTick implements Runnable {
     private final EventLoop eventLoop;
@@ -16,7 +16,10 @@
         this.eventLoop = eventLoop;
     }
 
-    /** Sets the server before the first event; its constructor needs this object, so it is set later. */
+    /**
+     * Sets the server, before the first event; the server's constructor needs this object, so it can't be set
+     * earlier.
+     */
     void attach(ProtocolServer protocolServer) {
         server = protocolServer;
     }
--- a/src/main/java/lineward/app/Config.java
+++ b/src/main/java/lineward/app/Config.java
@@ -9,9 +9,10 @@
  * The configuration of a front end of the platform. Immutable.
  *
  * @param name of this front end
- * @param seed of the scheduler's random draws
+ * @param seed of the scheduler's random numbers
  * @param settings of the scheduler
- * @param initialEndpoints the events of service discovery before the start, in its wire format
+ * @param initialEndpoints the discovery events that are known before the start, in the wire format of service
+ *     discovery
  */
 record Config(
         String name,
@@ -24,7 +25,7 @@
         ConfigNode initialEndpoints) {
 
     /**
-     * Where the process listens and connects.
+     * The addresses at which the process listens, and to which it connects.
      *
      * @param listen where clients connect
      * @param discovery HOST:PORT of service discovery
@@ -36,9 +37,9 @@
     /**
      * The addresses of gossip between the front ends of a tier.
      *
-     * @param listen where the messages of the others arrive
+     * @param listen where messages from the others arrive
      * @param peers the number of each front end of the tier, by the address from which it sends
-     * @param all the address of a broadcast to all others
+     * @param all the address that broadcasts to all others
      */
     record Gossip(InetSocketAddress listen, Map<InetSocketAddress, Integer> peers, InetSocketAddress all) {}
 
@@ -46,11 +47,11 @@
     record Resources(int memoryMb, int descriptors) {}
 
     /**
-     * The limits of connections to engines.
+     * The limits on connections to engines.
      *
      * @param connectTimeoutMs time after which a connection attempt counts as slow
      * @param idleMs time after which an engine closes an idle connection
-     * @param streams concurrent attempts on one connection
+     * @param streams maximum of concurrent attempts on one connection
      */
     record EngineConnections(int connectTimeoutMs, double idleMs, int streams) {}
 
--- a/src/main/java/lineward/app/ConfigException.java
+++ b/src/main/java/lineward/app/ConfigException.java
@@ -1,13 +1,13 @@
 package lineward.app;
 
 /**
- * The error of a configuration that can't be used.
+ * A configuration that can't be used.
  *
- * <p>The message is one line without the program's name: file, key, reason, value found, value allowed.
+ * <p>The message is one line without the program's name: file, key, reason, value found, values allowed.
  */
 final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
-    /** Longer values are truncated in the message, so that it stays one readable line. */
+    /** Longer values are truncated in the message, which stays one readable line. */
     private static final int MAX_FOUND_CHARS = 80;
 
     private final String file;
@@ -15,7 +15,7 @@
     private final String found;
     private final String allowed;
 
-    /** Used by the factory methods only. */
+    /** Called by the factory methods only. */
     ConfigException(String message, String file, String key, String found, String allowed, Throwable cause) {
         super(message, cause);
         this.file = file;
@@ -54,7 +54,10 @@
         return new ConfigException(printable(message), file, key, shown, allowed, cause);
     }
 
-    /** Returns the text on one line: configuration values may contain line ends. */
+    /**
+     * Replaces control characters, so that the message is one line: configuration values may contain line
+     * breaks.
+     */
     private static String printable(String text) {
         return text.replaceAll("\\p{Cntrl}", "?");
     }
@@ -69,7 +72,7 @@
         return key;
     }
 
-    /** Returns the value found, truncated to one line. */
+    /** Returns the value found, as the message shows it. */
     String found() {
         return found;
     }
--- a/src/main/java/lineward/app/ConfigFile.java
+++ b/src/main/java/lineward/app/ConfigFile.java
@@ -16,7 +16,10 @@
 import lineward.scheduling.simulator.SettingsReader;
 import lineward.scheduling.simulator.WireException;
 
-/** The platform's configuration file, in JSON. Only this class names its keys, which the platform defines. */
+/**
+ * The configuration file of the platform, in JSON. Only this class contains its keys, which the platform
+ * defines.
+ */
 final class ConfigFile {
     private static final int SEED_RADIX = 16;
     private static final int DEFAULT_MEMORY_MB = 192;
@@ -27,7 +30,10 @@
 
     private final String path;
 
-    /** Creates the file; {@link #read} fails if the path is null or blank, as the environment names none. */
+    /**
+     * Creates a reader of the file; {@link #read} fails if the path is null or blank, as when the environment
+     * variable is not set.
+     */
     ConfigFile(String path) {
         this.path = path;
     }
@@ -41,7 +47,7 @@
         ConfigNode root = ConfigNode.root(path, parse());
         ConfigNode settings = root.member("settings");
         if (!settings.value().isObject()) {
-            throw ConfigException.unusable(path + " holds no settings");
+            throw ConfigException.unusable(path + " has no settings object");
         }
         InetSocketAddress listen = root.member("listen").address();
         long seed = seed(root.member("seed"));
@@ -64,7 +70,7 @@
 
     private JsonNode parse() {
         if (path == null || path.isBlank()) {
-            throw ConfigException.unusable("RELAY_CONFIG names no file");
+            throw ConfigException.unusable("RELAY_CONFIG does not name a file");
         }
         try {
             return new ObjectMapper().readTree(Files.readString(Path.of(path)));
@@ -88,7 +94,7 @@
                 limits.path("streams-per-conn").asInt(DEFAULT_STREAMS));
     }
 
-    /** Returns null if the settings forbid gossip or the file names no address for it. */
+    /** Returns null if the settings do not allow gossip or the file has no address for it. */
     private static Config.Gossip gossip(ConfigNode root) {
         ConfigNode limits = root.member("settings").member("limits");
         boolean isAllowed = limits.member("peer-messages").value().asBoolean(false);
@@ -104,7 +110,10 @@
                 listen.address(), numbers, root.member("peers_all").address());
     }
 
-    /** Returns the address unresolved: the client of service discovery resolves it at each connect. */
+    /**
+     * Checks the address and returns it unresolved: the client of service discovery resolves it at each
+     * connect.
+     */
     private static String discovery(ConfigNode address) {
         address.address();
         return address.text("");
@@ -114,7 +123,7 @@
         try {
             return new BigInteger(seed.text("0"), SEED_RADIX).longValue();
         } catch (NumberFormatException e) {
-            throw seed.invalid("is no hexadecimal number", "hexadecimal digits", e);
+            throw seed.invalid("is not a hexadecimal number", "hexadecimal digits", e);
         }
     }
 
@@ -122,7 +131,7 @@
         try {
             return SettingsReader.read(settings.value().toString());
         } catch (WireException e) {
-            // Its message names the setting, the value found and the allowed values.
+            // The message already names the setting, the value found and the allowed values.
             throw ConfigException.unusable(settings.file() + ": settings: " + e.getMessage(), e);
         }
     }
--- a/src/main/java/lineward/app/ConfigNode.java
+++ b/src/main/java/lineward/app/ConfigNode.java
@@ -8,11 +8,11 @@
 import java.util.regex.Pattern;
 
 /**
- * A value of a configuration file with its file and key, which errors name.
+ * A value of a configuration file, with the file and key that error messages name.
  *
  * @param file the file it was read from
  * @param key the path of the value, its parts separated by dots; empty for the whole file
- * @param value the value; a missing node if the file does not have it
+ * @param value the value; a missing node if the file does not contain it
  */
 record ConfigNode(String file, String key, JsonNode value) {
     private static final Pattern ADDRESS = Pattern.compile("([^\\s:]+):([0-9]{1,5})");
@@ -23,12 +23,12 @@
         return new ConfigNode(file, "", value);
     }
 
-    /** Returns the member of that name, whether the file has it or not. */
+    /** Returns the member of that name, even if the file does not contain it. */
     ConfigNode member(String name) {
         return new ConfigNode(file, key.isEmpty() ? name : key + '.' + name, value.path(name));
     }
 
-    /** Returns the elements of a list; none if the file does not have it. */
+    /** Returns the elements of a list; none if the file does not contain it. */
     List<ConfigNode> elements() {
         List<ConfigNode> elements = new ArrayList<>();
         for (JsonNode element : value) {
@@ -37,7 +37,7 @@
         return elements;
     }
 
-    /** Returns whether the file has a value other than null here. */
+    /** Returns whether the file contains a value other than null here. */
     boolean isPresent() {
         return !value.isMissingNode() && !value.isNull();
     }
@@ -51,12 +51,15 @@
     String requiredText() {
         String text = text("");
         if (text.isEmpty()) {
-            throw invalid("is missing", "a text that is not empty");
+            throw invalid("is missing", "a non-empty string");
         }
         return text;
     }
 
-    /** Returns a number above 0; throws a {@link ConfigException} if the value is something else. */
+    /**
+     * Returns a positive integer, or the fallback if the value is missing; throws a {@link ConfigException}
+     * for any other value.
+     */
     int positiveInt(int fallback) {
         boolean isPositive = value.isInt() && value.asInt() > 0;
         if (!value.isMissingNode() && !isPositive) {
@@ -66,8 +69,8 @@
     }
 
     /**
-     * Returns a number above 0, which may be quoted; the fallback if there is no number. Throws a {@link
-     * ConfigException} if it is 0 or less.
+     * Returns a positive integer, which may be quoted, or the fallback if the value is not a number. Throws a
+     * {@link ConfigException} if the number is 0 or less.
      */
     int lenientPositiveInt(int fallback) {
         int number = value.asInt(fallback);
@@ -78,10 +81,13 @@
     }
 
     private ConfigException notPositive() {
-        return invalid("is no positive number", "an integer above 0");
+        return invalid("is not a positive integer", "an integer above 0");
     }
 
-    /** Returns a resolved address; throws a {@link ConfigException} if the value has another form. */
+    /**
+     * Returns the address, resolved if its host name is known; throws a {@link ConfigException} if the value
+     * has another form.
+     */
     InetSocketAddress address() {
         Matcher parts = ADDRESS.matcher(text(""));
         if (!parts.matches() || Integer.parseInt(parts.group(2)) > HIGHEST_PORT) {
@@ -100,7 +106,10 @@
         return ConfigException.invalid(file, key, reason, shown(), allowed, cause);
     }
 
-    /** Lists and tables are not shown: they are long and may contain passwords. */
+    /**
+     * Returns the value as messages show it. Lists and tables are left out: they are long and may contain
+     * passwords.
+     */
     private String shown() {
         if (value.isMissingNode()) {
             return "nothing";
--- a/src/main/java/lineward/app/DiscoveryWiring.java
+++ b/src/main/java/lineward/app/DiscoveryWiring.java
@@ -3,15 +3,15 @@
 import lineward.discovery.DiscoveryClient;
 import lineward.discovery.EndpointList;
 
-/** Wires service discovery: polls for endpoints, and a reload of the service's address on SIGHUP. */
+/** Wires service discovery: polls for endpoints, and reloads the service's address on SIGHUP. */
 final class DiscoveryWiring {
-    /** Coarse, as each tick wakes up the event loop. */
+    /** Coarse, because each tick wakes up the event loop. */
     private static final int TICK_INTERVAL_MS = 20;
 
     private final FrontEndContext context;
     /** Null until {@link #follow}; used on the event loop. */
     private DiscoveryClient client;
-    /** Whether SIGHUP has come, which may be before there is a client; used on the event loop. */
+    /** Whether SIGHUP was received, possibly before there is a client; used on the event loop. */
     private boolean reloadRequested;
 
     DiscoveryWiring(FrontEndContext context) {
@@ -36,12 +36,12 @@
     }
 
     private void startPolling() {
-        // Runs the first poll before clients are accepted, as it loads classes and would delay them.
+        // Runs the first poll before clients are accepted: it loads classes, which would delay requests.
         context.runOnEventLoop(client::tick);
         context.ticker().every(TICK_INTERVAL_MS, client::tick);
     }
 
-    /** Reads the service's address again; may be called on any thread, also during the start. */
+    /** Reads the service's address again. May be called on any thread, even during the start. */
     void reloadAddress() {
         context.eventLoop().execute(() -> {
             reloadRequested = true;
--- a/src/main/java/lineward/app/FileSchema.java
+++ b/src/main/java/lineward/app/FileSchema.java
@@ -19,8 +19,8 @@
     /**
      * Checks the whole file.
      *
-     * @param schema the name of the schema among this package's resources
-     * @throws ConfigException that names the first key at fault
+     * @param schema the file name of the schema, a resource of this package
+     * @throws ConfigException that names one key at fault
      */
     static void check(String schema, ConfigNode root) {
         if (root.value().isEmpty()) {
@@ -44,7 +44,7 @@
         String message = violation.getMessage();
         String prefix = key + ": ";
         String rule = message.startsWith(prefix) ? message.substring(prefix.length()) : message;
-        String reason = "breaks a rule of the file's schema";
+        String reason = "violates the schema of the file";
         return ConfigException.invalid(file, key, reason, shown(key, violation.getInstanceNode()), rule);
     }
 
--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One front end. The main thread adds its subsystems and starts it; it runs until the last response after
- * SIGTERM.
+ * A front end. The main thread adds its subsystems and starts it; it runs until it has written the last
+ * response after SIGTERM.
  */
 final class FrontEnd {
     private static final Logger LOG = LoggerFactory.getLogger(FrontEnd.class);
@@ -29,21 +29,23 @@
 
     private Lifecycle lifecycle;
 
-    /** Adds the platform's server; throws a {@link ConfigException} if the file can't be used. */
+    /**
+     * Adds the server of the platform's protocol; throws a {@link ConfigException} if the file can't be used.
+     */
     void addPlatform(ConfigFile file) {
         Config config = file.read();
         instance = new ThriftWiring(context, config).connect(telemetry, discovery, file);
         adminAddress = config.addresses().admin();
     }
 
-    /** Adds the server of MySQL clients, unless its file names no address to listen on. */
+    /** Adds the server of MySQL clients, unless its file has no listen address. */
     void addMysql(MysqlFile file) {
         new MysqlWiring(context, file).connect(telemetry);
     }
 
     /**
-     * SIGHUP: reads the address of service discovery from the platform's file again; other settings do not
-     * change before the next start. May be called on any thread, also during the start.
+     * Handles SIGHUP: reads the address of service discovery from the platform's file again. Other settings
+     * take effect at the next start only. May be called on any thread, even during the start.
      */
     void reload() {
         discovery.reloadAddress();
@@ -52,7 +54,7 @@
     /** Starts all servers and returns; the process runs until the last response after SIGTERM. */
     void run() {
         lifecycle = LifecycleWiring.create(context, instance);
-        // Clients may connect before the start is complete, and SIGTERM must drain them too.
+        // Registered before the start: clients may connect during it, and SIGTERM must drain them too.
         Thread shutdownHook = new Thread(this::terminate, "end");
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
@@ -77,7 +79,7 @@
             LOG.info("server listening on address={}", address);
         }
         if (servers.isEmpty()) {
-            throw ConfigException.unusable("nothing to serve: the MySQL file names no address to listen on");
+            throw ConfigException.unusable("nothing to serve: the MySQL file has no listen address");
         }
         context.runOnEventLoop(lifecycle::serve);
     }
@@ -94,7 +96,7 @@
         try {
             closeable.close();
         } catch (Exception e) {
-            // The process ends anyway, and the next start recovers files.
+            // The process ends anyway, and the next start recovers the files.
             LOG.warn("close failed at shutdown: resource={} cause={}", closeable, String.valueOf(e));
         }
     }
--- a/src/main/java/lineward/app/FrontEndContext.java
+++ b/src/main/java/lineward/app/FrontEndContext.java
@@ -17,12 +17,12 @@
 
 /**
  * The objects that the subsystems of one front end share: event loop, ticker, clock, metrics, and the actions
- * that each of them adds for start and shutdown. Filled on the main thread, before the front end runs.
+ * that each subsystem adds for start and shutdown. Filled on the main thread, before the front end runs.
  */
 final class FrontEndContext {
     /**
-     * Limit on the open requests of one protocol server, each of which has a slot in a table. More requests
-     * could not be answered in time and are rejected.
+     * Limit on the open requests of one protocol server, each of which takes a slot in a table. Requests
+     * above it could not be answered in time and are rejected.
      */
     static final int MAX_OPEN_REQUESTS = 8192;
 
@@ -67,7 +67,7 @@
         return protocolServers;
     }
 
-    /** Returns the actions of the start, which run on the main thread before the protocol servers listen. */
+    /** Returns the start actions, which run on the main thread before the protocol servers listen. */
     List<Runnable> startActions() {
         return startActions;
     }
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Blocks until a listener is bound and returns its address; throws {@link ConfigException} on failure.
+     * Blocks until a listener is bound and returns its address; throws a {@link ConfigException} on failure.
      */
     static SocketAddress awaitBound(ChannelFuture binding) {
         binding.awaitUninterruptibly();
--- a/src/main/java/lineward/app/GossipWiring.java
+++ b/src/main/java/lineward/app/GossipWiring.java
@@ -8,7 +8,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Wires the gossip between the front ends of a tier. If the socket can't be opened, there is no gossip. */
+/**
+ * Wires the gossip between the front ends of a tier. Gossip is optional: it is disabled if the socket can't
+ * be opened.
+ */
 final class GossipWiring {
     private static final Logger LOG = LoggerFactory.getLogger(GossipWiring.class);
 
@@ -17,7 +20,7 @@
     /**
      * Opens the socket when the front end starts.
      *
-     * @param gossip null if there is no gossip; messages are dropped then
+     * @param gossip null if there is no gossip; messages are then dropped
      * @param received run on the event loop after each message
      * @return a function that broadcasts a message
      */
--- a/src/main/java/lineward/app/LifecycleWiring.java
+++ b/src/main/java/lineward/app/LifecycleWiring.java
@@ -8,13 +8,19 @@
 
 /** Wires graceful shutdown and hot restart. */
 final class LifecycleWiring {
-    /** Limit on the longest deadline at a restart; the platform sends SIGKILL 0.7 s after that deadline. */
+    /**
+     * Upper limit on the longest deadline of the classes at a restart; the platform sends SIGKILL 0.7 s after
+     * that deadline.
+     */
     static final int MAX_RESTART_MS = 3000;
-    /** Limit on the deadline at a hot restart, in which another process accepts on the socket. */
+    /**
+     * Upper limit on the longest deadline at a hot restart, during which another process accepts on the
+     * socket.
+     */
     private static final int MAX_HOT_RESTART_MS = 5000;
     /** Open requests are failed this long after the longest deadline, 0.4 s before SIGKILL. */
     private static final int SHUTDOWN_GRACE_MS = 300;
-    /** The variable with the directory that the processes of a hot restart share. */
+    /** Environment variable for the directory that the processes of a hot restart share. */
     private static final String SHARED_FOLDER_VARIABLE = "TMPDIR";
 
     private static final String MYSQL_ONLY_NAME = "mysql";
@@ -22,9 +28,9 @@
     /**
      * The properties of this process that its lifecycle depends on.
      *
-     * @param name the same for the process that takes over
+     * @param name of the front end; the process that takes over uses the same name
      * @param isListenerInherited whether other processes accept on the clients' socket
-     * @param longestDeadlineMs of all classes of requests
+     * @param longestDeadlineMs the longest deadline of the classes of requests
      */
     record Instance(String name, boolean isListenerInherited, double longestDeadlineMs) {
         /** Returns the properties of a process that serves MySQL clients only. */
@@ -57,7 +63,10 @@
                 new Lifecycle.ShutdownOptions(instance.isListenerInherited(), instance.shutdownDeadlineMs()));
     }
 
-    /** Applies the orders of operators and other processes to all protocol servers. */
+    /**
+     * Applies the maintenance commands of operators and other processes, and the quota, to all protocol
+     * servers.
+     */
     private record RestartListener(List<ProtocolServer> servers) implements HotRestart.Listener {
         @Override
         public void maintenanceChanged(String engine, boolean excluded, double sinceMs) {
--- a/src/main/java/lineward/app/ListenerWiring.java
+++ b/src/main/java/lineward/app/ListenerWiring.java
@@ -14,7 +14,7 @@
     private static final String INHERITED_DESCRIPTOR_VARIABLE = "RELAY_ACCEPT_FD";
 
     /**
-     * Returns the inherited socket if the environment names one, else a new socket at the address.
+     * Returns the inherited socket if the environment names one, otherwise a new socket at the address.
      *
      * @throws ConfigException if the inherited descriptor can't be used
      */
--- a/src/main/java/lineward/app/LogTracer.java
+++ b/src/main/java/lineward/app/LogTracer.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs the events of the coordinator, those of single requests and attempts at debug level. */
+/** Logs the events of the coordinator; those of single requests and attempts at debug level. */
 final class LogTracer<X> implements Tracer<X> {
     private static final Logger LOG = LoggerFactory.getLogger("planner");
 
--- a/src/main/java/lineward/app/Main.java
+++ b/src/main/java/lineward/app/Main.java
@@ -33,7 +33,7 @@
     private static final int STATUS_OK = 0;
     private static final int STATUS_FAILED = 1;
     private static final int STATUS_USAGE = 2;
-    /** Returned by commands whose front end goes on running on its own threads. */
+    /** Returned by commands whose front end keeps running on its own threads. */
     private static final int STILL_RUNNING = -1;
 
     @Spec
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Returns whether the platform uses this command. Its commands have no options and do not need picocli,
-     * which costs 9 MB and delays a start on a fraction of a core.
+     * Returns whether this is a command that the platform runs. Those commands have no options and bypass
+     * picocli, which costs 9 MB and delays the start on a fraction of a core.
      */
     private static boolean isPlatformCommand(String[] args) {
         return switch (args.length) {
@@ -82,8 +82,8 @@
         return new CommandLine(new Main())
                 .setExecutionExceptionHandler((e, line, parsed) -> statusOf(e))
                 .setParameterExceptionHandler((e, args) -> {
-                    String reason = e.getMessage().lines().findFirst().orElse("bad use");
-                    System.err.println("lineward: " + reason + "; --help tells the usage");
+                    String reason = e.getMessage().lines().findFirst().orElse("invalid usage");
+                    System.err.println("lineward: " + reason + "; see --help for usage");
                     return STATUS_USAGE;
                 });
     }
@@ -101,13 +101,13 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
+        throw new CommandLine.ParameterException(spec.commandLine(), "missing command");
     }
 
     @Command(
             name = SERVE,
-            description = "Runs a front end for the platform; RELAY_CONFIG names its"
-                    + " configuration. The MySQL front runs with it where its file says so.")
+            description = "Runs a front end for the platform; RELAY_CONFIG names its configuration"
+                    + " file. Also serves MySQL clients if the MySQL file has a listen address.")
     static final class Serve implements Callable<Integer> {
         @Parameters(index = "0", arity = "0..1", paramLabel = "MYSQL-FILE")
         private Path mysqlFile;
@@ -120,7 +120,7 @@
         }
     }
 
-    @Command(name = "mysql", description = "Runs the MySQL front alone.")
+    @Command(name = "mysql", description = "Runs a front end for MySQL clients only.")
     static final class Mysql implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "MYSQL-FILE")
         private Path mysqlFile;
@@ -134,7 +134,7 @@
         }
     }
 
-    @Command(name = "adapter", description = "Speaks the simulator's wire on standard input and output.")
+    @Command(name = "adapter", description = "Speaks the simulator's protocol on standard input and output.")
     static final class Adapter implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -145,8 +145,8 @@
 
     @Command(
             name = REHEARSE,
-            description = "Starts as a front end with that configuration and ends at once,"
-                    + " so that the build can keep the classes of a start in an archive.")
+            description = "Starts a front end with that configuration and exits at once,"
+                    + " so that the build can archive the classes that a start loads.")
     static final class Rehearse implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "CONFIG")
         private String config;
@@ -160,7 +160,7 @@
 
     private static void startPlatform(String config, Path mysqlFile, boolean isMysqlRequired) {
         FrontEnd frontEnd = new FrontEnd();
-        // Without a handler SIGHUP, which may come during the start, ends the virtual machine.
+        // SIGHUP may arrive during the start, and ends the virtual machine if it has no handler.
         Signals.register("HUP", frontEnd::reload);
         frontEnd.addPlatform(new ConfigFile(config));
         if (isMysqlRequired || Files.exists(mysqlFile)) {
--- a/src/main/java/lineward/app/MysqlConfigReader.java
+++ b/src/main/java/lineward/app/MysqlConfigReader.java
@@ -15,7 +15,7 @@
 import lineward.scheduling.EndpointState;
 import lineward.spool.SpoolLimits;
 
-/** Reads the typed configuration from a MySQL file. Only this class names its keys and defaults. */
+/** Reads the typed configuration from a MySQL file. Only this class contains its keys and defaults. */
 final class MysqlConfigReader {
     private static final long BYTES_PER_MB = 1 << 20;
     private static final double MS_PER_SECOND = 1000;
@@ -31,9 +31,9 @@
     private static final int DEFAULT_OBJECTIVE_MS = 500;
     private static final int DEFAULT_DEADLINE_MS = 2500;
 
-    /** Lower bound of the heap size used, if the virtual machine reports less. */
+    /** Heap size that is assumed if the virtual machine reports less. */
     private static final int MIN_HEAP_MB = 4;
-    /** By default spooled results use the heap divided by this; requests use the rest. */
+    /** Spooled results use the heap divided by this, unless configured; requests use the rest. */
     private static final int SPOOL_HEAP_DIVISOR = 4;
 
     private static final int MAX_DEFAULT_SPOOL_MEMORY_MB = 1024;
@@ -62,7 +62,7 @@
         List<MysqlConfig.QueryClass> classes = classes(root.member("class"));
         boolean canServe = !users.isEmpty() && !engines.isEmpty() && !classes.isEmpty();
         if (address != null && !canServe) {
-            throw listen.invalid("needs a user, an engine and a class", "an address beside one of each");
+            throw listen.invalid("needs a user, an engine and a class", "an address with at least one of each");
         }
         return new MysqlConfig(address, bounds, users, engines, classes, spooling(root.member("spool")));
     }
@@ -93,7 +93,7 @@
         for (ConfigNode engine : list.elements()) {
             ConfigNode name = engine.member("name");
             if (!names.add(name.requiredText())) {
-                throw name.invalid("is the name of two engines", "a name for each engine");
+                throw name.invalid("is the name of two engines", "a unique name for each engine");
             }
             engines.add(new EngineConfig(
                     name.requiredText(),
@@ -133,7 +133,7 @@
         try {
             return Pattern.compile(match.text(""), Pattern.CASE_INSENSITIVE | Pattern.DOTALL);
         } catch (PatternSyntaxException e) {
-            throw match.invalid("is no regular expression", "a regular expression of java.util.regex", e);
+            throw match.invalid("is not a regular expression", "a regular expression of java.util.regex", e);
         }
     }
 
@@ -143,7 +143,7 @@
             return new MysqlConfig.Spooling(
                     spoolLimits(spool, !folder.isEmpty()), folder.isEmpty() ? null : Path.of(folder));
         } catch (IllegalArgumentException e) {
-            throw spool.invalid("can't be used: " + e.getMessage(), "bounds that fit together", e);
+            throw spool.invalid("can't be used: " + e.getMessage(), "consistent limits", e);
         }
     }
 
@@ -153,7 +153,7 @@
         long memoryMb = spool.member("memory-mb").positiveInt(defaultMemoryMb);
         long fileMb = usesFiles ? spool.member("file-mb").positiveInt(DEFAULT_SPOOL_FILE_MB) : 0;
         if (memoryMb >= heapMb) {
-            throw spool.member("memory-mb").invalid("is more than the heap", "less than " + heapMb);
+            throw spool.member("memory-mb").invalid("does not fit into the heap", "less than " + heapMb);
         }
         int ownerMb = atLeastOne((memoryMb + fileMb) / SINGLE_OWNER_DIVISOR);
         int retryableMb = atLeastOne(memoryMb / RETRYABLE_MEMORY_DIVISOR);
--- a/src/main/java/lineward/app/MysqlFile.java
+++ b/src/main/java/lineward/app/MysqlFile.java
@@ -18,7 +18,7 @@
     /** Modification time of the content that was read; null before the first read. */
     private FileTime readAt;
 
-    /** Creates the file, which need not exist before it is read. */
+    /** Creates a reader of the file, which need not exist before it is read. */
     MysqlFile(Path path) {
         this.path = path;
     }
--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSettings.java
@@ -13,13 +13,13 @@
 
 /** The scheduler's settings for the pool of MySQL engines. */
 final class MysqlSettings {
-    /** Multiple of the latency objective until which an answer has some value. */
+    /** An answer has some value up to this multiple of the latency objective. */
     private static final double OBJECTIVE_STRETCH = 2;
 
     private static final double OVERDUE_VALUE_RATIO = 0.3;
     private static final double MAX_RETRY_AFTER_MS = 2000;
     private static final double DRAIN_GRACE_MS = 1000;
-    /** The slow start of an engine, which the file does not configure. */
+    /** Duration of an engine's slow start, which the file does not configure. */
     private static final double SLOW_START_MS = 15_000;
 
     private static final double INITIAL_CAPACITY_RATIO = 0.34;
@@ -29,8 +29,8 @@
     private MysqlSettings() {}
 
     /**
-     * Returns the settings, with two classes for each class of the file: statements that only read are
-     * idempotent, others are not.
+     * Returns the settings, with two classes for each class of the file: one for statements that only read,
+     * which are idempotent, and one for others, which are not.
      */
     static SchedulerSettings of(MysqlConfig config) {
         int cores =
--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -14,10 +14,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Wires the MySQL protocol: a server with its own coordinator, a spool and the reload of the engines. */
+/**
+ * Wires the MySQL protocol: a server with its own coordinator, a spool, and the reload of the engine list.
+ */
 final class MysqlWiring {
     private static final Logger LOG = LoggerFactory.getLogger(MysqlWiring.class);
-    /** Interval of checks for a changed file: a drain of an engine must be in effect within a second. */
+    /** Interval of checks for a changed file: draining an engine must take effect within a second. */
     private static final int RELOAD_INTERVAL_MS = 200;
 
     private final FrontEndContext context;
@@ -28,7 +30,7 @@
         this.file = file;
     }
 
-    /** Adds the server to the front end, unless the file names no address to listen on. */
+    /** Adds the server to the front end, unless the file has no listen address. */
     void connect(TelemetryWiring telemetry) {
         MysqlConfig config = file.read();
         if (config.listen() == null) {
--- a/src/main/java/lineward/app/SpoolCommand.java
+++ b/src/main/java/lineward/app/SpoolCommand.java
@@ -17,11 +17,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Reads a spool folder, which a process may have locked, and deletes results from one that is not locked. */
+/**
+ * Lists and verifies the results in a spool folder, even while a process has locked it, and deletes results
+ * from a folder that is not locked.
+ */
 @Command(name = SpoolCommand.NAME, description = SpoolCommand.DESCRIPTION, mixinStandardHelpOptions = true)
 final class SpoolCommand implements Runnable {
     static final String NAME = "spool";
-    static final String DESCRIPTION = "Works on a folder of spooled results.";
+    static final String DESCRIPTION = "Lists, verifies or deletes the results in a spool folder.";
     private static final int STATUS_OK = 0;
     private static final int STATUS_CORRUPT = 1;
 
@@ -30,11 +33,11 @@
 
     @Override
     public void run() {
-        String reason = "a command is missing: ls, verify or drop";
+        String reason = "missing command: ls, verify or drop";
         throw new CommandLine.ParameterException(spec.commandLine(), reason);
     }
 
-    @Command(name = "ls", description = "Lists the results that are whole, and what can't be used.")
+    @Command(name = "ls", description = "Lists the complete results and the unusable files.")
     int list(@Parameters(paramLabel = "FOLDER") Path folder) {
         SpoolFolder.Recovered contents = read(folder);
         contents.complete().forEach(this::printResult);
@@ -42,7 +45,7 @@
         return STATUS_OK;
     }
 
-    @Command(name = "verify", description = "Reads every block and checks it; status 1 if one is spoilt.")
+    @Command(name = "verify", description = "Verifies every block; ends with status 1 if a result is corrupt.")
     int verify(@Parameters(paramLabel = "FOLDER") Path folder) {
         SpoolFolder.Recovered contents = read(folder);
         printUnusable(contents);
@@ -58,13 +61,13 @@
         return corrupt == 0 ? STATUS_OK : STATUS_CORRUPT;
     }
 
-    @Command(name = "drop", description = "Deletes results from a folder that no process holds.")
+    @Command(name = "drop", description = "Deletes results from a folder that no process has locked.")
     int drop(
             @Parameters(paramLabel = "FOLDER") Path folder,
-            @Option(names = "--user", description = "only this user's") String user,
-            @Option(names = "--key", description = "only under this key") String key) {
+            @Option(names = "--user", description = "only results of this user") String user,
+            @Option(names = "--key", description = "only results with this key") String key) {
         if (!Files.isDirectory(folder)) {
-            throw ConfigException.unusable(folder + " is no folder");
+            throw ConfigException.unusable(folder + " is not a folder");
         }
         try (SpoolFolder locked = SpoolFolder.acquire(folder)) {
             List<Segment.Found> selected = SpoolFolder.inspect(folder).complete().stream()
@@ -95,7 +98,7 @@
         return isOfUser && isUnderKey;
     }
 
-    /** Returns the fault of the first block that can't be read; empty if there is none. */
+    /** Returns the fault of the first block that can't be read; empty if all can be read. */
     private static Optional<String> findFault(Segment.Found result) {
         for (Segment.Extent block : result.blocks()) {
             try {
--- a/src/main/java/lineward/app/SpoolWiring.java
+++ b/src/main/java/lineward/app/SpoolWiring.java
@@ -8,15 +8,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Wires a spool: its folder, the threads that read and write it, and the results of an earlier process. */
+/**
+ * Wires a spool: its folder, the threads that read and write it, and the recovery of results of an earlier
+ * process.
+ */
 final class SpoolWiring {
     private static final Logger LOG = LoggerFactory.getLogger(SpoolWiring.class);
 
     private SpoolWiring() {}
 
     /**
-     * Opens a spool, which is used on the event loop and closed at shutdown. Without a usable folder, results
-     * stay in memory.
+     * Opens a spool, which is used on the event loop and closed at shutdown. Results stay in memory if there
+     * is no usable folder.
      *
      * @throws ConfigException if another process uses the folder
      */
--- a/src/main/java/lineward/app/TelemetryWiring.java
+++ b/src/main/java/lineward/app/TelemetryWiring.java
@@ -7,7 +7,7 @@
 import lineward.operations.MetricsTracer;
 import lineward.telemetry.Telemetry;
 
-/** Wires the observers of requests: log, metrics and, if the environment names a collector, OTLP export. */
+/** Wires the tracers of requests: log, metrics and, if the environment names a collector, OTLP export. */
 final class TelemetryWiring implements AutoCloseable {
     private static final String INSTANCE_VARIABLE = "RELAY_NAME";
     private static final String DEFAULT_INSTANCE = "lineward";
@@ -16,7 +16,7 @@
     /** Null if the environment names no collector. */
     private final Telemetry export;
 
-    /** Starts the export; throws a {@link ConfigException} if its variables can't be used. */
+    /** Starts the export; throws a {@link ConfigException} if an environment variable can't be used. */
     TelemetryWiring(Metrics metrics, Map<String, String> environment) {
         this.metrics = metrics;
         this.export = Telemetry.isOn(environment) ? start(environment) : null;
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -12,11 +12,11 @@
 
 /** Wires the platform's protocol: the Thrift server, the connections to engines and a coordinator. */
 final class ThriftWiring {
-    /** Time within which a cancel takes effect on an engine, including the network. */
+    /** Time within which a cancellation takes effect on an engine, including network latency. */
     private static final double CANCEL_LATENCY_MS = 6;
-    /** Memory is sized for 16 KB for each open request. */
+    /** Limits open requests by memory, at 16 KB for each request. */
     private static final int OPEN_REQUESTS_PER_MB = 64;
-    /** Statements of open requests may use the memory divided by this. */
+    /** The statements of open requests may use the memory divided by this. */
     private static final int STATEMENT_MEMORY_DIVISOR = 16;
     /** Responses that clients have not read may use the memory divided by this. */
     private static final int RESPONSE_MEMORY_DIVISOR = 12;
@@ -24,7 +24,10 @@
     private static final long BYTES_PER_MB = 1 << 20;
     /** Fraction of the descriptors for clients. */
     private static final double CLIENT_DESCRIPTOR_RATIO = 0.5;
-    /** Fraction of the descriptors for connections to engines. The remaining ones serve everything else. */
+    /**
+     * Fraction of the descriptors for connections to engines. The remaining descriptors are for everything
+     * else.
+     */
     private static final double ENGINE_DESCRIPTOR_RATIO = 0.35;
 
     private final FrontEndContext context;
@@ -49,9 +52,9 @@
     }
 
     /**
-     * Adds the server to the front end, after its warm-up and with the endpoints of the configuration.
+     * Adds the server to the front end, after a warm-up and with the endpoints of the configuration.
      *
-     * @param file that a reload reads
+     * @param file the file that a reload reads
      * @return the properties of this process that its lifecycle depends on
      */
     LifecycleWiring.Instance connect(TelemetryWiring telemetry, DiscoveryWiring discovery, ConfigFile file) {
@@ -101,7 +104,7 @@
         return new EngineCluster(context.eventLoopGroup(), limits, context.metrics()::countForwarded);
     }
 
-    /** Loads and compiles the code of the first requests, with a separate coordinator. */
+    /** Warms up: loads and compiles the code that the first requests use, with a separate coordinator. */
     private void loadClasses(EngineCluster cluster) {
         EngineWarmup.run();
         ProtocolWarmup.run(names, bounds, coordinator(0, new LogTracer<>()), cluster, context.clock());
@@ -116,7 +119,7 @@
         try {
             endpoints.apply(initial.value());
         } catch (IllegalArgumentException e) {
-            throw initial.invalid("can't be used: " + e.getMessage(), "events of the discovery service", e);
+            throw initial.invalid("can't be used: " + e.getMessage(), "discovery events in wire format", e);
         }
     }
 
--- a/src/main/java/lineward/app/package-info.java
+++ b/src/main/java/lineward/app/package-info.java
@@ -2,7 +2,7 @@
  * The program's entry point: commands, configuration files and the wiring of the subsystems.
  *
  * <p>Owns the command line ({@link lineward.app.Main}), the two configuration files and one wiring class for
- * each subsystem; it has no logic of requests. It may use every other package, and no package uses it.
+ * each subsystem; it handles no requests itself. It may use every other package, and no package uses it.
  *
  * <p>Threads: one event loop serves all connections of the process; the main thread starts it and a
  * shutdown hook ends it. Signals arrive on other threads, which pass them to the event loop.
--- a/src/test/java/lineward/app/ConfigExceptionTest.java
+++ b/src/test/java/lineward/app/ConfigExceptionTest.java
@@ -34,8 +34,8 @@
         return new Object[][] {
             {"listen = \"here\"", "listen", "\"here\"", ADDRESS_FORM},
             {"listen = \"127.0.0.1:65536\"", "listen", "\"127.0.0.1:65536\"", ADDRESS_FORM},
-            {"[[engine]]\naddress = \"a:1\"", "engine[0].name", "nothing", "a text that is not empty"},
-            {engine("a") + engine("a"), "engine[1].name", "\"a\"", "a name for each engine"},
+            {"[[engine]]\naddress = \"a:1\"", "engine[0].name", "nothing", "a non-empty string"},
+            {engine("a") + engine("a"), "engine[1].name", "\"a\"", "a unique name for each engine"},
             {engine("a") + "state = \"asleep\"", "engine[0].state", "\"asleep\"", "ready, draining or gone"},
             {
                 "[[class]]\nname = \"c\"\nmatch = \"(\"",
@@ -43,7 +43,7 @@
                 "\"(\"",
                 "a regular expression of java.util.regex"
             },
-            {"listen = \"127.0.0.1:0\"", "listen", "\"127.0.0.1:0\"", "an address beside one of each"},
+            {"listen = \"127.0.0.1:0\"", "listen", "\"127.0.0.1:0\"", "an address with at least one of each"},
             {"[limits]\nclients = 0", "$.limits.clients", "0", "must have a minimum value of 1"}
         };
     }
