--- a/src/main/java/lineward/app/ConfigNode.java
+++ b/src/main/java/lineward/app/ConfigNode.java
@@ -91,7 +91,7 @@
     InetSocketAddress address() {
         Matcher parts = ADDRESS.matcher(text(""));
         if (!parts.matches() || Integer.parseInt(parts.group(2)) > HIGHEST_PORT) {
-            throw invalid("is no address with a port", "HOST:PORT with a port up to " + HIGHEST_PORT);
+            throw invalid("is not an address with a port", "HOST:PORT with a port up to " + HIGHEST_PORT);
         }
         return new InetSocketAddress(parts.group(1), Integer.parseInt(parts.group(2)));
     }
