--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -76,7 +76,7 @@
         context.startActions().forEach(Runnable::run);
         for (ProtocolServer server : servers) {
             SocketAddress address = FrontEndContext.awaitBound(server.listen(context.eventLoopGroup()));
-            LOG.info("server listening on address={}", address);
+            LOG.info("server listening: address={}", address);
         }
         if (servers.isEmpty()) {
             throw ConfigException.unusable("nothing to serve: the MySQL file has no listen address");
--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -79,11 +79,11 @@
                     .redirectOutput(log.toFile())
                     .start();
             String text = "";
-            for (int i = 0; i < 200 && !text.contains("listening on "); i++) {
+            for (int i = 0; i < 200 && !text.contains("server listening"); i++) {
                 pause(50);
                 text = Files.readString(log);
             }
-            String line = text.substring(text.indexOf("listening on "))
+            String line = text.substring(text.indexOf("server listening"))
                     .lines()
                     .findFirst()
                     .orElseThrow();
--- a/src/test/java/lineward/testing/Program.java
+++ b/src/test/java/lineward/testing/Program.java
@@ -11,7 +11,7 @@
 
 /** The program as a child process. Its ports and states are read from its log. */
 public final class Program implements AutoCloseable {
-    private static final String LISTENS = "listening on ";
+    private static final String LISTENS = "server listening: address=";
     private static final String OPERATIONS = "admin endpoint listening: address=";
     /** Null if a {@link SocketActivator} started the program. */
     private final Process process;
--- a/src/test/java/lineward/thrift/EngineConnectionTest.java
+++ b/src/test/java/lineward/thrift/EngineConnectionTest.java
@@ -121,7 +121,7 @@
     /** Returns what the program has logged since it listens: its rehearsal is no engine's matter. */
     private String logged() {
         String log = platform.program().log();
-        return log.substring(log.indexOf("listening on"));
+        return log.substring(log.indexOf("server listening: "));
     }
 
     /** How the engine leaves while a connection to it is coming up. */
