--- a/src/main/java/lineward/spool/Block.java
+++ b/src/main/java/lineward/spool/Block.java
@@ -2,11 +2,11 @@
 
 import lineward.spool.store.Segment;
 
-/** One block of a result, in memory or on file; a block that is being written is in both. */
+/** One block of a result. Its bytes are in memory until it has been written to disk. */
 final class Block {
     private enum Storage {
         MEMORY,
-        /** In memory until the write ends, but already accounted for on file. */
+        /** Still in memory until the write ends, but already counted as disk space. */
         BEING_WRITTEN,
         FILE
     }
@@ -15,9 +15,9 @@
     private final int rows;
     private final int rawBytes;
     private Storage storage;
-    /** Null once the block is on file. */
+    /** Null once the block is on disk. */
     private byte[] data;
-    /** Null until the block is on file. */
+    /** Null until the block is on disk. */
     private Segment.Extent location;
 
     private Block(long firstRow, int rows, int rawBytes) {
@@ -81,12 +81,12 @@
         return rawBytes;
     }
 
-    /** Returns its bytes; null if they have to be loaded from file. */
+    /** Returns the bytes of the block; null if they must be loaded from disk. */
     byte[] data() {
         return data;
     }
 
-    /** Returns where it is on file; null until it is there. */
+    /** Returns where the block is in its file; null until it has been written. */
     Segment.Extent location() {
         return location;
     }
--- a/src/main/java/lineward/spool/BlockBuffer.java
+++ b/src/main/java/lineward/spool/BlockBuffer.java
@@ -14,7 +14,7 @@
     private int length;
     private int rows;
 
-    /** Makes space for this many bytes, and returns their offset in {@link #array}. */
+    /** Reserves space for this many bytes, and returns its offset in {@link #array}. */
     int reserve(int count) {
         if (length + count > bytes.length) {
             int grown = Math.min(2 * bytes.length + MIN_GROWTH_BYTES, BLOCK_BYTES);
@@ -23,12 +23,12 @@
         return length;
     }
 
-    /** Returns the array with the space reserved last; {@link #reserve} may replace it. */
+    /** Returns the array that contains the reserved space; {@link #reserve} may replace it. */
     byte[] array() {
         return bytes;
     }
 
-    /** This many of the reserved bytes have been written. */
+    /** Adds this many of the reserved bytes, which the caller has written, to the block. */
     void commit(int count, boolean endsRow) {
         length += count;
         rows += endsRow ? 1 : 0;
@@ -42,7 +42,7 @@
         return length >= BLOCK_BYTES;
     }
 
-    /** Returns the collected rows as a block whose first row has that number, and clears the buffer. */
+    /** Returns the collected rows as a block, given the number of its first row, and clears the buffer. */
     Block removeBlock(long firstRow) {
         byte[] data = length == bytes.length ? bytes : Arrays.copyOf(bytes, length);
         Block block = Block.inMemory(firstRow, rows, data);
--- a/src/main/java/lineward/spool/BlockPlacement.java
+++ b/src/main/java/lineward/spool/BlockPlacement.java
@@ -2,11 +2,11 @@
 
 import lineward.spool.SpoolPolicy.Placement;
 
-/** Decides where a block is stored, and when an engine has to wait for the readers. */
+/** Decides where blocks are stored, and when backpressure stops the reads from an engine. */
 final class BlockPlacement {
-    /** Limit on the fraction of the memory for one result; its other blocks are stored on file. */
+    /** Maximum fraction of the memory that one result may use; its other blocks are written to disk. */
     private static final double RESULT_MEMORY_RATIO = 0.25;
-    /** Backpressure ends once the bytes stored have fallen to each bound divided by this. */
+    /** Reads resume once total memory, result and user are each at most at their limit divided by this. */
     private static final int RESUME_DIVISOR = 2;
 
     private final SpoolLimits limits;
@@ -20,12 +20,12 @@
         this.fileBackoff = fileBackoff;
     }
 
-    /** Decides where a block of a result is stored and accounts for it there. */
+    /** Decides where a block is stored, and counts its bytes there. */
     Placement allocate(ResultAccount account, long bytes, double nowMs) {
         boolean withinQuota = isWithinQuota(account, bytes);
         boolean fitsMemory = withinQuota && fitsMemory(account, bytes);
         boolean fitsFile = withinQuota && fitsFile(account, bytes, nowMs);
-        // A result with a key is stored on file so that it survives the process.
+        // A result with a key is stored on disk so that it survives a restart.
         if (fitsFile && (account.isKeyed() || !fitsMemory)) {
             ledger.addFile(account);
             ledger.addToFile(account, bytes);
@@ -50,7 +50,7 @@
     }
 
     private boolean fitsMemory(ResultAccount account, long bytes) {
-        // Without files one result may use all memory, as its blocks cannot be stored elsewhere.
+        // Without files, one result may use all memory, as its blocks can't be stored elsewhere.
         double resultMemoryBytes = RESULT_MEMORY_RATIO * limits.memoryBytes();
         boolean withinRatio = !limits.hasFiles() || account.memoryBytes() + bytes <= resultMemoryBytes;
         return withinRatio && ledger.memoryBytes() + bytes <= limits.memoryBytes();
@@ -62,7 +62,7 @@
         return mayHaveFile && hasSpace && fileBackoff.hasElapsed(nowMs);
     }
 
-    /** Returns whether the engine may be read: there is capacity to store more of this result. */
+    /** Returns whether the engine may be read, as there is capacity to store more of this result. */
     boolean mayReadEngine(ResultAccount account) {
         return !account.hasBackpressure() || account.memoryBytes() == 0 || hasCapacityToResume(account);
     }
@@ -73,7 +73,7 @@
                 && ledger.bytesOf(account.user()) <= limits.userBytes() / RESUME_DIVISOR;
     }
 
-    /** Returns how many times a result's engine had to wait for its reader. */
+    /** Returns how many times backpressure has started for a result. */
     long backpressured() {
         return backpressured;
     }
--- a/src/main/java/lineward/spool/BlockSequence.java
+++ b/src/main/java/lineward/spool/BlockSequence.java
@@ -10,14 +10,14 @@
     static final int NOT_FOUND = -1;
 
     private final List<Block> blocks = new ArrayList<>();
-    /** Number of blocks removed, which is the number of the first that is left. */
+    /** Count of the removed blocks, which is also the number of the first remaining block. */
     private int removed;
 
     void add(Block block) {
         blocks.add(block);
     }
 
-    /** Returns the number that the next block will have. */
+    /** Returns the number that the next added block will have. */
     int end() {
         return removed + blocks.size();
     }
@@ -26,7 +26,7 @@
         return blocks.get(number - removed);
     }
 
-    /** Removes blocks before that number, up to the first that is being written. */
+    /** Removes the blocks before a number; stops at the first block that is being written. */
     void removeBefore(int number, Consumer<Block> onRemoved) {
         while (removed < number && !blocks.isEmpty() && !blocks.get(0).isBeingWritten()) {
             Block block = blocks.remove(0);
@@ -39,7 +39,7 @@
         blocks.clear();
     }
 
-    /** Returns the number of the block with that row of the result, or {@link #NOT_FOUND}. */
+    /** Returns the number of the block that contains a row of the result, or {@link #NOT_FOUND}. */
     int numberOfRow(long row) {
         for (int i = 0; i < blocks.size(); i++) {
             if (blocks.get(i).containsRow(row)) {
@@ -49,7 +49,7 @@
         return NOT_FOUND;
     }
 
-    /** Returns whether there are blocks, and all are on file. */
+    /** Returns whether there is at least one block and all blocks are on disk. */
     boolean isOnFile() {
         return !blocks.isEmpty() && blocks.stream().allMatch(Block::isOnFile);
     }
--- a/src/main/java/lineward/spool/FileBackoff.java
+++ b/src/main/java/lineward/spool/FileBackoff.java
@@ -2,19 +2,19 @@
 
 import java.util.OptionalDouble;
 
-/** Keeps new blocks in memory for some time after a failed write. */
+/** Suspends writes for a fixed time after a failed write; new blocks stay in memory meanwhile. */
 final class FileBackoff {
     static final double BACKOFF_MS = 5000;
 
     /** Empty before the first failed write. */
     private OptionalDouble lastFailureMs = OptionalDouble.empty();
 
-    /** A write has failed. */
+    /** Records a failed write, which starts the backoff. */
     void writeFailed(double nowMs) {
         lastFailureMs = OptionalDouble.of(nowMs);
     }
 
-    /** Returns whether files may be written: no write failed within the backoff. */
+    /** Returns whether files may be written, as no write has failed within the backoff time. */
     boolean hasElapsed(double nowMs) {
         return lastFailureMs.isEmpty() || nowMs >= lastFailureMs.getAsDouble() + BACKOFF_MS;
     }
--- a/src/main/java/lineward/spool/LeasePolicy.java
+++ b/src/main/java/lineward/spool/LeasePolicy.java
@@ -2,7 +2,7 @@
 
 /** Decides when a result expires because no reader uses it. */
 final class LeasePolicy {
-    /** Limit on the time for which an engine waits without a block being read. */
+    /** Maximum time for which backpressure may stop an engine without a block being read. */
     static final double MAX_STALL_MS = 20_000;
 
     private final SpoolLimits limits;
@@ -12,7 +12,8 @@
     }
 
     /**
-     * Returns whether a result has been idle for longer than its lease, or its engine has waited too long.
+     * Returns whether a result has been idle for longer than its lease, or backpressure has stopped its
+     * engine for too long.
      */
     boolean isExpired(ResultAccount account, double nowMs) {
         boolean idle = nowMs - account.lastUsedMs() > leaseMs(account);
--- a/src/main/java/lineward/spool/ReadState.java
+++ b/src/main/java/lineward/spool/ReadState.java
@@ -1,13 +1,13 @@
 package lineward.spool;
 
-/** What a reader finds at its position. */
+/** What follows the blocks that a reader has read. */
 public enum ReadState {
-    /** There are more blocks, or there may be later. */
+    /** There are unread blocks, or more may arrive. */
     MORE,
-    /** All has been read. */
+    /** The whole result has been read. */
     END,
-    /** The missing blocks never come: the attempt failed or a file can't be read. */
+    /** The rest can't be read: the attempt failed, the file can't be read or the result was released. */
     BROKEN,
-    /** The reader's lease has expired. */
+    /** The lease of the result has expired. */
     EXPIRED
 }
--- a/src/main/java/lineward/spool/ReaderState.java
+++ b/src/main/java/lineward/spool/ReaderState.java
@@ -1,19 +1,19 @@
 package lineward.spool;
 
-/** The state of a {@link ResultReader}; each method returns the state after its event. */
+/** The state of a {@link ResultReader}. The transition methods return the next state. */
 enum ReaderState {
-    /** The next block is in memory, has yet to be loaded or has not come. */
+    /** No load is in progress: the next block is in memory, only on disk or has not arrived yet. */
     READY,
-    /** The next block is being loaded from file. */
+    /** The next block is being loaded from disk. */
     LOADING,
     /** The next block has been loaded. */
     LOADED,
-    /** The next block could not be loaded: nothing more can be read. */
+    /** The next block could not be loaded, so nothing more can be read. */
     FAILED,
-    /** The client does not read any more. */
+    /** The client has stopped reading. */
     CLOSED;
 
-    /** The load of the next block starts; only a reader that is ready may start one. */
+    /** Starts the load of the next block; only a ready reader may start one. */
     ReaderState startLoad() {
         if (this != READY) {
             throw new IllegalStateException("load started by a reader that is " + this);
@@ -21,27 +21,27 @@
         return LOADING;
     }
 
-    /** The next block has been loaded; a reader that was closed meanwhile ignores it. */
+    /** Handles a successful load; has no effect if the reader was closed meanwhile. */
     ReaderState loadSucceeded() {
         return this == LOADING ? LOADED : this;
     }
 
-    /** The next block could not be loaded; a reader that was closed meanwhile ignores it. */
+    /** Handles a failed load; has no effect if the reader was closed meanwhile. */
     ReaderState loadFailed() {
         return this == LOADING ? FAILED : this;
     }
 
-    /** The next block has been read, whether it had to be loaded or not. */
+    /** Moves past the next block, which has been read from memory or after a load. */
     ReaderState blockRead() {
         return this == LOADED ? READY : this;
     }
 
-    /** The client does not read any more. */
+    /** Ends the reading. */
     ReaderState close() {
         return CLOSED;
     }
 
-    /** Returns whether blocks may be read. */
+    /** Returns whether more blocks can be read. */
     boolean isReadable() {
         return this != FAILED && this != CLOSED;
     }
--- a/src/main/java/lineward/spool/ReleaseRate.java
+++ b/src/main/java/lineward/spool/ReleaseRate.java
@@ -2,7 +2,7 @@
 
 import java.util.OptionalDouble;
 
-/** Measures how fast bytes are released; the weight of a release halves every second. */
+/** Rate at which bytes are released: an exponentially weighted average with a half-life of one second. */
 final class ReleaseRate {
     private static final double HALF_LIFE_MS = 1000;
 
@@ -10,7 +10,7 @@
     /** Empty before the first release. */
     private OptionalDouble lastReleaseMs = OptionalDouble.empty();
 
-    /** Bytes have been released. */
+    /** Records released bytes. */
     void add(long bytes, double nowMs) {
         double elapsedMs = nowMs - lastReleaseMs.orElse(nowMs);
         double decayed = bytesPerMs * Math.pow(2, -elapsedMs / HALF_LIFE_MS);
@@ -18,7 +18,7 @@
         lastReleaseMs = OptionalDouble.of(nowMs);
     }
 
-    /** Returns the rate as of the latest release; 0 before the first. */
+    /** Returns the rate at the time of the latest release; 0 before the first. */
     double bytesPerMs() {
         return bytesPerMs;
     }
--- a/src/main/java/lineward/spool/ResultAccount.java
+++ b/src/main/java/lineward/spool/ResultAccount.java
@@ -3,9 +3,8 @@
 import java.util.OptionalDouble;
 
 /**
- * What the policy records of one result: its owner, its bytes, its readers and its lease. Times are
- * milliseconds of the spool's clock. {@link SpoolLedger} calls the methods that change bytes, as it sums
- * them.
+ * The usage data of one result: its owner, bytes, readers and lease. Times are milliseconds of the spool's
+ * clock. Only {@link SpoolLedger} may change the byte counts and add the file, as it keeps the totals.
  */
 final class ResultAccount {
     private final String user;
@@ -25,26 +24,26 @@
         this.lastUsedMs = nowMs;
     }
 
-    /** The engine has sent the last block. */
+    /** Marks the result as complete, which ends backpressure and renews the lease. */
     void complete(double nowMs) {
         complete = true;
         endBackpressure();
         lastUsedMs = nowMs;
     }
 
-    /** A reader starts to read. */
+    /** Adds a reader. */
     void readerOpened(double nowMs) {
         readers++;
         lastUsedMs = nowMs;
     }
 
-    /** A reader ends, wherever it is in the result. */
+    /** Removes a reader, whether or not it has read the whole result. */
     void readerClosed(double nowMs) {
         readers--;
         lastUsedMs = nowMs;
     }
 
-    /** A reader has read a block: the lease and the time of backpressure start anew. */
+    /** Records the read of a block, which renews the lease and restarts the time of a stall. */
     void blockRead(double nowMs) {
         lastUsedMs = nowMs;
         if (hasBackpressure()) {
@@ -52,27 +51,27 @@
         }
     }
 
-    /** The engine has to wait for the readers from now on. */
+    /** Starts backpressure: the engine has to wait for the readers. */
     void startBackpressure(double nowMs) {
         backpressureSinceMs = OptionalDouble.of(nowMs);
     }
 
-    /** The engine does not have to wait any more. */
+    /** Ends backpressure: the engine no longer has to wait. */
     void endBackpressure() {
         backpressureSinceMs = OptionalDouble.empty();
     }
 
-    /** Bytes are stored in memory, or removed from it if the number is negative. */
+    /** Adds bytes stored in memory; a negative number subtracts. */
     void addMemoryBytes(long bytes) {
         memoryBytes += bytes;
     }
 
-    /** Bytes are stored on file, or removed from it if the number is negative. */
+    /** Adds bytes stored on disk; a negative number subtracts. */
     void addFileBytes(long bytes) {
         fileBytes += bytes;
     }
 
-    /** The result has a file from now on. */
+    /** Records that the result has a file. */
     void addFile() {
         hasFile = true;
     }
@@ -81,7 +80,7 @@
         return user;
     }
 
-    /** Returns whether it has a key, by which its client may read it again. */
+    /** Returns whether the result has a key under which its client may read it again. */
     boolean isKeyed() {
         return keyed;
     }
@@ -106,22 +105,22 @@
         return hasFile;
     }
 
-    /** Returns when a reader last opened, read or closed it, or when it became complete. */
+    /** Returns when the result was last used: begun, opened, read or closed by a reader, or completed. */
     double lastUsedMs() {
         return lastUsedMs;
     }
 
-    /** Returns whether its lease applies; the timeout of its attempt limits a result that grows unread. */
+    /** Returns whether the lease applies; an incomplete unread result is limited by its attempt's timeout. */
     boolean hasLease() {
         return complete || readers > 0;
     }
 
-    /** Returns whether it is stored on after its last reader has closed it. */
+    /** Returns whether the result is retained after its last reader has closed it. */
     boolean isRetained() {
         return keyed && complete;
     }
 
-    /** Returns whether it may be released to make space for other results. */
+    /** Returns whether the result may be released to make space for other results. */
     boolean isReclaimable() {
         return isRetained() && readers == 0;
     }
@@ -131,7 +130,7 @@
         return backpressureSinceMs.isPresent();
     }
 
-    /** Returns whether the engine has waited for longer than this without a block being read. */
+    /** Returns whether the engine has waited for longer than a duration without a block being read. */
     boolean isStalledFor(double durationMs, double nowMs) {
         return hasBackpressure() && nowMs - backpressureSinceMs.getAsDouble() > durationMs;
     }
--- a/src/main/java/lineward/spool/ResultFile.java
+++ b/src/main/java/lineward/spool/ResultFile.java
@@ -6,8 +6,8 @@
 import lineward.spool.store.SegmentStore;
 
 /**
- * The file of one result. Its methods run on the event loop; {@link SegmentStore} writes blocks on a thread
- * of its own and reports their end on the event loop, where they are accounted for.
+ * The file of one result. Its methods run on the event loop. {@link SegmentStore} writes blocks on its writer
+ * thread and reports completion on the event loop, where the bytes are accounted for.
  */
 final class ResultFile {
     private final Spool spool;
@@ -23,7 +23,7 @@
         this.state = state;
     }
 
-    /** Returns the file of a new result, which the first block creates. */
+    /** Returns the file of a new result; it is created on disk when the first block is written. */
     static ResultFile ofNewResult(Spool spool, long resultId) {
         return new ResultFile(spool, resultId, new SegmentStore.Handle(), ResultFileState.ABSENT);
     }
@@ -33,7 +33,7 @@
         return new ResultFile(spool, resultId, new SegmentStore.Handle(segment), ResultFileState.SEALED);
     }
 
-    /** Writes a block. The block's state shows how the write ended once {@code onEnded} is run. */
+    /** Writes a block, updates its storage when the write has ended and then runs {@code onEnded}. */
     void write(Block block, Runnable onEnded) {
         state = state.writeBlock();
         block.writeStarted();
@@ -54,12 +54,12 @@
         });
     }
 
-    /** Returns whether its manifest may be written now: no block is being written, and it has none yet. */
+    /** Returns whether the manifest can be written: no block is being written and the file is not sealed. */
     boolean maySeal() {
         return pendingWrites == 0 && state != ResultFileState.SEALED;
     }
 
-    /** Writes manifest and index, after which the result survives this process. */
+    /** Writes the manifest and the index; once they are written, the result survives a restart. */
     void seal(Manifest manifest, List<Segment.Extent> locations) {
         state = state.seal();
         spool.store().complete(handle, manifest, locations, (fileBytes, failure) -> {
@@ -73,12 +73,12 @@
         });
     }
 
-    /** Loads a block that is on file. */
+    /** Loads a block that is on disk. */
     void read(Block block, SegmentStore.Completion<byte[]> completion) {
         spool.store().read(handle, block.location(), completion);
     }
 
-    /** Deletes the file, which may exist even if the write of every block failed. */
+    /** Deletes the file if a write was started; it may exist even if the write of every block failed. */
     void delete() {
         if (state != ResultFileState.ABSENT) {
             spool.store().delete(handle, (nothing, failure) -> spool.logWriteFailure(failure));
--- a/src/main/java/lineward/spool/ResultFileState.java
+++ b/src/main/java/lineward/spool/ResultFileState.java
@@ -1,15 +1,15 @@
 package lineward.spool;
 
-/** The state of a {@link ResultFile}; each method returns the state after its event. */
+/** The state of a {@link ResultFile}. The transition methods return the next state. */
 enum ResultFileState {
-    /** No block has been written. */
+    /** No write has been started. */
     ABSENT,
-    /** Blocks are written to it. */
+    /** At least one block has been submitted for writing, and more may follow. */
     GROWING,
-    /** Manifest and index have been requested or found: the file does not change any more. */
+    /** The manifest and the index have been submitted, or recovered: no more blocks are written. */
     SEALED;
 
-    /** A block is written; a sealed file takes none. */
+    /** Submits a block; a sealed file accepts none. */
     ResultFileState writeBlock() {
         if (this == SEALED) {
             throw new IllegalStateException("block written to a sealed file");
@@ -17,7 +17,7 @@
         return GROWING;
     }
 
-    /** The manifest is written, which also creates the file of a result without blocks. */
+    /** Submits the manifest; a file is sealed only once. */
     ResultFileState seal() {
         if (this == SEALED) {
             throw new IllegalStateException("file sealed twice");
--- a/src/main/java/lineward/spool/ResultReader.java
+++ b/src/main/java/lineward/spool/ResultReader.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Reads a result's blocks in order and loads those on file. Runs on the event loop. */
+/** Reads the blocks of a result in order and loads those on disk. Runs on the event loop. */
 final class ResultReader implements SpoolReader {
     private final SpooledResult result;
     private final Runnable onProgress;
@@ -20,7 +20,7 @@
         onProgress.run();
     }
 
-    /** Returns the number of the block that it reads next; it does not read earlier ones again. */
+    /** Returns the number of the block that is read next; blocks before it are not read again. */
     int nextBlock() {
         return nextBlock;
     }
--- a/src/main/java/lineward/spool/ResultState.java
+++ b/src/main/java/lineward/spool/ResultState.java
@@ -1,24 +1,24 @@
 package lineward.spool;
 
 /**
- * The state of a spooled result: how much of it the engine has sent, and whether its lease has expired. An
- * expired result remains until its last reader closes it, as each reader has to be notified. Each method
- * returns the state after its event.
+ * The state of a spooled result: whether the engine has sent all of it, and whether its lease has expired.
+ * Expiry does not release a result that has readers, as each of them has to be notified first. The
+ * transition methods return the next state.
  */
 enum ResultState {
-    /** The engine is still sending. */
+    /** The engine is still sending the result. */
     GROWING(Content.GROWING, false),
-    /** The engine has sent all of it. */
+    /** The engine has sent the whole result. */
     COMPLETE(Content.COMPLETE, false),
-    /** The attempt failed: the missing blocks never come. */
+    /** The attempt failed, so the missing blocks will never arrive. */
     BROKEN(Content.BROKEN, false),
     /** Memory and file have been released. */
     RELEASED(Content.RELEASED, false),
     /** The lease expired; the engine is still sending. */
     EXPIRED_GROWING(Content.GROWING, true),
-    /** The lease expired; the engine has sent all of it. */
+    /** The lease expired; the engine has sent the whole result. */
     EXPIRED_COMPLETE(Content.COMPLETE, true),
-    /** The lease expired; the missing blocks never come. */
+    /** The lease expired; the attempt failed, so the missing blocks will never arrive. */
     EXPIRED_BROKEN(Content.BROKEN, true),
     /** The lease expired; memory and file have been released. */
     EXPIRED_RELEASED(Content.RELEASED, true);
@@ -38,30 +38,30 @@
         this.expired = expired;
     }
 
-    /** The engine has sent all of it; only a growing result can become complete. */
+    /** Marks the result as complete; has an effect only while the engine is sending. */
     ResultState complete() {
         return content == Content.GROWING ? of(Content.COMPLETE, expired) : this;
     }
 
-    /** The attempt failed; only a growing result can break. */
+    /** Marks the attempt as failed; has an effect only while the engine is sending. */
     ResultState fail() {
         return content == Content.GROWING ? of(Content.BROKEN, expired) : this;
     }
 
-    /** The lease expired. */
+    /** Marks the lease as expired. */
     ResultState expire() {
         return of(content, true);
     }
 
-    /** Memory and file are released. */
+    /** Marks memory and file as released. */
     ResultState release() {
         return of(Content.RELEASED, expired);
     }
 
     /**
-     * Returns what a reader finds at its position.
+     * Returns what follows the blocks that a reader has read.
      *
-     * @param hasMore whether there are blocks that it has not read
+     * @param hasMore whether there are blocks that the reader has not read
      */
     ReadState readState(boolean hasMore) {
         if (expired) {
--- a/src/main/java/lineward/spool/SpoolAdmission.java
+++ b/src/main/java/lineward/spool/SpoolAdmission.java
@@ -6,16 +6,16 @@
 
 /**
  * Decides which statements are admitted, and which results are released to make space for new ones. Only
- * complete results with a key and without readers are released, the least recently used first.
+ * complete results that have a key and no readers are released, the least recently used first.
  */
 final class SpoolAdmission {
-    /** Fraction of a bound above which no statement is admitted, so that admitted ones can complete. */
+    /** Fraction of a limit above which no statement is admitted, so that the admitted ones can complete. */
     private static final double HIGH_WATER_RATIO = 0.9;
 
     private static final long MIN_RETRY_AFTER_MS = 100;
     private static final long MAX_RETRY_AFTER_MS = 2000;
     private static final long BYTES_PER_MB = 1 << 20;
-    /** Retry-After for each megabyte to be released, while the release rate is unknown. */
+    /** Retry-After per megabyte to be released, used while the release rate is unknown. */
     private static final double DEFAULT_MS_PER_MB = 20;
 
     private final SpoolLimits limits;
@@ -31,7 +31,7 @@
         this.releaseRate = releaseRate;
     }
 
-    /** Admits a user's statement, or rejects it before it runs. */
+    /** Admits a statement if there is capacity or a result can be released for it; rejects it otherwise. */
     SpoolPolicy.Admission admit(String user, double nowMs) {
         boolean userAboveHighWater = isUserAboveHighWater(user);
         boolean hasCapacity = !userAboveHighWater && !isAboveHighWater(nowMs) && !isResultCountReached();
@@ -83,7 +83,7 @@
         return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, Math.round(expectedMs)));
     }
 
-    /** Returns the result to release before one of this user begins; empty if none has to be, or can be. */
+    /** Returns the id of the result to release before a new one begins; empty if there is none. */
     OptionalLong selectForReclaim(String user) {
         boolean scarceForAll = isTotalAboveHighWater() || isFileCountReached() || isResultCountReached();
         if (!scarceForAll && !isUserAboveHighWater(user)) {
--- a/src/main/java/lineward/spool/SpoolLedger.java
+++ b/src/main/java/lineward/spool/SpoolLedger.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * Accounts for the bytes of all results: by result, by user, in memory and on files. Every byte added is
+ * Accounts for the bytes of all results: by result, by user, in memory and on disk. Every byte added is
  * subtracted again, at the latest by {@link #close}.
  */
 final class SpoolLedger {
-    /** In the order in which they were opened. */
+    /** By result id, in the order in which the accounts were opened. */
     private final Map<Long, ResultAccount> accounts = new LinkedHashMap<>();
 
     private final Map<String, Long> bytesByUser = new HashMap<>();
@@ -20,19 +20,19 @@
     private long fileBytes;
     private int files;
 
-    /** Opens an account and returns its number. */
+    /** Opens an account and returns the id of its result. */
     long open(String user, boolean keyed, double nowMs) {
         lastId++;
         accounts.put(lastId, new ResultAccount(user, keyed, nowMs));
         return lastId;
     }
 
-    /** Returns an account, or null once it is closed. */
+    /** Returns the account of a result, or null once it is closed. */
     ResultAccount account(long id) {
         return accounts.get(id);
     }
 
-    /** Closes an account and subtracts all that it has; returns it, or null if it was closed before. */
+    /** Closes an account and subtracts its bytes and file; returns it, or null if it was already closed. */
     ResultAccount close(long id) {
         ResultAccount account = accounts.remove(id);
         if (account != null) {
--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -5,9 +5,9 @@
 import java.util.OptionalLong;
 
 /**
- * Decides for the spool: which statements are admitted, where blocks are stored, when an engine waits, which
- * results expire and which are released to make space. Does no I/O; times are milliseconds of one monotonic
- * clock. Events that may arrive after the release of their result are ignored.
+ * Makes the decisions of the spool: which statements are admitted, where blocks are stored, when an engine
+ * has to wait, which results expire and which are released to make space. Does no I/O; times are
+ * milliseconds of one monotonic clock. Events that may arrive after the release of their result are ignored.
  */
 public final class SpoolPolicy {
     /** Where a block is stored. */
@@ -16,18 +16,18 @@
         MEMORY,
         /** In the result's file. */
         FILE,
-        /** In memory beyond the bounds: the engine is not read until the readers have freed capacity. */
+        /** In memory beyond the limits: the engine is not read until the readers have freed capacity. */
         MEMORY_WITH_BACKPRESSURE
     }
 
     /** Whether a statement whose result may be spooled is admitted. */
     public sealed interface Admission {}
 
-    /** It is admitted. */
+    /** The statement is admitted. */
     public record Admitted() implements Admission {}
 
     /**
-     * It is rejected before it runs.
+     * The statement is rejected before it runs.
      *
      * @param retryAfterMs milliseconds after which there should be capacity
      */
@@ -36,14 +36,14 @@
     /**
      * The gauges and counters of a spool.
      *
-     * @param memoryBytes in memory now
-     * @param fileBytes on files now, compressed
-     * @param results now
-     * @param readers now
+     * @param memoryBytes bytes in memory now
+     * @param fileBytes bytes on disk now, compressed
+     * @param results number of results now
+     * @param readers number of readers now
      * @param released results released so far
      * @param expired results that expired so far
      * @param rejected statements rejected so far
-     * @param backpressured times so far that an engine had to wait for the readers
+     * @param backpressured number of times so far that an engine had to wait for the readers
      */
     public record Statistics(
             long memoryBytes,
@@ -78,17 +78,17 @@
         return admission.admit(user, nowMs);
     }
 
-    /** Returns the result to release before one of this user begins; empty if none has to be, or can be. */
+    /** Returns the id of the result to release before a new one begins; empty if there is none. */
     public OptionalLong selectForReclaim(String user) {
         return admission.selectForReclaim(user);
     }
 
-    /** Returns the number of a new result. */
+    /** Opens the account of a new result, and returns its id. */
     public long begin(String user, boolean keyed, double nowMs) {
         return ledger.open(user, keyed, nowMs);
     }
 
-    /** Accounts for a complete result of an earlier process, and returns its number. */
+    /** Opens the account of a complete result of an earlier process, and returns its id. */
     public long restore(String user, long fileBytes, double nowMs) {
         long id = ledger.open(user, true, nowMs);
         ResultAccount account = ledger.account(id);
@@ -99,14 +99,14 @@
     }
 
     /**
-     * Decides where a block of a result is stored and accounts for it there; a block on file counts with its
-     * raw length until {@link #blockStored} replaces that by its stored length.
+     * Decides where a block is stored, and counts its bytes there. A block on disk counts with its raw length
+     * until {@link #blockStored} replaces that by its stored length.
      */
     public Placement allocate(long id, long bytes, double nowMs) {
         return placement.allocate(ledger.account(id), bytes, nowMs);
     }
 
-    /** Replaces the bytes accounted for a block by its stored length, once it is on file. */
+    /** Replaces the allocated bytes by the bytes stored on disk, once the write has succeeded. */
     public void blockStored(long id, long allocatedBytes, long storedBytes) {
         ResultAccount account = ledger.account(id);
         if (account != null) {
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Moves a block whose write failed back to memory, and starts the backoff of files. */
+    /** Moves the bytes of a block whose write failed back to memory, and starts the backoff of writes. */
     public void writeFailed(long id, long allocatedBytes, double nowMs) {
         fileBackoff.writeFailed(nowMs);
         ResultAccount account = ledger.account(id);
@@ -124,18 +124,18 @@
         }
     }
 
-    /** Returns whether the engine may be read: there is capacity to store more of this result. */
+    /** Returns whether the engine may be read, as there is capacity to store more of this result. */
     public boolean mayReadEngine(long id) {
         ResultAccount account = ledger.account(id);
         return account != null && placement.mayReadEngine(account);
     }
 
     /**
-     * Returns whether the first row is sent now, although the result is not complete.
+     * Returns whether the first row is sent now, although the result is incomplete.
      *
-     * @param bytes received of the result so far
-     * @param ageMs of the attempt
-     * @param timeoutMs of the attempt
+     * @param bytes bytes of the result received so far
+     * @param ageMs age of the attempt
+     * @param timeoutMs timeout of the attempt
      */
     public boolean shouldStartResponse(long id, long bytes, double ageMs, double timeoutMs) {
         ResultAccount account = ledger.account(id);
@@ -144,17 +144,17 @@
         return hasBackpressure || isOld || bytes > limits.responseBufferBytes();
     }
 
-    /** The result is complete. */
+    /** Marks a result as complete. */
     public void complete(long id, double nowMs) {
         ledger.account(id).complete(nowMs);
     }
 
-    /** A reader starts to read. */
+    /** Adds a reader to a result. */
     public void readerOpened(long id, double nowMs) {
         ledger.account(id).readerOpened(nowMs);
     }
 
-    /** A reader has read a block: the lease starts anew. */
+    /** Records the read of a block, which renews the lease. */
     public void blockRead(long id, double nowMs) {
         ResultAccount account = ledger.account(id);
         if (account != null) {
@@ -162,7 +162,7 @@
         }
     }
 
-    /** A reader ends; returns whether it was the last one and the result does not have to be retained. */
+    /** Removes a reader; returns whether it was the last one and the result need not be retained. */
     public boolean readerClosed(long id, double nowMs) {
         ResultAccount account = ledger.account(id);
         if (account == null) {
@@ -172,7 +172,7 @@
         return account.readers() == 0 && !account.isRetained();
     }
 
-    /** A block in memory has been read and is removed. */
+    /** Subtracts a block in memory that has been read and removed. */
     public void memoryReleased(long id, long bytes, double nowMs) {
         ResultAccount account = ledger.account(id);
         if (account != null) {
@@ -181,7 +181,7 @@
         }
     }
 
-    /** The result is released, with all that was stored of it. */
+    /** Releases a result, with all its bytes and its file. */
     public void release(long id, double nowMs) {
         ResultAccount account = ledger.account(id);
         if (account != null) {
@@ -191,7 +191,7 @@
         }
     }
 
-    /** Returns the results that have expired; the caller ends and releases them. */
+    /** Counts the results that have expired and returns their ids; the caller ends and releases them. */
     public List<Long> expire(double nowMs) {
         List<Long> due = new ArrayList<>();
         ledger.accountsById().forEach((id, account) -> {
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -7,9 +7,9 @@
 import lineward.spool.store.SegmentStore;
 
 /**
- * One result: its blocks in order, in memory or on file, to which blocks are added until it is complete. A
- * result without a key is read once and its blocks are removed as they are read; one with a key is stored
- * until its lease expires. Runs on the event loop.
+ * One result: its blocks in order, in memory or on disk; blocks are added until it is complete. A result
+ * without a key is read once, and its blocks are removed as they are read. A complete result with a key is
+ * retained until its lease expires or its space is needed. Runs on the event loop.
  */
 public final class SpooledResult {
     private final Spool spool;
@@ -20,9 +20,9 @@
     private final BlockBuffer buffer = new BlockBuffer();
     private final List<ResultReader> readers = new ArrayList<>();
     private ResultState state = ResultState.GROWING;
-    /** Rows of all blocks, including removed ones. */
+    /** Number of rows of all blocks, including removed ones. */
     private long rows;
-    /** Bytes received so far, including removed blocks. */
+    /** Number of bytes received so far, including removed blocks. */
     private long bytes;
 
     private Runnable flowListener = () -> {};
@@ -34,7 +34,7 @@
         this.file = file;
     }
 
-    /** Returns a result that begins to grow. */
+    /** Returns a new, empty result, which the engine is about to send. */
     static SpooledResult begin(Spool spool, long id, ResultDescription description) {
         return new SpooledResult(spool, id, description, ResultFile.ofNewResult(spool, id));
     }
@@ -60,17 +60,17 @@
         return description;
     }
 
-    /** Returns the digest of its statement. */
+    /** Returns the digest of the statement and its arguments. */
     public String statement() {
         return description.statement();
     }
 
-    /** Returns whether it has been released. */
+    /** Returns whether the result has been released. */
     public boolean isReleased() {
         return state.isReleased();
     }
 
-    /** Returns whether the engine has sent all of it. */
+    /** Returns whether the engine has sent the whole result. */
     public boolean isComplete() {
         return state.isComplete();
     }
@@ -88,40 +88,40 @@
         flowListener.run();
     }
 
-    /** Returns whether the engine may be read: there is capacity, and the disk is not behind. */
+    /** Returns whether the engine may be read: there is capacity and the writes to disk keep up. */
     public boolean mayReadEngine() {
         boolean hasCapacity = spool.policy().mayReadEngine(id) && spool.diskKeepsUp();
         return state.isReleased() || hasCapacity;
     }
 
     /**
-     * Returns whether the first row is sent now, although the result is not complete.
+     * Returns whether the first row is sent now, although the result is incomplete.
      *
-     * @param ageMs of the attempt
-     * @param timeoutMs of the attempt
+     * @param ageMs age of the attempt
+     * @param timeoutMs timeout of the attempt
      */
     public boolean shouldStartResponse(double ageMs, double timeoutMs) {
         return !state.isReleased() && spool.policy().shouldStartResponse(id, bytes, ageMs, timeoutMs);
     }
 
     /**
-     * Makes space for bytes that the caller is about to write.
+     * Reserves space for bytes that the caller is about to write.
      *
-     * @return their offset in {@link #buffer}; {@link #commit} must follow
+     * @return the offset of the space in {@link #buffer}; {@link #commit} must follow
      */
     public int reserve(int length) {
         return buffer.reserve(length);
     }
 
-    /** Returns the array with the space reserved last; {@link #reserve} may replace it. */
+    /** Returns the array that contains the reserved space; {@link #reserve} may replace it. */
     public byte[] buffer() {
         return buffer.array();
     }
 
     /**
-     * The reserved bytes have been written.
+     * Adds reserved bytes, which the caller has written, to the current block.
      *
-     * @param endsRow whether a row ends with them
+     * @param endsRow whether these bytes end a row
      * @param rowContinues whether the next bytes belong to the same row, and so to the same block
      */
     public void commit(int length, boolean endsRow, boolean rowContinues) {
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Ends the current block; rows and the packets around them are never in one block. */
+    /** Ends the current block, so that a block never contains both rows and the packets around them. */
     public void seal() {
         if (buffer.isEmpty() || state.isReleased()) {
             return;
@@ -157,7 +157,7 @@
         writeManifestIfOnFile();
     }
 
-    /** Removes the blocks that the only reader of a result without a key has read. */
+    /** Removes the blocks that have been read, if the result has no key and thus only one reader. */
     private void removeReadBlocks() {
         if (description.isKeyed() || readers.isEmpty()) {
             return;
@@ -169,7 +169,7 @@
         });
     }
 
-    /** The engine has sent all of it. With a key and all blocks on file it survives this process. */
+    /** Marks the result as complete; with a key and all blocks on disk, it survives a restart. */
     public void complete() {
         if (state.isReleased()) {
             return;
@@ -191,7 +191,7 @@
         }
     }
 
-    /** The attempt failed: the missing blocks never come. */
+    /** Marks the attempt as failed: readers get the blocks received so far, then an error. */
     public void fail() {
         if (state.isReleased() || state.isComplete()) {
             return;
@@ -205,14 +205,14 @@
         }
     }
 
-    /** The client has disconnected before it read: only a complete result with a key can be read later. */
+    /** Releases the result of a disconnected client unless it can be read later: complete and with a key. */
     public void abandon() {
         if (!description.isKeyed() || !state.isComplete()) {
             release();
         }
     }
 
-    /** Its lease has expired: readers are notified, and the last one that closes it releases it. */
+    /** Marks the lease as expired; releases the result if it has no readers, and notifies them otherwise. */
     void expire() {
         state = state.expire();
         if (readers.isEmpty()) {
@@ -223,7 +223,7 @@
         }
     }
 
-    /** Releases memory and file. Remaining readers find it broken. */
+    /** Releases the memory and deletes the file. Remaining readers can read nothing more. */
     public void release() {
         if (state.isReleased()) {
             return;
@@ -241,8 +241,8 @@
     /**
      * Returns a new reader.
      *
-     * @param onProgress is run when {@link SpoolReader#poll} or {@link SpoolReader#readState} may return
-     *     another value
+     * @param onProgress run when {@link SpoolReader#poll} or {@link SpoolReader#readState} may return another
+     *     value
      */
     public SpoolReader read(Runnable onProgress) {
         ResultReader reader = new ResultReader(this, onProgress);
@@ -259,7 +259,7 @@
         return !state.isReleased() && !state.isExpired();
     }
 
-    /** Returns a block by its number, or null if no byte of it has come; the current one is ended. */
+    /** Returns a block by its number, after ending it if it is the current one; null if it is empty. */
     Block blockOrNull(int number) {
         if (number == blocks.end()) {
             seal();
@@ -275,14 +275,14 @@
         file.read(block, completion);
     }
 
-    /** A reader has read a block. */
+    /** Renews the lease, removes blocks that have been read and resumes the engine if possible. */
     void blockRead() {
         spool.policy().blockRead(id, spool.now());
         removeReadBlocks();
         notifyFlow();
     }
 
-    /** Returns what a reader finds whose next block has that number. */
+    /** Returns what follows the blocks that a reader has read, given the number of its next block. */
     ReadState readState(int nextBlock) {
         boolean hasMore = nextBlock < blocks.end() || !buffer.isEmpty();
         return state.readState(hasMore);
