--- a/src/main/java/lineward/spool/Spool.java
+++ b/src/main/java/lineward/spool/Spool.java
@@ -14,10 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** All spooled results of one front end. Runs on the event loop; {@link SpoolPolicy} decides for it. */
+/** All spooled results of one front end, managed by a {@link SpoolPolicy}. Runs on the event loop. */
 public final class Spool implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Spool.class);
-    /** Limit on the bytes that are being written; beyond it engines wait for the disk. */
+    /** Maximum number of bytes being written; at this limit no engine is read until writes have ended. */
     private static final long MAX_PENDING_WRITE_BYTES = 4L << 20;
 
     private record ResultKey(String user, String key) {
@@ -27,11 +27,11 @@
     }
 
     private final SpoolPolicy policy;
-    /** Null if there are no files. */
+    /** Null if results are stored in memory only. */
     private final SegmentStore store;
 
     private final DoubleSupplier clock;
-    /** Bounded by {@link SpoolLimits#results}, above which statements are rejected. */
+    /** Bounded by {@link SpoolLimits#results}; statements are rejected once that limit is reached. */
     private final Map<Long, SpooledResult> results = new HashMap<>();
 
     private final Map<ResultKey, SpooledResult> resultsByKey = new HashMap<>();
@@ -50,13 +50,13 @@
         this.clock = clock;
     }
 
-    /** Adds the complete results of an earlier process; of two with the same key the later one remains. */
+    /** Adds the complete results of an earlier process; of two with the same key, the newer one is kept. */
     public void restore(SpoolFolder.Recovered recovered) {
         recovered.complete().stream()
                 .sorted(Comparator.comparingLong(found -> found.manifest().createdMs()))
                 .forEach(this::restore);
         LOG.info(
-                "spool recovered: results={} dropped={}",
+                "spool recovered: results={} unusable={}",
                 resultsByKey.size(),
                 recovered.unusable().size());
         recovered
@@ -86,7 +86,7 @@
     /**
      * Begins a result.
      *
-     * @param key by which the client may ask for it again; empty for none
+     * @param key under which the client may request the result again; empty if it has none
      * @param statement digest of the statement and its arguments
      */
     public SpooledResult begin(String user, String key, String statement) {
@@ -102,7 +102,7 @@
         return result;
     }
 
-    /** Returns that user's result under that key, complete or growing, or null; never another user's. */
+    /** Returns a user's result by its key, or null; it may be incomplete, and is never another user's. */
     public SpooledResult find(String user, String key) {
         return resultsByKey.get(new ResultKey(user, key));
     }
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Ends expired results and resumes engines for which there is capacity; called ten times a second. */
+    /** Ends expired results and resumes reads from engines if possible; called ten times a second. */
     public void tick() {
         for (long id : policy.expire(now())) {
             SpooledResult result = results.get(id);
@@ -162,10 +162,10 @@
         pendingWriteBytes -= bytes;
     }
 
-    /** Logs the first of consecutive failures; null if the write succeeded. */
+    /** Logs the first of consecutive write failures; {@code failure} is null if the write succeeded. */
     void logWriteFailure(IOException failure) {
         if (failure != null && !lastWriteFailed) {
-            LOG.warn("spool write failed, results stay in memory for now: cause=\"{}\"", failure.toString());
+            LOG.warn("spool write failed, new results stay in memory: cause=\"{}\"", failure.toString());
         }
         lastWriteFailed = failure != null;
     }
--- a/src/main/java/lineward/spool/SpoolLimits.java
+++ b/src/main/java/lineward/spool/SpoolLimits.java
@@ -1,20 +1,20 @@
 package lineward.spool;
 
 /**
- * The bounds of a spool.
+ * The limits of a spool.
  *
- * @param memoryBytes in memory for all results together, at least 1 MB
- * @param fileBytes on files for all results together, compressed; 0 if there are no files
- * @param files results on file at the same time, one file each
+ * @param memoryBytes bytes in memory of all results together, at least 1 MB
+ * @param fileBytes bytes on disk of all results together, compressed; 0 if no files are used
+ * @param files results on disk at the same time, one file each
  * @param results results at the same time
- * @param userBytes of one user, in memory and on files
- * @param resultBytes of one result; beyond it the engine is read only as fast as the reader reads
- * @param responseBufferBytes a result up to this size is complete before its first row is sent, so that its
- *     client sees nothing of a failed attempt
+ * @param userBytes bytes of one user, in memory and on disk
+ * @param resultBytes bytes of one result; beyond it the engine is read only as fast as the client reads
+ * @param responseBufferBytes a result up to this size is complete before its first row is sent, so that a
+ *     failed attempt has no effect on its client
  * @param responseDelayRatio fraction of an attempt's timeout, 0 to 1, after which the first row is sent even
  *     if the result is not complete
- * @param leaseMs time after which a result is released whose reader does not read
- * @param keyLeaseMs time after which a result with a key and without readers is released
+ * @param leaseMs idle time after which a result expires whose reader does not read
+ * @param keyLeaseMs idle time after which a result with a key and without readers expires
  */
 public record SpoolLimits(
         long memoryBytes,
@@ -30,17 +30,17 @@
     private static final long MIN_MEMORY_BYTES = 1 << 20;
 
     /**
-     * Checks the bounds.
+     * Checks the limits.
      *
-     * @throws IllegalArgumentException with a message of one line if they contradict each other
+     * @throws IllegalArgumentException with a single-line message if a limit is out of range
      */
     public SpoolLimits {
-        require(memoryBytes >= MIN_MEMORY_BYTES, "memory is below 1 MB");
-        require(fileBytes >= 0 && files >= 0, "files and their bytes can't be negative");
+        require(memoryBytes >= MIN_MEMORY_BYTES, "memory must be at least 1 MB");
+        require(fileBytes >= 0 && files >= 0, "the number of files and their bytes must not be negative");
         boolean capacitiesPositive = results > 0 && userBytes > 0 && resultBytes > 0;
-        require(capacitiesPositive, "results and their bytes must be positive");
+        require(capacitiesPositive, "limits of results, of a user and of a result must be positive");
         boolean bufferInRange = responseBufferBytes >= 0 && isRatio(responseDelayRatio);
-        require(bufferInRange, "what is held must lie in its range");
+        require(bufferInRange, "response buffer must not be negative, response delay must be from 0 to 1");
         require(leaseMs > 0 && keyLeaseMs > 0, "leases must be positive");
     }
 
@@ -54,12 +54,12 @@
         }
     }
 
-    /** Returns whether results may be stored on file. */
+    /** Returns whether results may be stored on disk. */
     boolean hasFiles() {
         return fileBytes > 0;
     }
 
-    /** Returns these bounds without files, for a folder that can't be used. */
+    /** Returns these limits without files, for a spool that has no usable folder. */
     public SpoolLimits withoutFiles() {
         return new SpoolLimits(
                 memoryBytes,
