--- a/src/main/java/lineward/spool/store/BlockCodec.java
+++ b/src/main/java/lineward/spool/store/BlockCodec.java
@@ -8,23 +8,23 @@
 import net.jpountz.lz4.LZ4SafeDecompressor;
 
 /**
- * Compresses blocks by LZ4, in Java alone: no native library is unpacked and no memory outside the heap is
- * used. The decompressor is the one that checks its bounds, as a file may contain anything.
+ * Compresses blocks with the pure Java implementation of LZ4, which unpacks no native library and uses no
+ * memory outside the heap. The decompressor is the one that checks bounds, as a file may contain anything.
  */
 final class BlockCodec {
-    /** A block is stored compressed only if that saves at least one part in so many. */
+    /** A block is stored compressed only if that saves at least its length divided by this. */
     private static final int MIN_SAVING_DIVISOR = 8;
 
     private static final LZ4Compressor COMPRESSOR = LZ4Factory.safeInstance().fastCompressor();
     private static final LZ4SafeDecompressor DECOMPRESSOR =
             LZ4Factory.safeInstance().safeDecompressor();
 
-    /** A payload as it is stored, from its buffer's position to its limit. */
+    /** A payload in its stored form, from the buffer's position to its limit. */
     record Encoded(Kind kind, ByteBuffer payload) {}
 
     private BlockCodec() {}
 
-    /** Returns the block compressed, or as it is where compression saves too little. */
+    /** Returns the block compressed, or unchanged if compression saves too little. */
     static Encoded encode(byte[] raw) {
         byte[] compressed = new byte[COMPRESSOR.maxCompressedLength(raw.length)];
         int length = COMPRESSOR.compress(raw, 0, raw.length, compressed, 0, compressed.length);
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Returns the bytes of a block before compression.
+     * Returns the decompressed bytes of a block.
      *
-     * @param payload the stored bytes, all that remain
-     * @throws CorruptSegmentException if they don't yield exactly so many bytes
+     * @param payload the stored bytes: all that remain in the buffer
+     * @throws CorruptSegmentException if they don't decompress to exactly {@code rawBytes} bytes
      */
     static byte[] decode(Kind kind, ByteBuffer payload, int rawBytes) throws CorruptSegmentException {
         byte[] raw = new byte[rawBytes];
--- a/src/main/java/lineward/spool/store/CorruptSegmentException.java
+++ b/src/main/java/lineward/spool/store/CorruptSegmentException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * A segment can't be used because it is truncated, corrupt, foreign or of an unknown version. The message
- * says which, {@link #fault} how recovery has to treat it.
+ * Thrown if a segment can't be used because it is truncated, corrupt, foreign or of an unknown version. The
+ * message gives the reason; {@link #fault} determines whether recovery deletes the file.
  */
 public final class CorruptSegmentException extends IOException {
     private static final long serialVersionUID = 1L;
@@ -26,7 +26,7 @@
         return fault;
     }
 
-    /** Throws a corrupt segment's exception with this message unless the condition holds. */
+    /** Throws an exception for a corrupt segment, with this message, unless the condition holds. */
     static void check(boolean condition, String otherwise) throws CorruptSegmentException {
         if (!condition) {
             throw new CorruptSegmentException(SegmentFault.CORRUPT, otherwise);
--- a/src/main/java/lineward/spool/store/Segment.java
+++ b/src/main/java/lineward/spool/store/Segment.java
@@ -13,23 +13,23 @@
 import java.util.List;
 import java.util.Set;
 
-/** One result on file. Each call opens the file, blocks while it reads or writes, and closes the file. */
+/** The file of one result. Each call opens the file, does blocking I/O and closes the file. */
 public final class Segment {
     /**
      * Where a block is stored.
      *
      * @param offset offset of its first byte in the file
-     * @param storedBytes in the file, header included
+     * @param storedBytes bytes in the file, including the block's header
      * @param firstRow number of its first row in the result, from 0
-     * @param rawBytes bytes once it is decompressed, without its header
+     * @param rawBytes bytes when decompressed, without the block's header
      */
     public record Extent(long offset, int storedBytes, long firstRow, int rows, int rawBytes) {}
 
     /**
      * A complete result of an earlier process.
      *
-     * @param blocks in their order
-     * @param fileBytes of the file
+     * @param blocks locations of the blocks, in order
+     * @param fileBytes length of the file
      */
     public record Found(Segment segment, Manifest manifest, List<Extent> blocks, long fileBytes) {}
 
@@ -46,12 +46,12 @@
         return path;
     }
 
-    /** Returns the length that the file has now, in bytes. */
+    /** Returns the current length of the file, in bytes. */
     public long length() {
         return end;
     }
 
-    /** Creates the file; one of that name must not exist. */
+    /** Creates the file, which must not exist yet. */
     void create(long createdMs) throws IOException {
         Set<OpenOption> options = Set.of(StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         try (FileChannel channel = FileChannel.open(path, options)) {
@@ -60,7 +60,7 @@
         end = SegmentFormat.HEADER_BYTES;
     }
 
-    /** Appends a block of rows, compressed where that helps, and returns where it is stored. */
+    /** Appends a block of rows, compressed if that saves space, and returns where it is stored. */
     Extent append(byte[] raw, long firstRow, int rows) throws IOException {
         BlockCodec.Encoded encoded = BlockCodec.encode(raw);
         ByteBuffer block = SegmentFormat.block(encoded.kind(), encoded.payload(), raw.length, firstRow, rows);
@@ -72,7 +72,7 @@
         return location;
     }
 
-    /** Writes manifest and index after the blocks, which makes the result complete on file. */
+    /** Writes the manifest and the index after the blocks, which completes the file, and syncs it to disk. */
     void complete(Manifest manifest, List<Extent> blocks) throws IOException {
         ByteBuffer footer = new SegmentFooter(manifest, blocks).encode();
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.WRITE)) {
@@ -84,7 +84,7 @@
             writeFully(channel, block, footerOffset);
             writeFully(channel, SegmentFormat.trailer(footerOffset), end);
             end += SegmentFormat.TRAILER_BYTES;
-            // A client may read the result after a power failure.
+            // The result must survive a power failure, as its client may read it afterwards.
             channel.force(false);
         }
     }
@@ -118,9 +118,10 @@
     }
 
     /**
-     * Recovers a file: its header, trailer, manifest and index are checked here, each block when it is read.
+     * Opens an existing file; checks its header, trailer, manifest and index, while blocks are checked when
+     * they are read.
      *
-     * @throws CorruptSegmentException if it is no complete result
+     * @throws CorruptSegmentException if it is not a complete result
      */
     static Found open(Path path) throws IOException {
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
--- a/src/main/java/lineward/spool/store/SegmentFault.java
+++ b/src/main/java/lineward/spool/store/SegmentFault.java
@@ -1,12 +1,12 @@
 package lineward.spool.store;
 
-/** Why a segment can't be recovered, as far as recovery treats it differently. */
+/** Why a segment can't be recovered. */
 public enum SegmentFault {
     /** It was never completed, or its bytes differ from what was written. */
     CORRUPT,
-    /** Its format version is not supported here; another version of the program may need it. */
+    /** Its format version is not supported; another version of the program may need the file. */
     UNKNOWN_VERSION,
-    /** The file could not be read at all. */
+    /** The file could not be read. */
     UNREADABLE;
 
     /** Returns whether recovery deletes a segment with this fault. */
--- a/src/main/java/lineward/spool/store/SegmentFooter.java
+++ b/src/main/java/lineward/spool/store/SegmentFooter.java
@@ -11,14 +11,14 @@
 /**
  * The payload of a segment's last block: the manifest as JSON and the index of all blocks before it.
  *
- * @param blocks in their order, without gaps from the header to this block
+ * @param blocks locations of the blocks in order, without gaps from the header to this block
  */
 record SegmentFooter(Manifest manifest, List<Segment.Extent> blocks) {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int LENGTH_BYTES = 4;
     private static final int INDEX_ENTRY_BYTES = 28;
 
-    /** Returns the bytes of this footer, ready to be stored. */
+    /** Returns the stored form of this footer. */
     ByteBuffer encode() throws IOException {
         byte[] json = JSON.writeValueAsBytes(manifest);
         int indexBytes = LENGTH_BYTES + blocks.size() * INDEX_ENTRY_BYTES;
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Reads a footer from the buffer's position on.
+     * Decodes the footer at the buffer's position.
      *
-     * @param footerOffset where its block begins in the file, which is where the last indexed block ends
-     * @throws CorruptSegmentException if the index has a gap
+     * @param footerOffset offset of its block in the file, which is where the last indexed block must end
+     * @throws CorruptSegmentException if the index has a gap or does not end at the footer
      */
     static SegmentFooter decode(ByteBuffer footer, long footerOffset) throws IOException {
         byte[] json = new byte[footer.getInt()];
--- a/src/main/java/lineward/spool/store/SegmentFormat.java
+++ b/src/main/java/lineward/spool/store/SegmentFormat.java
@@ -20,9 +20,9 @@
     static final int HEADER_BYTES = 24;
     static final int BLOCK_HEADER_BYTES = 28;
     static final int TRAILER_BYTES = 16;
-    /** Size of the smallest complete segment: it has a block with the manifest. */
+    /** Size below which a segment can't be complete: header, header of the manifest's block, and trailer. */
     static final int MIN_COMPLETE_BYTES = HEADER_BYTES + BLOCK_HEADER_BYTES + TRAILER_BYTES;
-    /** Limit on a block, raw or stored: a block has 64 KB and one row at most. */
+    /** Maximum size of a block, raw or stored; a block has less than 64 KB before its last row. */
     static final int MAX_BLOCK_BYTES = 64 << 20;
 
     private static final int CRC_BYTES = 4;
@@ -30,7 +30,7 @@
             ByteBuffer.wrap("LWSPOOL\n".getBytes(StandardCharsets.US_ASCII)).getLong();
     private static final int TRAILER_MAGIC = 0x4c57454e;
 
-    /** What a block contains; its code is the first byte of the block. */
+    /** The kind of a block, whose code is the first byte of the block. */
     enum Kind {
         RAW(0),
         LZ4(1),
@@ -55,8 +55,8 @@
     /**
      * The header of a block.
      *
-     * @param storedBytes of the payload in the file
-     * @param rawBytes of the payload once it is decompressed
+     * @param storedBytes bytes of the payload in the file
+     * @param rawBytes bytes of the payload when decompressed
      * @param crc CRC32C of the other fields and the payload
      */
     record BlockHeader(Kind kind, int storedBytes, int rawBytes, long firstRow, int rows, int crc) {
@@ -79,9 +79,9 @@
     }
 
     /**
-     * Returns when the segment was begun, in Unix milliseconds.
+     * Returns when the segment was created, in Unix milliseconds.
      *
-     * @throws CorruptSegmentException if these are not the first bytes of a segment of the supported version
+     * @throws CorruptSegmentException if this is not the header of a segment of the supported version
      */
     static long readHeader(ByteBuffer header) throws CorruptSegmentException {
         check(header.remaining() >= HEADER_BYTES && header.getLong(0) == MAGIC, "it is no segment");
@@ -95,7 +95,7 @@
         return header.getLong(12);
     }
 
-    /** Returns header and payload of a block, ready to be written. */
+    /** Returns the stored form of a block: its header and payload. */
     static ByteBuffer block(Kind kind, ByteBuffer payload, int rawBytes, long firstRow, int rows) {
         int storedBytes = payload.remaining();
         ByteBuffer block = ByteBuffer.allocate(BLOCK_HEADER_BYTES + storedBytes);
@@ -112,9 +112,9 @@
     }
 
     /**
-     * Returns the header of the block at the buffer's position, which stays as it is.
+     * Returns the header of the block at the buffer's position; does not move the position.
      *
-     * @throws CorruptSegmentException if it can't be a block's header
+     * @throws CorruptSegmentException if this is not a block's header
      */
     static BlockHeader readBlockHeader(ByteBuffer block) throws CorruptSegmentException {
         check(block.remaining() >= BLOCK_HEADER_BYTES, "a block ends early");
@@ -150,7 +150,7 @@
     /**
      * Returns the offset of the block with the manifest.
      *
-     * @throws CorruptSegmentException if this is no trailer
+     * @throws CorruptSegmentException if this is not a trailer
      */
     static long readTrailer(ByteBuffer trailer) throws CorruptSegmentException {
         boolean isTrailer = trailer.remaining() == TRAILER_BYTES && trailer.getInt(8) == TRAILER_MAGIC;
--- a/src/main/java/lineward/spool/store/package-info.java
+++ b/src/main/java/lineward/spool/store/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Files of the spool: one segment for each result, of blocks that carry their length and a CRC32C, compressed
- * where that helps, followed by an index and a manifest once the result is complete.
+ * Files of the spool: one segment for each result. It consists of blocks with their length and a CRC32C,
+ * compressed if that saves space, followed by a manifest and an index once the result is complete.
  *
- * <p>Owns the byte format ({@link lineward.spool.store.SegmentFormat}, {@code docs/spool-format.md}), the
+ * <p>Contains the file format ({@link lineward.spool.store.SegmentFormat}, {@code docs/spool-format.md}), the
  * lock of the folder and the I/O threads. May use the core only.
  *
  * <p>Threads: {@link lineward.spool.store.Segment} and {@link lineward.spool.store.SpoolFolder} block;
