--- a/src/main/java/lineward/spool/store/SegmentStore.java
+++ b/src/main/java/lineward/spool/store/SegmentStore.java
@@ -9,16 +9,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reads and writes segments on threads of its own: one writes, in the order of the calls, and two read. The
- * methods are called on the event loop and complete there. The caller bounds the queues by counting the bytes
- * that are being written.
+ * Reads and writes segments on its own threads: one writes, in the order of the calls, and two read. The
+ * methods are called on the event loop and complete there. The caller bounds the queues: it counts the bytes
+ * that are being written, and each reader of a result waits for one block at a time.
  */
 public final class SegmentStore implements AutoCloseable {
     private static final int READER_THREADS = 2;
     private static final int THREAD_KEEP_ALIVE_S = 10;
     private static final int SHUTDOWN_TIMEOUT_S = 5;
 
-    /** Receives the result of a call. */
+    /** Receives the outcome of a call. */
     @FunctionalInterface
     public interface Completion<T> {
         /**
@@ -30,7 +30,7 @@
         void completed(T result, IOException failure);
     }
 
-    /** The file of one result, created by its first block. The writer thread writes its fields. */
+    /** The file of one result, created when its first block is written. The writer thread sets the fields. */
     public static final class Handle {
         private Segment segment;
         private boolean deleted;
@@ -55,10 +55,10 @@
     private final ThreadPoolExecutor readers = threads("spool-read", READER_THREADS);
 
     /**
-     * Starts no thread before the first call.
+     * Creates a store, which starts its threads on demand.
      *
-     * @param folder closed with this store
-     * @param eventLoop on which all calls complete
+     * @param folder folder of the segments; closed with this store
+     * @param eventLoop event loop on which all calls complete
      */
     public SegmentStore(SpoolFolder folder, Executor eventLoop) {
         this.folder = folder;
@@ -82,7 +82,7 @@
             try {
                 result = task.run();
             } catch (IOException | RuntimeException e) {
-                // A corrupt file must not end the thread.
+                // A corrupt file must not terminate the thread.
                 IOException failure = asIoException(e);
                 eventLoop.execute(() -> completion.completed(null, failure));
                 return;
@@ -101,13 +101,13 @@
         return new IOException(failure);
     }
 
-    /** Appends a block to a result's file, which its first block creates. */
+    /** Appends a block to a result's file, which is created for its first block. */
     public void append(Handle file, byte[] raw, long firstRow, int rows, Completion<Segment.Extent> onEnd) {
         submit(
                 writer,
                 () -> {
                     if (file.deleted) {
-                        throw new IOException("the result is gone");
+                        throw new IOException("result was deleted before its block was written");
                     }
                     if (file.segment == null) {
                         file.segment = folder.create(System.currentTimeMillis());
@@ -117,13 +117,13 @@
                 onEnd);
     }
 
-    /** Completes a result on file; the completion receives the length of its file in bytes. */
+    /** Writes the manifest and the index; the completion receives the length of the file in bytes. */
     public void complete(Handle file, Manifest manifest, List<Segment.Extent> index, Completion<Long> onEnd) {
         submit(
                 writer,
                 () -> {
                     if (file.deleted || file.segment == null) {
-                        throw new IOException("the result is gone");
+                        throw new IOException("result was deleted or has no file; manifest not written");
                     }
                     file.segment.complete(manifest, index);
                     return file.segment.length();
@@ -131,12 +131,12 @@
                 onEnd);
     }
 
-    /** Reads a block; the completion receives its bytes, decompressed and checked. */
+    /** Reads a block; the completion receives its bytes, verified and decompressed. */
     public void read(Handle file, Segment.Extent location, Completion<byte[]> onEnd) {
         submit(readers, () -> file.segment.read(location), onEnd);
     }
 
-    /** Deletes a result's file, after all earlier writes. */
+    /** Deletes a result's file after all earlier writes. */
     public void delete(Handle file, Completion<Void> onEnd) {
         submit(
                 writer,
@@ -150,13 +150,14 @@
                 onEnd);
     }
 
-    /** Waits for pending writes, 5 s at most, ends the threads and releases the folder. */
+    /** Shuts the threads down, waits up to 5 s for pending writes, and releases the folder. */
     @Override
     public void close() throws IOException {
         writer.shutdown();
         readers.shutdown();
         try {
-            // The threads are daemons; the next start deletes a segment that is not complete by then.
+            // The threads are daemons, so that the process may end during a write; recovery at the next start
+            // deletes an incomplete segment.
             writer.awaitTermination(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/lineward/spool/store/SpoolFolder.java
+++ b/src/main/java/lineward/spool/store/SpoolFolder.java
@@ -14,19 +14,19 @@
 import java.util.UUID;
 
 /**
- * A folder of segments, locked by one process at a time. The file system releases the lock when the process
- * ends, even after a crash. All methods block.
+ * A folder of segments, locked by one process at a time. The operating system releases the lock when the
+ * process ends, even after a crash. All methods do blocking I/O.
  */
 public final class SpoolFolder implements AutoCloseable {
-    /** The suffix of a segment's name; files with other names are never changed. */
+    /** The suffix of the names of segments; files with other names are never changed. */
     static final String SEGMENT_SUFFIX = ".lwseg";
 
     private static final String LOCK_NAME = "lineward-spool.lock";
 
     /**
-     * What the folder contains.
+     * The segments in a folder.
      *
-     * @param complete complete results, in no particular order
+     * @param complete complete results, in arbitrary order
      * @param unusable segments that can't be used
      */
     public record Recovered(List<Segment.Found> complete, List<UnusableSegment> unusable) {}
@@ -34,11 +34,11 @@
     /**
      * A segment that can't be used.
      *
-     * @param reason in words, for logs and operators
+     * @param reason description for logs and operators
      */
     public record UnusableSegment(Path path, SegmentFault fault, String reason) {}
 
-    /** Another process has locked the folder. */
+    /** Thrown if the folder is already locked. */
     public static final class LockedException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -48,7 +48,7 @@
     }
 
     private final Path folder;
-    /** Owns the lock; a close releases it. */
+    /** Holds the lock until it is closed. */
     private final FileChannel lockFile;
 
     private SpoolFolder(Path folder, FileChannel lockFile) {
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Locks the folder, and creates it where it does not exist.
+     * Locks the folder, and creates it if it does not exist.
      *
      * @throws LockedException if another process, or this one, has locked it
-     * @throws IOException with a message of one line if it can't be used
+     * @throws IOException with a single-line message if the folder can't be used
      */
     public static SpoolFolder acquire(Path folder) throws IOException {
         createFolder(folder);
@@ -76,7 +76,7 @@
         try {
             Files.createDirectories(folder);
         } catch (IOException e) {
-            throw new IOException("spool folder " + folder + " can't be made", e);
+            throw new IOException("spool folder " + folder + " can't be created", e);
         }
     }
 
@@ -94,12 +94,15 @@
             FileLock lock = lockFile.tryLock();
             return lock != null;
         } catch (OverlappingFileLockException e) {
-            // This process itself has locked it.
+            // This process already holds the lock.
             return false;
         }
     }
 
-    /** Returns the complete results and deletes corrupt segments; other files are not changed. */
+    /**
+     * Returns the segments, and deletes unusable ones unless their format version is unknown; other files are
+     * not changed.
+     */
     public Recovered recover() throws IOException {
         Recovered recovered = inspect(folder);
         for (UnusableSegment segment : recovered.unusable()) {
@@ -110,7 +113,7 @@
         return recovered;
     }
 
-    /** Returns the contents of a folder, locked or not, and changes nothing. */
+    /** Returns the segments in a folder, which need not be locked, and changes nothing. */
     public static Recovered inspect(Path folder) throws IOException {
         List<Segment.Found> complete = new ArrayList<>();
         List<UnusableSegment> unusable = new ArrayList<>();
@@ -121,18 +124,18 @@
                 } catch (CorruptSegmentException e) {
                     unusable.add(new UnusableSegment(file, e.fault(), e.getMessage()));
                 } catch (IOException | RuntimeException e) {
-                    // One unreadable segment must not prevent the start or the recovery of other results.
+                    // One unreadable segment must not prevent the start, or the recovery of other results.
                     String reason = "it can't be read: " + e;
                     unusable.add(new UnusableSegment(file, SegmentFault.UNREADABLE, reason));
                 }
             }
         } catch (NotDirectoryException e) {
-            throw new IOException(folder + " is no folder", e);
+            throw new IOException(folder + " is not a folder", e);
         }
         return new Recovered(complete, unusable);
     }
 
-    /** Returns a new segment, with its file. */
+    /** Creates a new segment and its file. */
     Segment create(long createdMs) throws IOException {
         Segment segment = new Segment(folder.resolve(UUID.randomUUID() + SEGMENT_SUFFIX));
         segment.create(createdMs);
--- a/src/test/java/lineward/spool/store/SegmentTest.java
+++ b/src/test/java/lineward/spool/store/SegmentTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Segments that are truncated, corrupt, replaced or foreign: no wrong byte is served. */
+/** Checks that truncated, corrupt, replaced or foreign segments never yield wrong bytes. */
 public class SegmentTest {
     private Path folder;
 
@@ -60,7 +60,7 @@
         return segment.path();
     }
 
-    /** Returns whether the file is accepted and a block is read that differs from what was written. */
+    /** Returns whether the file is accepted although its blocks differ from those that were written. */
     private static boolean servesWrongBytes(Path file, List<byte[]> blocks) {
         Segment.Found found;
         try {
@@ -74,7 +74,7 @@
                     return true;
                 }
             } catch (IOException e) {
-                // Reported and not served.
+                // The corruption was detected, and no bytes were returned.
             }
         }
         return found.blocks().size() != blocks.size();
@@ -186,7 +186,7 @@
         } catch (IOException thrown) {
             e = thrown;
         }
-        assertTrue(e != null && e.getMessage().endsWith("can't be made"), String.valueOf(e));
+        assertTrue(e != null && e.getMessage().endsWith("can't be created"), String.valueOf(e));
     }
 
     @Test
