--- a/src/measure/java/lineward/spool/store/SpoolFixture.java
+++ b/src/measure/java/lineward/spool/store/SpoolFixture.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.stream.Stream;
 
-/** Creates folders of results and corrupt files, for measurements. */
+/** Creates folders of spooled results, and corrupt files, for measurements. */
 public final class SpoolFixture {
     private static final int BLOCK_BYTES = 64 << 10;
     private static final int BLOCKS_PER_MB = 16;
@@ -23,7 +23,7 @@
         return block;
     }
 
-    /** Writes results of random bytes, which do not compress. */
+    /** Writes results of random bytes, which don't compress. */
     public static void fill(Path folder, int results, int megabytes) throws IOException {
         for (int result = 0; result < results; result++) {
             Segment segment = new Segment(folder.resolve("r" + result + SpoolFolder.SEGMENT_SUFFIX));
@@ -37,14 +37,14 @@
         }
     }
 
-    /** Returns the size of the files in a folder, in megabytes. */
+    /** Returns the total size of the files in a folder, in megabytes. */
     public static long megabytes(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.mapToLong(f -> f.toFile().length()).sum() >> 20;
         }
     }
 
-    /** Returns the number of blocks read from corrupt files that differ from the blocks written. */
+    /** Corrupts a file several times; returns how many blocks were read with other bytes than written. */
     public static int wrongBytes(Path folder, Random random, int times) throws IOException {
         int wrong = 0;
         Path file = folder.resolve("corrupt" + SpoolFolder.SEGMENT_SUFFIX);
@@ -75,7 +75,7 @@
                     wrong += Arrays.equals(read, blocks.get(i)) ? 0 : 1;
                 }
             } catch (IOException | RuntimeException e) {
-                // Reported and not served.
+                // The corruption was detected, and no bytes were returned.
             }
         }
         Files.delete(file);
--- a/src/test/java/lineward/spool/BlockTest.java
+++ b/src/test/java/lineward/spool/BlockTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Where a block is stored after each sequence of events of its write. */
+/** Checks where a block is stored after each sequence of write events. */
 public class BlockTest {
     private static final Segment.Extent LOCATION = new Segment.Extent(24, 40, 7, 3, 5);
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Events; whether the block is then in memory, being written, on file, and has its bytes. */
+    /** Events; whether the block is then in memory, being written, on disk, and has its bytes. */
     @DataProvider
     public Object[][] events() {
         return new Object[][] {
--- a/src/test/java/lineward/spool/ReaderStateTest.java
+++ b/src/test/java/lineward/spool/ReaderStateTest.java
@@ -15,9 +15,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of a reader's state. */
+/** Checks the transitions of a reader's state. */
 public class ReaderStateTest {
-    /** State; next state after: load succeeded, load failed, block read, close; whether it is readable. */
+    /** State; next state after a successful load, failed load, block read, close; whether it is readable. */
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
--- a/src/test/java/lineward/spool/ResultAccountTest.java
+++ b/src/test/java/lineward/spool/ResultAccountTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What an account says of its result after each event. */
+/** Checks lease, retention and backpressure of an account after each event. */
 public class ResultAccountTest {
     private static ResultAccount account(boolean keyed, boolean complete, int readers) {
         ResultAccount account = new ResultAccount("a", keyed, 0);
@@ -23,7 +23,7 @@
     @DataProvider
     public Object[][] lifetimes() {
         return new Object[][] {
-            // keyed, complete, readers; has a lease, is retained, is reclaimable
+            // keyed, complete, readers; whether it has a lease, is retained, is reclaimable
             {false, false, 0, false, false, false},
             {false, false, 1, true, false, false},
             {false, true, 0, true, false, false},
@@ -73,6 +73,6 @@
         assertFalse(account.isStalledFor(0, 1e9));
         account.startBackpressure(200);
         account.complete(210);
-        assertFalse(account.hasBackpressure(), "a complete result has no engine that waits");
+        assertFalse(account.hasBackpressure(), "a complete result has no backpressure");
     }
 }
--- a/src/test/java/lineward/spool/ResultFileStateTest.java
+++ b/src/test/java/lineward/spool/ResultFileStateTest.java
@@ -10,9 +10,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of the file of a result. */
+/** Checks the transitions of a result file's state. */
 public class ResultFileStateTest {
-    /** State; next state after: block written, sealed. Null: the transition does not exist. */
+    /** State; next state after a block write and after a seal; null if the transition is illegal. */
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
--- a/src/test/java/lineward/spool/ResultStateTest.java
+++ b/src/test/java/lineward/spool/ResultStateTest.java
@@ -17,12 +17,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of a spooled result's state. */
+/** Checks the transitions of a spooled result's state. */
 public class ResultStateTest {
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
-            // state, after complete, after fail, after expire, after release
+            // state; next state after complete, fail, expire, release
             {GROWING, COMPLETE, BROKEN, EXPIRED_GROWING, RELEASED},
             {COMPLETE, COMPLETE, COMPLETE, EXPIRED_COMPLETE, RELEASED},
             {BROKEN, BROKEN, BROKEN, EXPIRED_BROKEN, RELEASED},
--- a/src/test/java/lineward/spool/SpoolPolicyTest.java
+++ b/src/test/java/lineward/spool/SpoolPolicyTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Admission, placement, backpressure and leases, by tables and seeds in simulated time. */
+/** Checks admission, placement, backpressure and leases with tables and random seeds in simulated time. */
 public class SpoolPolicyTest {
     private static final long MB = 1 << 20;
 
@@ -27,7 +27,7 @@
     @DataProvider
     public Object[][] placements() {
         return new Object[][] {
-            // files MB, keyed, blocks of 1 MB, placement of the last
+            // file limit in MB, keyed, number of blocks of 1 MB, placement of the last one
             {0, false, 1, Placement.MEMORY},
             {0, false, 8, Placement.MEMORY},
             {0, false, 9, Placement.MEMORY_WITH_BACKPRESSURE},
--- a/src/test/java/lineward/spool/SpoolTest.java
+++ b/src/test/java/lineward/spool/SpoolTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Results that are written and read concurrently, on an event loop that the test's thread runs. */
+/** Checks results that are written and read concurrently, on an event loop run by the test's thread. */
 public class SpoolTest {
     private static final long MB = 1 << 20;
     private final LinkedBlockingQueue<Runnable> eventLoop = new LinkedBlockingQueue<>();
@@ -116,7 +116,7 @@
                 read.writeBytes(drain(reader));
                 assertEquals(reader.readState(), ReadState.END);
                 assertEquals(read.toByteArray(), wrote.toByteArray(), "seed " + seed);
-                // Every block has been written and released before the reader is closed.
+                // Waits until every block has been written and released, and only then closes the reader.
                 for (Runnable task = eventLoop.poll(200, TimeUnit.MILLISECONDS);
                         task != null;
                         task = eventLoop.poll(200, TimeUnit.MILLISECONDS)) {
@@ -184,7 +184,8 @@
     }
 
     /**
-     * Writes fail as on a full or lost disk: no byte in memory is lost, and backpressure reaches the engine.
+     * Writes fail, as on a full or lost disk, after the file was deleted: the blocks in memory stay readable
+     * and backpressure reaches the engine.
      */
     @Test
     public void resultStaysInMemoryWhenWritesFail() throws IOException, InterruptedException {
@@ -218,7 +219,7 @@
                 }
                 readBytes += chunk.bytes().length;
             }
-            // The first block on file is lost with its file; the blocks before it have been read.
+            // The blocks on disk are lost with the file; the blocks before the first of them have been read.
             assertTrue(readBytes >= row.length, readBytes + " bytes");
             result.release();
             assertEquals(spool.statistics().memoryBytes(), 0);
--- a/src/test/java/lineward/spool/StoredSpoolTest.java
+++ b/src/test/java/lineward/spool/StoredSpoolTest.java
@@ -22,12 +22,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A folder of the version of commit 3520411: complete results are read, an incomplete one is deleted. */
+/** Checks recovery of a folder written by commit 3520411: complete results are read, others deleted. */
 public class StoredSpoolTest {
     private static final long MB = 1 << 20;
     private static final String USER = "reporting";
     private static final String STATEMENT = "6b1f0c";
-    /** One result of several blocks, one without rows, and one whose engine had not sent all of it. */
+    /** A result of several blocks, one without rows, and one that the engine had not sent completely. */
     private static final List<String> SEGMENTS =
             List.of("spool-1-blocks.lwseg", "spool-1-empty.lwseg", "spool-1-incomplete.lwseg");
 
@@ -69,7 +69,7 @@
         return new byte[] {1, 2, 3, 4, 5};
     }
 
-    /** A row compresses if its number is even. */
+    /** Returns a row, which compresses if its number is even. */
     private static byte[] row(int number) {
         byte[] row = new byte[7000];
         if (number % 2 == 1) {
@@ -157,7 +157,7 @@
         reader.close();
     }
 
-    /** Writes the results into the folder given; was run once, with the version whose files stay readable. */
+    /** Writes the results into a folder; was run once, with the version whose files must stay readable. */
     public static void main(String[] args) throws IOException {
         LinkedBlockingQueue<Runnable> eventLoop = new LinkedBlockingQueue<>();
         Path folder = Path.of(args[0]);
@@ -175,7 +175,7 @@
             SpooledResult incomplete = spool.begin(USER, "incomplete", STATEMENT);
             append(incomplete, head(), false);
             incomplete.seal();
-            // The writes of five blocks, then of two manifests.
+            // Runs the completions of five block writes and two manifest writes.
             for (int i = 0; i < 7; i++) {
                 runNextTask(eventLoop);
             }
--- a/src/test/java/lineward/spool/store/StoredSegmentTest.java
+++ b/src/test/java/lineward/spool/store/StoredSegmentTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A segment of an earlier version is readable, and the same result is written to the same bytes. */
+/** Checks that a stored segment of format version 1 is readable, and that its bytes are written again. */
 public class StoredSegmentTest {
     private static final String STORED = "stored-v1" + SpoolFolder.SEGMENT_SUFFIX;
     private static final long CREATED_MS = 1_790_000_000_000L;
@@ -36,7 +36,7 @@
         }
     }
 
-    /** A header without rows, a block that compresses, one that does not, and a trailer without rows. */
+    /** A head without rows, rows that compress, rows that do not compress, and an end without rows. */
     private static List<byte[]> blocks() {
         byte[] repeated = new byte[6000];
         Arrays.fill(repeated, (byte) 'x');
@@ -91,7 +91,7 @@
         assertEquals(Files.readAllBytes(write(folder)), stored());
     }
 
-    /** Writes the resource into a folder; was run once, with the version whose files stay readable. */
+    /** Writes the resource file; was run once, with the version whose files must stay readable. */
     public static void main(String[] args) throws IOException {
         write(Path.of(args[0]));
     }
