--- a/src/main/java/lineward/mysql/MysqlConfig.java
+++ b/src/main/java/lineward/mysql/MysqlConfig.java
@@ -23,7 +23,7 @@
         Spooling spool) {
 
     /**
-     * The spool for results.
+     * Settings of the spool for results.
      *
      * @param folder null: results are spooled in memory only
      */
@@ -32,13 +32,13 @@
     /**
      * Limits of connections, statements and packets.
      *
-     * @param maxClients largest number of client connections; further ones are rejected with an error
+     * @param maxClients maximum of client connections; further ones are rejected with an error
      * @param maxPacket largest payload of a client's packet, in bytes
-     * @param maxStatements largest number of prepared statements of one client
-     * @param connectionsPerEngine largest number of connections to one engine
-     * @param connectTimeoutMs largest time for opening a connection to an engine, and for its login
+     * @param maxStatements maximum of prepared statements of one client
+     * @param connectionsPerEngine maximum of connections to one engine
+     * @param connectTimeoutMs timeout for opening a connection to an engine, and for the login on it
      * @param idleMs time without use after which a connection to an engine is closed
-     * @param maxAttempts largest number of attempts for a statement that may be retried
+     * @param maxAttempts maximum of attempts for a statement that may be retried
      */
     public record Bounds(
             int maxClients,
@@ -52,8 +52,8 @@
     /**
      * A class of statements.
      *
-     * @param match matches the statements of this class; the first class that matches applies
-     * @param latencyObjectiveMs latency objective
+     * @param match pattern that is searched in a statement; a statement has the first class that matches
+     * @param latencyObjectiveMs latency objective of a statement
      * @param deadlineMs time after which a statement is answered with an error
      * @param priorityWeight priority weight relative to other classes
      * @param threads threads of an engine that a statement uses
@@ -66,7 +66,7 @@
             double priorityWeight,
             int threads) {}
 
-    /** Returns the index of a statement's class; the last class has the statements that no other matches. */
+    /** Returns the index of a statement's class; the last class is the default, whatever its pattern. */
     int classIndexOf(String text) {
         for (int i = 0; i < classes.size() - 1; i++) {
             if (classes.get(i).match().matcher(text).find()) {
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -38,11 +38,11 @@
  * queries. Confined to the event loop, except for its construction.
  */
 public final class MysqlServer implements Forwarder<Query>, ProtocolServer {
-    /** Upper limit for a cancel: the time for the reply of a killed statement, with a margin. */
+    /** Longest duration of a cancellation: the time for the reply to a killed statement, with a margin. */
     public static final double CANCEL_LIMIT_MS = 500;
 
     private static final Logger LOG = LoggerFactory.getLogger(MysqlServer.class);
-    /** Largest size of the texts of all clients' prepared statements. */
+    /** Limit on the total size of the texts of all clients' prepared statements. */
     private static final long MAX_STATEMENT_TEXT_BYTES = 8L << 20;
 
     private final MysqlConfig config;
@@ -61,8 +61,8 @@
      *
      * @param clock the time in milliseconds
      * @param tickRequest is called when the coordinator has events to decide on
-     * @param metrics counts queries that are rejected before their admission
-     * @param spool stores results that are long, paged or have a key
+     * @param metrics counts queries that are rejected before they reach the coordinator
+     * @param spool stores results that are long, that have a key, or that a cursor reads
      */
     public MysqlServer(
             EventLoopGroup loop,
@@ -117,7 +117,7 @@
         return acceptor.listen(loop);
     }
 
-    /** Applies the configured engines; all other engines are drained. */
+    /** Replaces the list of engines; engines that are no longer in it are drained. */
     public void updateEngines(List<EngineConfig> engines) {
         pools.update(engines);
         List<EngineEndpoint> endpoints =
@@ -209,7 +209,7 @@
         command.exchange().cancelAttempt(command.attempt());
     }
 
-    /** Ignored: the protocol has no priorities. */
+    /** Ignored: the MySQL protocol has no priorities. */
     @Override
     public void changePriority(Command.ChangePriority<Query> command) {}
 
--- a/src/main/java/lineward/mysql/QueryAdmission.java
+++ b/src/main/java/lineward/mysql/QueryAdmission.java
@@ -9,14 +9,13 @@
 import lineward.operations.Metrics;
 import lineward.scheduling.decision.ServerAdmissionPolicy;
 
-/** Admits the clients' queries to the coordinator, and counts the queries that are rejected before. */
+/** Admits clients' queries to the coordinator, and counts those that are rejected before they reach it. */
 final class QueryAdmission implements QueryDispatcher {
     private final MysqlConfig config;
     private final ServerAdmissionPolicy admission;
     private final CoordinatorDriver<Query> driver;
     private final Metrics metrics;
 
-    /** Creates the admission of a server. */
     QueryAdmission(
             MysqlConfig config,
             ServerAdmissionPolicy admission,
@@ -42,7 +41,7 @@
         return admitted;
     }
 
-    /** Returns false if the table of open requests is full. */
+    /** Returns false if the coordinator's table of open requests is full. */
     private boolean offerToCoordinator(Query query) {
         double deadlineMs = classOf(query).deadlineMs();
         RequestAttributes attributes =
--- a/src/main/java/lineward/mysql/wire/Auth.java
+++ b/src/main/java/lineward/mysql/wire/Auth.java
@@ -11,18 +11,18 @@
 import java.util.Base64;
 import javax.crypto.Cipher;
 
-/** Scrambles of a password and a nonce, as the two supported authentication plugins compute them. */
+/** Computes the scrambles of a password and a server's nonce for the two supported authentication plugins. */
 public final class Auth {
     public static final String NATIVE = "mysql_native_password";
     public static final String SHA2 = "caching_sha2_password";
-    /** Bytes of a nonce. */
+    /** Length of a nonce in bytes. */
     public static final int NONCE_BYTES = 20;
 
     private static final SecureRandom RANDOM = new SecureRandom();
 
     private Auth() {}
 
-    /** Returns a random nonce without zero bytes: in the greeting a zero byte ends the nonce. */
+    /** Returns a random nonce without zero bytes, because a zero byte ends the nonce in the greeting. */
     public static byte[] newNonce() {
         byte[] nonce = new byte[NONCE_BYTES];
         for (int i = 0; i < nonce.length; i++) {
@@ -36,7 +36,7 @@
         return plugin.equals(NATIVE) || plugin.equals(SHA2);
     }
 
-    /** Returns the plugin's proof of the password; the proof of an empty password is empty. */
+    /** Returns the plugin's scramble of the password and the nonce; empty for an empty password. */
     public static byte[] proof(String plugin, String password, byte[] nonce) {
         if (password.isEmpty()) {
             return new byte[0];
@@ -50,12 +50,12 @@
         return xor(hash, digest("SHA-256", digest("SHA-256", hash), nonce));
     }
 
-    /** Returns whether the proof matches the password; the comparison takes constant time. */
+    /** Returns whether the scramble that a client sent matches the password; compares in constant time. */
     public static boolean proves(String plugin, String password, byte[] nonce, byte[] given) {
         return MessageDigest.isEqual(proof(plugin, password, nonce), given);
     }
 
-    /** Returns the password, encrypted with the RSA public key of a server that requests the password. */
+    /** Returns the password, encrypted with the server's RSA public key, for a server that asks for it. */
     public static byte[] encrypt(String password, byte[] nonce, String pem) throws GeneralSecurityException {
         String base64 = pem.replaceAll("-----[A-Z ]+-----", "").replaceAll("\\s", "");
         PublicKey key = KeyFactory.getInstance("RSA")
--- a/src/main/java/lineward/mysql/wire/ChannelOperations.java
+++ b/src/main/java/lineward/mysql/wire/ChannelOperations.java
@@ -7,15 +7,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Starts writes and closes without a completion handler: after a failed write Netty closes the channel, and
- * the channel's handler handles the close.
+ * Writes to channels and closes them. Callers need no completion listener: after a failed write Netty closes
+ * the channel, and the channel's handler handles the close.
  */
 public final class ChannelOperations {
     private static final Logger LOG = LoggerFactory.getLogger(ChannelOperations.class);
 
     private ChannelOperations() {}
 
-    /** Writes and flushes the frame, of which it takes over the reference. */
+    /** Writes and flushes the frame, and takes over its reference. */
     public static void write(Channel channel, ByteBuf frame) {
         channel.writeAndFlush(frame).addListener(done -> logFailure("write", channel, done.cause()));
     }
--- a/src/main/java/lineward/mysql/wire/Commands.java
+++ b/src/main/java/lineward/mysql/wire/Commands.java
@@ -1,6 +1,6 @@
 package lineward.mysql.wire;
 
-/** Numbers of the supported commands; MySQL documents them under names that begin with COM_. */
+/** Numbers of the supported commands; the MySQL documentation names them COM_QUIT, COM_INIT_DB and so on. */
 public final class Commands {
     public static final int QUIT = 0x01;
     public static final int INIT_DB = 0x02;
--- a/src/main/java/lineward/mysql/wire/Dialect.java
+++ b/src/main/java/lineward/mysql/wire/Dialect.java
@@ -5,9 +5,9 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * The format of results for one client. Engines send an EOF packet after the columns and another one after
- * the rows. With CLIENT_DEPRECATE_EOF the first one is left out, which lowers the sequence numbers after it
- * by one, and the second one is an OK packet whose first byte is that of EOF.
+ * The format of the results that one client receives. Engines send an EOF packet after the columns and
+ * another one after the rows. For a client with CLIENT_DEPRECATE_EOF the first one is left out, which lowers
+ * the following sequence numbers by one, and the second one is an OK packet whose first byte is that of EOF.
  */
 public enum Dialect {
     /** Results have EOF packets, as engines send them. */
@@ -45,9 +45,9 @@
     }
 
     /**
-     * Returns a complete reply of an engine in this dialect; takes over the reply's reference.
+     * Converts a complete reply of an engine to this dialect, and takes over the reply's reference.
      *
-     * @param prepared whether it is the successful reply to COM_STMT_PREPARE
+     * @param prepared whether the reply is a successful one to COM_STMT_PREPARE
      */
     public ByteBuf convert(ByteBufAllocator alloc, ByteBuf reply, boolean prepared) {
         int first = Packets.first(reply);
@@ -87,7 +87,7 @@
         resultEnd(converted, sequence, warnings, status);
     }
 
-    /** Returns the columns of a spooled result for a reply in which rows follow. */
+    /** Returns the columns of a spooled result for a reply that also has its rows. */
     public ByteBuf columns(byte[] head) {
         int length = this == EOF_PACKETS ? head.length : head.length - EOF_FRAME_BYTES;
         return Unpooled.wrappedBuffer(head, 0, length);
@@ -101,7 +101,7 @@
         return Unpooled.wrappedBuffer(columns, end(alloc, sequence, Packets.CURSOR_EXISTS));
     }
 
-    /** Returns rows of a spooled result; the array, which other readers share, is not changed. */
+    /** Returns rows of a spooled result. The array is not changed, because other readers share it. */
     public ByteBuf rows(byte[] rows) {
         if (this == EOF_PACKETS) {
             return Unpooled.wrappedBuffer(rows);
--- a/src/main/java/lineward/mysql/wire/ErrorCode.java
+++ b/src/main/java/lineward/mysql/wire/ErrorCode.java
@@ -1,6 +1,6 @@
 package lineward.mysql.wire;
 
-/** The errors that the front end reports itself, with MySQL's numbers. */
+/** The errors that the front end itself reports, with MySQL's numbers and SQLSTATEs. */
 enum ErrorCode {
     /** ER_CON_COUNT_ERROR. */
     TOO_MANY_CONNECTIONS(1040, "08004"),
@@ -45,7 +45,7 @@
         return code;
     }
 
-    /** Returns the SQLSTATE, five characters. */
+    /** Returns the five-character SQLSTATE. */
     String sqlState() {
         return sqlState;
     }
--- a/src/main/java/lineward/mysql/wire/Failure.java
+++ b/src/main/java/lineward/mysql/wire/Failure.java
@@ -1,14 +1,14 @@
 package lineward.mysql.wire;
 
 /**
- * The content of an error packet, with one factory method for each error that the front end reports itself.
+ * The content of an error packet, with one factory method for each error that the front end itself reports.
  *
  * @param code MySQL's error number
- * @param state SQLSTATE, five characters
+ * @param state five-character SQLSTATE
  * @param message the text for the user
  */
 public record Failure(int code, String state, String message) {
-    /** The delay of a rejection without a suggested delay. */
+    /** Stands for a rejection that suggests no delay. */
     public static final long NO_RETRY_AFTER_MS = 0;
 
     private Failure(ErrorCode error, String message) {
@@ -27,13 +27,13 @@
                         + (retryAfterMs > NO_RETRY_AFTER_MS ? "; come back in " + retryAfterMs + " ms" : ""));
     }
 
-    /** A statement may have run, and its outcome is unknown. */
+    /** No complete reply came from the engine; the statement may have run, and its outcome is unknown. */
     public static Failure failed() {
         return new Failure(
                 ErrorCode.QUERY_INTERRUPTED, "failed: no whole answer came from the engine, it may have run");
     }
 
-    /** The attempt failed after some rows were sent: the client's result is incomplete. */
+    /** The attempt failed after the client had received some rows, so that its result is incomplete. */
     public static Failure brokenOff() {
         return new Failure(ErrorCode.QUERY_INTERRUPTED, "failed: the engine broke off amid the rows");
     }
@@ -44,12 +44,12 @@
         return new Failure(ErrorCode.QUERY_INTERRUPTED, message);
     }
 
-    /** A fetch names a statement without an open cursor. */
+    /** A COM_STMT_FETCH names a statement without an open cursor. */
     public static Failure noCursor(long id) {
         return new Failure(ErrorCode.NO_OPEN_CURSOR, "the statement " + id + " has no open cursor");
     }
 
-    /** No result has this key. Expired keys and keys of other users get the same answer. */
+    /** No result has this key. The error is the same for an expired key and another user's key. */
     public static Failure noResult() {
         return new Failure(ErrorCode.WRONG_ARGUMENTS, "no result stands under that key");
     }
@@ -59,18 +59,18 @@
         return new Failure(ErrorCode.WRONG_ARGUMENTS, "the key stands for the result of another statement");
     }
 
-    /** The process shuts down. */
+    /** The front end is shutting down. */
     public static Failure shuttingDown() {
         return new Failure(ErrorCode.SERVER_SHUTDOWN, "the server is shutting down");
     }
 
-    /** The statement depends on the session of one engine. */
+    /** The statement depends on session state at one engine. */
     public static Failure unsupported(String what) {
         String message = what + " can't be kept: each statement may run on another engine";
         return new Failure(ErrorCode.NOT_SUPPORTED_YET, message);
     }
 
-    /** The front end answers this statement itself, so that no engine can prepare it. */
+    /** The front end answers this statement itself, so that it is never prepared at an engine. */
     public static Failure notPreparable() {
         String message = "USE, SET and SHOW WARNINGS can't be prepared";
         return new Failure(ErrorCode.UNSUPPORTED_PREPARED_STATEMENT, message);
@@ -103,7 +103,7 @@
         return new Failure(ErrorCode.PACKET_TOO_LARGE, message);
     }
 
-    /** A limit on a count is reached. */
+    /** The limit on the number or the total size of such objects is reached. */
     public static Failure tooMany(String what) {
         return new Failure(ErrorCode.TOO_MANY_STATEMENTS, "too many " + what);
     }
--- a/src/main/java/lineward/mysql/wire/Handshake.java
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The packets of the connection phase, for connections of clients and connections to engines. */
+/** The packets of the connection phase, on connections from clients and on connections to engines. */
 public final class Handshake {
     public static final int LONG_PASSWORD = 0x1;
     public static final int WITH_DB = 0x8;
@@ -31,7 +31,7 @@
     /** The capabilities offered to clients; {@link Dialect} converts the engines' replies. */
     public static final int OFFERED = CAPABILITIES | DEPRECATE_EOF;
 
-    /** The number of the collation utf8mb4_general_ci. */
+    /** Number of the collation utf8mb4_general_ci. */
     public static final int UTF8MB4 = 45;
     /** The server version that clients see. */
     public static final String SERVER_VERSION = "8.0.36-lineward";
@@ -40,7 +40,7 @@
     private static final int NONCE_HEAD = 8;
     private static final int LOGIN_RESERVED_BYTES = 23;
     private static final int GREETING_RESERVED_BYTES = 10;
-    /** Shortest second part of a nonce in a greeting, including its final zero byte. */
+    /** Minimum length of the second part of the nonce in a greeting, including its final zero byte. */
     private static final int MIN_NONCE_TAIL = 13;
 
     private static final int MAX_PACKET_BYTES = 1 << 24;
@@ -142,14 +142,14 @@
         }
     }
 
-    /** Returns the packet that requests authentication by another plugin. */
+    /** Returns the packet that asks the client to authenticate with another plugin. */
     public static ByteBuf authSwitch(ByteBufAllocator alloc, int sequence, String plugin, byte[] nonce) {
         ByteBuf packet = Packets.begin(alloc, sequence).writeByte(Packets.EOF);
         writeZeroTerminated(packet, plugin);
         return Packets.done(packet.writeBytes(nonce).writeByte(0));
     }
 
-    /** Returns a packet with this payload. */
+    /** Returns a packet of the authentication exchange with this payload. */
     public static ByteBuf authData(ByteBufAllocator alloc, int sequence, byte[] payload) {
         return Packets.done(Packets.begin(alloc, sequence).writeBytes(payload));
     }
--- a/src/main/java/lineward/mysql/wire/LocalResult.java
+++ b/src/main/java/lineward/mysql/wire/LocalResult.java
@@ -5,22 +5,25 @@
 import java.util.List;
 
 /**
- * A result of at most one row of texts that the front end produces itself.
+ * A result of at most one row of strings that the front end itself produces.
  *
  * @param labels names of the columns
  * @param row one value for each column; empty if the result has no row
  */
 public record LocalResult(List<String> labels, List<String> row) {
-    /** The answer to SHOW WARNINGS: the connection to the engine may have run statements of other clients. */
+    /**
+     * The answer to SHOW WARNINGS. It is always empty, because the connection to the engine may have executed
+     * a statement of another client in the meantime.
+     */
     public static final LocalResult NO_WARNINGS = withoutRows("Level", "Code", "Message");
 
     private static final String CATALOG = "def";
     private static final int TYPE_VAR_STRING = 253;
     private static final int MAX_VALUE_BYTES = 1024;
-    /** Bytes of a column definition after its texts. */
+    /** Bytes of the fixed-length fields at the end of a column definition. */
     private static final int FIXED_FIELDS_BYTES = 12;
 
-    /** Copies the lists. */
+    /** Makes immutable copies of the lists. */
     public LocalResult {
         labels = List.copyOf(labels);
         row = List.copyOf(row);
--- a/src/main/java/lineward/mysql/wire/PacketDecoder.java
+++ b/src/main/java/lineward/mysql/wire/PacketDecoder.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * Splits a connection's bytes into packets, each with its header. The length in the header is checked before
- * the payload is buffered.
+ * Splits the bytes of one connection into frames, which are packets with their headers. It checks the length
+ * in the header before it buffers the payload.
  */
 public final class PacketDecoder extends ByteToMessageDecoder {
     private final int maxPayloadBytes;
-    /** Set after a packet that was too long: packet boundaries are unknown from then on. */
+    /** Set after a packet that was too long: all further bytes are dropped, as packet boundaries are lost. */
     private boolean failed;
 
-    /** @param maxPayloadBytes largest payload of a packet */
+    /** @param maxPayloadBytes maximum length of a payload; a longer one fails the connection */
     public PacketDecoder(int maxPayloadBytes) {
         this.maxPayloadBytes = maxPayloadBytes;
     }
@@ -32,7 +32,7 @@
         int length = in.getUnsignedMediumLE(in.readerIndex());
         if (length > maxPayloadBytes) {
             failed = true;
-            throw new TooLongFrameException("packet of " + length + " bytes");
+            throw new TooLongFrameException("packet of " + length + " bytes, maximum " + maxPayloadBytes);
         }
         if (in.readableBytes() >= Packets.HEADER_BYTES + length) {
             packets.add(in.readRetainedSlice(Packets.HEADER_BYTES + length));
--- a/src/main/java/lineward/mysql/wire/PacketRole.java
+++ b/src/main/java/lineward/mysql/wire/PacketRole.java
@@ -2,13 +2,13 @@
 
 /** The role of a packet in an engine's reply. */
 public enum PacketRole {
-    /** A packet before the rows. */
+    /** A packet before the rows, or any but the last packet of a reply to COM_STMT_PREPARE. */
     HEAD,
-    /** The last packet before the rows. */
+    /** The EOF packet between the columns and the rows. */
     HEAD_END,
-    /** A row, or the last packet of a row in several packets. */
+    /** A complete row, or the last packet of a row that is split over several packets. */
     ROW,
-    /** A packet of a row that the next packet continues. */
+    /** A part of a row that the next packet continues. */
     ROW_PART,
     /** The last packet of a successful reply. */
     LAST_OK,
--- a/src/main/java/lineward/mysql/wire/Packets.java
+++ b/src/main/java/lineward/mysql/wire/Packets.java
@@ -4,9 +4,9 @@
 import io.netty.buffer.ByteBufAllocator;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes packets and reads parts of received ones. A frame is one complete packet with its header. */
+/** Encodes packets and reads fields of received ones. A frame is one complete packet with its header. */
 public final class Packets {
-    /** Bytes of a header: the payload's length and the sequence number. */
+    /** Bytes of a header: three for the payload's length, one for the sequence number. */
     public static final int HEADER_BYTES = 4;
 
     public static final int OK = 0x00;
@@ -15,13 +15,13 @@
     public static final int AUTOCOMMIT = 0x0002;
     public static final int CURSOR_EXISTS = 0x0040;
     public static final int LAST_ROW_SENT = 0x0080;
-    /** The error number of an error packet without one. */
+    /** Stands for the error number of an error packet that has none. */
     public static final int UNKNOWN_ERROR = 0;
-    /** The first byte of an empty payload. */
+    /** Stands for the first byte of an empty payload. */
     public static final int EMPTY = -1;
-    /** Largest payload; after a packet of this size the next packet continues the payload. */
+    /** Maximum length of a payload; a packet of this length is continued by the next one. */
     public static final int MAX_PAYLOAD_BYTES = 0xffffff;
-    /** Distinguishes an EOF packet from a row with the same first byte, which is at least as long. */
+    /** Minimum payload of a row whose first byte is that of EOF; a shorter payload is an EOF packet. */
     private static final int MIN_ROW_BYTES_AFTER_EOF_BYTE = 9;
 
     /** First bytes of length-encoded integers whose value follows in 2, 3 or 8 bytes. */
@@ -29,19 +29,19 @@
 
     private static final int LENGTH_3 = 0xfd;
     private static final int LENGTH_8 = 0xfe;
-    /** Largest length-encoded integer of a single byte. */
+    /** Largest value of a length-encoded integer that takes a single byte. */
     private static final int MAX_LENGTH_IN_ONE_BYTE = 250;
-    /** First byte of an error packet and its error number. */
+    /** Bytes of the type and the error number at the start of an error packet. */
     private static final int ERROR_HEAD_BYTES = 3;
 
     private Packets() {}
 
-    /** Starts a frame, whose length {@link #done} sets. */
+    /** Starts a frame; {@link #done} sets its length once it is complete. */
     public static ByteBuf begin(ByteBufAllocator alloc, int sequence) {
         return alloc.buffer().writeMediumLE(0).writeByte(sequence);
     }
 
-    /** Sets the length in the header of a frame that is complete. */
+    /** Completes a frame: sets the length in its header. */
     public static ByteBuf done(ByteBuf frame) {
         return frame.setMediumLE(0, frame.readableBytes() - HEADER_BYTES);
     }
@@ -56,7 +56,7 @@
                 .writeShortLE(0));
     }
 
-    /** Returns an EOF packet with this status beside AUTOCOMMIT. */
+    /** Returns an EOF packet with AUTOCOMMIT and these additional status flags. */
     public static ByteBuf eof(ByteBufAllocator alloc, int sequence, int status) {
         return done(begin(alloc, sequence).writeByte(EOF).writeShortLE(0).writeShortLE(AUTOCOMMIT | status));
     }
@@ -76,7 +76,7 @@
         return done(packet);
     }
 
-    /** Returns a command with these arguments, which the caller releases. */
+    /** Returns the packet of a command with these arguments, which the caller still has to release. */
     public static ByteBuf command(ByteBufAllocator alloc, int command, ByteBuf arguments) {
         ByteBuf frame = begin(alloc, 0).writeByte(command);
         return done(frame.writeBytes(arguments, arguments.readerIndex(), arguments.readableBytes()));
@@ -97,7 +97,7 @@
         return frame.readableBytes() - HEADER_BYTES;
     }
 
-    /** Returns a view of the payload, which shares the frame's reference. */
+    /** Returns a view of the payload, which shares the reference count of the frame. */
     public static ByteBuf payload(ByteBuf frame) {
         return frame.slice(frame.readerIndex() + HEADER_BYTES, size(frame));
     }
@@ -125,7 +125,7 @@
         };
     }
 
-    /** Writes the length of a text of less than 64 KiB, then the text. */
+    /** Writes a length-encoded string of less than 64 KiB. */
     public static void writeText(ByteBuf packet, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         if (bytes.length > MAX_LENGTH_IN_ONE_BYTE) {
@@ -136,7 +136,7 @@
         packet.writeBytes(bytes);
     }
 
-    /** Reads a text that ends with a zero byte or at the end of the packet. */
+    /** Reads a string that ends with a zero byte or at the end of the packet. */
     public static String zeroTerminated(ByteBuf payload) {
         int length = payload.bytesBefore((byte) 0);
         if (length < 0) {
--- a/src/main/java/lineward/mysql/wire/ReplyStream.java
+++ b/src/main/java/lineward/mysql/wire/ReplyStream.java
@@ -1,10 +1,10 @@
 package lineward.mysql.wire;
 
-/** A reply that is sent in parts, at the speed at which the client reads. */
+/** A reply that is sent in parts, as fast as the client reads it. */
 public interface ReplyStream {
-    /** Sends as much as the channel accepts; called again when the channel becomes writable. */
+    /** Sends packets while the channel is writable; called again when it becomes writable. */
     void resume();
 
-    /** Releases the spooled result; nothing more is sent. */
+    /** Stops sending and releases the spooled result. */
     void close();
 }
--- a/src/main/java/lineward/mysql/wire/ReplyTracker.java
+++ b/src/main/java/lineward/mysql/wire/ReplyTracker.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.DecoderException;
 
-/** Follows the packets of one reply of an engine and classifies each by its {@link PacketRole}. */
+/** Parses the packets of one engine's reply in order, and returns the {@link PacketRole} of each. */
 public final class ReplyTracker {
     private enum State {
         FIRST_PACKET,
@@ -12,7 +12,7 @@
         ROWS
     }
 
-    /** First byte of a reply that requests a local file of the client. */
+    /** First byte of a reply that asks the client for a local file (LOAD DATA LOCAL). */
     private static final int LOCAL_INFILE = 0xfb;
 
     private static final int SERVER_MORE_RESULTS_EXISTS = 0x0008;
@@ -25,16 +25,16 @@
 
     private final boolean prepare;
     private State state = State.FIRST_PACKET;
-    /** Lists of definitions still to come in a reply to COM_STMT_PREPARE; EOF ends each of them. */
+    /** Lists of definitions that remain in a reply to COM_STMT_PREPARE; an EOF packet ends each of them. */
     private int definitionBlocks;
 
     private int status = STATUS_UNKNOWN;
     private boolean rowContinues;
 
     /**
-     * Creates the tracker of a reply whose first packet has not been received.
+     * Creates a tracker that expects the first packet of a reply.
      *
-     * @param prepare whether this is the reply to COM_STMT_PREPARE, whose format differs
+     * @param prepare whether it is a reply to COM_STMT_PREPARE, which has its own format
      */
     public ReplyTracker(boolean prepare) {
         this.prepare = prepare;
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Returns the role of the reply's next packet; the frame's reader index does not move.
+     * Returns the role of the reply's next packet. Does not move the frame's reader index.
      *
      * @throws DecoderException if the packet violates the protocol or belongs to a reply that was not
      *     requested
@@ -68,7 +68,7 @@
                 case ROWS -> rows(frame, type);
             };
         } catch (IndexOutOfBoundsException e) {
-            throw new DecoderException("packet of a reply ends early", e);
+            throw new DecoderException("truncated packet in a reply", e);
         }
     }
 
@@ -81,7 +81,7 @@
             return prepare ? prepareOk(payload) : ok(payload);
         }
         if (prepare || type == LOCAL_INFILE || type == Packets.EOF) {
-            throw new DecoderException("reply begins with " + type);
+            throw new DecoderException("unexpected first byte of a reply: " + type);
         }
         state = State.COLUMNS;
         return PacketRole.HEAD;
@@ -96,7 +96,7 @@
     }
 
     private PacketRole ok(ByteBuf payload) {
-        // Affected rows, then the last inserted id.
+        // Skips the affected rows and the last inserted id.
         Packets.lengthEncoded(payload);
         Packets.lengthEncoded(payload);
         setStatus(payload.readUnsignedShortLE());
@@ -133,7 +133,7 @@
         return PacketRole.LAST_OK;
     }
 
-    /** The next packet, which may be empty, continues a packet of the maximal length. */
+    /** A packet of the maximum length is continued by the next one, which may be empty. */
     private PacketRole row(ByteBuf frame) {
         rowContinues = Packets.size(frame) == Packets.MAX_PAYLOAD_BYTES;
         return rowContinues ? PacketRole.ROW_PART : PacketRole.ROW;
@@ -142,7 +142,7 @@
     private void setStatus(int reported) {
         status = reported;
         if ((reported & SERVER_MORE_RESULTS_EXISTS) != 0) {
-            throw new DecoderException("more than one result");
+            throw new DecoderException("reply has more than one result");
         }
     }
 }
--- a/src/main/java/lineward/mysql/wire/Texts.java
+++ b/src/main/java/lineward/mysql/wire/Texts.java
@@ -3,18 +3,18 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Converts texts between UTF-8 and the form in which they are forwarded: a string with one Latin-1 character
- * for each byte, so that bytes which are not UTF-8 pass unchanged.
+ * Converts between ordinary strings and the strings in which texts are forwarded. Those have one Latin-1
+ * character for each byte of the text, so that bytes which are not valid UTF-8 are forwarded unchanged.
  */
 public final class Texts {
     private Texts() {}
 
-    /** Returns a string with one character for each byte of the text in UTF-8. */
+    /** Returns a string with one Latin-1 character for each byte of the text in UTF-8. */
     public static String latin1(String text) {
         return new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.ISO_8859_1);
     }
 
-    /** Returns the text whose UTF-8 bytes are the characters of this string. */
+    /** Returns the text whose UTF-8 bytes are the Latin-1 characters of this string. */
     public static String utf8(String latin1) {
         return new String(latin1.getBytes(StandardCharsets.ISO_8859_1), StandardCharsets.UTF_8);
     }
