--- a/src/main/java/lineward/mysql/session/ClientStatement.java
+++ b/src/main/java/lineward/mysql/session/ClientStatement.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A statement that a client has prepared, with its text, so that any engine can execute it. */
+/** A prepared statement of a client. It keeps the text, so that any engine can prepare and execute it. */
 public final class ClientStatement {
-    /** Bytes of an execution's flags and iteration count. */
+    /** Bytes of the flags and the iteration count at the start of the arguments. */
     private static final int EXECUTION_HEAD_BYTES = 5;
 
     private static final int NO_CURSOR = 0;
@@ -19,9 +19,9 @@
     private final int parameterCount;
     private final int reservedBytes;
     private final List<Work.LongData> longData = new ArrayList<>();
-    /** Null if no cursor was opened since the last execution or reset. */
+    /** Null if no cursor was opened since the last reset or execution. */
     private StatementCursor cursor;
-    /** Types of the parameters; null until an execution sends them. */
+    /** Types of the parameters; null until the client sends them with an execution. */
     private byte[] types;
 
     /** @param reservedBytes bytes of the text that count against the limit for all clients */
@@ -51,12 +51,12 @@
         return cursor != null && !cursor.isDone();
     }
 
-    /** Returns the cursor; only if there is an open one. */
+    /** Returns the cursor; requires {@link #hasOpenCursor}. */
     public StatementCursor cursor() {
         return cursor;
     }
 
-    /** Closes the present cursor, if any, and sets another one. */
+    /** Closes the current cursor, if any, and replaces it. */
     public void replaceCursor(StatementCursor opened) {
         closeCursor();
         cursor = opened;
@@ -75,27 +75,28 @@
         return arguments.isReadable() && arguments.getByte(arguments.readerIndex()) == READ_ONLY_CURSOR;
     }
 
-    /** Adds a part of a parameter for the next execution. */
+    /** Adds a part of a long parameter (COM_STMT_SEND_LONG_DATA) for the next execution. */
     public void add(Work.LongData data) {
         longData.add(data);
     }
 
-    /** Returns the bytes of the parameters' parts for the next execution. */
+    /** Returns the bytes of all long parameters for the next execution. */
     public int longDataBytes() {
         return longData.stream().mapToInt(data -> data.bytes().length).sum();
     }
 
-    /** Drops the parameters' parts for the next execution, and closes the cursor. */
+    /** Discards the long parameters for the next execution, and closes the cursor. */
     public void reset() {
         longData.clear();
         closeCursor();
     }
 
     /**
-     * Returns the execution with these arguments. A client sends the types of the parameters once; they are
-     * added to every execution, as it may be the first one on its engine.
+     * Returns the execution with these arguments, and discards the long parameters. A client may send the
+     * types of the parameters only once; they are added to every execution, as it may be the first one on its
+     * engine.
      *
-     * @param arguments what follows the statement's id
+     * @param arguments the payload after the statement's id
      * @throws IllegalArgumentException if the arguments are malformed or request another kind of cursor
      */
     public Work.Execute execute(ByteBuf arguments) {
@@ -106,7 +107,7 @@
             if (flags > READ_ONLY_CURSOR) {
                 throw new IllegalArgumentException("only read-only cursors are supported");
             }
-            // The cursor is in the spool: the engine sends all rows at once and is free for other statements.
+            // The spool provides the cursor: the engine sends all rows at once and is then free.
             forwarded.writeByte(NO_CURSOR).writeBytes(arguments, EXECUTION_HEAD_BYTES - 1);
             if (parameterCount > 0) {
                 copyParameters(arguments, forwarded);
--- a/src/main/java/lineward/mysql/session/PreparedStatements.java
+++ b/src/main/java/lineward/mysql/session/PreparedStatements.java
@@ -4,14 +4,15 @@
 import java.util.Map;
 
 /**
- * The prepared statements of one client, by the ids that the client uses. Bounded by {@link StatementLimits}.
+ * The prepared statements of one client, by the ids that the client received. {@link StatementLimits} bounds
+ * them.
  */
 public final class PreparedStatements {
     private final StatementLimits limits;
     private final Map<Long, ClientStatement> statementsById = new HashMap<>();
     private long lastId;
 
-    /** Creates an empty set of statements with these limits. */
+    /** Creates an empty collection with these limits. */
     public PreparedStatements(StatementLimits limits) {
         this.limits = limits;
     }
@@ -45,7 +46,7 @@
         return statementsById.get(id);
     }
 
-    /** Returns whether a statement has an open cursor. */
+    /** Returns whether any statement has an open cursor. */
     public boolean hasOpenCursor() {
         return statementsById.values().stream().anyMatch(ClientStatement::hasOpenCursor);
     }
--- a/src/main/java/lineward/mysql/session/SessionSettings.java
+++ b/src/main/java/lineward/mysql/session/SessionSettings.java
@@ -10,8 +10,8 @@
 import lineward.mysql.wire.LocalResult;
 
 /**
- * The session variables of one client. Its statements may run on any engine: the variables that
- * affect an engine are set on the connection before the statement; queries of variables are answered here.
+ * The session variables of one client. As its statements may run on any engine, the variables that affect an
+ * engine are set on the connection before a statement, and queries of variables are answered here.
  */
 public final class SessionSettings {
     private static final int MAX_SETTINGS = 32;
@@ -19,7 +19,7 @@
     private static final String CHARACTER_SET_RESULTS = "character_set_results";
     private static final String CONNECTION_CHARSET = "utf8mb4";
     private static final String NULL = "NULL";
-    /** Names of UTF-8, the character set of every connection to an engine. */
+    /** Names that select UTF-8, the character set of every connection to an engine. */
     private static final Set<String> UTF8_CHARSETS = Set.of(CONNECTION_CHARSET, "utf8", "utf8mb3", "default");
 
     private static final Set<String> AUTOCOMMIT_ON = Set.of("1", "on", "true", "default");
@@ -38,7 +38,7 @@
         forwarded = Map.of();
     }
 
-    /** Returns the statement that changes a connection's variables from one set to another. */
+    /** Returns the SET statement that changes a connection's variables from one set of values to another. */
     public static String change(Map<String, String> from, Map<String, String> to) {
         List<String> assignments = new ArrayList<>();
         from.keySet().stream()
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Transactions of several statements are not supported. */
+    /** Rejects autocommit=0, as transactions of several statements are not supported. */
     private static void requireAutocommit(String value) throws UnsupportedSettingException {
         UnsupportedSettingException.require(AUTOCOMMIT_ON.contains(value), "autocommit=0");
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /** With NULL, results are not converted. */
+    /** NULL, with which the engine does not convert results, is supported besides UTF-8. */
     private static void applyResultCharset(Map<String, String> settings, String charset)
             throws UnsupportedSettingException {
         if (charset.equals("null")) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Texts are forwarded unchanged, and every connection to an engine uses utf8mb4. */
+    /** Rejects other character sets, as texts are forwarded unchanged over connections that use utf8mb4. */
     private static void requireUtf8(String charset) throws UnsupportedSettingException {
         UnsupportedSettingException.require(UTF8_CHARSETS.contains(charset), "the character set " + charset);
     }
--- a/src/main/java/lineward/mysql/session/SetReader.java
+++ b/src/main/java/lineward/mysql/session/SetReader.java
@@ -7,7 +7,7 @@
 import java.util.function.UnaryOperator;
 import lineward.core.SqlTokens;
 
-/** Reads a SET statement into assignments of session variables. */
+/** Parses a SET statement into assignments of session variables. */
 final class SetReader {
     private static final String THIS_FORM = "this form of SET";
     private static final String THIS_VALUE = "this value";
@@ -22,7 +22,7 @@
     private boolean more;
 
     /**
-     * @param currentValues returns the value of a variable, or null if it is unknown
+     * @param currentValues returns the current value of a variable, or null if the variable is unknown
      */
     SetReader(String text, UnaryOperator<String> currentValues) {
         this.text = text;
@@ -111,7 +111,7 @@
         return at("session") || at("local");
     }
 
-    /** Returns whether the scope is not the session, or this is no assignment of a variable. */
+    /** Returns whether the scope is not the session, or the statement sets something else than variables. */
     private boolean isOtherScope() {
         return tokens.is("global")
                 || tokens.is("persist")
@@ -130,7 +130,7 @@
         return new Assignment("transaction_isolation", "'" + level + "'");
     }
 
-    /** Drivers extend sql_mode by CONCAT(@@sql_mode, …). */
+    /** Evaluates CONCAT; drivers extend sql_mode by CONCAT(@@sql_mode, …). */
     private String concat() throws UnsupportedSettingException {
         require(advance() && tokens.is("("), THIS_FORM);
         StringBuilder joined = new StringBuilder();
@@ -174,7 +174,7 @@
         require(isLiteral(), THIS_VALUE);
         value.append(text, tokens.start(), tokens.end());
         advance();
-        // A number with a decimal point is three tokens.
+        // The tokenizer splits a number with a decimal point into three tokens.
         if (at(".")) {
             advance();
             require(more && tokens.kind() == SqlTokens.Kind.NUMBER, THIS_VALUE);
--- a/src/main/java/lineward/mysql/session/SpoolHint.java
+++ b/src/main/java/lineward/mysql/session/SpoolHint.java
@@ -5,13 +5,13 @@
 import java.util.regex.Pattern;
 
 /**
- * The key by which a client names its result, in a comment of the statement: {@code /* lineward:key=K from=N
- * rows=N *}{@code /}. Every driver forwards comments, whereas query attributes need a capability that some
- * drivers lack.
+ * The key that a client gives to its result, and the page of it that the client requests, in a comment of
+ * the statement: {@code /* lineward:key=K from=N rows=N *}{@code /}. Every driver forwards comments, whereas
+ * query attributes need a capability that some drivers lack.
  *
  * @param key empty if the result has no key
  * @param firstRow first row that the client requests, counted from 0
- * @param rowLimit largest number of rows that the client requests; empty: all. A cursor ignores it
+ * @param rowLimit maximum of rows that the client requests; empty: all. Ignored if a cursor is opened
  * @param statement the statement without the hint
  */
 public record SpoolHint(String key, long firstRow, OptionalLong rowLimit, String statement) {
@@ -24,7 +24,7 @@
 
     /** Returns the first hint of a statement, or a hint without a key. */
     public static SpoolHint of(String text) {
-        // The search is much cheaper than the pattern, and few statements have a hint.
+        // Few statements have a hint, and this search is much cheaper than the regular expression.
         if (!text.contains(KEY_PREFIX)) {
             return none(text);
         }
@@ -41,17 +41,17 @@
                 text.substring(0, hint.start()) + text.substring(hint.end()));
     }
 
-    /** Returns the hint of a statement that has none. */
+    /** Returns the value for a statement without a hint. */
     public static SpoolHint none(String statement) {
         return new SpoolHint("", 0, OptionalLong.empty(), statement);
     }
 
-    /** Returns whether the client names its result. */
+    /** Returns whether the client gives its result a key. */
     public boolean hasKey() {
         return !key.isEmpty();
     }
 
-    /** Returns whether the client requests a page of a result, which must exist already. */
+    /** Returns whether the client requests a page of a result that must exist already. */
     public boolean requestsPage() {
         return firstRow > 0 || rowLimit.isPresent();
     }
--- a/src/main/java/lineward/mysql/session/StatementClass.java
+++ b/src/main/java/lineward/mysql/session/StatementClass.java
@@ -1,14 +1,14 @@
 package lineward.mysql.session;
 
 /**
- * The class of a statement. The scheduler has two classes for each one of the configuration: the first for
+ * The class of a statement. The scheduler has two classes for each class of the configuration: the first for
  * reads, which are idempotent, and the second for writes, which are not.
  *
  * @param configIndex index of the class in the configuration
  * @param writes whether the statement may change something
  */
 public record StatementClass(int configIndex, boolean writes) {
-    /** The scheduler's classes for one class of the configuration: reads and writes. */
+    /** One for reads and one for writes. */
     private static final int SCHEDULER_CLASSES_PER_CLASS = 2;
 
     /** Returns the index of the class in the scheduler's settings. */
--- a/src/main/java/lineward/mysql/session/StatementClassifier.java
+++ b/src/main/java/lineward/mysql/session/StatementClassifier.java
@@ -5,15 +5,15 @@
 import lineward.core.SqlTokens;
 import lineward.mysql.wire.Failure;
 
-/** Classifies one statement by its tokens; words in strings, quoted names and comments do not count. */
+/** Classifies a statement by its tokens. Words in strings, quoted names and comments are ignored. */
 final class StatementClassifier {
-    /** First words of statements that only read. */
+    /** First words of statements that only read, unless a later word makes them a write. */
     private static final Set<String> READ_KEYWORDS =
             Set.of("select", "show", "desc", "describe", "explain", "table", "values", "with", "help", "(");
     /** Words that make a statement a write at any position. */
     private static final Set<String> WRITE_KEYWORDS =
             Set.of("insert", "update", "delete", "replace", "into", "lock", "share");
-    /** First words of statements that do not change the engine's session. */
+    /** First words of statements that leave the engine's session unchanged. */
     private static final Set<String> SESSION_PRESERVING_KEYWORDS = Set.of(
             "select",
             "show",
@@ -53,7 +53,7 @@
             "deallocate",
             "handler",
             "kill",
-            "declare", // and the other parts of a stored program
+            "declare", // like the following ones, a statement of stored programs
             "get",
             "signal",
             "resignal");
@@ -68,7 +68,7 @@
             "is_used_lock",
             "is_free_lock",
             "connection_id");
-    /** Variables that describe the previous statement on an engine's connection, even of another client. */
+    /** Variables that describe the previous statement (even another client's) or the user of a connection. */
     private static final Set<String> SESSION_VARIABLES = Set.of(
             "last_insert_id",
             "identity",
@@ -88,7 +88,7 @@
     private final SqlTokens tokens;
     private boolean onlyReads;
     private boolean changesSession;
-    /** The previous token if it was a word or the sign of a variable; else empty. */
+    /** The previous token if it was a word, @ or @@; else empty. */
     private String previousToken = "";
 
     private StatementClassifier(String text, String firstKeyword) {
@@ -124,7 +124,7 @@
         return tokens.text().toLowerCase(Locale.ROOT);
     }
 
-    /** ROLLBACK TO and ROLLBACK WORK TO name a savepoint; without one there is nothing to roll back. */
+    /** ROLLBACK [WORK] TO names a savepoint; without one there is nothing to roll back. */
     private static StatementKind rollback(SqlTokens tokens) {
         boolean toSavepoint = tokens.is("to") || (tokens.is("work") && tokens.next() && tokens.is("to"));
         return toSavepoint ? noTransaction("ROLLBACK TO") : new StatementKind.NoOperation();
@@ -182,18 +182,18 @@
         return new StatementKind.Write(changesSession);
     }
 
-    /** REPLACE(…) and INSERT(…) are functions on strings, and no writes. */
+    /** REPLACE(…) and INSERT(…) are string functions, not writes. */
     private boolean isAfterWriteKeyword() {
         boolean isFunction = tokens.is("(") && !previousToken.equals("into");
         return WRITE_KEYWORDS.contains(previousToken) && !isFunction;
     }
 
-    /** Returns the rejection that the current token demands, or null. */
+    /** Returns a rejection if the current token refers to session state, else null. */
     private StatementKind rejectSessionState(String keyword) {
         if (tokens.is("(") && SESSION_FUNCTIONS.contains(previousToken)) {
             return unsupported(previousToken.toUpperCase(Locale.ROOT) + "()");
         }
-        // @ begins a user variable, which is not supported; @@ begins a system variable, which is.
+        // A user variable (@) is not supported; a system variable (@@) is.
         if (previousToken.equals(USER_VARIABLE_SIGN) && !keyword.isEmpty()) {
             return unsupported("a user variable");
         }
--- a/src/main/java/lineward/mysql/session/StatementCursor.java
+++ b/src/main/java/lineward/mysql/session/StatementCursor.java
@@ -4,9 +4,9 @@
 
 /** The open cursor of a prepared statement. */
 public interface StatementCursor extends ReplyStream {
-    /** Returns whether no fetch may follow, as the last row has been sent or the cursor is closed. */
+    /** Returns whether no fetch can follow: the last rows are being sent, or the cursor is closed. */
     boolean isDone();
 
-    /** Sends the next rows, at most this number. */
+    /** Sends up to this number of further rows. */
     void fetch(long rows);
 }
--- a/src/main/java/lineward/mysql/session/StatementKind.java
+++ b/src/main/java/lineward/mysql/session/StatementKind.java
@@ -4,12 +4,12 @@
 
 /** How the front end handles a statement. */
 public sealed interface StatementKind {
-    /** Returns whether a client may prepare the statement. */
+    /** Returns whether a client may prepare the statement, unless it is rejected anyway. */
     default boolean canBePrepared() {
         return true;
     }
 
-    /** Only reads, and may be retried. */
+    /** Only reads data, and may be retried. */
     record Read() implements StatementKind {}
 
     /**
@@ -20,7 +20,7 @@
      */
     record Write(boolean changesSession) implements StatementKind {}
 
-    /** Requests the warnings of the previous statement. */
+    /** Requests the warnings or errors of the previous statement. */
     record ShowWarnings() implements StatementKind {
         @Override
         public boolean canBePrepared() {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Ends a transaction, although there is none: the front end answers OK. */
+    /** COMMIT or ROLLBACK; the front end answers OK, as there never is an open transaction. */
     record NoOperation() implements StatementKind {}
 
     /** Sets session variables, see {@link SessionSettings}. */
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Depends on the session of one engine, which is not supported. */
+    /** Is not supported, because it depends on the session of one engine. */
     record Rejected(Failure failure) implements StatementKind {}
 
     /** Returns the kind of a statement; a statement that is not known to be a read is a write. */
--- a/src/main/java/lineward/mysql/session/StatementLimits.java
+++ b/src/main/java/lineward/mysql/session/StatementLimits.java
@@ -3,9 +3,9 @@
 import lineward.core.ByteBudget;
 
 /**
- * Limits on prepared statements.
+ * Limits on the prepared statements of clients.
  *
- * @param maxStatements largest number of statements of one client
+ * @param maxStatements maximum of statements of one client
  * @param textBytes budget for the texts of the statements of all clients
  */
 public record StatementLimits(int maxStatements, ByteBudget textBytes) {}
--- a/src/main/java/lineward/mysql/session/SystemVariables.java
+++ b/src/main/java/lineward/mysql/session/SystemVariables.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import lineward.mysql.wire.Handshake;
 
-/** The system variables that a client may set, and the defaults that are reported to clients. */
+/** The system variables that a client may set, and the defaults that the front end reports to clients. */
 final class SystemVariables {
     /** Variables that are set on an engine's connection before a client's statement. */
     static final Set<String> FORWARDED = Set.of(
@@ -39,7 +39,7 @@
             "max_sort_length",
             "tmp_table_size",
             "max_heap_table_size");
-    /** Variables of the client's own connection, which are not forwarded to engines. */
+    /** Variables that concern only the client's own connection and are not forwarded to engines. */
     static final Set<String> LOCAL = Set.of(
             "wait_timeout",
             "interactive_timeout",
--- a/src/main/java/lineward/mysql/session/UnsupportedSettingException.java
+++ b/src/main/java/lineward/mysql/session/UnsupportedSettingException.java
@@ -10,7 +10,7 @@
         super(unsupported);
     }
 
-    /** Throws an exception that names the unsupported part, unless it is supported. */
+    /** Throws an exception with this name of the part unless the part is supported. */
     static void require(boolean supported, String otherwise) throws UnsupportedSettingException {
         if (!supported) {
             throw new UnsupportedSettingException(otherwise);
--- a/src/main/java/lineward/mysql/session/VariableQuery.java
+++ b/src/main/java/lineward/mysql/session/VariableQuery.java
@@ -8,7 +8,7 @@
 import lineward.core.SqlTokens;
 import lineward.mysql.wire.LocalResult;
 
-/** Answers a SELECT of system variables only, which drivers send after their login, without an engine. */
+/** Answers a SELECT of nothing but system variables without an engine; drivers send it after the login. */
 final class VariableQuery {
     private final SqlTokens tokens;
     private final UnaryOperator<String> values;
@@ -17,7 +17,7 @@
     /** Whether there is a current token. */
     private boolean more;
 
-    /** @param values returns the value of a variable, or null if it is unknown */
+    /** @param values returns the value of a variable, or null if the variable is unknown */
     VariableQuery(String statement, UnaryOperator<String> values) {
         this.tokens = new SqlTokens(statement);
         this.values = values;
@@ -46,7 +46,7 @@
         return true;
     }
 
-    /** Returns whether the statement ends here, possibly after a limit of one row. */
+    /** Returns whether the statement ends here, possibly after LIMIT 1. */
     private boolean endsHere() {
         if (tokens.is("limit")) {
             return advance() && tokens.is("1") && !advance();
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Returns the variable at the current token as it is written, without its scope; null if there is none.
+     * Reads a variable and returns it as written, with its scope; null if there is none at the current token.
      */
     private String readVariable() {
         if (!skipSigns()) {
--- a/src/main/java/lineward/mysql/session/Work.java
+++ b/src/main/java/lineward/mysql/session/Work.java
@@ -9,12 +9,12 @@
 import java.util.List;
 import lineward.mysql.wire.Texts;
 
-/** The work of one attempt. Schemas and texts are in the form of {@link Texts}. */
+/** The command that an attempt executes at an engine. Schemas and texts are in the form of {@link Texts}. */
 public sealed interface Work {
     /** Returns the schema of the session; empty if the client has selected none. */
     String schema();
 
-    /** Returns whether the work may change the engine's session, so that its connection must be closed. */
+    /** Returns whether the command may change the engine's session, so that its connection must be closed. */
     default boolean changesSession() {
         return false;
     }
@@ -24,27 +24,28 @@
         return kind instanceof StatementKind.Write write && write.changesSession();
     }
 
-    /** Executes a text. */
+    /** Executes a statement as text (COM_QUERY). */
     record Query(String schema, String text) implements Work {
         @Override
         public boolean changesSession() {
             return Work.changesSession(text);
         }
 
-        /** Returns a digest of everything that determines the result. */
+        /** Returns a digest of the schema and the text, by which a result with a key is recognized. */
         public String digest() {
             return Work.digest(List.of(bytes(schema), bytes(text)));
         }
     }
 
-    /** Prepares a text; the reply describes its parameters and columns. */
+    /** Prepares a statement (COM_STMT_PREPARE); the reply describes its parameters and columns. */
     record Prepare(String schema, String text) implements Work {}
 
     /**
-     * Executes a prepared text; the engine's connection prepares it first if necessary.
+     * Executes a prepared statement (COM_STMT_EXECUTE); if necessary, the engine's connection prepares it
+     * first.
      *
      * @param parameterCount number of parameters in the reply that the client received
-     * @param arguments what follows the statement's id, always with the parameters' types
+     * @param arguments the payload after the statement's id, always with the parameters' types
      */
     @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
     record Execute(String schema, String text, int parameterCount, byte[] arguments, List<LongData> longData)
@@ -54,7 +55,7 @@
             return Work.changesSession(text);
         }
 
-        /** Returns a digest of everything that determines the result. */
+        /** Returns a digest of the schema, the text and all arguments, see {@link Query#digest}. */
         public String digest() {
             return Work.digest(List.of(bytes(schema), bytes(text), arguments, longDataBytes()));
         }
@@ -69,7 +70,7 @@
         }
     }
 
-    /** Selects the schema of the session. */
+    /** Selects the schema of the session (COM_INIT_DB). */
     record UseSchema(String schema) implements Work {}
 
     private static byte[] bytes(String latin1) {
@@ -90,7 +91,7 @@
         }
     }
 
-    /** A part of a parameter that is sent before the execution. */
+    /** A part of a long parameter, which is sent before the execution (COM_STMT_SEND_LONG_DATA). */
     @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
     record LongData(int parameter, byte[] bytes) {}
 }
--- a/src/main/java/lineward/mysql/session/package-info.java
+++ b/src/main/java/lineward/mysql/session/package-info.java
@@ -1,12 +1,13 @@
 /**
- * The session of one client, as far as it is independent of connections: its settings
+ * The state of one client's session that does not depend on a connection: its settings
  * ({@link lineward.mysql.session.SessionSettings}), its prepared statements
  * ({@link lineward.mysql.session.PreparedStatements}), the classification of statements
- * ({@link lineward.mysql.session.StatementKind}) and the work that an engine does for it
+ * ({@link lineward.mysql.session.StatementKind}) and the commands that engines execute for it
  * ({@link lineward.mysql.session.Work}).
  *
- * <p>It may use {@code wire} and the tokens of {@code core}, and does no I/O. A session is used on the event
- * loop only. Bounds: settings of a session and their lengths; prepared statements of a client and the bytes
- * of all their texts, see {@link lineward.mysql.session.StatementLimits}.
+ * <p>It may use {@code wire} and, from {@code core}, the SQL tokenizer and the byte budget. It does no I/O,
+ * and a session is used on the event loop only. Bounds: the number and the lengths of a session's settings;
+ * the number of a client's prepared statements and the bytes of all clients' texts, see
+ * {@link lineward.mysql.session.StatementLimits}.
  */
 package lineward.mysql.session;
