--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -14,8 +14,8 @@
 import lineward.spool.store.SpoolFolder;
 
 /**
- * Measures spooled results on loopback, and prints one line for each figure. Arguments: the jar, and
- * optionally the jar of an earlier version for comparison.
+ * Measures spooled results over loopback connections, and prints one line for each figure. Arguments: the jar
+ * to measure, and optionally the jar of an earlier version for comparison.
  */
 public final class MeasureSpool {
     private static final int READERS = 200;
@@ -46,7 +46,7 @@
         System.out.printf(Locale.ROOT, "%s %.3f %s%n", name, value, unit);
     }
 
-    /** The program with one engine. */
+    /** The measured program as a child process, with one test engine. */
     private static final class Rig implements AutoCloseable {
         final StandInEngine engine = new StandInEngine();
         final Path folder = Files.createTempDirectory("measure");
@@ -114,8 +114,8 @@
 
     /**
      * Measures the time from the engine's last byte to the next statement on its only connection, while
-     * clients read their results of 1 MB slowly. The figure includes the program's time for the next
-     * statement.
+     * clients read their results of 1 MB slowly. The figure includes the time that the program takes to
+     * process the next statement.
      */
     private static void release(String suffix, String jar, int readers) throws Exception {
         List<StandInClient> slow = new ArrayList<>();
--- a/src/test/java/lineward/mysql/ChildSockets.java
+++ b/src/test/java/lineward/mysql/ChildSockets.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The sockets of child processes; a test waits until a child has closed them. */
+/** Sockets of child processes, with which a test waits until a child has closed its connections. */
 final class ChildSockets {
     private static final List<String> SOCKET_TABLES = List.of("/proc/net/tcp", "/proc/net/tcp6");
     private static final int REMOTE_ADDRESS_COLUMN = 2;
@@ -23,7 +23,7 @@
         this.links = links;
     }
 
-    /** Returns the sockets that are connected to a port of this host. */
+    /** Returns the sockets of this host that are connected to the port. */
     static ChildSockets connectedTo(int port) throws IOException {
         String suffix = String.format(":%04X", port);
         Set<String> links = new HashSet<>();
@@ -40,7 +40,7 @@
         return new ChildSockets(links);
     }
 
-    /** Returns whether no child process has any of them open. */
+    /** Returns whether no child process has any of the sockets open. */
     boolean areClosed() {
         Set<Long> children =
                 ProcessHandle.current().children().map(ProcessHandle::pid).collect(Collectors.toSet());
--- a/src/test/java/lineward/mysql/CustomersTest.java
+++ b/src/test/java/lineward/mysql/CustomersTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Clients that share the connections to one engine: no session affects another one. */
+/** Clients that share the connections to one engine: the session state of one never reaches another. */
 public class CustomersTest {
     private static final String PLAIN = "{}";
     private static final String NEW_CLIENT_QUERY = "select rows=1 of a new client";
@@ -51,7 +51,7 @@
         return new StandInClient(program.port());
     }
 
-    /** Executes a statement of a new client, and returns the state of its session at the engine. */
+    /** Executes a statement for a new client, and returns the state of its session at the engine. */
     private StandInEngine.Execution executeForNewClient() throws IOException {
         try (StandInClient client = client()) {
             assertEquals(client.query(NEW_CLIENT_QUERY).rows().size(), 1);
@@ -150,7 +150,7 @@
         }
     }
 
-    /** An engine parses a statement with the settings at its preparation. */
+    /** An engine parses a prepared statement with the settings that apply at its preparation. */
     @Test
     public void statementsArePreparedForEachSetOfSettings() throws IOException {
         try (StandInClient first = client();
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Statements that may change the engine's session, as texts and prepared. */
+    /** Statements that may change the engine's session, executed as text and prepared. */
     @DataProvider
     public Object[][] sessionChanges() {
         return new Object[][] {
@@ -193,7 +193,7 @@
         }
     }
 
-    /** Statements that depend on the previous statement of the connection, which may be another client's. */
+    /** Statements that depend on the connection's previous statement, which may be another client's. */
     @DataProvider
     public Object[][] dependentStatements() {
         return new Object[][] {
--- a/src/test/java/lineward/mysql/DriverTest.java
+++ b/src/test/java/lineward/mysql/DriverTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** JDBC drivers with common settings, against the stand-in engine. */
+/** The MySQL and MariaDB JDBC drivers with common options, against a test engine. */
 public class DriverTest {
     private StandInEngine engine;
     private Path file;
--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * The program sends the execution before it reads the reset. The engine may have executed the write,
-     * which therefore fails and is not retried.
+     * The program sends the execution before it reads the connection's reset. It can't know whether the
+     * engine has executed the write, which therefore fails and is not retried.
      */
     @Test
     public void failsAWriteSentBeforeTheResetIsRead() throws IOException {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** The engine that is used next has the fault; the other engine has none. */
+    /** Sets the fault at both engines; the first one at which it occurs clears it at the other one. */
     private void setFaultOfNextEngine(Fault fault) {
         one.beforeFault = () -> two.fault = Fault.NONE;
         two.beforeFault = () -> one.fault = Fault.NONE;
@@ -86,7 +86,7 @@
         return one.received.contains("prepare " + text) ? one : two;
     }
 
-    /** Resets the engine's connections; returns when the program has closed them. */
+    /** Resets the engine's connections; returns once the program has closed them. */
     private static void resetAndAwaitClose(StandInEngine engine, Fault fault) throws IOException {
         engine.fault = fault;
         ChildSockets open = ChildSockets.connectedTo(engine.port());
--- a/src/test/java/lineward/mysql/SpoolCursorTest.java
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -8,7 +8,7 @@
 import lineward.testing.Program;
 import org.testng.annotations.Test;
 
-/** Cursors, and pages of results with a key, with stand-in clients and engines. */
+/** Cursors, and pages of results with a key, with test clients and engines. */
 public class SpoolCursorTest extends SpoolProgramFixture {
     private static final int CURSOR_EXISTS = 0x40;
     private static final int LAST_ROW_SENT = 0x80;
@@ -95,7 +95,7 @@
                     0);
             String otherText = "/* lineward:key=k1 from=1 */ select rows=7";
             StandInClient.Statement statement = reconnected.prepare(otherText);
-            assertEquals(reconnected.open(statement).code(), 1210, "the key is another statement's");
+            assertEquals(reconnected.open(statement).code(), 1210, "the key belongs to another statement");
             assertEquals(executions(), 1);
         }
         try (StandInClient other = client("other")) {
@@ -114,7 +114,7 @@
         try (StandInClient client = client()) {
             assertEquals(client.query("/* lineward:key=k */" + text).rows().size(), 3000);
         }
-        Program.await("the result is on file", () -> {
+        Program.await("the result is stored in a file", () -> {
             try {
                 return lineward.spool.store.SpoolFolder.inspect(folder)
                                 .complete()
--- a/src/test/java/lineward/mysql/SpoolFrontTest.java
+++ b/src/test/java/lineward/mysql/SpoolFrontTest.java
@@ -17,9 +17,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Results that exceed an attempt's buffer, with stand-in clients and engines. */
+/** Results that exceed an attempt's buffer, with test clients and engines. */
 public class SpoolFrontTest extends SpoolProgramFixture {
-    /** Four connections to engines serve all clients, as a slow client does not occupy one. */
+    /** Four connections to engines serve 500 clients, because a client that reads slowly occupies none. */
     @Test
     public void releasesEnginesWhileHundredsOfClientsReadSlowly() throws IOException {
         List<StandInClient> slow = new ArrayList<>();
@@ -75,7 +75,7 @@
         try (StandInClient client = client()) {
             client.send(3, "select rows=40000 size=1000");
             Program.await("an engine executed the statement", () -> executions() == 1);
-            // Reads nothing until the lease has expired; then the connection ends before the last row.
+            // Reads nothing until the lease has expired; then the program ends the connection early.
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
             Program.await("the lease has expired", () -> System.nanoTime() > until);
             byte[] some = new byte[1 << 16];
@@ -178,9 +178,7 @@
         }
     }
 
-    /**
-     * A client that reads a few bytes at a time does not delay other clients.
-     */
+    /** The slow client reads one byte of a long result between two queries of the other client. */
     @Test
     public void slowReaderDelaysNoOtherClient() throws IOException {
         try (StandInClient slow = client();
--- a/src/test/java/lineward/mysql/SpoolProgramFixture.java
+++ b/src/test/java/lineward/mysql/SpoolProgramFixture.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** The program with a spool on files, two engines, and two connections to each of them. */
+/** The program with a file-backed spool, two engines, and up to two connections to each of them. */
 public abstract class SpoolProgramFixture {
     StandInEngine one;
     StandInEngine two;
--- a/src/test/java/lineward/mysql/StandInClient.java
+++ b/src/test/java/lineward/mysql/StandInClient.java
@@ -10,12 +10,12 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** A small MySQL client. */
+/** A minimal MySQL client for tests. */
 final class StandInClient implements AutoCloseable {
     /** The result of a command: rows, or the number, state and text of an error; code 0 is success. */
     record Result(int code, String state, String message, List<byte[]> rows) {}
 
-    /** The reply to a preparation. */
+    /** The reply to COM_STMT_PREPARE. */
     record Statement(long id, int params, Result result) {}
 
     final Wire wire;
@@ -78,7 +78,7 @@
         wire.write(command);
     }
 
-    /** The result of a fetch: rows and the status after them, or an error. */
+    /** The reply to COM_STMT_FETCH: rows and the status after them, or an error. */
     record Page(int code, List<byte[]> rows, int status) {}
 
     /** Executes with a read-only cursor; returns the status after the columns. */
@@ -131,7 +131,8 @@
         return new Statement(head[1] & 0xff, params, new Result(0, "", "", List.of()));
     }
 
-    /** Executes with one text for each parameter.
+    /**
+     * Executes with one string for each parameter.
      *
      * @param types whether to send the types of the parameters
      */
@@ -151,7 +152,7 @@
     }
 
     /**
-     * Reads a result and returns the number of its rows; -1 if it is or ends with an error.
+     * Reads a result and returns the number of its rows; -1 if it is an error or ends with one.
      */
     int count() throws IOException {
         byte[] first = wire.read();
--- a/src/test/java/lineward/mysql/StandInEngine.java
+++ b/src/test/java/lineward/mysql/StandInEngine.java
@@ -17,10 +17,15 @@
 import java.util.regex.Pattern;
 
 /**
- * A small MySQL engine: it answers {@code rows=N size=BYTES} with rows, or fails as {@link Fault} demands.
+ * A minimal MySQL engine for tests: it answers a statement that contains {@code rows=N size=BYTES} with rows,
+ * unless its {@link Fault} says otherwise.
  */
 final class StandInEngine implements AutoCloseable {
-    /** When the engine closes all connections, or what it does instead of answering. */
+    /**
+     * How the engine fails: DIE_… resets all connections at that point and stops listening, SILENT answers a
+     * statement only when it is killed, FULL rejects new connections, and GARBAGE answers a statement with an
+     * empty packet.
+     */
     enum Fault {
         NONE,
         DIE_AFTER_PREPARE,
@@ -34,7 +39,7 @@
         GARBAGE
     }
 
-    /** An executed statement, and the state of its session before. */
+    /** An executed statement, the settings that apply to it, and its session's other state before it. */
     record Execution(String text, String settings, String schema, String sessionChanges) {}
 
     private static final Pattern ROWS = Pattern.compile("rows=(\\d+)(?: size=(\\d+))?");
@@ -52,7 +57,7 @@
     private final Map<Long, CountDownLatch> kills = new ConcurrentHashMap<>();
     private final AtomicInteger threads = new AtomicInteger();
     volatile Fault fault = Fault.NONE;
-    /** Called before the fault. */
+    /** Called at the start of {@link #die} and before the packet of GARBAGE. */
     volatile Runnable beforeFault = () -> {};
 
     private volatile long lastByteAt;
@@ -73,12 +78,12 @@
         return server.getLocalPort();
     }
 
-    /** Returns whether the engine is closed. */
+    /** Returns whether the engine has stopped listening. */
     boolean isDead() {
         return server.isClosed();
     }
 
-    /** Returns the time from the last byte of the last long result to the next command, or to a limit. */
+    /** Returns the time from the last byte of the last long result to the next statement, or to a limit. */
     double releasedAfterMs(long limit) {
         long next = nextCommandAt > lastByteAt ? nextCommandAt : limit;
         return (next - lastByteAt) / 1e6;
@@ -142,7 +147,7 @@
                 answer(command, session);
             }
         } catch (IOException | InterruptedException e) {
-            // The program closed the connection, or this engine was closed.
+            // The program closed the connection, or the engine reset it.
         } finally {
             sockets.remove(socket);
         }
--- a/src/test/java/lineward/mysql/TwoEngineFixture.java
+++ b/src/test/java/lineward/mysql/TwoEngineFixture.java
@@ -12,7 +12,7 @@
 public abstract class TwoEngineFixture {
     /** Error number of a rejected statement. */
     static final int REJECTED = 1637;
-    /** Error number of a statement that may have been executed. */
+    /** Error number of a statement that failed and may have been executed. */
     static final int FAILED = 1317;
 
     StandInEngine one;
--- a/src/test/java/lineward/mysql/Wire.java
+++ b/src/test/java/lineward/mysql/Wire.java
@@ -10,7 +10,8 @@
 import java.util.Arrays;
 
 /**
- * Packets on a plain socket; shares no code with the program, so that it can find faults in the program's.
+ * Reads and writes MySQL packets on a blocking socket. It shares no code with the program, so that it does not
+ * share the faults of the program's codec.
  */
 final class Wire {
     private static final int MAX_PAYLOAD_BYTES = 0xffffff;
@@ -85,7 +86,7 @@
         } while (length == MAX_PAYLOAD_BYTES);
     }
 
-    /** Encodes an integer as one byte, a long as four bytes, and a text without a length or an end. */
+    /** Encodes an Integer as one byte, a Long as four bytes, and a string without a length or terminator. */
     static byte[] bytes(Object... values) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (Object value : values) {
--- a/src/test/java/lineward/mysql/wire/DialectTest.java
+++ b/src/test/java/lineward/mysql/wire/DialectTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Replies for clients with CLIENT_DEPRECATE_EOF, byte by byte. */
+/** The exact bytes of replies to clients with and without CLIENT_DEPRECATE_EOF. */
 public class DialectTest {
     private static final String EOF_3 = "05000003fe01000200";
     private static final String COLUMNS = "0100000101" + "020000020303";
--- a/src/test/java/lineward/mysql/wire/ReplyTrackerTest.java
+++ b/src/test/java/lineward/mysql/wire/ReplyTrackerTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The role of the last packet of a reply, or of the part of one; null for a violation of the protocol. */
+/** Complete and incomplete replies with the role of their last packet; null if a packet must be rejected. */
 public class ReplyTrackerTest {
     private static final byte[] COLUMN = {3, 'd', 'e', 'f'};
 
