--- a/src/test/java/lineward/mysql/StandInEngine.java
+++ b/src/test/java/lineward/mysql/StandInEngine.java
@@ -22,9 +22,9 @@
  */
 final class StandInEngine implements AutoCloseable {
     /**
-     * How the engine fails: with a DIE fault it resets all connections at that point and stops listening, with
-     * SILENT it answers a statement only when that is killed, with FULL it rejects new connections, and with
-     * GARBAGE it answers a statement with an empty packet.
+     * How the engine fails: with a DIE fault it resets all connections at that point and stops listening,
+     * with SILENT it answers a statement only when that is killed, with FULL it rejects new connections, and
+     * with GARBAGE it answers a statement with an empty packet.
      */
     enum Fault {
         NONE,
