--- a/src/main/java/lineward/mysql/client/AttemptReporter.java
+++ b/src/main/java/lineward/mysql/client/AttemptReporter.java
@@ -8,12 +8,12 @@
 import lineward.spool.Spool;
 import lineward.spool.SpooledResult;
 
-/** Reports the progress of one attempt to the coordinator and to the query's client. */
+/** Reports the progress and the end of one attempt to the coordinator and to its query. */
 public final class AttemptReporter implements AttemptListener {
     /**
-     * The recipients of the reports of all attempts.
+     * The components to which all attempts report.
      *
-     * @param tick is called when the coordinator has events to decide on
+     * @param tick schedules a scheduler tick, which decides on the coordinator's new events
      */
     public record Targets(Coordinator<Query> coordinator, Metrics metrics, Spool spool, Runnable tick) {}
 
@@ -21,7 +21,7 @@
     private final Query query;
     private final int attempt;
 
-    /** @param attempt the coordinator's number of the attempt */
+    /** @param attempt the attempt's number, as the coordinator assigned it */
     public AttemptReporter(Targets targets, Query query, int attempt) {
         this.targets = targets;
         this.query = query;
--- a/src/main/java/lineward/mysql/client/ClientAcceptor.java
+++ b/src/main/java/lineward/mysql/client/ClientAcceptor.java
@@ -9,7 +9,7 @@
 import lineward.frontend.Listener;
 import lineward.mysql.wire.PacketDecoder;
 
-/** Accepts the connections of clients; each gets a session and a number. */
+/** Accepts client connections and gives each one a session and a number. */
 public final class ClientAcceptor {
     private final ClientContext context;
     private final Listener listener;
@@ -24,7 +24,7 @@
         this.listener = listener;
     }
 
-    /** Starts listening. */
+    /** Binds the listener; the returned future completes when it is bound. */
     public ChannelFuture listen(EventLoopGroup loop) {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -43,7 +43,7 @@
         return binding;
     }
 
-    /** Stops accepting; has no effect before {@link #listen}. */
+    /** Stops accepting connections; has no effect before {@link #listen}. */
     public void stop() {
         if (channel != null) {
             listener.stopAccepting(channel);
--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -18,12 +18,12 @@
 import lineward.mysql.wire.Packets;
 import lineward.mysql.wire.Texts;
 
-/** Executes the commands of one authenticated client: answers them here, or forwards them to an engine. */
+/** Executes the commands of one authenticated client: answers them locally or forwards them to an engine. */
 final class ClientCommands {
     private static final int MAX_LONG_DATA_BYTES = 1 << 20;
     private static final int STATEMENT_ID_BYTES = 4;
     private static final int PARAMETER_NUMBER_BYTES = 2;
-    /** The statement id of a packet that is too short for one; no statement has it. */
+    /** Stands for the statement id of a packet that is too short for one; no statement has this id. */
     private static final long NO_STATEMENT_ID = -1;
 
     private final ClientSession session;
@@ -54,12 +54,12 @@
     /**
      * Executes one command.
      *
-     * @param payload the command's number and its arguments
+     * @param payload the command byte and its arguments
      * @throws DecoderException if the payload is empty
      */
     void execute(ByteBuf payload) {
         if (!payload.isReadable()) {
-            throw new DecoderException("empty command");
+            throw new DecoderException("command packet is empty");
         }
         switch (payload.readUnsignedByte()) {
             case Commands.QUIT -> replies.close();
@@ -143,7 +143,7 @@
         } else if (!statements.reserve(payload.readableBytes())) {
             replies.sendError(Failure.tooMany("prepared statements"));
         } else {
-            // The preparation of a write changes nothing, so that it may be retried like a read.
+            // Preparing a write changes no data, so a failed attempt may be retried like a read.
             String latin1 = payload.toString(StandardCharsets.ISO_8859_1);
             queries.run(new Work.Prepare(queries.schema(), latin1), text, false, Query.Spooling.IF_LONG);
         }
@@ -174,7 +174,8 @@
     }
 
     /**
-     * COM_STMT_SEND_LONG_DATA has no reply; the only way to report excessive data is to close the connection.
+     * Stores a part of a parameter until the next execution. COM_STMT_SEND_LONG_DATA has no reply, so that
+     * closing the connection is the only way to report too much data.
      */
     private void addLongData(ByteBuf payload) {
         if (payload.readableBytes() < STATEMENT_ID_BYTES + PARAMETER_NUMBER_BYTES) {
@@ -194,7 +195,7 @@
         statement.add(new Work.LongData(parameter, bytes));
     }
 
-    /** COM_STMT_CLOSE has no reply. */
+    /** Closes a statement; COM_STMT_CLOSE has no reply. */
     private void closeStatement(ByteBuf payload) {
         statements.close(readStatementId(payload));
     }
@@ -235,7 +236,7 @@
         return payload.readableBytes() < STATEMENT_ID_BYTES ? NO_STATEMENT_ID : payload.readUnsignedIntLE();
     }
 
-    /** Returns the statement; null if there is none, after an error to the client. */
+    /** Returns the statement with this id; if there is none, sends an error and returns null. */
     private ClientStatement findStatement(long id) {
         ClientStatement statement = statements.get(id);
         if (statement == null) {
--- a/src/main/java/lineward/mysql/client/ClientContext.java
+++ b/src/main/java/lineward/mysql/client/ClientContext.java
@@ -6,11 +6,11 @@
 import lineward.spool.Spool;
 
 /**
- * What all clients share.
+ * The configuration and the components that all client sessions share.
  *
  * @param passwords passwords by user name
- * @param maxPacketBytes largest payload of a client's packet
- * @param statistics returns the answer to COM_STATISTICS
+ * @param maxPacketBytes maximum payload of a packet from a client, in bytes
+ * @param statistics returns the text of the reply to COM_STATISTICS
  */
 public record ClientContext(
         ConnectedClients clients,
--- a/src/main/java/lineward/mysql/client/ClientLogin.java
+++ b/src/main/java/lineward/mysql/client/ClientLogin.java
@@ -6,11 +6,11 @@
 import lineward.mysql.wire.Dialect;
 import lineward.mysql.wire.Handshake;
 
-/** The login of one client: reads its packets and verifies the password. Does no I/O. */
+/** The login of one client: parses its packets and verifies its password. Performs no I/O. */
 final class ClientLogin {
-    /** The result of one packet of the login. */
+    /** The state of the login after one packet. */
     enum Outcome {
-        /** The client must authenticate by {@link Auth#NATIVE}. */
+        /** The client must be asked to authenticate with the plugin {@link Auth#NATIVE}. */
         SWITCH_REQUIRED,
         DENIED,
         ACCEPTED
@@ -32,12 +32,12 @@
         return nonce;
     }
 
-    /** Returns the user name; only after the login packet. */
+    /** Returns the user name; must not be called before the login packet has been received. */
     String user() {
         return login.user();
     }
 
-    /** Returns the schema that the client selects; empty if none. */
+    /** Returns the schema that the client selects; empty if it selects none. */
     String schema() {
         return login.schema();
     }
@@ -46,13 +46,13 @@
         return Dialect.of(login.capabilities());
     }
 
-    /** Returns whether the client expects a confirmation of fast authentication before the OK packet. */
+    /** Returns whether a packet that confirms fast authentication must precede the OK packet. */
     boolean awaitsFastAuthConfirmation() {
         return awaitsFastAuthConfirmation;
     }
 
     /**
-     * Receives the payload of the login packet, or of the answer to a request for another plugin.
+     * Processes the payload of the login packet or of the response to an authentication switch.
      *
      * @throws io.netty.handler.codec.DecoderException if the login packet is malformed
      */
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -20,14 +20,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The session of one client: its connection, its state, and the packets that are queued during a command.
- * {@link ClientCommands} and {@link QueryRunner} execute the commands. Confined to the event loop.
+ * The session of one client: its connection, its state, and the packets that are queued while a command is in
+ * progress. {@link ClientCommands} and {@link QueryRunner} execute the commands. Confined to the event loop.
  */
 final class ClientSession extends SimpleChannelInboundHandler<ByteBuf> {
     private static final Logger LOG = LoggerFactory.getLogger(ClientSession.class);
-    /** Packets that are queued during a command; reading pauses when the queue is full. */
+    /** Limit of packets queued while a command is in progress; reading pauses when the queue is full. */
     private static final int MAX_PENDING_PACKETS = 8;
-    /** The payload that confirms fast authentication by caching_sha2_password. */
+    /** The payload that confirms fast authentication with caching_sha2_password. */
     private static final byte[] FAST_AUTH_SUCCESS = {1, 3};
 
     private final ClientContext context;
@@ -43,7 +43,7 @@
     private ClientCommands commands;
 
     /**
-     * @param number the client's number, which is also its thread id in the protocol
+     * @param number the client's number, which the greeting also reports as its thread id
      */
     ClientSession(ClientContext context, int number) {
         super(false);
@@ -63,7 +63,7 @@
         commands = new ClientCommands(this, statistics, replies, settings, statements, stream, queries);
     }
 
-    /** Returns the user name; only after the login packet. */
+    /** Returns the user name; must not be called before the login packet has been received. */
     String user() {
         return login.user();
     }
@@ -76,7 +76,7 @@
         return replies.channel();
     }
 
-    /** Returns whether there is no command, no unflushed reply and no open cursor. */
+    /** Returns whether there is no command in progress or queued, no unflushed reply and no open cursor. */
     boolean isIdle() {
         return isBetweenCommands() && !statements.hasOpenCursor();
     }
@@ -85,7 +85,7 @@
         return state.acceptsPackets() && pendingPackets.isEmpty() && replies.isFlushed();
     }
 
-    /** Disconnects a client between commands, even with open cursors. */
+    /** Disconnects the client if no command is in progress, even if it has open cursors. */
     void closeForShutdown() {
         if (isBetweenCommands()) {
             replies.beginUnsolicited();
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Returns whether the client is not authenticated and connected before that {@link System#nanoTime}. */
+    /** Returns whether the client connected before this {@link System#nanoTime} and is not authenticated. */
     boolean isUnauthenticatedSince(long nanoTime) {
         return state.isUnauthenticated() && connectedAtNanos - nanoTime < 0;
     }
@@ -171,14 +171,15 @@
     }
 
     /**
-     * The query or the stream of the current command has ended. Processes queued packets if both have ended.
+     * Records that the query or the stream of the current command has ended; once both have ended, queued
+     * packets are processed.
      */
     void commandStepEnded(SessionState.Event event) {
         enter(event);
         channel().eventLoop().execute(this::processPending);
     }
 
-    /** Sends an error, then closes the connection. */
+    /** Sends an error and closes the connection after it. */
     void closeWith(Failure failure) {
         enter(SessionState.Event.CLOSE_REQUESTED);
         replies.sendLast(failure);
--- a/src/main/java/lineward/mysql/client/ConnectedClients.java
+++ b/src/main/java/lineward/mysql/client/ConnectedClients.java
@@ -9,21 +9,21 @@
 import lineward.mysql.wire.ChannelOperations;
 import lineward.scheduling.decision.ServerAdmissionPolicy;
 
-/** The connected clients; closes idle clients and clients that do not log in. Confined to the event loop. */
+/** The connected clients. Closes idle ones and ones that do not log in. Confined to the event loop. */
 public final class ConnectedClients {
     private static final long LOGIN_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
-    /** Time for reading open cursors after the start of the graceful shutdown. */
+    /** Time that clients have to read their open cursors after the graceful shutdown has started. */
     private static final long CURSOR_GRACE_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final int maxClients;
     private final Set<ClientSession> clients = new LinkedHashSet<>();
 
-    /** Creates an empty set with a limit. */
+    /** Creates an empty set for at most this number of clients. */
     public ConnectedClients(int maxClients) {
         this.maxClients = maxClients;
     }
 
-    /** Adds the client; returns false if this exceeds the limit. */
+    /** Adds the client; returns false if the limit is exceeded, so that the caller must disconnect it. */
     boolean add(ClientSession client) {
         clients.add(client);
         return ServerAdmissionPolicy.mayConnect(clients.size(), maxClients);
@@ -39,10 +39,11 @@
     }
 
     /**
-     * Closes idle clients, and some time after the start of the shutdown also clients with open cursors.
+     * Closes each idle client with the given probability. Once the grace period for cursors has passed since
+     * the start of the shutdown, also closes all clients with open cursors but no command in progress.
      *
-     * @param probability of closing an idle client
-     * @param shutdownStartedNanos start of the graceful shutdown by {@link System#nanoTime}
+     * @param probability the probability that an idle client is closed
+     * @param shutdownStartedNanos {@link System#nanoTime} at the start of the graceful shutdown
      */
     public void closeIdle(double probability, long shutdownStartedNanos) {
         if (System.nanoTime() - shutdownStartedNanos > CURSOR_GRACE_NANOS) {
@@ -57,7 +58,7 @@
         LingeringClose.begin(client.channel(), client::isIdle, () -> {});
     }
 
-    /** Closes clients whose login has not succeeded in time. */
+    /** Closes clients that did not log in within the login timeout. */
     public void closeNotLoggedIn() {
         long connectedBefore = System.nanoTime() - LOGIN_TIMEOUT_NANOS;
         clients.stream()
--- a/src/main/java/lineward/mysql/client/CursorState.java
+++ b/src/main/java/lineward/mysql/client/CursorState.java
@@ -2,26 +2,26 @@
 
 /** The state of an {@link OpenCursor}, and the transitions between its states. */
 enum CursorState {
-    /** The columns have not been sent. */
+    /** The column definitions have not been sent. */
     OPENING,
-    /** No rows are requested. */
+    /** More rows may follow, but none are requested. */
     READY,
     /** Requested rows are being sent. */
     FETCHING,
-    /** Requested rows are being sent, and no others follow them. */
+    /** The last requested rows are being sent; the result has no others. */
     FETCHING_LAST,
-    /** No rows are requested, and there are none left. */
+    /** All rows have been sent, but the client has not been told so. */
     EXHAUSTED,
     /** The result is released; nothing more is sent. */
     CLOSED;
 
     /** An event that changes the state. */
     enum Event {
-        /** The columns have been sent. */
+        /** The column definitions have been sent. */
         COLUMNS_SENT,
         /** Rows are requested. */
         FETCH_REQUESTED,
-        /** The result has no rows that were not sent. */
+        /** The end of the rows has been found: the result has none that were not sent. */
         NO_ROWS_LEFT,
         /** The requested rows have been sent. */
         FETCH_COMPLETED,
@@ -34,7 +34,7 @@
         return this == FETCHING || this == FETCHING_LAST;
     }
 
-    /** Returns whether the last row has been sent or the cursor is closed. */
+    /** Returns whether no rows are left to fetch, or the cursor is closed. */
     boolean isDone() {
         return this == FETCHING_LAST || this == EXHAUSTED || this == CLOSED;
     }
@@ -75,7 +75,7 @@
 
     private CursorState require(boolean possible, Event event, CursorState next) {
         if (!possible) {
-            throw new IllegalStateException("event " + event + " in state " + this);
+            throw new IllegalStateException("event " + event + " is not possible in state " + this);
         }
         return next;
     }
--- a/src/main/java/lineward/mysql/client/OpenCursor.java
+++ b/src/main/java/lineward/mysql/client/OpenCursor.java
@@ -15,15 +15,15 @@
 import lineward.spool.SpooledResult;
 
 /**
- * A spooled result that is sent in parts: a read-only cursor, whose rows follow the columns when the client
- * fetches them, or one page of a result, whose columns and rows are one reply.
+ * Sends a range of a spooled result: either as a read-only cursor, which sends the columns first and then rows
+ * when the client fetches them, or as a page, which sends the columns and rows as a single reply.
  */
 final class OpenCursor implements StatementCursor {
     /**
      * The part of the result that the client requests.
      *
-     * @param firstRow the first row, counted from 0; above 0 only in a complete result with a key
-     * @param rowCount rows of the single reply; empty: a cursor, whose rows are fetched
+     * @param firstRow index of the first row, from 0; above 0 only for a complete result with a key
+     * @param rowCount maximum number of rows of a page; empty for a cursor
      */
     record Range(long firstRow, OptionalLong rowCount) {
         private boolean isPage() {
@@ -41,24 +41,24 @@
     private final StreamEndListener listener;
     private final SpoolReader reader;
     private CursorState state = CursorState.OPENING;
-    /** Guards against recursion: reading the result notifies its readers, which include this one. */
+    /** Prevents recursion: reading the result notifies all its readers, including this one. */
     private boolean sending;
 
     private long rowsWanted;
-    /** Rows of the first block before the range. */
+    /** Number of rows in the first block that precede the range. */
     private int rowsToSkip;
     /** Sequence number of the next packet. */
     private int sequence;
-    /** A copy of the current block, whose sequence numbers are those of this reply. */
+    /** A copy of the current block, in which the packets are renumbered for this reply. */
     private byte[] rows = NO_ROWS;
     /** Offset of the next row in the current block. */
     private int offset;
 
     /**
-     * Creates a cursor of which nothing has been sent.
+     * Creates a cursor that has sent nothing.
      *
-     * @param sink sends complete packets
-     * @param listener is notified when a fetch, or the opening of the cursor, has ended
+     * @param sink takes over complete packets and sends them
+     * @param listener is notified when the opening of the cursor or a fetch has ended
      */
     OpenCursor(
             Channel channel,
@@ -163,7 +163,7 @@
     }
 
     private void finishFetch() {
-        // Reports the last row with the row itself if possible, which saves the client an empty fetch.
+        // Looks ahead, so that the reply with the last row can say so and the client needs no empty fetch.
         boolean blockSent = state == CursorState.FETCHING && offset == rows.length;
         if (blockSent && reader.readState() == ReadState.MORE) {
             nextBlock();
@@ -181,7 +181,7 @@
         }
     }
 
-    /** Returns the status in the packet after the rows. */
+    /** Returns the status flags of the packet after the rows. */
     private int endStatus() {
         if (range.isPage()) {
             return 0;
@@ -189,16 +189,16 @@
         return state == CursorState.FETCHING_LAST ? Packets.LAST_ROW_SENT : Packets.CURSOR_EXISTS;
     }
 
-    /** Reads the next block; returns false if the result's next rows are not available. */
+    /** Reads the next block or the end of the rows; returns false if neither is available. */
     private boolean nextBlock() {
         ResultChunk block = reader.poll();
         if (block != null && block.rows() > 0) {
-            // Other readers share the block, but the sequence numbers are those of this reply.
+            // Other readers share the block, but its packets are renumbered for this reply.
             rows = block.bytes().clone();
             offset = 0;
             return true;
         }
-        // The last block ends with an EOF packet instead of a row.
+        // The block after the rows has none; it holds the last packet of the reply.
         if (block != null || reader.readState() == ReadState.END) {
             transition(CursorState.Event.NO_ROWS_LEFT);
             return true;
@@ -209,7 +209,7 @@
         return false;
     }
 
-    /** Sends requested rows of the current block. */
+    /** Sends the requested rows of the current block. */
     private void sendRows() {
         skipRows();
         int begin = offset;
@@ -231,7 +231,7 @@
         sequence = firstSequence;
     }
 
-    /** Numbers the packets of the next row and moves past it. */
+    /** Sets the sequence numbers of the packets of the next row, and moves past it. */
     private void advanceRow() {
         int length;
         do {
@@ -242,7 +242,7 @@
         } while (length == Packets.HEADER_BYTES + Packets.MAX_PAYLOAD_BYTES);
     }
 
-    /** Closes the cursor, and reports the reason if the client waits for a reply. */
+    /** Closes the cursor, and reports the reason to the listener if the client waits for a reply. */
     private void abort(ReadState reason) {
         boolean replyPending = state.isReplyPending();
         close();
--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -10,17 +10,17 @@
 import lineward.spool.Spool;
 import lineward.spool.SpooledResult;
 
-/** One command of a client that an engine executes, with its current attempt. Confined to the event loop. */
+/** A client's command that an engine must execute, with its current attempt. Confined to the event loop. */
 public final class Query {
     /**
      * How the query's result is spooled.
      *
-     * @param key the client's key for the result; empty if it has none
-     * @param digest of the statement and its arguments if there is a key; else empty
-     * @param cursor the statement for which a cursor is opened; null: the rows are one reply
+     * @param key the key by which the client can read the result again; empty if it has none
+     * @param digest digest of the statement and its arguments if there is a key; else empty
+     * @param cursor the statement for which a cursor is opened; null if all rows are sent in one reply
      */
     record Spooling(String key, String digest, ClientStatement cursor) {
-        /** The result is spooled only if it exceeds the buffer of an attempt. */
+        /** The result is spooled only if it exceeds the attempt's buffer. */
         static final Spooling IF_LONG = new Spooling("", "", null);
 
         boolean isRequired() {
@@ -33,18 +33,18 @@
     private final StatementClass statementClass;
     private final Map<String, String> settings;
     private final Spooling spooling;
-    /** Set on admission. */
+    /** Assigned on admission. */
     private long requestId;
     /** Null before the first attempt. */
     private QueryAttempt attempt;
 
     private int attemptNumber;
-    /** Whether the client reads the result of the current attempt. */
+    /** Whether the client already reads the spooled result of the current attempt. */
     private boolean responseStarted;
     /** The result of the current attempt if it is spooled; else null. */
     private SpooledResult spooledResult;
 
-    /** @param settings session variables that must be set at the engine */
+    /** @param settings the session variables that the engine must have set when it executes the command */
     Query(
             QueryRunner runner,
             Work work,
@@ -71,27 +71,27 @@
         return spooledResult;
     }
 
-    /** Returns the coordinator's id of the query; only once it is admitted. */
+    /** Returns the id that the coordinator assigned; must not be called before the query is admitted. */
     public long requestId() {
         return requestId;
     }
 
-    /** Returns the index of its class in the configuration. */
+    /** Returns the index of the query's class in the configuration. */
     public int classIndex() {
         return statementClass.configIndex();
     }
 
-    /** Returns the index of its class in the scheduler's settings. */
+    /** Returns the index of the query's class in the scheduler's settings. */
     public int schedulerClassIndex() {
         return statementClass.schedulerIndex();
     }
 
-    /** The coordinator has given the query this id. */
+    /** Records that the coordinator has admitted the query with this id. */
     public void admitted(long id) {
         requestId = id;
     }
 
-    /** Creates the next attempt, which becomes the current one. */
+    /** Creates the next attempt and makes it the current one. */
     public QueryAttempt nextAttempt(int number, long timeoutMs, AttemptListener listener) {
         attempt = new QueryAttempt(work, settings, timeoutMs, listener);
         attemptNumber = number;
@@ -99,33 +99,33 @@
         return attempt;
     }
 
-    /** Cancels the attempt if it is the current one. */
+    /** Cancels the attempt with this number if it is the current one. */
     public void cancelAttempt(int number) {
         if (attempt != null && attemptNumber == number) {
             attempt.cancel();
         }
     }
 
-    /** The query is rejected; it has changed nothing. */
+    /** Reports to the client that the query was rejected and changed nothing. */
     public void reject(long retryAfterMs) {
         runner.reject(this, retryAfterMs);
     }
 
-    /** The query has failed; an engine may have executed it. */
+    /** Reports to the client that the query failed; an engine may have executed it. */
     public void fail() {
         runner.fail(this);
     }
 
-    /** Opens the spooled result of the current attempt. */
+    /** Creates the spooled result of the current attempt. */
     SpooledResult openSpool(Spool spool) {
         spooledResult = spool.begin(runner.user(), spooling.key(), spooling.digest());
         return spooledResult;
     }
 
     /**
-     * The client may read the spooled result of the current attempt.
+     * Starts sending the spooled result of the current attempt, which may be incomplete.
      *
-     * @param accepted whether the coordinator still waits for the attempt
+     * @param accepted whether the coordinator still waits for the attempt; otherwise nothing is sent
      */
     void startResponse(boolean accepted) {
         responseStarted = accepted;
@@ -135,9 +135,9 @@
     }
 
     /**
-     * The attempt has ended.
+     * Handles the end of the attempt.
      *
-     * @param served whether the attempt's reply is the query's answer
+     * @param served whether the attempt's reply must be sent to the client
      * @param reply the reply, whose reference is taken over; null if it is spooled or incomplete
      */
     void attemptEnded(boolean served, ByteBuf reply) {
--- a/src/main/java/lineward/mysql/client/QueryDispatcher.java
+++ b/src/main/java/lineward/mysql/client/QueryDispatcher.java
@@ -2,17 +2,17 @@
 
 import lineward.mysql.session.StatementClass;
 
-/** Admits the queries of all clients. */
+/** Classifies and admits the queries of all clients. */
 public interface QueryDispatcher {
-    /** Returns the class of a statement. */
+    /** Returns the class of the statement with this text. */
     StatementClass classOf(String text, boolean writes);
 
-    /** Admits the query; returns false if it must be rejected. */
+    /** Offers the query for admission; returns false if the caller must reject it. */
     boolean admit(Query query);
 
     /** Cancels an admitted query whose client has disconnected. */
     void cancel(Query query);
 
-    /** Counts a query that is rejected before its admission because the spool is full. */
+    /** Counts a query that is rejected before admission because the spool has no capacity for its result. */
     void countRejected(Query query);
 }
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -9,14 +9,14 @@
 import lineward.mysql.wire.Packets;
 import lineward.spool.SpoolPolicy;
 
-/** Runs the commands of one client that engines execute, one at a time, and relays their outcomes. */
+/** Runs those commands of one client that an engine must execute, one at a time, and sends their replies. */
 final class QueryRunner {
     /** Offset of the statement id in the first packet of a reply to COM_STMT_PREPARE. */
     private static final int PREPARED_ID_OFFSET = Packets.HEADER_BYTES + 1;
 
     private static final int PREPARED_PARAMETERS_OFFSET = Packets.HEADER_BYTES + 7;
     private static final int SEQUENCE_OFFSET = Packets.HEADER_BYTES - 1;
-    /** Retry-After of a query that the server does not admit. */
+    /** The retry delay suggested for a query that is not admitted. */
     private static final long RETRY_AFTER_MS = 500;
 
     private final ClientSession session;
@@ -53,7 +53,7 @@
         return session.number();
     }
 
-    /** Returns the session's schema in the form of {@link lineward.mysql.wire.Texts}; empty if none. */
+    /** Returns the selected schema, encoded as in {@link lineward.mysql.wire.Texts}; empty if none. */
     String schema() {
         return schema;
     }
@@ -62,15 +62,15 @@
         schema = "";
     }
 
-    /** Selects the session's schema if an engine confirms that it exists. */
+    /** Selects the schema of the session, if an engine confirms that the schema exists. */
     void useSchema(String latin1) {
         run(new Work.UseSchema(latin1), "USE", false, Query.Spooling.IF_LONG);
     }
 
     /**
-     * Starts a query; it is rejected if the spool or the coordinator has no capacity.
+     * Starts a query. It is rejected if the spool has no capacity for its result or if it is not admitted.
      *
-     * @param text the statement, which determines the query's class
+     * @param text the statement's text, which determines the query's class
      */
     void run(Work work, String text, boolean writes, Query.Spooling spooling) {
         StatementClass statementClass = context.dispatcher().classOf(text, writes);
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Relays a complete reply, whose reference is taken over; null if the reply is spooled. */
+    /** Sends a complete reply and takes over its reference; the reply is null if it is spooled. */
     void replyReceived(Query query, ByteBuf reply) {
         if (reply == null) {
             responseStarted(query);
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Sends the reply with this session's statement ids and sequence numbers. */
+    /** Sends the reply after replacing the engine's statement id and sequence number with this session's. */
     private void relay(Query query, ByteBuf reply) {
         boolean succeeded = Packets.first(reply) != Packets.ERR;
         boolean prepared = succeeded && query.work() instanceof Work.Prepare;
@@ -148,7 +148,8 @@
     }
 
     /**
-     * The attempt whose spooled result is sent has ended; the remaining rows, or an error, are in the spool.
+     * Ends the query after the attempt whose spooled result is being sent; the stream reads what remains, or
+     * finds that the result is incomplete.
      */
     void streamedAttemptEnded(Query query) {
         if (running == query) {
@@ -156,7 +157,7 @@
         }
     }
 
-    /** Cancels the running query, as the client has disconnected. */
+    /** Cancels the running query, if any, because the client has disconnected. */
     void abort() {
         if (running != null) {
             Query aborted = running;
--- a/src/main/java/lineward/mysql/client/ReplyPump.java
+++ b/src/main/java/lineward/mysql/client/ReplyPump.java
@@ -11,7 +11,7 @@
 import lineward.spool.SpoolReader;
 import lineward.spool.SpooledResult;
 
-/** Sends a complete spooled reply to a client, at the speed at which the client reads. */
+/** Sends all of a spooled result to a client as one reply, no faster than the client reads. */
 final class ReplyPump implements ReplyStream {
     private static final int FIRST_SEQUENCE = 1;
 
@@ -20,18 +20,18 @@
     private final SpoolReader reader;
     private final StreamEndListener listener;
     private final Dialect dialect;
-    /** The packets sent last; null before the columns. */
+    /** The packets that were sent last; null before the column definitions are sent. */
     private byte[] lastPackets;
-    /** Guards against recursion: reading the result notifies its readers, which include this one. */
+    /** Prevents recursion: reading the result notifies all its readers, including this one. */
     private boolean sending;
 
     private boolean closed;
 
     /**
-     * Creates a pump that has sent nothing.
+     * Creates a stream that has sent nothing.
      *
-     * @param sink sends complete packets
-     * @param listener is notified when nothing more is sent
+     * @param sink takes over complete packets and sends them
+     * @param listener is notified when the reply has ended
      */
     ReplyPump(
             Channel channel,
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Returns whether no chunk is available, or the channel was not writable at first. */
+    /** Returns whether no chunk is available, or the channel was not writable from the start. */
     private boolean sendWhileWritable() {
         ResultChunk chunk = null;
         while (channel.isWritable()) {
@@ -88,7 +88,7 @@
         return lastPackets == null ? FIRST_SEQUENCE : dialect.sequenceAfter(lastPackets);
     }
 
-    /** Returns whether nothing more is sent. A broken result ends when its error can be written. */
+    /** Returns whether the reply has ended. A broken result ends only when an error packet can be written. */
     private boolean isEnd(ReadState ahead, boolean noChunkLeft) {
         return switch (ahead) {
             case EXPIRED -> true;
--- a/src/main/java/lineward/mysql/client/ReplyWriter.java
+++ b/src/main/java/lineward/mysql/client/ReplyWriter.java
@@ -10,9 +10,9 @@
 import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.Packets;
 
-/** Writes replies to one client and takes over their references; counts the replies that are not flushed. */
+/** Writes replies to one client, takes over their references, and counts those that are not flushed. */
 final class ReplyWriter {
-    /** The sequence number before the first one of an unsolicited packet. */
+    /** Precedes sequence number 0, which an unsolicited packet has. */
     private static final int BEFORE_FIRST = -1;
 
     private final Channel channel;
@@ -40,17 +40,17 @@
         dialect = agreed;
     }
 
-    /** The next replies answer the packet with this sequence number. */
+    /** Sets the sequence number of the packet that the next replies answer. */
     void answerTo(int sequence) {
         requestSequence = sequence;
     }
 
-    /** The next reply answers no packet of the client. */
+    /** Declares that the next packet answers no packet of the client, so that its sequence number is 0. */
     void beginUnsolicited() {
         requestSequence = BEFORE_FIRST;
     }
 
-    /** Returns the sequence number of the first packet of the reply. */
+    /** Returns the sequence number of the first packet of the next reply. */
     int nextSequence() {
         return requestSequence + 1;
     }
@@ -77,7 +77,7 @@
         send(Packets.error(alloc(), sequence, failure));
     }
 
-    /** Sends an error, then closes the connection. */
+    /** Sends an error and closes the connection once it is written. */
     void sendLast(Failure failure) {
         ByteBuf error = Packets.error(alloc(), nextSequence(), failure);
         unsentReplies++;
--- a/src/main/java/lineward/mysql/client/SessionState.java
+++ b/src/main/java/lineward/mysql/client/SessionState.java
@@ -1,19 +1,19 @@
 package lineward.mysql.client;
 
 /**
- * The state of a client's session, and the transitions between its states. An event without meaning in a
- * state leaves the state unchanged: a query may end while the connection closes.
+ * The state of a client's session, and the transitions between its states. An event that does not apply to a
+ * state leaves it unchanged, because a query may end while the connection is closing, for example.
  */
 enum SessionState {
     /** Connected; the login packet has not been received. */
     AWAITING_LOGIN,
-    /** The client has been requested to use another authentication plugin. */
+    /** The client has been asked to switch to another authentication plugin. */
     AWAITING_PROOF,
-    /** Authenticated, without a command. */
+    /** Authenticated; no command is in progress. */
     IDLE,
-    /** A command is queued for an engine or is executed there. */
+    /** A command waits for an engine or is running on one. */
     EXECUTING,
-    /** Rows of a spooled result are being sent; no engine is involved. */
+    /** Rows of a spooled result are being sent, and no query runs on an engine. */
     STREAMING,
     /** Rows of a spooled result are being sent while an engine still produces them. */
     EXECUTING_AND_STREAMING,
@@ -26,17 +26,17 @@
 
     /** An event that changes the state. */
     enum Event {
-        /** The client's authentication plugin is not supported; another one has been requested. */
+        /** The client's authentication plugin is not supported, so that the client is asked to switch. */
         AUTH_SWITCH_REQUESTED,
-        /** The client's password is correct. */
+        /** The client has proved its password. */
         AUTHENTICATED,
-        /** A command has been started that an engine executes. */
+        /** A command that an engine must execute has started. */
         QUERY_STARTED,
-        /** The command for an engine has been answered or rejected, or has failed. */
+        /** The command that an engine must execute has been answered or rejected, or has failed. */
         QUERY_ENDED,
-        /** The first rows of a spooled result are being sent. */
+        /** A reply that is read from the spool has started. */
         STREAM_STARTED,
-        /** The requested rows have been sent, or the result is incomplete. */
+        /** The requested rows have been sent, or the rest of the result is not available. */
         STREAM_ENDED,
         /** An error is sent, after which the connection closes. */
         CLOSE_REQUESTED,
@@ -44,7 +44,7 @@
         DISCONNECTED
     }
 
-    /** Returns whether the next packet of the client may be processed. */
+    /** Returns whether the next packet from the client may be processed. */
     boolean acceptsPackets() {
         return this == AWAITING_LOGIN || this == AWAITING_PROOF || this == IDLE;
     }
--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpoolStream.java
@@ -13,8 +13,8 @@
 import lineward.spool.SpooledResult;
 
 /**
- * Sends spooled results to one client, at the speed at which it reads: results with a key, rows of cursors,
- * and results that exceed the buffer of an attempt. One reply at a time.
+ * Sends spooled results to one client, one reply at a time and no faster than it reads: results with a key,
+ * rows of cursors, and results that exceed the buffer of an attempt.
  */
 final class SpoolStream {
     private final ClientSession session;
@@ -30,11 +30,12 @@
     }
 
     /**
-     * Answers a statement with a key from the spool, if the result exists or if the client requests a page.
+     * Answers a statement with a key from the spool if the key has a result. A request for a page is answered
+     * with an error if the key has no complete result, and any request if the result is another statement's.
      *
-     * @param digest of the statement and its arguments
-     * @param cursor the statement for which a cursor is opened; null: the rows are one reply
-     * @return false if the statement must be executed
+     * @param digest digest of the statement and its arguments
+     * @param cursor the statement for which a cursor is opened; null if all rows are sent in one reply
+     * @return false if the statement must be executed instead
      */
     boolean answer(SpoolHint hint, String digest, ClientStatement cursor) {
         SpooledResult result = spool.find(session.user(), hint.key());
@@ -54,7 +55,7 @@
         return true;
     }
 
-    /** Sends the result of the query's current attempt, which may be incomplete. */
+    /** Starts sending the result of the query's current attempt, which may be incomplete. */
     void start(Query query) {
         start(query.spooledResult(), SpoolHint.none(""), query.spooling().cursor());
     }
@@ -87,7 +88,7 @@
         cursor.fetch(rows);
     }
 
-    /** Continues the current reply if the channel is writable. */
+    /** Continues the current reply, if there is one and the channel is writable. */
     void resume() {
         if (active != null && replies.channel().isWritable()) {
             active.resume();
--- a/src/main/java/lineward/mysql/client/StreamEndListener.java
+++ b/src/main/java/lineward/mysql/client/StreamEndListener.java
@@ -3,14 +3,15 @@
 import java.util.OptionalInt;
 import lineward.spool.ReadState;
 
-/** Receives the end, or a pause, of a {@link lineward.mysql.wire.ReplyStream}. */
+/** Is notified when a {@link lineward.mysql.wire.ReplyStream} ends or pauses. */
 @FunctionalInterface
 interface StreamEndListener {
     /**
-     * The reply has ended, or a cursor pauses until the next fetch.
+     * Handles the end of a reply, or the pause of a cursor until the next fetch.
      *
-     * @param state why the reply ended; MORE: a fetch may follow
-     * @param errorSequence sequence number for an error packet; empty if the reply is complete
+     * @param state why the reply ended; MORE if the client may fetch more rows
+     * @param errorSequence sequence number for an error packet, used only if the result is broken or expired;
+     *     empty if the reply is complete
      */
     void ended(ReadState state, OptionalInt errorSequence);
 }
