--- a/src/main/java/lineward/mysql/client/OpenCursor.java
+++ b/src/main/java/lineward/mysql/client/OpenCursor.java
@@ -15,7 +15,7 @@
 import lineward.spool.SpooledResult;
 
 /**
- * Sends a range of a spooled result: either as a read-only cursor, which sends the columns first and then rows
+ * Sends a range of a spooled result: either as a read-only cursor, which sends the columns first and rows
  * when the client fetches them, or as a page, which sends the columns and rows as a single reply.
  */
 final class OpenCursor implements StatementCursor {
--- a/src/main/java/lineward/mysql/engine/AttemptListener.java
+++ b/src/main/java/lineward/mysql/engine/AttemptListener.java
@@ -4,9 +4,9 @@
 import lineward.scheduling.AttemptOutcome;
 import lineward.spool.SpooledResult;
 
-/** Receives the progress and the end of one attempt. All calls come on the event loop. */
+/** Is notified of the progress and the end of one attempt. All methods are called on the event loop. */
 public interface AttemptListener {
-    /** Ignores the progress and releases the reply. */
+    /** A listener for attempts whose reply nobody needs: it ignores the progress and releases the reply. */
     AttemptListener DISCARD_REPLY = new AttemptListener() {
         @Override
         public SpooledResult openSpool() {
@@ -26,29 +26,29 @@
         }
     };
 
-    /** The command has been written to the engine's socket. */
+    /** Called when the attempt's command has been written to the engine's socket. */
     default void commandWritten() {}
 
-    /** Opens the spooled result of a reply that exceeds the buffer; null if the reply is not wanted. */
+    /** Creates the spooled result of a reply that must be spooled; returns null to discard the reply. */
     SpooledResult openSpool();
 
-    /** Returns whether the reply is spooled regardless of its length. */
+    /** Returns whether a reply with rows is spooled regardless of its length. */
     default boolean alwaysSpools() {
         return false;
     }
 
     /**
-     * The client may read the spooled result, which is not complete yet.
+     * Called when the client may start reading the spooled result, which is not complete yet.
      *
      * @return whether the client still waits for the result
      */
     boolean responseStarted();
 
     /**
-     * The attempt has ended; called once.
+     * Called once, when the attempt has ended.
      *
-     * @param reply the complete reply, which the listener must release, if the outcome is OK and the reply
-     *     was not spooled; else null
+     * @param reply the complete reply if the outcome is OK and the reply was not spooled, else null; the
+     *     listener must release it
      */
     void ended(AttemptOutcome outcome, ByteBuf reply);
 }
--- a/src/main/java/lineward/mysql/engine/ConnectionLimits.java
+++ b/src/main/java/lineward/mysql/engine/ConnectionLimits.java
@@ -3,7 +3,7 @@
 /**
  * Limits on connections to engines.
  *
- * @param connectionsPerEngine largest number of connections for attempts to one engine
- * @param connectTimeoutMs largest time for opening a connection, and for its login, in milliseconds
+ * @param connectionsPerEngine maximum number of connections to one engine for attempts
+ * @param connectTimeoutMs timeout for opening a connection and completing its login, in milliseconds
  */
 public record ConnectionLimits(int connectionsPerEngine, int connectTimeoutMs) {}
--- a/src/main/java/lineward/mysql/engine/ConnectionState.java
+++ b/src/main/java/lineward/mysql/engine/ConnectionState.java
@@ -4,25 +4,25 @@
 import java.util.Set;
 import lineward.scheduling.AttemptOutcome;
 
-/** State of one connection to a MySQL engine, and the transitions between its states. */
+/** The state of a connection to a MySQL engine, and the transitions between its states. */
 enum ConnectionState {
     /** The TCP connection is opening. */
     CONNECTING,
     /** The login is in progress. */
     AUTHENTICATING,
-    /** Logged in, without an attempt. */
+    /** Logged in; no attempt is assigned. */
     IDLE,
-    /** The settings of the attempt's session are being applied. */
+    /** The attempt's session settings are being applied. */
     APPLYING_SETTINGS,
-    /** The schema of the attempt's session is being selected. */
+    /** The attempt's schema is being selected. */
     SELECTING_SCHEMA,
     /** The attempt's statement is being prepared. */
     PREPARING,
     /** The attempt's command has been sent, and its reply is not complete. */
     EXECUTING,
-    /** The running statement is being killed; its reply is still expected. */
+    /** A kill of the running statement has been requested; its reply is still expected. */
     KILLING,
-    /** The attempt has ended, and the connection must not be reused. */
+    /** The attempt has ended, and the connection is being closed because it must not be reused. */
     CLOSING,
     /** The connection is closed. */
     CLOSED;
@@ -41,13 +41,13 @@
         PREPARE(PREPARING),
         /** The attempt's command is sent. */
         EXECUTE(EXECUTING),
-        /** The running statement is cancelled. */
+        /** The attempt is cancelled, so that its running statement is killed. */
         KILL(KILLING),
-        /** The attempt has ended, and the connection can serve another one. */
+        /** The attempt has ended, and the connection may be reused. */
         RELEASE(IDLE),
-        /** The attempt has ended, and the connection must not serve another one. */
+        /** The attempt has ended, and the connection must not be reused. */
         RETIRE(CLOSING),
-        /** Either side has closed the connection. */
+        /** The connection has been closed by either side, or could not be opened. */
         CLOSE(CLOSED);
 
         private final ConnectionState target;
@@ -103,7 +103,7 @@
      */
     ConnectionState after(Transition transition) {
         if (!transitions().contains(transition)) {
-            throw new IllegalStateException("transition " + transition + " from state " + this);
+            throw new IllegalStateException("transition " + transition + " is not possible in state " + this);
         }
         return transition.target;
     }
@@ -119,16 +119,17 @@
     }
 
     /**
-     * Returns whether the connection may serve another attempt if its attempt ends in this state. After a
-     * failed SET the values of the settings are unknown; a late kill would stop the next statement.
+     * Returns whether the connection may be reused if its attempt ends in this state: not after a failed SET,
+     * which leaves the session's settings unknown, nor after a kill, which may arrive late and stop the next
+     * statement.
      */
     boolean isReusable() {
         return this == SELECTING_SCHEMA || this == PREPARING || this == EXECUTING;
     }
 
     /**
-     * Returns the outcome of the attempt if the connection closes in this state. Before the command is sent
-     * the engine has executed nothing.
+     * Returns the outcome of the attempt if the connection closes in this state. Before the attempt's command
+     * is sent, the engine has executed nothing of the client's.
      */
     AttemptOutcome outcomeOfClose() {
         return switch (this) {
--- a/src/main/java/lineward/mysql/engine/EngineCommands.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommands.java
@@ -9,7 +9,7 @@
 import lineward.mysql.wire.Commands;
 import lineward.mysql.wire.Packets;
 
-/** Writes commands to an engine. */
+/** Encodes commands and writes them to the connection to an engine. */
 final class EngineCommands {
     private final Channel channel;
 
@@ -17,12 +17,12 @@
         this.channel = channel;
     }
 
-    /** Writes a command with a text, which is in the form of {@link lineward.mysql.wire.Texts}. */
+    /** Writes a command with a text argument, which is encoded as in {@link lineward.mysql.wire.Texts}. */
     void text(int command, String latin1) {
         write(command, Unpooled.wrappedBuffer(latin1.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    /** Writes the command of any work except an execution. */
+    /** Writes the command of any work except {@link Work.Execute}. */
     void send(Work work) {
         if (work instanceof Work.Query query) {
             text(Commands.QUERY, query.text());
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Writes the execution of the statement with this id, after the parts of its long parameters. */
+    /** Writes the parts of long parameters, and then the execution of the prepared statement with this id. */
     void execute(long statementId, Work.Execute work) {
         for (Work.LongData data : work.longData()) {
             ByteBuf arguments = statementArguments(statementId)
@@ -44,12 +44,12 @@
         write(Commands.EXECUTE, statementArguments(statementId).writeBytes(work.arguments()));
     }
 
-    /** Closes the statement with this id; the engine sends no reply. */
+    /** Closes the prepared statement with this id; the engine sends no reply. */
     void closeStatement(long statementId) {
         write(Commands.CLOSE, statementArguments(statementId));
     }
 
-    /** Calls back when all earlier commands have been written to the socket. */
+    /** Runs the callback when all earlier commands have been written to the socket; never if that fails. */
     void whenWritten(Runnable callback) {
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> {
             if (done.isSuccess()) {
--- a/src/main/java/lineward/mysql/engine/EngineConfig.java
+++ b/src/main/java/lineward/mysql/engine/EngineConfig.java
@@ -6,11 +6,11 @@
 /**
  * The configuration of one engine.
  *
- * @param name unique among the engines
- * @param user user name for the login at the engine
- * @param password password for the login at the engine
- * @param cores number of cores, which determines the concurrency limit
- * @param state whether the engine accepts new statements
+ * @param name unique name of the engine
+ * @param user user name for logging in to the engine
+ * @param password password for logging in to the engine
+ * @param cores number of the engine's cores, which determines its concurrency limit
+ * @param state whether new attempts may be started on the engine
  */
 public record EngineConfig(
         String name,
--- a/src/main/java/lineward/mysql/engine/EngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnection.java
@@ -20,14 +20,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to a MySQL engine, with at most one attempt at a time. Before the attempt's command it
- * applies the attempt's settings, selects its schema and prepares its statement. Confined to the event loop.
+ * A connection to a MySQL engine, which executes at most one attempt at a time. Before it sends the attempt's
+ * command, it applies the session settings, selects the schema and prepares the statement that the command
+ * needs. Confined to the event loop.
  */
 final class EngineConnection extends SimpleChannelInboundHandler<ByteBuf> {
     private static final Logger LOG = LoggerFactory.getLogger(EngineConnection.class);
-    /** Largest time between a kill and the reply of the killed statement; then the connection is closed. */
+    /** Timeout between a kill and the reply to the killed statement, after which the connection is closed. */
     private static final int KILL_TIMEOUT_MS = 300;
-    /** The answer to an execution with the parameters of an older version of the statement. */
+    /** The reply to an execution if the statement's parameter count differs from the one the client knows. */
     private static final Failure PARAMETERS_CHANGED =
             Failure.wrongArguments("the statement's parameters have changed since it was prepared");
 
@@ -39,9 +40,9 @@
     private EngineSession session;
     /** Null while the connection is idle. */
     private QueryAttempt attempt;
-    /** Classifies the reply to the last command; null before the first one. */
+    /** Classifies the packets of the reply to the last command; null before the first command. */
     private ReplyTracker tracker;
-    /** Time of {@link System#nanoTime}. */
+    /** {@link System#nanoTime} of the last command or the last end of an attempt; at first, of creation. */
     private long lastUsedNanos = System.nanoTime();
 
     EngineConnection(EngineConnectionPool pool) {
@@ -91,7 +92,8 @@
     }
 
     /**
-     * Cancels the attempt: kills a running statement; closes the connection if the command has not been sent.
+     * Cancels the attempt: kills its statement if it is running, or closes the connection if the command has
+     * not been sent.
      */
     void cancel() {
         if (state == ConnectionState.EXECUTING) {
@@ -164,7 +166,7 @@
             } else if (attempt != null) {
                 ownedByAttempt = readReply(frame);
             } else if (Packets.first(frame) != Packets.ERR) {
-                throw new DecoderException("packet without a command");
+                throw new DecoderException("engine sent a packet although no command is running");
             }
         } finally {
             if (!ownedByAttempt) {
@@ -178,7 +180,7 @@
             case CONTINUES -> {}
             case REJECTED -> {
                 int code = Packets.errorCode(frame);
-                LOG.warn("login rejected: engine={} error={}", pool.name(), code);
+                LOG.warn("engine login rejected: engine={} cause=error {}", pool.name(), code);
                 fail(EngineErrorKind.of(code).outcomeAtLogin());
             }
             case ACCEPTED -> {
@@ -192,7 +194,7 @@
         }
     }
 
-    /** Returns whether the attempt has taken over the frame's reference. */
+    /** Processes a packet of a reply; returns whether the attempt has taken over the frame's reference. */
     private boolean readReply(ByteBuf frame) {
         PacketRole role = tracker.classify(frame);
         if (role == PacketRole.LAST_ERROR) {
@@ -215,7 +217,7 @@
         };
     }
 
-    /** Reads a packet of the reply to a command that precedes the attempt's command. */
+    /** Processes a packet of the reply to a command that prepares the session for the attempt's command. */
     private void readPreparatoryReply(ByteBuf frame, boolean last) {
         if (state == ConnectionState.PREPARING) {
             session.readPrepared(frame, last, attempt.work());
@@ -255,7 +257,7 @@
         QueryAttempt finished = attempt;
         attempt = null;
         lastUsedNanos = System.nanoTime();
-        // An open transaction or a changed session must not affect another client.
+        // An open transaction or a changed session would affect the next client.
         boolean sessionClean = !tracker.inTransaction() && !finished.work().changesSession();
         boolean reusable = state.isReusable() && sessionClean;
         transition(reusable ? Transition.RELEASE : Transition.RETIRE);
@@ -279,7 +281,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        LOG.warn("connection failed: engine={} cause={}", pool.name(), cause.toString());
+        LOG.warn("engine connection failed: engine={} cause={}", pool.name(), cause.toString());
         fail(state.outcomeOfFault());
     }
 
@@ -288,7 +290,7 @@
         closed();
     }
 
-    /** The connection has closed, or opening it has failed. */
+    /** Handles that the connection has closed or could not be opened. */
     void closed() {
         if (state != ConnectionState.CLOSED) {
             AttemptOutcome outcome = state.outcomeOfClose();
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -19,18 +19,18 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * The connections to one MySQL engine. Their number is limited by {@link ConnectionLimits}, except that a
- * kill may open one more. Confined to the event loop.
+ * The connections to one MySQL engine. {@link ConnectionLimits} limits their number, but a kill may open one
+ * more if no connection is idle. Confined to the event loop.
  */
 final class EngineConnectionPool {
-    /** Has no effect, as the reply to a kill is never spooled. */
+    /** A placeholder: only spooled replies use the timeout, and the reply to a kill is never spooled. */
     private static final long KILL_TIMEOUT_MS = 0;
 
     private final Bootstrap bootstrap;
     private final EngineConfig engine;
     private final ConnectionLimits limits;
     private final List<EngineConnection> connections = new ArrayList<>();
-    /** Connections without an attempt; the most recently used one is the first. */
+    /** Connections without an attempt, the most recently used one first. */
     private final Deque<EngineConnection> idle = new ArrayDeque<>();
 
     private boolean draining;
@@ -50,8 +50,7 @@
     }
 
     /**
-     * Starts the attempt on an idle connection or a new one; rejects it if the limit of connections is
-     * reached.
+     * Starts the attempt on an idle or a new connection, or rejects it if all permitted connections are busy.
      */
     void start(QueryAttempt attempt) {
         Optional<EngineConnection> suited = findIdle(attempt);
@@ -70,7 +69,7 @@
         }
     }
 
-    /** Returns an idle connection for the attempt, if possible one with its settings. */
+    /** Returns an idle connection that can run the attempt, preferably one that already has its settings. */
     private Optional<EngineConnection> findIdle(QueryAttempt attempt) {
         Predicate<EngineConnection> hasSchema =
                 connection -> connection.session().hasSchemaFor(attempt);
@@ -92,7 +91,7 @@
         connection.close();
     }
 
-    /** Kills the statement of the connection with this id at the engine, on another connection. */
+    /** Kills the statement that runs on the connection with this thread id, using another connection. */
     void kill(long threadId) {
         Work killQuery = new Work.Query("", "KILL QUERY " + threadId);
         AttemptListener listener = AttemptListener.DISCARD_REPLY;
@@ -124,7 +123,7 @@
         return connection;
     }
 
-    /** The connect timeout also limits the login, as an engine may accept connections without greeting. */
+    /** The connect timeout also covers the login, as an engine may accept connections but never greet. */
     private ScheduledFuture<?> closeUnlessLoggedIn(EngineConnection connection, Channel channel) {
         Runnable check = () -> {
             if (!connection.isLoggedIn()) {
@@ -134,13 +133,13 @@
         return channel.eventLoop().schedule(check, limits.connectTimeoutMs(), TimeUnit.MILLISECONDS);
     }
 
-    /** Rejects the attempts whose command has not been sent, and closes the idle connections. */
+    /** Rejects the attempts whose command has not been sent, and closes all idle connections. */
     void rejectUnsent() {
         List.copyOf(connections).forEach(EngineConnection::rejectUnsent);
         closeAllIdle();
     }
 
-    /** Returns a connection to the pool after its attempt. */
+    /** Takes back a connection that has no attempt; closes it if the pool is draining. */
     void release(EngineConnection connection) {
         if (draining) {
             connection.close();
@@ -155,18 +154,18 @@
         idle.remove(connection);
     }
 
-    /** Closes each connection when it is idle. */
+    /** Closes the idle connections now and each other connection once its attempt has ended. */
     void drain() {
         draining = true;
         closeAllIdle();
     }
 
-    /** Ends a {@link #drain}. */
+    /** Ends draining, so that connections are kept again. */
     void reopen() {
         draining = false;
     }
 
-    /** Returns whether the pool is draining and has no connections. */
+    /** Returns whether the pool is draining and has no connections left. */
     boolean isDrained() {
         return draining && connections.isEmpty();
     }
@@ -175,7 +174,7 @@
         closeIdleSince(System.nanoTime() + 1);
     }
 
-    /** Closes connections that are idle since before that {@link System#nanoTime}. */
+    /** Closes the connections that have been idle since before this {@link System#nanoTime}. */
     void closeIdleSince(long nanoTime) {
         for (EngineConnection connection : List.copyOf(idle)) {
             if (connection.isIdleSince(nanoTime)) {
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
@@ -15,13 +15,13 @@
     private final ConnectionLimits limits;
     private final Map<String, EngineConnectionPool> byName = new HashMap<>();
 
-    /** @param bootstrap the event loop and the options of all connections */
+    /** @param bootstrap has the event loop and the options of all connections */
     public EngineConnectionPools(Bootstrap bootstrap, ConnectionLimits limits) {
         this.bootstrap = bootstrap;
         this.limits = limits;
     }
 
-    /** Applies the configured engines; the pools of all other engines are drained. */
+    /** Applies the list of configured engines; the pools of engines that are not listed are drained. */
     public void update(List<EngineConfig> engines) {
         engines.forEach(this::update);
         Set<String> names = engines.stream().map(EngineConfig::name).collect(Collectors.toSet());
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Starts the attempt at the engine; it fails if the engine is no longer configured and its pool is
-     * drained.
+     * Starts the attempt on the engine. It fails if the engine has no pool, either because it has never been
+     * configured or because it was removed and its pool has been drained.
      */
     public void start(String engine, QueryAttempt attempt) {
         EngineConnectionPool pool = byName.get(engine);
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Rejects attempts whose command has not been sent to the engine, and closes its idle connections. */
+    /** Rejects the engine's attempts whose command has not been sent, and closes its idle connections. */
     public void rejectUnsent(String engine) {
         EngineConnectionPool pool = byName.get(engine);
         if (pool != null) {
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Closes connections that are idle since before that {@link System#nanoTime}; removes drained pools. */
+    /** Closes connections that are idle since before this {@link System#nanoTime}; removes drained pools. */
     public void closeIdleSince(long nanoTime) {
         byName.values().forEach(pool -> pool.closeIdleSince(nanoTime));
         byName.values().removeIf(EngineConnectionPool::isDrained);
--- a/src/main/java/lineward/mysql/engine/EngineLogin.java
+++ b/src/main/java/lineward/mysql/engine/EngineLogin.java
@@ -10,11 +10,11 @@
 import lineward.mysql.wire.Handshake;
 import lineward.mysql.wire.Packets;
 
-/** The login at an engine, from the engine's greeting to its final answer. */
+/** The login to an engine, from the engine's greeting to its final OK or error packet. */
 final class EngineLogin {
-    /** The state of a login after a packet. */
+    /** The state of the login after one packet. */
     enum Progress {
-        /** The login expects another packet. */
+        /** The login needs another packet. */
         CONTINUES,
         ACCEPTED,
         /** The engine has sent an error packet. */
@@ -37,15 +37,15 @@
         this.engine = engine;
     }
 
-    /** Returns the engine's id of this connection, which KILL QUERY names. */
+    /** Returns the engine's thread id of this connection, the argument of KILL QUERY. */
     long threadId() {
         return threadId;
     }
 
     /**
-     * Answers one packet of the engine; the caller releases the packet.
+     * Processes one packet of the engine and sends the response, if any. The caller releases the packet.
      *
-     * @throws DecoderException if the packet is not part of a login or requests an unknown plugin
+     * @throws DecoderException if the packet does not belong to a login or requests an unsupported plugin
      */
     Progress advance(ByteBuf frame) {
         int sequence = Packets.sequence(frame) + 1;
@@ -63,7 +63,7 @@
         } else if (type == Packets.OK) {
             return Progress.ACCEPTED;
         } else {
-            throw new DecoderException("unknown packet in a login");
+            throw new DecoderException("engine sent an unexpected packet during the login");
         }
         return Progress.CONTINUES;
     }
@@ -82,13 +82,14 @@
         String plugin = Packets.zeroTerminated(payload);
         payload.readBytes(nonce, 0, Math.min(nonce.length, payload.readableBytes()));
         if (!Auth.isSupported(plugin)) {
-            throw new DecoderException("engine requests the plugin " + plugin);
+            throw new DecoderException("engine requested the unsupported authentication plugin " + plugin);
         }
         send(sequence, Auth.proof(plugin, engine.password(), nonce));
     }
 
     /**
-     * An engine without a cached digest of the password requests the password, encrypted with its public key.
+     * Continues caching_sha2_password. An engine whose cache does not have the password's digest requests the
+     * password itself, encrypted with the engine's public key.
      */
     private void answerMoreData(ByteBuf payload, int sequence) {
         if (payload.readableBytes() == 1) {
@@ -101,7 +102,7 @@
         try {
             send(sequence, Auth.encrypt(engine.password(), nonce, publicKey));
         } catch (GeneralSecurityException | IllegalArgumentException e) {
-            throw new DecoderException("engine's key can't be used", e);
+            throw new DecoderException("engine's public key is not usable", e);
         }
     }
 
--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -7,12 +7,12 @@
 import lineward.mysql.session.Work;
 import lineward.mysql.wire.Texts;
 
-/** The session of one connection to an engine: its settings, schema and prepared statements. */
+/** The session state of a connection to an engine: its settings, schema and prepared statements. */
 final class EngineSession {
     private final EngineStatementCache prepared;
-    /** Empty until a schema is selected. */
+    /** Empty until a schema has been selected. */
     private String schema = "";
-    /** The settings of the session that differ from the engine's defaults. */
+    /** The session variables that differ from the engine's defaults. */
     private Map<String, String> settings = Map.of();
 
     EngineSession(EngineStatementCache prepared) {
@@ -20,18 +20,19 @@
     }
 
     /**
-     * Returns whether the attempt can run here: once selected, a schema can be changed but not unselected.
+     * Returns whether the attempt can run in this session. MySQL can change a selected schema but not
+     * unselect it, so that an attempt without a schema needs a session without one.
      */
     boolean hasSchemaFor(QueryAttempt attempt) {
         return schema.isEmpty() || !attempt.work().schema().isEmpty();
     }
 
-    /** Returns whether the session has the attempt's settings. */
+    /** Returns whether the session already has the attempt's settings. */
     boolean hasSettingsFor(QueryAttempt attempt) {
         return settings.equals(attempt.settings());
     }
 
-    /** Returns the next step of the attempt: settings, schema, preparation, and then its command. */
+    /** Returns the next step of the attempt, in the order settings, schema, preparation, command. */
     Transition nextStep(QueryAttempt attempt) {
         Work work = attempt.work();
         if (!hasSettingsFor(attempt)) {
@@ -49,34 +50,34 @@
         return differs && !(work instanceof Work.UseSchema);
     }
 
-    /** Returns the statement that applies the attempt's settings, in the form of {@link Texts}. */
+    /** Returns the SET statement that applies the attempt's settings, encoded as in {@link Texts}. */
     String settingsChangeFor(QueryAttempt attempt) {
         return Texts.latin1(SessionSettings.change(settings, attempt.settings()));
     }
 
-    /** The engine has applied the attempt's settings. */
+    /** Records that the engine has applied the attempt's settings. */
     void settingsApplied(QueryAttempt attempt) {
         settings = attempt.settings();
     }
 
-    /** The engine has selected the schema. */
+    /** Records that the engine has selected the schema. */
     void schemaSelected(String selected) {
         schema = selected;
     }
 
-    /** The engine has completed the work successfully. */
+    /** Records that the engine has completed the work successfully. */
     void completed(Work work) {
         if (work instanceof Work.UseSchema) {
             schema = work.schema();
         }
     }
 
-    /** Returns the prepared statement of the work; null if it is not prepared here. */
+    /** Returns the statement that the work executes; null if it is not prepared on this connection. */
     EngineStatementCache.Prepared preparedFor(Work.Execute work) {
         return prepared.find(key(work));
     }
 
-    /** Reads a packet of the reply to a preparation; the last packet completes the preparation. */
+    /** Reads a packet of the reply to COM_STMT_PREPARE; the last one completes the preparation. */
     void readPrepared(ByteBuf frame, boolean isLast, Work work) {
         prepared.readPacket(frame);
         if (isLast) {
@@ -85,8 +86,8 @@
     }
 
     /**
-     * Returns the key of a prepared statement. The key contains the settings, because an engine parses a text
-     * with the settings at the time of the preparation.
+     * Returns the cache key of a prepared statement. It includes the settings, because an engine parses the
+     * text with the settings that apply when it prepares the statement.
      */
     private String key(Work work) {
         String text = work instanceof Work.Execute execute ? execute.text() : ((Work.Prepare) work).text();
--- a/src/main/java/lineward/mysql/engine/EngineStatementCache.java
+++ b/src/main/java/lineward/mysql/engine/EngineStatementCache.java
@@ -7,12 +7,12 @@
 import java.util.function.LongConsumer;
 import lineward.mysql.wire.Packets;
 
-/** The statements prepared on one connection to an engine; the least recently used one is evicted. */
+/** An LRU cache of the statements that are prepared on one connection to an engine. */
 final class EngineStatementCache {
-    /** A prepared statement at the engine. */
+    /** A statement that the engine has prepared, with its id at the engine. */
     record Prepared(long id, int parameterCount) {}
 
-    /** Limits the memory at the engine for one connection. */
+    /** Limits the memory that the prepared statements of one connection use on the engine. */
     private static final int MAX_STATEMENTS = 64;
 
     private static final int INITIAL_CAPACITY = 16;
@@ -20,10 +20,10 @@
 
     private final Map<String, Prepared> byKey = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
     private final LongConsumer closeAtEngine;
-    /** The statement whose reply is incomplete; null between replies. */
+    /** The statement whose preparation has not been completed; null if there is none. */
     private Prepared pending;
 
-    /** @param closeAtEngine closes the statement with this id at the engine */
+    /** @param closeAtEngine closes the statement with the given id on the engine */
     EngineStatementCache(LongConsumer closeAtEngine) {
         this.closeAtEngine = closeAtEngine;
     }
@@ -37,7 +37,7 @@
         return byKey.get(key);
     }
 
-    /** Reads one packet of the reply to a preparation; packets after the first are skipped. */
+    /** Reads a packet of the reply to COM_STMT_PREPARE; packets after the first one are ignored. */
     void readPacket(ByteBuf frame) {
         if (pending == null) {
             ByteBuf payload = Packets.payload(frame).skipBytes(1);
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Stores the statement, whose reply is complete. */
+    /** Stores the pending statement, whose preparation is complete, under this key. */
     void complete(String key) {
         Prepared replaced = byKey.put(key, pending);
         pending = null;
--- a/src/main/java/lineward/mysql/engine/QueryAttempt.java
+++ b/src/main/java/lineward/mysql/engine/QueryAttempt.java
@@ -10,24 +10,25 @@
 import lineward.spool.SpooledResult;
 
 /**
- * One attempt at an engine: its work, the reply so far, and its listener. A short reply is buffered; a longer
- * reply is spooled, so that the engine is free after its last packet. Confined to the event loop.
+ * One attempt on an engine: its work, the reply so far, and its listener. A short reply is buffered. A longer
+ * one is spooled, so that the connection is free after the last packet, however slowly the client reads.
+ * Confined to the event loop.
  */
 public final class QueryAttempt {
     private enum ReplyState {
-        /** The reply is buffered, or has not begun. */
+        /** The reply is being buffered, or has not started. */
         BUFFERING,
-        /** The reply is spooled, and the client can't read it yet. */
+        /** The reply is being spooled, and the client may not read it yet. */
         SPOOLING,
-        /** The reply is spooled, and the client reads it. */
+        /** The reply is being spooled, and the client may read it. */
         STREAMING,
-        /** The rest of the reply is dropped. */
+        /** The rest of the reply is discarded. */
         DISCARDING,
         /** The attempt has ended. */
         ENDED
     }
 
-    /** A longer reply is spooled. */
+    /** Maximum size of a buffered reply; a longer one is spooled. */
     private static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
     private static final double NANOS_PER_MS = TimeUnit.MILLISECONDS.toNanos(1);
@@ -38,9 +39,9 @@
     private final AttemptListener listener;
     private final long startedNanos = System.nanoTime();
     private ReplyState state = ReplyState.BUFFERING;
-    /** Null before the first packet, once the reply is spooled, and at the end. */
+    /** Null before the first packet, once the reply is spooled, and after the end. */
     private ByteBuf buffered;
-    /** Bytes of the buffer before the rows. */
+    /** Number of buffered bytes that precede the rows. */
     private int headBytes;
     /** Null unless the reply is spooled. */
     private SpoolWriter spool;
@@ -50,8 +51,8 @@
     /**
      * Creates an attempt that has not started.
      *
-     * @param settings session variables that must be set at the engine
-     * @param timeoutMs the attempt's timeout, which determines when the client may read an incomplete reply
+     * @param settings the session variables that the engine must have set when it executes the work
+     * @param timeoutMs the attempt's timeout, from which the spool determines when the response may start
      */
     public QueryAttempt(Work work, Map<String, String> settings, long timeoutMs, AttemptListener listener) {
         this.work = work;
@@ -68,7 +69,7 @@
         return settings;
     }
 
-    /** The connection executes this attempt. */
+    /** Records the connection that executes this attempt. */
     void assignTo(EngineConnection assigned) {
         connection = assigned;
     }
@@ -77,14 +78,14 @@
         listener.commandWritten();
     }
 
-    /** Cancels the attempt, unless it has ended or has no connection. */
+    /** Cancels the attempt; has no effect if it has ended or has no connection. */
     public void cancel() {
         if (state != ReplyState.ENDED && connection != null) {
             connection.cancel();
         }
     }
 
-    /** Receives a packet of the reply and takes over its reference. */
+    /** Adds a packet to the reply and takes over its reference. */
     void receive(ByteBufAllocator alloc, ByteBuf frame, PacketRole role) {
         try {
             switch (state) {
@@ -115,7 +116,7 @@
         }
     }
 
-    /** Moves the buffered packets to the spool. */
+    /** Moves the buffered packets to the spool, or discards the reply if the listener does not need it. */
     private void startSpooling(PacketRole lastRole) {
         SpooledResult result = listener.openSpool();
         ByteBuf packets = buffered;
@@ -139,7 +140,7 @@
         packetsSpooled();
     }
 
-    /** Lets the client read at the time that the spool determines; a full spool pauses the engine. */
+    /** Starts the response once the spool permits it, and stops reading from the engine if the spool must. */
     private void packetsSpooled() {
         double limitMs = timeoutMs;
         if (state == ReplyState.SPOOLING && spool.result().shouldStartResponse(elapsedMs(), limitMs)) {
@@ -164,12 +165,12 @@
         spool.result().fail();
     }
 
-    /** Ends the attempt; an attempt that has ended ignores this. */
+    /** Ends the attempt and notifies the listener; has no effect if the attempt has already ended. */
     void end(AttemptOutcome reported) {
         if (state == ReplyState.ENDED) {
             return;
         }
-        // The engine's reply may be complete although the spool has dropped a part of it.
+        // The engine's reply may be complete although part of it has been discarded or released.
         boolean incomplete = state == ReplyState.DISCARDING
                 || (spool != null && spool.result().isReleased());
         AttemptOutcome outcome = incomplete ? AttemptOutcome.CANCELLED : reported;
--- a/src/main/java/lineward/mysql/engine/SpoolWriter.java
+++ b/src/main/java/lineward/mysql/engine/SpoolWriter.java
@@ -5,7 +5,7 @@
 import lineward.mysql.wire.Packets;
 import lineward.spool.SpooledResult;
 
-/** Writes the packets of one reply to the spool; a block ends before the first row and after the last. */
+/** Writes the packets of a reply to the spool. Rows are never in the same block as packets around them. */
 final class SpoolWriter {
     private final SpooledResult result;
 
@@ -17,7 +17,7 @@
         return result;
     }
 
-    /** Writes the next bytes of the source: one packet, or all packets before the rows. */
+    /** Writes the next bytes of the source, either one packet or all packets before the rows. */
     void write(ByteBuf source, int length, PacketRole role) {
         if (role.isLast()) {
             result.seal();
@@ -32,7 +32,8 @@
     }
 
     /**
-     * Writes buffered packets, with the same block boundaries as if each were written when it was received.
+     * Writes packets that were buffered, with the block boundaries that they would have if each had been
+     * written when it was received.
      */
     void writeBuffered(ByteBuf packets, int headBytes, PacketRole lastRole) {
         write(packets, headBytes, PacketRole.HEAD_END);
--- a/src/test/java/lineward/mysql/client/CursorStateTest.java
+++ b/src/test/java/lineward/mysql/client/CursorStateTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The complete transition table of a cursor: one row for each state, one column for each event. */
+/** Checks the complete transition table of a cursor: one row for each state, one column for each event. */
 public class CursorStateTest {
     private static final Event[] EVENTS = {
         Event.COLUMNS_SENT,
@@ -20,7 +20,7 @@
         Event.CLOSE_REQUESTED, // in the order of the columns
     };
 
-    /** The state after each event; a dash if the event is not possible. */
+    /** The state after each event, or a dash if the event is not possible and must be rejected. */
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
--- a/src/test/java/lineward/mysql/client/SessionStateTest.java
+++ b/src/test/java/lineward/mysql/client/SessionStateTest.java
@@ -11,7 +11,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The complete transition table of a client's session: one row for each state, one column for each event.
+ * Checks the complete transition table of a client's session: one row for each state, one column for each
+ * event.
  */
 public class SessionStateTest {
     private static final Event[] EVENTS = {
@@ -25,7 +26,7 @@
         Event.DISCONNECTED
     };
 
-    /** The state after each event; a dash if the event does not change the state. */
+    /** The state after each event, or a dash if the event leaves the state unchanged. */
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
--- a/src/test/java/lineward/mysql/engine/ConnectionStateTest.java
+++ b/src/test/java/lineward/mysql/engine/ConnectionStateTest.java
@@ -13,9 +13,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of a connection to an engine, and the outcomes of attempts in each state. */
+/** Checks the transition table of a connection to an engine, and the outcomes of attempts in each state. */
 public class ConnectionStateTest {
-    /** The transitions that are possible in each state, and the states after them. */
+    /** The possible transitions of each state, with the state that follows. */
     private static final Map<ConnectionState, String> TABLE = Map.of(
             ConnectionState.CONNECTING, "CLOSE=CLOSED CONNECT=AUTHENTICATING",
             ConnectionState.AUTHENTICATING, "AUTHENTICATE=IDLE CLOSE=CLOSED",
