--- a/src/main/java/lineward/mysql/client/ConnectedClients.java
+++ b/src/main/java/lineward/mysql/client/ConnectedClients.java
@@ -12,7 +12,7 @@
 /** The connected clients. Closes idle ones and ones that do not log in. Confined to the event loop. */
 public final class ConnectedClients {
     private static final long LOGIN_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
-    /** Time that clients have to read their open cursors after the graceful shutdown has started. */
+    /** Time that clients have to read their open cursors after the drain or shutdown has started. */
     private static final long CURSOR_GRACE_NANOS = TimeUnit.SECONDS.toNanos(10);
 
     private final int maxClients;
@@ -40,10 +40,11 @@
 
     /**
      * Closes each idle client with the given probability. Once the grace period for cursors has passed since
-     * the start of the shutdown, also closes all clients with open cursors but no command in progress.
+     * the start of the drain or shutdown, also closes all clients without a command in progress, even with
+     * open cursors.
      *
      * @param probability the probability that an idle client is closed
-     * @param shutdownStartedNanos {@link System#nanoTime} at the start of the graceful shutdown
+     * @param shutdownStartedNanos {@link System#nanoTime} at the start of the drain or graceful shutdown
      */
     public void closeIdle(double probability, long shutdownStartedNanos) {
         if (System.nanoTime() - shutdownStartedNanos > CURSOR_GRACE_NANOS) {
--- a/src/main/java/lineward/mysql/client/CursorState.java
+++ b/src/main/java/lineward/mysql/client/CursorState.java
@@ -8,9 +8,9 @@
     READY,
     /** Requested rows are being sent. */
     FETCHING,
-    /** The last requested rows are being sent; the result has no others. */
+    /** The last rows of the result have been requested and are being sent. */
     FETCHING_LAST,
-    /** All rows have been sent, but the client has not been told so. */
+    /** No rows are left, and none are requested. */
     EXHAUSTED,
     /** The result is released; nothing more is sent. */
     CLOSED;
