--- a/src/main/java/lineward/thrift/Call.java
+++ b/src/main/java/lineward/thrift/Call.java
@@ -13,9 +13,9 @@
     private static final long NOT_ADMITTED = GenerationalTable.FULL;
 
     private enum State {
-        /** It awaits its final response and holds its statement. */
+        /** The call awaits its final response and holds its statement. */
         OPEN,
-        /** Its final response is sent or no longer needed, and its statement is released. */
+        /** The final response has been sent or is no longer needed, and the statement is released. */
         COMPLETED
     }
 
@@ -48,22 +48,22 @@
         return fields.id();
     }
 
-    /** Returns the connection of its client. */
+    /** Returns the connection that the call arrived on. */
     ClientHandler client() {
         return client;
     }
 
-    /** Returns the sequence number of its response, unique on the connection. */
+    /** Returns the sequence number of the call and its response, unique on the connection. */
     int sequenceNumber() {
         return sequenceNumber;
     }
 
-    /** Returns its validated fields. */
+    /** Returns the validated fields. */
     CallFields fields() {
         return fields;
     }
 
-    /** Returns its statement, valid until the call is complete. */
+    /** Returns the statement, valid until the call is complete. */
     ByteBuf statement() {
         return statement;
     }
@@ -73,12 +73,12 @@
         return requestId;
     }
 
-    /** The coordinator has admitted the call under that id. */
+    /** Records the id under which the coordinator has admitted the call. */
     void admitted(long id) {
         requestId = id;
     }
 
-    /** The coordinator has started an attempt, which replaces the previous one. */
+    /** Records an attempt that the coordinator has started; it replaces the previous one. */
     void attemptStarted(int number, QueryAttempt started) {
         attemptNumber = number;
         attempt = started;
--- a/src/main/java/lineward/thrift/CallField.java
+++ b/src/main/java/lineward/thrift/CallField.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The fields of a request that the front end reads, with their names on the wire. */
+/** The request fields that the front end reads, with their wire names. */
 enum CallField {
     /** The request's id. */
     ID("call"),
@@ -32,12 +32,12 @@
         this.wireName = wireName;
     }
 
-    /** Returns the field's name on the wire. */
+    /** Returns the wire name of the field. */
     String wireName() {
         return wireName;
     }
 
-    /** Returns the field with that name on the wire; empty for fields that the front end ignores. */
+    /** Returns the field with that wire name; empty for fields that the front end ignores. */
     static Optional<CallField> ofWireName(String name) {
         return Optional.ofNullable(BY_WIRE_NAME.get(name));
     }
--- a/src/main/java/lineward/thrift/CallFields.java
+++ b/src/main/java/lineward/thrift/CallFields.java
@@ -11,7 +11,7 @@
  * The validated fields of a request. Only these reach the scheduler and the engines. Immutable.
  *
  * @param id the request's id, 16 hexadecimal digits
- * @param requestClass name of the class
+ * @param requestClass name of the request class
  * @param attributes the fields on which the scheduler decides
  */
 record CallFields(String id, String requestClass, RequestAttributes attributes) {
@@ -20,9 +20,9 @@
     private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
     /** Maximum of the time left, as a multiple of the class's deadline. */
     private static final double MAX_TIME_LEFT_PER_DEADLINE = 4;
-    /** Maximum of estimated work, as a multiple of the class's deadline. */
+    /** Maximum of the estimated work, as a multiple of the class's deadline. */
     private static final double MAX_WORK_PER_DEADLINE = 1000;
-    /** Maximum of estimated memory: a terabyte, more than any engine has. */
+    /** Maximum of the estimated memory: a terabyte, more than any engine has. */
     private static final double MAX_ESTIMATED_MEMORY_MB = 1 << 20;
 
     /**
--- a/src/main/java/lineward/thrift/CallForwarder.java
+++ b/src/main/java/lineward/thrift/CallForwarder.java
@@ -22,7 +22,7 @@
     private final OpenCalls calls;
     private final Consumer<byte[]> peers;
 
-    /** @param services sends datagrams to the other front ends */
+    /** @param services of which only the sender of gossip datagrams is used */
     CallForwarder(CoordinatorDriver<Call> driver, EngineCluster engines, OpenCalls calls, Services services) {
         this.driver = driver;
         this.engines = engines;
@@ -96,7 +96,10 @@
         return call.client().channel().alloc();
     }
 
-    /** Reports an attempt's progress and end, and sends the result that the coordinator accepts. */
+    /**
+     * Reports an attempt's progress and end to the coordinator, and sends the result to the client if the
+     * coordinator accepts it.
+     */
     private final class AttemptListener implements QueryAttempt.Listener {
         private final Call call;
         private final int attemptNumber;
--- a/src/main/java/lineward/thrift/ClientHandler.java
+++ b/src/main/java/lineward/thrift/ClientHandler.java
@@ -17,15 +17,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One client's connection: decodes its messages and holds the calls that await a response. Runs on its
- * channel's event loop.
+ * The connection of one client: decodes its messages and holds the calls that await a response. Runs on the
+ * event loop of its channel.
  */
 final class ClientHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private static final Logger LOGGER = LoggerFactory.getLogger(ClientHandler.class);
     private static final RateLimitedLog LOG = new RateLimitedLog(LOGGER);
-    /** Maximum of calls open on a connection, including those whose response is being written. */
+    /** Maximum of open calls per connection, including those whose response is being written. */
     private static final int MAX_OPEN_CALLS = 32;
-    /** Retry-After of a call that is rejected because this front end is full. */
+    /** Retry-After of a call that is rejected at admission. */
     private static final long RETRY_AFTER_MS = 500;
 
     private final ClientRegistry<ClientHandler> clients;
@@ -35,7 +35,7 @@
     private final Map<Integer, Call> openCalls = new HashMap<>();
     private Channel channel;
     private long unreadBytes;
-    /** Responses whose last byte the socket has not taken. The client still regards their calls as open. */
+    /** Responses that are not completely written. The client still regards their calls as open. */
     private int unsentResponses;
 
     private boolean receivedMessage;
@@ -61,14 +61,14 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-        // The same read may deliver frames after the one on which this handler closed the connection.
+        // One read may deliver more frames after the one on which this handler closed the connection.
         if (!ctx.channel().isActive()) {
             return;
         }
         receivedMessage = true;
-        // A client that sends but does not read would fill the memory.
+        // Bounds the memory taken by responses of a client that sends but does not read.
         if (unsentResponses >= MAX_OPEN_CALLS) {
-            throw new DecoderException("more than " + MAX_OPEN_CALLS + " responses not read");
+            throw new DecoderException("client does not read: " + unsentResponses + " responses not written");
         }
         ThriftReader.Header header = ThriftReader.readHeader(frame);
         if (header.isAbort()) {
@@ -76,7 +76,7 @@
         } else if (header.isCall()) {
             call(header, frame);
         } else {
-            throw new DecoderException("message of kind " + header.kind() + " for " + header.method());
+            throw new DecoderException("unexpected message type " + header.kind() + " of " + header.method());
         }
     }
 
@@ -95,10 +95,13 @@
         }
     }
 
-    /** Ignores the abort of a completed call. The abort of a call that was never made is malformed. */
+    /**
+     * Cancels an open call. The abort of a completed call has no effect; that of a call that was never made
+     * violates the protocol.
+     */
     private void abort(OptionalInt sequenceNumber) {
         if (sequenceNumber.isEmpty() || sequenceNumber.getAsInt() > lastSequenceNumber) {
-            throw new DecoderException("abort of a request that was never made");
+            throw new DecoderException("abort of an unknown request");
         }
         Call call = openCalls.remove(sequenceNumber.getAsInt());
         if (call != null) {
@@ -128,9 +131,9 @@
     }
 
     private void requireWithinLimits(int sequenceNumber) {
-        // A client that reuses a number violates the protocol, as the responses would be ambiguous.
+        // Sequence numbers must increase: a reused one would make the responses ambiguous.
         if (sequenceNumber <= lastSequenceNumber) {
-            throw new DecoderException("sequence number " + sequenceNumber + " does not rise");
+            throw new DecoderException("sequence number " + sequenceNumber + " is not above the last one");
         }
         lastSequenceNumber = sequenceNumber;
         if (openCalls.size() + unsentResponses >= MAX_OPEN_CALLS) {
@@ -144,7 +147,7 @@
         }
     }
 
-    /** Sends a call's only response, or releases it if the client no longer waits for it. */
+    /** Sends the final response of a call, or releases it if the client no longer waits for it. */
     void respond(Call call, ByteBuf response) {
         if (openCalls.remove(call.sequenceNumber(), call)) {
             send(response);
@@ -163,12 +166,12 @@
         return frameDecoder.isStalled(nanos);
     }
 
-    /** Returns whether no call is open or partly received, and every response has been written. */
+    /** Returns whether no call is open or partly received, and all responses have been written. */
     boolean isIdle() {
         return openCalls.isEmpty() && unsentResponses == 0 && !frameDecoder.hasPartialFrame();
     }
 
-    /** Closes the connection once the responses are written, unless a call arrives first. */
+    /** Closes the connection if it is still idle once the bytes that have arrived are read. */
     void closeGracefully() {
         if (receivedMessage) {
             LingeringClose.begin(channel, this::isIdle, this::becomeIdleIfNoCallIsOpen);
@@ -182,19 +185,19 @@
         ChannelFuture unused = channel.close();
     }
 
-    /** A response of that many bytes is being written. */
+    /** Records that a response of that many bytes is being written. */
     void responseStarted(long bytes) {
         unreadBytes += bytes;
         unsentResponses++;
     }
 
-    /** The socket has taken the last byte of a response, or the write has failed. */
+    /** Records that a response has been written completely, or that its write has failed. */
     void responseEnded(long bytes) {
         unreadBytes -= bytes;
         unsentResponses--;
     }
 
-    /** Returns the bytes of responses that the socket has not taken. */
+    /** Returns the bytes of responses that are not completely written. */
     long unreadBytes() {
         return unreadBytes;
     }
@@ -210,7 +213,7 @@
         ChannelFuture unused = ctx.close();
     }
 
-    /** Cancels the open calls, as their client has disconnected. */
+    /** Cancels the open calls of the disconnected client. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         clients.disconnected(this);
--- a/src/main/java/lineward/thrift/InvalidCallException.java
+++ b/src/main/java/lineward/thrift/InvalidCallException.java
@@ -1,6 +1,6 @@
 package lineward.thrift;
 
-/** A call that is invalid. The response carries the message, and the connection stays open. */
+/** Thrown for an invalid call. The response carries the message, and the connection stays open. */
 final class InvalidCallException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/lineward/thrift/OpenCalls.java
+++ b/src/main/java/lineward/thrift/OpenCalls.java
@@ -19,7 +19,7 @@
 
     /**
      * @param maxStatementBytes maximum bytes of the statements of open calls; further calls are rejected
-     * @param metrics count the calls that end before the coordinator has admitted them
+     * @param metrics counts the calls that end before the coordinator has admitted them
      */
     OpenCalls(Names names, long maxStatementBytes, CoordinatorDriver<Call> driver, Metrics metrics) {
         this.names = names;
@@ -28,12 +28,12 @@
         this.metrics = metrics;
     }
 
-    /** Sets the phase of admission from now on. */
+    /** Sets which clients and requests are admitted from now on. */
     void setAdmission(ServerAdmissionPolicy.Phase next) {
         admission.enter(next);
     }
 
-    /** Returns whether this front end accepts clients that could use another one. */
+    /** Returns whether this front end accepts clients that can use another one. */
     boolean acceptsClients() {
         return admission.welcomesClients();
     }
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Releases the call's statement and id. Only the first call has an effect: a client may disconnect
-     * between the decision that its request has failed and the response.
+     * Releases the call's statement at once and its id after the quarantine. A completed call is ignored: a
+     * client may disconnect between the decision that its request has failed and the response.
      */
     void complete(Call call) {
         if (call.complete()) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Allows the ids of calls again that ended long enough ago. */
+    /** Releases the ids of calls whose quarantine is over. */
     void expireIds() {
         ids.expire(System.nanoTime());
     }
--- a/src/main/java/lineward/thrift/ProtocolWarmup.java
+++ b/src/main/java/lineward/thrift/ProtocolWarmup.java
@@ -14,8 +14,8 @@
 import lineward.thrift.ThriftServer.Services;
 
 /**
- * Runs requests through a server without sockets and engines, before the program listens. The JVM then has
- * loaded and compiled the code of a request, which would otherwise delay the first one by many milliseconds.
+ * Warms up the JVM before the program listens: runs requests through a server without sockets or engines, so
+ * that their code is loaded and compiled. This would otherwise delay the first request by many milliseconds.
  */
 public final class ProtocolWarmup {
     private static final int REQUESTS = 60;
@@ -28,11 +28,11 @@
     private ProtocolWarmup() {}
 
     /**
-     * Runs the requests and returns after the last one. Called on the event loop.
+     * Runs all requests and returns. Called on the event loop.
      *
-     * @param coordinator a coordinator that serves nothing else
-     * @param engines a cluster without engines, at which attempts end at once
-     * @param clock milliseconds
+     * @param coordinator used for the warm-up only
+     * @param engines a cluster without engines, in which attempts end at once
+     * @param clock the time in milliseconds, never going back
      */
     public static void run(
             ThriftServer.Names names,
--- a/src/main/java/lineward/thrift/ResponseSender.java
+++ b/src/main/java/lineward/thrift/ResponseSender.java
@@ -6,12 +6,12 @@
 import lineward.core.ByteBudget;
 import lineward.frontend.ClientRegistry;
 
-/** Sends responses and bounds the bytes that clients have not read. Used on the event loop only. */
+/** Sends responses, and bounds the bytes that clients have not read. Used on the event loop only. */
 final class ResponseSender {
     private final ClientRegistry<ClientHandler> clients;
     private final ByteBudget unreadBytes;
 
-    /** @param maxUnreadBytes maximum for all clients; beyond it the slowest reader is closed */
+    /** @param maxUnreadBytes maximum for all clients; beyond it the client with most of them is closed */
     ResponseSender(ClientRegistry<ClientHandler> clients, long maxUnreadBytes) {
         this.clients = clients;
         this.unreadBytes = new ByteBudget(maxUnreadBytes);
@@ -22,7 +22,7 @@
         return unreadBytes.used();
     }
 
-    /** Sends the frame and becomes its owner; closes the client if the bound does not allow the frame. */
+    /** Sends the frame and takes ownership of it. Closes the client if the frame exceeds the bound. */
     void send(ClientHandler client, ByteBuf frame) {
         int bytes = frame.readableBytes();
         if (!reserve(client.channel(), bytes)) {
--- a/src/main/java/lineward/thrift/ThriftProtocol.java
+++ b/src/main/java/lineward/thrift/ThriftProtocol.java
@@ -1,24 +1,24 @@
 package lineward.thrift;
 
 /**
- * The constants of the platform's Thrift service on the wire: kinds of message and value, methods, field ids.
- * The names of a request's fields are in {@link CallField}.
+ * The constants of the platform's Thrift service: message and value types, methods and field ids. The names
+ * of the request fields are in {@link CallField}.
  */
 final class ThriftProtocol {
-    /** Version of the strict binary protocol, in the upper half of a message's first word. */
+    /** Version of the strict binary protocol, in the upper half of the first word of a message. */
     static final int VERSION = 0x80010000;
 
     static final int VERSION_MASK = 0xffff0000;
     static final int MESSAGE_KIND_MASK = 0xff;
 
-    /** Kinds of message. */
+    /** Message types. */
     static final int CALL = 1;
 
     static final int REPLY = 2;
     static final int EXCEPTION = 3;
     static final int ONEWAY = 4;
 
-    /** Kinds of value. */
+    /** Value types. */
     static final byte STOP = 0;
 
     static final byte BOOL = 2;
@@ -33,7 +33,7 @@
     static final byte SET = 14;
     static final byte LIST = 15;
 
-    /** The service's methods. */
+    /** Methods of the service. */
     static final String INVOKE = "invoke";
 
     static final String PING = "ping";
@@ -46,21 +46,21 @@
     /** Field id of the argument of {@link #ABORT}. */
     static final int ARGUMENT_SEQUENCE_NUMBER = 1;
 
-    /** Field ids of a reply: its success, or one of the declared exceptions. */
+    /** Field ids of a reply: the result, or one of the declared exceptions. */
     static final int REPLY_SUCCESS = 0;
 
     static final int REPLY_OVERLOADED = 1;
     static final int REPLY_INTERNAL = 2;
 
-    /** Field ids of a successful reply's struct. */
+    /** Field ids of the result struct. */
     static final int RESULT_BODY = 1;
 
     static final int RESULT_FIELDS = 2;
     static final int RESULT_OK = 3;
 
-    /** Field id of a declared exception's struct. */
+    /** Field id of the struct of a declared exception. */
     static final int DECLARED_FIELDS = 1;
-    /** The declared exception's field with the time in milliseconds after which the client should retry. */
+    /** Field of a declared exception: the time in milliseconds after which the client should retry. */
     static final String RETRY_AFTER_FIELD = "pushback";
 
     /** Field ids of an application exception. */
@@ -73,7 +73,7 @@
 
     static final int PROTOCOL_ERROR = 7;
 
-    /** Values of a request's field that is a flag. */
+    /** Values of a boolean request field. */
     static final String FIELD_FALSE = "0";
 
     static final String FIELD_TRUE = "1";
--- a/src/main/java/lineward/thrift/ThriftReader.java
+++ b/src/main/java/lineward/thrift/ThriftReader.java
@@ -19,7 +19,7 @@
     /**
      * The header of a message.
      *
-     * @param kind one of the kinds of message in {@link ThriftProtocol}
+     * @param kind one of the message types in {@link ThriftProtocol}
      */
     record Header(int kind, String method, int sequenceNumber) {
         boolean isCall() {
@@ -34,7 +34,7 @@
     /**
      * The arguments of an invocation.
      *
-     * @param fields the values of the fields that are present
+     * @param fields the known fields that are present, with their values
      * @param statement a slice of the frame; null if it is absent
      */
     record Invocation(Map<CallField, String> fields, ByteBuf statement) {}
@@ -46,16 +46,16 @@
         try {
             int versionAndKind = in.readInt();
             if ((versionAndKind & ThriftProtocol.VERSION_MASK) != ThriftProtocol.VERSION) {
-                throw new CorruptedFrameException("not the strict binary protocol");
+                throw new CorruptedFrameException("not a message of the strict binary protocol");
             }
             int length = in.readInt();
             if (length < 0 || length > MAX_METHOD_NAME_BYTES) {
-                throw new CorruptedFrameException("name of " + length + " bytes");
+                throw new CorruptedFrameException("method name of " + length + " bytes");
             }
             String method = in.readCharSequence(length, StandardCharsets.UTF_8).toString();
             return new Header(versionAndKind & ThriftProtocol.MESSAGE_KIND_MASK, method, in.readInt());
         } catch (IndexOutOfBoundsException e) {
-            throw new CorruptedFrameException("message ends early");
+            throw new CorruptedFrameException("message header is truncated");
         }
     }
 
@@ -76,7 +76,7 @@
             }
             requireEnd(in);
         } catch (IndexOutOfBoundsException e) {
-            throw new CorruptedFrameException("arguments end early");
+            throw new CorruptedFrameException("arguments are truncated");
         }
         return new Invocation(fields, statement);
     }
@@ -95,12 +95,12 @@
             }
             requireEnd(in);
         } catch (IndexOutOfBoundsException e) {
-            throw new CorruptedFrameException("arguments end early");
+            throw new CorruptedFrameException("arguments are truncated");
         }
         return found;
     }
 
-    /** Detects a wrong length that leaves valid arguments, but not at the end of the message. */
+    /** Rejects trailing bytes: they show a wrong length, although the arguments themselves are valid. */
     private static void requireEnd(ByteBuf in) {
         if (in.isReadable()) {
             throw new CorruptedFrameException(in.readableBytes() + " bytes after the arguments");
@@ -114,7 +114,7 @@
         boolean ofStrings = keyType == ThriftProtocol.STRING && valueType == ThriftProtocol.STRING;
         boolean sizeInRange = size >= 0 && size <= MAX_CALL_FIELDS;
         if (!sizeInRange || (size > 0 && !ofStrings)) {
-            throw new CorruptedFrameException("not a small map of strings");
+            throw new CorruptedFrameException("fields are not a map of up to " + MAX_CALL_FIELDS + " strings");
         }
         Map<CallField, String> fields = new EnumMap<>(CallField.class);
         for (int i = 0; i < size; i++) {
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -23,23 +23,23 @@
 import lineward.scheduling.decision.ServerAdmissionPolicy;
 
 /**
- * The platform's front end: accepts clients that speak Thrift, and closes their connections. All but the
- * constructors and {@link #listen} is called on the event loop.
+ * The protocol server for the platform's Thrift clients: accepts their connections and closes them. All
+ * methods except the constructors and {@link #listen} are called on the event loop.
  */
 public final class ThriftServer implements ProtocolServer {
     private static final int LISTEN_BACKLOG = 1024;
-    /** Bytes read from one connection in one run of the event loop, so that no client starves the others. */
+    /** Sizes of a read, of which each connection gets one per event loop run, so that none starves others. */
     private static final int MIN_READ_BYTES = 512;
 
     private static final int INITIAL_READ_BYTES = 2 * 1024;
     private static final int MAX_READ_BYTES = 16 * 1024;
-    /** A client that sends nothing for this time after its connect, or within a frame, is closed. */
+    /** A client that sends nothing for this time after connecting, or within a frame, is closed. */
     private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
-    /** Time for the last responses to be written before the process is killed. */
+    /** Time for writing the last responses at shutdown; it ends before the process is killed. */
     private static final long FLUSH_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
     /**
-     * Names and deadlines in the order of the settings.
+     * Names and deadlines, in the order of the settings.
      *
      * @param classes names of the request classes
      * @param tenants names of the tenants
@@ -48,7 +48,7 @@
     public record Names(List<String> classes, List<String> tenants, List<Double> deadlines) {}
 
     /**
-     * Bounds of the resources of clients.
+     * Bounds of the resources that clients use.
      *
      * @param clients maximum of client connections
      * @param statementBytes maximum bytes of the statements of open requests; further requests are rejected
@@ -58,11 +58,11 @@
     public record Bounds(int clients, long statementBytes, long unreadBytes) {}
 
     /**
-     * The parts of the program that a protocol server uses.
+     * The services of the program that the server uses.
      *
-     * @param clock milliseconds, never going back
-     * @param tick arranges that {@link ThriftServer#tick} is called soon
-     * @param metrics count the requests that end before the coordinator has admitted them
+     * @param clock the time in milliseconds, never going back
+     * @param tick schedules a call of {@link ThriftServer#tick}
+     * @param metrics counts the requests that end before the coordinator has admitted them
      * @param gossip sends a datagram to the other front ends
      */
     public record Services(DoubleSupplier clock, Runnable tick, Metrics metrics, Consumer<byte[]> gossip) {}
@@ -79,7 +79,7 @@
 
     private OptionalLong openRequestsFailedAtNanos = OptionalLong.empty();
 
-    /** Creates the front end from the program's services one by one. */
+    /** Creates the server from the single services of the program. */
     public ThriftServer( // CHECKSTYLE:OFF ParameterNumber: the program's wiring calls it
             Names names,
             Bounds bounds,
@@ -94,7 +94,7 @@
     }
 
     /**
-     * Creates the front end, which accepts clients from {@link #listen} on.
+     * Creates the server, which accepts clients once {@link #listen} is called.
      *
      * @param listener opens the listening socket; null if {@link #listen} is never called
      */
@@ -137,7 +137,7 @@
         return bound;
     }
 
-    /** Returns new handlers for the connection of one client. */
+    /** Returns new handlers for one client connection. */
     ChannelHandler[] clientHandlers() {
         FrameDecoder decoder = new FrameDecoder();
         return new ChannelHandler[] {decoder, new ClientHandler(clients, calls, responses, decoder)};
--- a/src/main/java/lineward/thrift/ThriftValues.java
+++ b/src/main/java/lineward/thrift/ThriftValues.java
@@ -3,32 +3,32 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.CorruptedFrameException;
 
-/** Reads lengths and skips values of any kind in the strict binary protocol. */
+/** Reads lengths and skips values of any type in the strict binary protocol. */
 final class ThriftValues {
     private static final int MAX_NESTING = 32;
     private static final int FIELD_ID_BYTES = 2;
-    /** The type of values in a collection that is not a map. */
+    /** Value type that marks a collection that is not a map. */
     private static final byte NO_VALUES = ThriftProtocol.STOP;
 
     private ThriftValues() {}
 
-    /** Returns the length of the next value, which the message contains completely. */
+    /** Reads the length of the next value, and checks that the message contains the whole value. */
     static int readLength(ByteBuf in) {
         int length = in.readInt();
         if (length < 0 || length > in.readableBytes()) {
-            throw new CorruptedFrameException("value of " + length + " bytes");
+            throw new CorruptedFrameException("invalid value length " + length);
         }
         return length;
     }
 
-    /** Skips a value of that kind. */
+    /** Skips a value of that type. */
     static void skip(ByteBuf in, byte type) {
         skip(in, type, 0);
     }
 
     private static void skip(ByteBuf in, byte type, int depth) {
         if (depth > MAX_NESTING) {
-            throw new CorruptedFrameException("nested too deeply");
+            throw new CorruptedFrameException("values are nested deeper than " + MAX_NESTING);
         }
         switch (type) {
             case ThriftProtocol.BOOL, ThriftProtocol.BYTE -> in.skipBytes(Byte.BYTES);
@@ -39,7 +39,7 @@
             case ThriftProtocol.STRUCT -> skipStruct(in, depth);
             case ThriftProtocol.MAP -> skipElements(in, in.readByte(), in.readByte(), depth);
             case ThriftProtocol.SET, ThriftProtocol.LIST -> skipElements(in, in.readByte(), NO_VALUES, depth);
-            default -> throw new CorruptedFrameException("unknown kind of value " + type);
+            default -> throw new CorruptedFrameException("unknown value type " + type);
         }
     }
 
@@ -51,14 +51,15 @@
     }
 
     /**
-     * Skips the elements of a collection. Each has at least one byte, so the bytes left bound their count.
+     * Skips the elements of a collection. Each takes at least one byte, so the remaining bytes bound their
+     * number.
      *
      * @param valueType {@link #NO_VALUES} if the collection is not a map
      */
     private static void skipElements(ByteBuf in, byte elementType, byte valueType, int depth) {
         int count = in.readInt();
         if (count < 0 || count > in.readableBytes()) {
-            throw new CorruptedFrameException("collection of " + count);
+            throw new CorruptedFrameException("invalid collection size " + count);
         }
         for (int i = 0; i < count; i++) {
             skip(in, elementType, depth + 1);
--- a/src/main/java/lineward/thrift/ThriftWriter.java
+++ b/src/main/java/lineward/thrift/ThriftWriter.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import lineward.core.Command;
 
-/** Encodes the messages of the platform's service as frames, whose owner is the caller. */
+/** Encodes the messages of the platform's service as frames, which the caller owns. */
 final class ThriftWriter {
     private static final int FRAME_LENGTH_BYTES = 4;
-    /** Parts of a result's frame: header, result and trailer. */
+    /** Parts of the frame of a result: header, result and trailer. */
     private static final int RESULT_FRAME_PARTS = 3;
 
     private ThriftWriter() {}
 
-    /** Returns the response with a result. The frame becomes the owner of the result's unchanged bytes. */
+    /** Returns the response with a result. The frame takes ownership of the result, and does not copy it. */
     static ByteBuf result(ByteBufAllocator alloc, int sequenceNumber, ByteBuf result) {
         ByteBuf header = beginSuccess(alloc, ThriftProtocol.INVOKE, sequenceNumber);
         header.writeInt(result.readableBytes());
@@ -39,7 +39,7 @@
         return framed(buffer.writeByte(ThriftProtocol.STOP));
     }
 
-    /** Returns the response to a ping. Its flag states whether clients should use this front end. */
+    /** Returns the response to a ping, which states whether clients should use this front end. */
     static ByteBuf pong(ByteBufAllocator alloc, int sequenceNumber, boolean acceptsClients) {
         ByteBuf buffer = beginSuccess(alloc, ThriftProtocol.PING, sequenceNumber);
         buffer.writeInt(0);
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Returns the response of a rejected request.
+     * Returns the response to a rejected request.
      *
      * @param retryAfterMs the time after which the client should retry, or
      *     {@link Command.Reject#NO_RETRY_AFTER}
@@ -60,18 +60,18 @@
         return declaredException(alloc, sequenceNumber, ThriftProtocol.REPLY_OVERLOADED, fields);
     }
 
-    /** Returns the response of a failed request. */
+    /** Returns the response to a failed request. */
     static ByteBuf internalError(ByteBufAllocator alloc, int sequenceNumber) {
         return declaredException(alloc, sequenceNumber, ThriftProtocol.REPLY_INTERNAL, Map.of());
     }
 
-    /** Returns the response to a call of a method that does not exist. */
+    /** Returns the response to a call of an unknown method. */
     static ByteBuf unknownMethod(ByteBufAllocator alloc, String method, int sequenceNumber) {
         int code = ThriftProtocol.UNKNOWN_METHOD;
         return applicationException(alloc, method, sequenceNumber, code, "no such method");
     }
 
-    /** Returns the response of an invalid request. */
+    /** Returns the response to an invalid request. */
     static ByteBuf protocolError(ByteBufAllocator alloc, int sequenceNumber, String message) {
         int code = ThriftProtocol.PROTOCOL_ERROR;
         return applicationException(alloc, ThriftProtocol.INVOKE, sequenceNumber, code, message);
@@ -96,7 +96,7 @@
         return framed(buffer);
     }
 
-    /** Begins a successful reply; the caller appends the length of the body and the body. */
+    /** Begins a successful reply; the caller appends the body with its length. */
     private static ByteBuf beginSuccess(ByteBufAllocator alloc, String method, int sequenceNumber) {
         ByteBuf buffer = begin(alloc, ThriftProtocol.REPLY, method, sequenceNumber);
         writeFieldHeader(buffer, ThriftProtocol.STRUCT, ThriftProtocol.REPLY_SUCCESS);
--- a/src/main/java/lineward/thrift/package-info.java
+++ b/src/main/java/lineward/thrift/package-info.java
@@ -1,16 +1,17 @@
 /**
- * The platform's front end: clients speak framed Thrift in the strict binary protocol, engines the line
- * protocol of {@code lineward.engine}, and one {@code Coordinator} decides what happens to each request.
+ * The platform's protocol server: clients use framed Thrift in the strict binary protocol, engines use the
+ * line protocol of {@code lineward.engine}, and one {@code Coordinator} decides what happens to each request.
  *
  * <p>Owns the connections of clients, the bytes of their statements and responses, and the ids of their
  * requests; {@link lineward.thrift.ThriftServer} creates and connects the classes. {@code ThriftProtocol} and
- * {@code CallField} hold every word of the wire; {@code ThriftReader} decodes requests and {@code
- * ThriftWriter} encodes responses.
+ * {@code CallField} hold all names and codes of the wire protocol; {@code ThriftReader} decodes requests and
+ * {@code ThriftWriter} encodes responses.
  *
- * <p>May use {@code core}, {@code engine}, {@code frontend} and {@code operations}. Everything but
- * {@code ThriftServer.listen} runs on the one event loop.
+ * <p>May use {@code core}, {@code engine}, {@code frontend} and {@code operations}. All methods
+ * except {@code ThriftServer.listen} run on the one event loop.
  *
- * <p>Bounded: client connections, bytes of statements, bytes of unread responses ({@code Bounds}), a client's
- * frame, its open requests and the fields of a request. The design is described in docs/architecture.md.
+ * <p>Bounds apply to client connections, bytes of statements and bytes of unread responses ({@code Bounds}),
+ * to a frame, the open requests of a client and the fields of a request. The design is described in
+ * docs/architecture.md.
  */
 package lineward.thrift;
