--- a/src/main/java/lineward/thrift/ThriftReader.java
+++ b/src/main/java/lineward/thrift/ThriftReader.java
@@ -114,7 +114,7 @@
         boolean ofStrings = keyType == ThriftProtocol.STRING && valueType == ThriftProtocol.STRING;
         boolean sizeInRange = size >= 0 && size <= MAX_CALL_FIELDS;
         if (!sizeInRange || (size > 0 && !ofStrings)) {
-            throw new CorruptedFrameException("fields are not a map of up to " + MAX_CALL_FIELDS + " strings");
+            throw new CorruptedFrameException("fields are no map of up to " + MAX_CALL_FIELDS + " strings");
         }
         Map<CallField, String> fields = new EnumMap<>(CallField.class);
         for (int i = 0; i < size; i++) {
--- a/src/test/java/lineward/testing/AdminClient.java
+++ b/src/test/java/lineward/testing/AdminClient.java
@@ -15,12 +15,12 @@
 
     private final int port;
 
-    /** Creates a client of one program. */
+    /** Creates a client of that program's admin endpoint. */
     public AdminClient(Program program) {
         this.port = program.operations();
     }
 
-    /** Sends these bytes and returns the response, complete at the close of the connection. */
+    /** Sends these bytes and returns the response, which ends when the connection is closed. */
     public Answer raw(String bytes) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(10_000);
--- a/src/test/java/lineward/testing/Answer.java
+++ b/src/test/java/lineward/testing/Answer.java
@@ -2,5 +2,14 @@
 
 import java.util.Map;
 
-/** A response to a client: the message's kind, and the number and content of the result field that is set. */
+/**
+ * A response to a Thrift client.
+ *
+ * @param seqid sequence number of the request
+ * @param kind type of the message: 2 for a reply, 3 for an application exception
+ * @param field id of the reply's field that is set: 0 for a result, 1 if rejected, 2 if failed
+ * @param body text of the result or of the application exception
+ * @param fields fields of the result or of the declared exception
+ * @param good flag of the result
+ */
 public record Answer(int seqid, int kind, int field, String body, Map<String, String> fields, boolean good) {}
--- a/src/test/java/lineward/testing/ConcurrentRuns.java
+++ b/src/test/java/lineward/testing/ConcurrentRuns.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Records requests that several engines run at the same time. Threads of all engines call it. */
+/** Records requests that run more than once at the same time. Thread-safe: all engines call it. */
 public final class ConcurrentRuns {
     private final Set<String> running = ConcurrentHashMap.newKeySet();
     private final Set<String> duplicates = ConcurrentHashMap.newKeySet();
--- a/src/test/java/lineward/testing/EngineBehavior.java
+++ b/src/test/java/lineward/testing/EngineBehavior.java
@@ -1,19 +1,19 @@
 package lineward.testing;
 
-/** What a {@link TestingEngine} does with requests. */
+/** How a {@link TestingEngine} responds to requests. */
 public enum EngineBehavior {
     SERVE,
     NO_RESPONSE,
     ERROR,
     REJECT,
-    /** Resets the connection of each request. */
+    /** Resets the connection on which a request arrives. */
     RESET,
     MALFORMED_REPLY,
-    /** Sends one malformed reply and serves from then on. */
+    /** Sends one malformed reply, and serves all later requests. */
     MALFORMED_REPLY_ONCE,
-    /** Answers with the first page and an error for each further one. */
+    /** Responds with the first page, and with an error for each further one. */
     ERROR_ON_NEXT_PAGE,
-    /** Answers neither the request nor later health checks on its connection. */
+    /** Responds neither to the request nor to later pings on its connection. */
     UNRESPONSIVE,
     /** Sends each page twice, and a response with an unknown id. */
     DUPLICATE_RESPONSES,
@@ -22,19 +22,19 @@
     MISSING_PAGE_COUNT,
     /** Sends less than the announced length of the reply. */
     TRUNCATED_REPLY,
-    /** Resets a number of connections and serves from then on. */
+    /** Resets a limited number of connections, and serves all later requests. */
     RESET_LIMITED,
-    /** Sends progress reports, also unknown ones, and a failed health check before the result. */
+    /** Sends valid, unknown and invalid progress reports and a failed health check before the result. */
     PROGRESS_REPORTS,
     LARGE_RESULT,
-    /** Answers that the deadline has passed. */
+    /** Responds that the deadline has passed. */
     EXPIRED,
     /** Resets the connection before it has read the body of the request. */
     RESET_MID_REQUEST,
     CLOSE,
-    /** Rejects a request, and rejects it again once its next attempt has come. */
+    /** Rejects a request, and rejects it again when its next attempt arrives. */
     REJECT_TWICE,
-    /** Sends a reply whose end never comes. */
+    /** Sends a reply that exceeds its announced length and never ends. */
     ENDLESS_REPLY,
     /** Sends the result after the request has been cancelled. */
     RESPOND_AFTER_CANCEL
--- a/src/test/java/lineward/testing/FullBacklogListener.java
+++ b/src/test/java/lineward/testing/FullBacklogListener.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** An engine address with a full backlog: connections are not established until it opens. */
+/** An engine's listening socket whose backlog is full: no connection is established until {@link #open}. */
 public final class FullBacklogListener implements AutoCloseable {
     private static final int CONNECTS_MS = 200;
     private static final String SYN_SENT = "02";
@@ -31,19 +31,19 @@
                 return;
             }
         }
-        throw new IOException("the backlog is never full");
+        throw new IOException("the backlog is not full after " + fillers.size() + " connections");
     }
 
     public int port() {
         return server.getLocalPort();
     }
 
-    /** Waits until a client tries to connect. */
+    /** Waits until a client is connecting. */
     public void awaitConnecting() {
-        Program.await("a connection attempt", this::isConnecting);
+        Program.await("a client is connecting", this::isConnecting);
     }
 
-    /** Returns whether a client tries to connect. */
+    /** Returns whether a client is connecting: its socket is in state SYN_SENT. */
     public boolean isConnecting() {
         String end = String.format(":%04X %s", port(), SYN_SENT);
         try {
--- a/src/test/java/lineward/testing/Program.java
+++ b/src/test/java/lineward/testing/Program.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** The program as a child process. Its ports and states are read from its log. */
+/** Runs the program as a child process, and reads its ports from its log. */
 public final class Program implements AutoCloseable {
     private static final String LISTENS = "listening on ";
     private static final String OPERATIONS = "admin endpoint listening: address=";
@@ -47,12 +47,12 @@
         return command;
     }
 
-    /** Returns the port of its first listener, once it listens. */
+    /** Waits until the program listens, and returns the port of its first listener. */
     public int port() {
         return portIn(LISTENS);
     }
 
-    /** Returns the port of the admin endpoint. */
+    /** Waits until the admin endpoint listens, and returns its port. */
     public int operations() {
         return portIn(OPERATIONS);
     }
@@ -76,7 +76,7 @@
         return handle.isAlive();
     }
 
-    /** Returns the number of its open descriptors. */
+    /** Returns the number of its open file descriptors. */
     public int descriptors() {
         return Path.of("/proc/" + handle.pid() + "/fd").toFile().list().length;
     }
@@ -107,20 +107,20 @@
                 .waitFor();
     }
 
-    /** Returns its exit status, once it has ended. */
+    /** Waits until the program exits, and returns its exit status. */
     public int status() throws InterruptedException {
         if (!process.waitFor(30, TimeUnit.SECONDS)) {
-            throw new AssertionError("the program has not ended:\n" + log());
+            throw new AssertionError("the program has not exited within 30 s:\n" + log());
         }
         return process.exitValue();
     }
 
-    /** Waits until the condition holds. */
+    /** Waits until the condition holds; fails the test after 20 seconds. */
     public static void await(String what, BooleanSupplier holds) {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("not within 20 s: " + what);
+                throw new AssertionError("condition not met within 20 s: " + what);
             }
             Thread.onSpinWait();
             try {
--- a/src/test/java/lineward/testing/ProgramMetrics.java
+++ b/src/test/java/lineward/testing/ProgramMetrics.java
@@ -8,16 +8,16 @@
 
 /** Reads the metrics that a program exports at its admin endpoint. */
 public final class ProgramMetrics {
-    /** The outcome of served requests, as a label of the metrics. */
+    /** Label value of served requests. */
     public static final String SERVED = "fulfilled";
-    /** The outcome of rejected requests, as a label of the metrics. */
+    /** Label value of rejected requests. */
     public static final String REJECTED = "throttled";
-    /** The outcome of failed requests, as a label of the metrics. */
+    /** Label value of failed requests. */
     public static final String FAILED = "faulted";
 
     private ProgramMetrics() {}
 
-    /** Returns all metrics by name and labels. */
+    /** Returns the values of all metrics, by name and labels. */
     public static Map<String, Integer> read(Program program) throws IOException {
         AdminClient.Answer answer = new AdminClient(program).get("/ops/stats");
         assertEquals(answer.status(), 200);
@@ -31,7 +31,7 @@
         return all;
     }
 
-    /** Returns one metric; a program that can't be reached fails the test. */
+    /** Returns the value of one metric; fails the test if the program can't be reached. */
     public static int value(Program program, String name) {
         try {
             return read(program).get(name);
--- a/src/test/java/lineward/testing/RequestFields.java
+++ b/src/test/java/lineward/testing/RequestFields.java
@@ -1,6 +1,6 @@
 package lineward.testing;
 
-/** The names on the wire of a request's fields, and of the field that a rejection carries. */
+/** The wire names of the request fields, and of the field that a rejection carries. */
 public final class RequestFields {
     public static final String REQUEST_ID = "call";
     public static final String REQUEST_CLASS = "op";
--- a/src/test/java/lineward/testing/SocketActivator.java
+++ b/src/test/java/lineward/testing/SocketActivator.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Owns a listening socket and starts programs that inherit it as descriptor 0, as a platform does. Java can't
- * hand over a socket, so this is a Perl script.
+ * Owns a listening socket and starts programs that inherit it as descriptor 0, as the platform does. A Perl
+ * script does this, because Java can't pass a socket to a child process.
  */
 public final class SocketActivator implements AutoCloseable {
     private static final String SCRIPT = """
@@ -47,7 +47,7 @@
                 c != '\n';
                 c = process.getInputStream().read()) {
             if (c < 0) {
-                throw new IOException("the script has ended");
+                throw new IOException("the Perl script has exited");
             }
             line.append((char) c);
         }
@@ -64,10 +64,10 @@
         send("blocking");
     }
 
-    /** Starts a program; its output goes to the file. */
+    /** Starts a program, and redirects its output to the file {@code out}. */
     public ProcessHandle start(String out, String environment, List<String> command) throws IOException {
         send(out + '\t' + environment + '\t' + String.join("\t", command));
-        return ProcessHandle.of(readNumber()).orElseThrow(() -> new IOException("it has ended at once"));
+        return ProcessHandle.of(readNumber()).orElseThrow(() -> new IOException("the program has exited"));
     }
 
     private void send(String line) throws IOException {
--- a/src/test/java/lineward/testing/TestingClient.java
+++ b/src/test/java/lineward/testing/TestingClient.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A client of the Thrift protocol. It is used by one thread. */
+/** A client of the Thrift protocol. Not thread-safe. */
 public final class TestingClient implements AutoCloseable {
     private static final AtomicLong IDS = new AtomicLong(0xabcd_0000_0000L);
     private final Socket socket;
@@ -27,7 +27,7 @@
         this(port, 0);
     }
 
-    /** Creates a client that buffers about that many unread bytes; 0: the default. */
+    /** @param receiveBuffer size in bytes of the socket's receive buffer; 0 for the system's default */
     public TestingClient(int port, int receiveBuffer) throws IOException {
         socket = new Socket();
         if (receiveBuffer > 0) {
@@ -67,13 +67,13 @@
         return send(fields, statement, new byte[0]);
     }
 
-    /** Sends a request with these bytes after the message, in its frame. */
+    /** Sends a request whose frame has these bytes after the message. */
     public int send(Map<String, String> fields, String statement, byte[] trailer) throws IOException {
         sendFrame(message(fields, statement, trailer));
         return seqid;
     }
 
-    /** Returns the next request with its length. */
+    /** Returns the frame of the next request without sending it. */
     public byte[] encode(Map<String, String> fields, String statement) throws IOException {
         byte[] message = message(fields, statement, new byte[0]);
         return framed(message);
@@ -127,14 +127,14 @@
         out.write(bytes);
     }
 
-    /** Returns whether the connection ends before a response and the timeout. */
+    /** Returns whether the server closes the connection before it responds and before the timeout. */
     public boolean isClosed() throws IOException {
         try {
             return in.read() < 0;
         } catch (SocketTimeoutException e) {
             return false;
         } catch (SocketException e) {
-            return true; // A reset ends the connection as well.
+            return true; // The server has reset the connection.
         }
     }
 
@@ -201,7 +201,7 @@
         return new Answer(number, kind, resultField, body, fields, good);
     }
 
-    /** Returns the connection, for tests that end or configure it. */
+    /** Returns the socket, for tests that close or configure it. */
     public Socket socket() {
         return socket;
     }
--- a/src/test/java/lineward/testing/TestingEngine.java
+++ b/src/test/java/lineward/testing/TestingEngine.java
@@ -17,16 +17,16 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An engine of the line protocol. Its {@link EngineBehavior} sets what it does with a request. */
+/** A fake engine of the line protocol. Its {@link EngineBehavior} determines how it responds to requests. */
 public final class TestingEngine implements AutoCloseable {
-    /** Pages of each result. */
+    /** The pages of each result. */
     public static final List<String> PAGES = List.of("a\tb\tc\n", "d\te\tf\n", "g\th\ti\n");
 
     private static final int LARGE_PAGES = 8;
     private static final String LARGE_PAGE = ("a\tb\t" + "c".repeat(1195) + "\n").repeat(5);
-    /** More than the program accepts in one reply. */
+    /** Length of an endless reply, more than the program accepts in one reply. */
     private static final int ENDLESS_BYTES = 200_000;
-    /** The length that unfinished replies announce. */
+    /** Length that incomplete replies announce. */
     private static final int ANNOUNCED_BYTES = 900;
 
     private static final String UNKNOWN_ID = "fedcba9876543210";
@@ -35,15 +35,15 @@
     private final ServerSocket server;
     private final ConcurrentRuns runs;
     private final Thread acceptor;
-    /** Runs when a request has come, before the engine answers. */
+    /** Called for each request before the engine responds. */
     private volatile Runnable onRequest = () -> {};
-    /** Open connections with the requests that run on each. */
+    /** The open connections, with the requests that run on each. */
     private final Map<Socket, Set<String>> connections = new ConcurrentHashMap<>();
 
     private volatile EngineBehavior behavior = EngineBehavior.SERVE;
-    /** Requests that have come and that the behavior has not handled yet. */
+    /** Number of received requests that the behavior has not handled yet. */
     private final AtomicInteger unhandled = new AtomicInteger();
-    /** Connections to reset before the engine serves again. */
+    /** Number of connections to reset before the engine serves again. */
     private final AtomicInteger resetsLeft = new AtomicInteger();
 
     /** Creates an engine on a free port. */
@@ -56,7 +56,7 @@
         this(bound(port), new ConcurrentRuns());
     }
 
-    /** Creates an engine on a server socket on which connections may wait already. */
+    /** Creates an engine on a server socket whose backlog may already hold connections. */
     TestingEngine(ServerSocket server, ConcurrentRuns runs) {
         this.server = server;
         this.runs = runs;
@@ -89,32 +89,32 @@
         resetsLeft.set(count);
     }
 
-    /** Sets an action for each request, called before the engine answers. */
+    /** Sets an action to call for each request before the engine responds. */
     public void onRequest(Runnable action) {
         onRequest = action;
     }
 
-    /** Returns the received lines and bodies in order. */
+    /** Returns the received lines and bodies, in order. */
     public List<String> receivedLines() {
         return receivedLines;
     }
 
-    /** Returns the number of attempts that have come. */
+    /** Returns the number of received attempts. */
     public long requests() {
         return count(TestingLineProtocol.START_QUERY);
     }
 
-    /** Returns the number of attempts of one request that have come. */
+    /** Returns the number of received attempts of one request. */
     public long requests(String requestId) {
         return count(TestingLineProtocol.START_QUERY + ' ' + requestId);
     }
 
-    /** Returns the number of cancellations that have come. */
+    /** Returns the number of received cancels. */
     public long cancels() {
         return count(TestingLineProtocol.CANCEL_QUERY);
     }
 
-    /** Returns the number of health checks that have come. */
+    /** Returns the number of received pings, which are health checks and heartbeats. */
     public long healthChecks() {
         return count(TestingLineProtocol.HEALTH_CHECK);
     }
@@ -123,7 +123,7 @@
         return receivedLines.stream().filter(line -> line.startsWith(prefix)).count();
     }
 
-    /** Returns the ids of the received requests in order. */
+    /** Returns the ids of the received requests, in order. */
     public List<String> requestIds() {
         return receivedLines.stream()
                 .filter(line -> line.startsWith(TestingLineProtocol.START_QUERY + ' '))
@@ -131,7 +131,7 @@
                 .toList();
     }
 
-    /** Writes these characters on every connection. */
+    /** Writes this text to every open connection. */
     public void writeToAll(String text) throws IOException {
         for (Socket socket : connections.keySet()) {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
@@ -190,7 +190,7 @@
                 }
             }
         } catch (IOException e) {
-            // The connection ended, or the test closed the engine.
+            // The client closed the connection, or the test closed the engine.
         } finally {
             connections.remove(socket);
             running.forEach(runs::ended);
@@ -204,7 +204,7 @@
         receivedLines.add(TestingLineProtocol.bodyLine(body));
     }
 
-    /** Returns whether the connection answers no health checks from now on. */
+    /** Starts a query; returns whether the connection stops responding to pings. */
     private boolean startQuery(Socket socket, String id, Set<String> running) throws IOException {
         runs.started(id);
         running.add(id);
@@ -305,7 +305,7 @@
         TestingLineProtocol.write(socket, TestingLineProtocol.progress(id, "n=done,datum=1"), "");
     }
 
-    /** Rejects now, and again when the next attempt has come. */
+    /** Rejects the request now, and once more when the next attempt arrives. */
     private void rejectTwice(Socket socket, String id) throws IOException {
         TestingLineProtocol.write(socket, TestingLineProtocol.rejected(id), "");
         behavior = EngineBehavior.SERVE;
@@ -336,7 +336,7 @@
     public void close() throws IOException {
         server.close();
         try {
-            // The port stays in use until accept returns, and a new engine could not bind it.
+            // The port stays in use until accept returns; a new engine could not bind it before.
             acceptor.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -346,12 +346,12 @@
         }
     }
 
-    /** Resets a connection that its session, on a thread of its own, may close at the same time. */
+    /** Resets a connection that its session thread may close at the same time. */
     private static void resetUnlessClosed(Socket socket) throws IOException {
         try {
             reset(socket);
         } catch (SocketException e) {
-            // A socket that its session has just closed accepts no option; any other failure counts.
+            // The session has just closed the socket, which then accepts no option; other failures count.
             if (!socket.isClosed()) {
                 throw e;
             }
--- a/src/test/java/lineward/testing/TestingLineProtocol.java
+++ b/src/test/java/lineward/testing/TestingLineProtocol.java
@@ -9,21 +9,21 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The codec of {@link TestingEngine}: the only place with the words of the line protocol. */
+/** The codec of {@link TestingEngine}: the only place in the tests with the names of the line protocol. */
 public final class TestingLineProtocol {
     static final String START_QUERY = "want";
     static final String CANCEL_QUERY = "never_mind";
     static final String READ_PAGE = "turn";
     static final String HEALTH_CHECK = "there";
 
-    /** Progress reports: a known kind, an unknown kind, an invalid amount and none. */
+    /** Fields of progress reports: a known kind, an unknown kind, an invalid amount, and no fields. */
     static final List<String> PROGRESS = List.of("n=done,datum=0.5", "n=mood,datum=9", "n=done,datum=7", "-");
 
     private static final String BODY = "body ";
 
     private TestingLineProtocol() {}
 
-    /** Returns how the line starts that asks to run a request of that class. */
+    /** Returns the beginning of the line that starts a query of that class. */
     public static String startQueryPrefix(String requestId, String requestClass) {
         return START_QUERY + ' ' + requestId + " sort=" + requestClass + ",patience=";
     }
@@ -33,7 +33,7 @@
         return BODY + body;
     }
 
-    /** Returns the reply with a result's first page. */
+    /** Returns the head of the reply with the first page of a result. */
     static String firstPage(String requestId, int pages) {
         return requestId + " HIT total=" + pages;
     }
@@ -78,13 +78,13 @@
         return "what is this now";
     }
 
-    /** Writes a reply with its length. */
+    /** Writes a complete reply with its length. */
     static void write(Socket socket, String head, String body) throws IOException {
         OutputStream out = socket.getOutputStream();
         out.write((head + ' ' + body.length() + "\r\n" + body + "\r\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Writes a reply that announces that length, and only the start of its body. */
+    /** Writes a reply that announces that length but has only the beginning of its body. */
     static void writeStart(Socket socket, String head, int length, String bodyStart) throws IOException {
         byte[] bytes = (head + ' ' + length + "\r\n" + bodyStart).getBytes(StandardCharsets.US_ASCII);
         socket.getOutputStream().write(bytes);
--- a/src/test/java/lineward/testing/TestingPlatform.java
+++ b/src/test/java/lineward/testing/TestingPlatform.java
@@ -10,7 +10,7 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** The program on a small platform: two engines, a service discovery and a configuration file. */
+/** The program with two fake engines, a fake service discovery and a configuration file. */
 public final class TestingPlatform implements AutoCloseable {
     private static final String SETTINGS = """
             {"az":0,"classes":[{"name":"look","aim":500,"aim-stretch":2,"deadline":2500,"value":1,
@@ -38,12 +38,12 @@
         this(environment, null);
     }
 
-    /** @param activator owns the clients' socket; null: the program binds one */
+    /** @param activator owns the clients' listening socket; null if the program binds one */
     public TestingPlatform(Map<String, String> environment, SocketActivator activator) throws IOException {
         this(environment, activator, 2, 2, 1024);
     }
 
-    /** Creates a platform whose settings are changed by that function. */
+    /** @param change returns the changed text of the settings */
     public TestingPlatform(UnaryOperator<String> change) throws IOException {
         this(Map.of(), null, 2, 2, 1024, change);
     }
@@ -54,7 +54,7 @@
         this(environment, activator, fronts, engines, sockets, text -> text);
     }
 
-    /** @param engines number of endpoints: s-1, s-2 and so on, which alternate between both engines */
+    /** @param engines number of endpoints: s-1, s-2 and so on, which lead to both engines by turns */
     private TestingPlatform(
             Map<String, String> environment,
             SocketActivator activator,
@@ -75,7 +75,7 @@
         program.port();
     }
 
-    /** Returns an endpoint update: id, port and state for each engine of that range. */
+    /** Returns the arguments of an endpoint update: id, port and state for each endpoint of the range. */
     public String[] engines(int from, int to, String state) {
         return IntStream.rangeClosed(from, to)
                 .boxed()
@@ -83,19 +83,19 @@
                 .toArray(String[]::new);
     }
 
-    /** Starts the program again on the same socket. */
+    /** Starts one more process of the program, on the activator's socket. */
     public Program startAgain() throws IOException {
         return new Program(activator, "RELAY_CONFIG=" + config + ";TMPDIR=" + folder);
     }
 
-    /** Returns settings with long connection timeouts and deadlines. */
+    /** Returns settings with a long connect timeout, latency objective and deadline. */
     public static String withLongTimeouts(String settings) {
         return settings.replace("\"connect-timeout\":250", "\"connect-timeout\":8000")
                 .replace("\"deadline\":2500", "\"deadline\":20000")
                 .replace("\"aim\":500", "\"aim\":15000");
     }
 
-    /** Returns settings with one more class, "load", whose requests are not idempotent. */
+    /** Returns settings with another class, "load", whose requests are not idempotent. */
     public static String withUnsafeClass(String settings) {
         return settings.replace(
                         "\"classes\":[",
@@ -105,7 +105,7 @@
                 .replace("\"threads-by-class\":[1]", "\"threads-by-class\":[1,1]");
     }
 
-    /** Returns the number of attempts that have come to both engines. */
+    /** Returns the number of attempts that both engines have received. */
     public long requests() {
         return first.requests() + second.requests();
     }
@@ -116,7 +116,7 @@
         awaitNotified();
     }
 
-    /** Publishes a full snapshot with this engine only. */
+    /** Publishes a full snapshot that lists only this engine. */
     public void publishOnly(String id, TestingEngine engine) {
         discovery.publish(true, id, "" + engine.port(), "ready");
         awaitNotified();
@@ -125,15 +125,15 @@
     /** Waits until the program has received all events. */
     public void awaitNotified() {
         BooleanSupplier isNotified = () -> discovery.lastDelivered() == discovery.lastPublished();
-        Program.await("the program is notified", isNotified);
+        Program.await("the program has received all events", isNotified);
     }
 
-    /** Starts a second program with the current configuration. */
+    /** Starts a second program with the current configuration, on a socket of its own. */
     public Program startAnother() throws IOException {
         return new Program(Map.of("RELAY_CONFIG", config.toString()), "serve");
     }
 
-    /** Writes a configuration with this service discovery. */
+    /** Writes a configuration that uses this service discovery. */
     public void configure(TestingServiceDiscovery service) throws IOException {
         configure("{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"1f\",\"limits\":"
                 + "{\"sockets\":" + sockets + "},\"journal\":\"" + service.address()
@@ -155,7 +155,7 @@
         return new TestingClient(activator == null ? program.port() : activator.port());
     }
 
-    /** Sends requests that are served, and one that is rejected. */
+    /** Sends requests that are served, and one that is rejected as its time left is too short. */
     public void exercise(int served) throws IOException {
         try (TestingClient client = client()) {
             for (int i = 0; i < served; i++) {
@@ -173,17 +173,17 @@
         return discovery;
     }
 
-    /** Returns the engine of odd endpoints, s-1 among them. */
+    /** Returns the engine of the endpoints with odd numbers, such as s-1. */
     public TestingEngine first() {
         return first;
     }
 
-    /** Returns the engine of even endpoints, s-2 among them. */
+    /** Returns the engine of the endpoints with even numbers, such as s-2. */
     public TestingEngine second() {
         return second;
     }
 
-    /** Returns the requests that both engines have run at the same time. */
+    /** Returns the record of requests that ran more than once at the same time. */
     public ConcurrentRuns concurrentRuns() {
         return concurrentRuns;
     }
--- a/src/test/java/lineward/testing/TestingServiceDiscovery.java
+++ b/src/test/java/lineward/testing/TestingServiceDiscovery.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A service discovery: numbered events, and a long poll that waits for later ones. */
+/** A fake service discovery: publishes numbered events, which clients receive by long polls. */
 public final class TestingServiceDiscovery implements AutoCloseable {
     private final HttpServer server;
     private final List<String> events = new ArrayList<>();
-    /** Polls get an error. */
+    /** Whether polls get an error. */
     private volatile boolean broken;
-    /** Polls get no response, and their connections stay open. */
+    /** Whether polls get no response while their connections stay open. */
     private volatile boolean unresponsive;
 
     private final AtomicInteger polls = new AtomicInteger();
@@ -44,7 +44,7 @@
         this.broken = broken;
     }
 
-    /** Sets whether polls get no response, with their connections left open. */
+    /** Sets whether polls get no response while their connections stay open. */
     public void setUnresponsive(boolean unresponsive) {
         this.unresponsive = unresponsive;
     }
@@ -54,7 +54,7 @@
         return polls.get();
     }
 
-    /** Returns the number of the last event that the program has received, as its last poll says. */
+    /** Returns the number of the last event that the program has received, according to its last poll. */
     public int lastDelivered() {
         return lastDelivered;
     }
@@ -64,7 +64,7 @@
         return events.size();
     }
 
-    /** Publishes an event. Each endpoint is its id, its port and its state. */
+    /** Publishes an event. Three arguments make up an endpoint: its id, port and state. */
     public synchronized void publish(boolean fullSnapshot, String... endpoints) {
         StringBuilder list = new StringBuilder();
         for (int i = 0; i < endpoints.length; i += 3) {
@@ -83,7 +83,7 @@
         notifyAll();
     }
 
-    /** Returns the response with the events after that number. */
+    /** Returns the response with the events whose number is higher. */
     synchronized String eventsAfter(int number) {
         return "{\"pos\":" + events.size() + ",\"entries\":["
                 + String.join(",", events.subList(Math.min(number, events.size()), events.size())) + "]}";
