--- a/src/test/java/lineward/DocumentationTest.java
+++ b/src/test/java/lineward/DocumentationTest.java
@@ -18,18 +18,18 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The pages name files, classes and members that exist. */
+/** Checks that the documentation refers only to files, classes and members that exist. */
 public class DocumentationTest {
     private static final Pattern LINK = Pattern.compile("\\]\\(([^)#\\s]+)(?:#[^)]*)?\\)");
     private static final String PACKAGES = "(?:[a-z]+\\.)*";
     private static final String TYPES = "((?:[A-Z]+[a-z]\\w*)(?:\\.[A-Z]\\w*)*)";
     private static final String MEMBER = "(?:\\.([a-zA-Z]\\w*))?(?:\\(\\))?";
-    /** A class, perhaps with packages before it and a member behind it: `core.Coordinator.admit`. */
+    /** A class name, optionally with its package and a member: `core.Coordinator.admit`. */
     private static final Pattern CLASS_NAME = Pattern.compile("`" + PACKAGES + TYPES + MEMBER + "`");
 
     private static final Pattern DECLARATION = Pattern.compile("\\b(?:class|interface|record|enum) (\\w+)");
 
-    /** The text of the files that declare a type of that name. */
+    /** The text of the files that declare a type, by the name of the type. */
     private final Map<String, String> sourceByType = new HashMap<>();
 
     @BeforeClass
--- a/src/test/java/lineward/LayersTest.java
+++ b/src/test/java/lineward/LayersTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A layer may use itself and the layers below it, never one above. */
+/** Checks that a layer depends only on itself and the layers below it. */
 public class LayersTest {
     private record Layer(String name, List<String> packages) {
         Layer(String name, String... packages) {
@@ -20,7 +20,7 @@
         }
     }
 
-    /** From the top down. */
+    /** The layers of the program, from the top down. */
     private static final List<Layer> LAYERS = List.of(
             new Layer("app", "lineward.app.."),
             new Layer("protocols", "lineward.thrift..", "lineward.mysql.."),
@@ -30,7 +30,7 @@
             new Layer("core", "lineward.core..", "lineward.frontend.."),
             new Layer("scheduling", "lineward.scheduling.."));
 
-    /** The parts of the scheduling module, from the top down. */
+    /** The layers of the scheduling module, from the top down. */
     private static final List<Layer> SCHEDULING_LAYERS = List.of(
             new Layer("simulator", "lineward.scheduling.simulator"),
             new Layer("execution", "lineward.scheduling.execution"),
@@ -39,7 +39,7 @@
             new Layer("estimation", "lineward.scheduling.estimation"),
             new Layer("events, actions and settings", "lineward.scheduling"));
 
-    /** The parts of the MySQL front end, from the top down. */
+    /** The layers of the MySQL front end, from the top down. */
     private static final List<Layer> MYSQL_LAYERS = List.of(
             new Layer("server", "lineward.mysql"),
             new Layer("client", "lineward.mysql.client"),
@@ -68,7 +68,7 @@
         layered(MYSQL_LAYERS).check(productionClasses("lineward.mysql"));
     }
 
-    /** Returns the rule for layers from the top down. */
+    /** Returns the rule for layers that are listed from the top down. */
     private static LayeredArchitecture layered(List<Layer> layers) {
         LayeredArchitecture architecture = Architectures.layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
@@ -113,7 +113,7 @@
                 .check(classes);
     }
 
-    /** Other classes change the state by its methods only. */
+    /** Other classes may change the scheduling state only through its methods. */
     @Test
     public void fieldsOfSchedulingStateArePrivate() {
         fields().that()
--- a/src/test/java/lineward/StartTest.java
+++ b/src/test/java/lineward/StartTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A configuration that can't be used ends the start with one plain line and status 2. */
+/** An invalid configuration ends the start with exit status 2 and a single line that names the error. */
 public class StartTest {
     private static final String GOOD =
             "\"listen\":\"127.0.0.1:0\",\"journal\":\"127.0.0.1:1\",\"known\":{\"pos\":0,\"entries\":[]}";
@@ -43,7 +43,7 @@
         String[] words = withFile ? new String[] {command, file.toString()} : new String[] {command};
         try (Program program = new Program(Map.of("RELAY_CONFIG", file.toString()), words)) {
             assertEquals(program.status(), 2);
-            Program.await("its line", () -> program.log().contains(says));
+            Program.await("the error is logged", () -> program.log().contains(says));
             assertEquals(program.log().lines().count(), 1, program.log());
         }
         Files.delete(file);
--- a/src/test/java/lineward/thrift/ClientDisconnectTest.java
+++ b/src/test/java/lineward/thrift/ClientDisconnectTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Starts no attempt for a client that closed or reset its connection, or aborted the request. */
+/** No attempt is started for a client that closed or reset its connection, or aborted the request. */
 public class ClientDisconnectTest {
     private static final int SERVED = 0;
     private static final int MAX_OPEN_CALLS = 32;
@@ -45,7 +45,7 @@
         return new Object[][] {{Disconnect.FIN}, {Disconnect.RESET}, {Disconnect.ABORT}};
     }
 
-    /** Disconnects and waits until the program has processed it, as another client's ping shows. */
+    /** Disconnects, and pings from another client until the program must have processed the disconnect. */
     private void go(TestingClient client, int seqid, Disconnect how) throws IOException {
         Socket socket = client.socket();
         switch (how) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Returns the id of a request that is served now, after all that could be forwarded before it. */
+    /** Sends a request, which is served after all others that could be forwarded, and returns its id. */
     private String serveAnother() throws IOException {
         try (TestingClient other = platform.client()) {
             Map<String, String> fields = TestingClient.fields(9000);
@@ -83,7 +83,7 @@
         platform.publishBoth("draining");
         try (TestingClient client = platform.client()) {
             int seqid = client.send(TestingClient.fields(9000), "select 1");
-            assertTrue(client.callMethod("ping").good(), "it is taken and held");
+            assertTrue(client.callMethod("ping").good(), "the request is admitted and queued");
             go(client, seqid, how);
             platform.publishBoth("ready");
             String next = serveAnother();
@@ -121,7 +121,7 @@
         try (TestingClient client = platform.client()) {
             Map<String, String> fields = TestingClient.fields(9000);
             int seqid = client.send(fields, "select 1");
-            Program.await("it has come", () -> drained.getCount() == 0);
+            Program.await("the engine has received it", () -> drained.getCount() == 0);
             Program.await("its attempt has ended", () -> open() == 1 && enginesAreIdle());
             go(client, seqid, how);
             platform.setBehavior(EngineBehavior.SERVE);
@@ -139,7 +139,10 @@
         }
     }
 
-    /** An engine rejects a request before it reads anything else. */
+    /**
+     * Returns whether both engines have responded to all requests. An engine rejects a request before it reads
+     * anything else.
+     */
     private boolean enginesAreIdle() {
         return platform.first().isIdle() && platform.second().isIdle();
     }
@@ -162,16 +165,16 @@
             }
             Map<String, String> last = TestingClient.fields(9000);
             int seqid = client.send(last, "select 1");
-            assertTrue(client.callMethod("ping").good(), "all are taken");
+            assertTrue(client.callMethod("ping").good(), "all are admitted");
             go(client, seqid, how);
             int out = ProgramMetrics.read(platform.program()).get("edge_relay_relayed_total");
-            assertTrue(out > 0 && out < MAX_OPEN_CALLS, out + " are out, the others held");
-            Program.await("they have come", () -> platform.requests() == out);
+            assertTrue(out > 0 && out < MAX_OPEN_CALLS, out + " are forwarded, the others queued");
+            Program.await("the engines have received them", () -> platform.requests() == out);
             platform.setBehavior(EngineBehavior.SERVE);
             String next = serveAnother();
             assertFalse(ids().contains(last.get(RequestFields.REQUEST_ID)));
             if (how != Disconnect.ABORT) {
-                assertEquals(ids().size(), out + 1, "none of the others went out either");
+                assertEquals(ids().size(), out + 1, "no other queued request was forwarded");
             }
             assertTrue(ids().contains(next));
         }
@@ -184,15 +187,15 @@
         platform.setBehavior(EngineBehavior.LARGE_RESULT);
         try (TestingClient client = new TestingClient(platform.program().port(), 4096)) {
             for (int i = 1; unread() < 300_000; i++) {
-                assertTrue(i < 200, "all buffers take more than that");
+                assertTrue(i < 200, "the buffers must be full by now");
                 client.send(TestingClient.fields(9000), "select 1");
                 int asked = i;
-                Program.await("it runs", () -> platform.requests() >= asked && open() == 0);
+                Program.await("it is served", () -> platform.requests() >= asked && open() == 0);
             }
             platform.publishBoth("draining");
             Map<String, String> last = TestingClient.fields(9000);
             int seqid = client.send(last, "select 1");
-            Program.await("it is taken", () -> open() == 1);
+            Program.await("it is admitted", () -> open() == 1);
             go(client, seqid, how);
             platform.setBehavior(EngineBehavior.SERVE);
             platform.publishBoth("ready");
--- a/src/test/java/lineward/thrift/EndpointListPollTest.java
+++ b/src/test/java/lineward/thrift/EndpointListPollTest.java
@@ -13,27 +13,27 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The poll of the endpoint list while the service is unresponsive, failing or unreachable. */
+/** Polls of the endpoint list while service discovery is unresponsive, failing or unreachable. */
 public class EndpointListPollTest {
     private static final int SERVED = 0;
-    /** The front end has to follow an event within this time, and a drain has 1 s of grace. */
+    /** The front end must apply an event within this time; the grace period of a drain is 1 s. */
     private static final long MAX_NOTIFICATION_MS = 7000;
 
-    /** The open poll gets no response and no close; an engine then starts to drain. */
+    /** The open poll gets neither a response nor a close. Then an engine starts to drain. */
     @Test
     public void receivesADrainInTimeAfterAnUnresponsivePoll() throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of())) {
             int polls = platform.discovery().polls();
             platform.discovery().setUnresponsive(true);
             Program.await(
-                    "a watch is open that will say nothing",
+                    "a poll is open that gets no response",
                     () -> platform.discovery().polls() > polls);
             long publishedNanos = System.nanoTime();
             platform.discovery().publish(false, platform.engines(1, 1, "draining"));
             platform.discovery().setUnresponsive(false);
             platform.awaitNotified();
             long maxNanos = TimeUnit.MILLISECONDS.toNanos(MAX_NOTIFICATION_MS);
-            assertTrue(System.nanoTime() - publishedNanos < maxNanos, "in time");
+            assertTrue(System.nanoTime() - publishedNanos < maxNanos, "notified in time");
             assertOneGetsNothing(platform);
         }
     }
@@ -48,7 +48,7 @@
         assertEquals(platform.first().requests(), before);
     }
 
-    /** Events repeat and states come in any order; the last event counts. */
+    /** Events are repeated and states come in any order; the last event applies. */
     @Test
     public void appliesTheLastOfRepeatedDrainEvents() throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of())) {
@@ -65,17 +65,17 @@
             try (TestingClient caller = platform.client()) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
-            assertTrue(platform.first().requests() > before, "used again");
+            assertTrue(platform.first().requests() > before, "the engine is used again");
         }
     }
 
-    /** What the service does while the program starts. */
+    /** State of service discovery while the program starts. */
     @DataProvider
     public Object[][] starts() {
         return new Object[][] {{"gone"}, {"broken"}, {"silent"}};
     }
 
-    /** The configured list suffices to start; later events arrive once the service responds. */
+    /** The program starts with the configured list; later events arrive once the service responds. */
     @Test(dataProvider = "starts")
     public void startsWithoutServiceDiscovery(String state) throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of());
@@ -97,7 +97,7 @@
                     other.publish(false, platform.engines(1, 1, "gone"));
                     other.setBroken(false);
                     other.setUnresponsive(false);
-                    Program.await("it is told", () -> other.lastDelivered() == 2);
+                    Program.await("it has received the event", () -> other.lastDelivered() == 2);
                 }
             }
         }
--- a/src/test/java/lineward/thrift/EngineConnectionTest.java
+++ b/src/test/java/lineward/thrift/EngineConnectionTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What crosses on connections to engines, on real sockets. */
+/** Requests and replies on connections to engines, over real sockets. */
 public class EngineConnectionTest {
     private static final int REJECTED = 1;
     private static final int FAILED = 2;
@@ -31,7 +31,7 @@
         platform.close();
     }
 
-    /** Each end of an attempt, and whether it proves that nothing ran. */
+    /** The ways in which an attempt ends, each with whether it proves that the query never ran. */
     @DataProvider
     public Object[][] attemptEnds() {
         return new Object[][] {
@@ -51,7 +51,7 @@
         };
     }
 
-    /** An unsafe request is retried only if it never ran; otherwise it fails. */
+    /** A non-idempotent request is retried only if it never ran; otherwise it fails. */
     @Test(dataProvider = "attemptEnds")
     public void runsAnUnsafeRequestAtMostOnce(EngineBehavior mode, boolean neverRan) throws IOException {
         platform = new TestingPlatform(TestingPlatform::withUnsafeClass);
@@ -63,11 +63,11 @@
             assertEquals(field, neverRan ? REJECTED : FAILED);
             long attempts = platform.requests();
             assertTrue(neverRan ? attempts > 1 : attempts == 1, attempts + " attempts");
-            assertTrue(caller.callMethod("ping").good(), "and no second answer");
+            assertTrue(caller.callMethod("ping").good(), "no second response");
         }
     }
 
-    /** One of two engines fails the attempt; the other serves the request, once and not concurrently. */
+    /** One of two engines fails the attempt; the other serves the request once, and not concurrently. */
     @Test(dataProvider = "attemptEnds")
     public void retriesASafeRequestAtAnotherEngine(EngineBehavior mode, boolean neverRan) throws IOException {
         platform = new TestingPlatform(Map.of());
@@ -84,12 +84,12 @@
         }
         try (TestingClient caller = platform.client()) {
             assertEquals(caller.call(TestingClient.fields(2400), "select 1").body(), ROWS);
-            assertTrue(caller.callMethod("ping").good(), "and no second answer");
+            assertTrue(caller.callMethod("ping").good(), "no second response");
         }
         assertEquals(platform.concurrentRuns().duplicates(), Set.of());
     }
 
-    /** The only engine rejects twice, the second time when the retry is in flight. */
+    /** The only engine rejects the request twice, the second time while the retry is in flight. */
     @Test
     public void aDuplicateResponseDoesNotEndTheNextAttempt() throws IOException {
         platform = new TestingPlatform(Map.of());
@@ -107,10 +107,10 @@
         platform.setBehavior(EngineBehavior.RESPOND_AFTER_CANCEL);
         try (TestingClient caller = platform.client()) {
             int seqid = caller.send(TestingClient.fields(2000), "select 1");
-            Program.await("it runs", () -> platform.requests() == 1);
+            Program.await("the request runs", () -> platform.requests() == 1);
             caller.abort(seqid);
             Program.await(
-                    "the engine is told",
+                    "the engine has received the cancel",
                     () -> platform.first().cancels() + platform.second().cancels() == 1);
             platform.setBehavior(EngineBehavior.SERVE);
             assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), ROWS);
@@ -118,19 +118,19 @@
         }
     }
 
-    /** Returns what the program has logged since it listens: its rehearsal is no engine's matter. */
+    /** Returns the log since the program listens; earlier lines may concern the engine of the warm-up. */
     private String logged() {
         String log = platform.program().log();
         return log.substring(log.indexOf("listening on"));
     }
 
-    /** How the engine leaves while a connection to it is coming up. */
+    /** States that an engine enters while a connection to it is being established. */
     @DataProvider
     public Object[][] leavingStates() {
         return new Object[][] {{"draining"}, {"gone"}};
     }
 
-    /** A slow connection must not carry the request to a draining engine or to its successor. */
+    /** A connection that comes up late must not carry the request to a draining engine or its successor. */
     @Test(dataProvider = "leavingStates")
     public void migratesARequestThatAwaitsAConnectionOfALeavingEngine(String state) throws IOException {
         platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
@@ -142,7 +142,7 @@
             late.awaitConnecting();
             String portOfTwo = "" + platform.second().port();
             platform.discovery().publish(false, "s-9", "" + late.port(), state, "s-2", portOfTwo, "ready");
-            assertEquals(caller.read().body(), ROWS, "served by the other");
+            assertEquals(caller.read().body(), ROWS, "served by the other engine");
             assertEquals(platform.second().requests(), 1);
             TestingEngine engine = late.open();
             platform.discovery().publish(false, "s-2", portOfTwo, "gone", "s-10", "" + late.port(), "ready");
@@ -150,11 +150,11 @@
             Map<String, String> fields = TestingClient.fields(9000);
             assertEquals(caller.call(fields, "select 2").body(), ROWS);
             String id = fields.get(RequestFields.REQUEST_ID);
-            assertEquals(engine.requestIds(), List.of(id), "only what was meant for it");
+            assertEquals(engine.requestIds(), List.of(id), "it gets its own request only");
         }
     }
 
-    /** A slow connection migrates its request; the engine is not ejected and serves once it is connected. */
+    /** The request migrates; the engine is not ejected, and serves once the connection is established. */
     @Test
     public void oneSlowConnectionDoesNotEjectTheEngine() throws IOException {
         platform = new TestingPlatform(Map.of());
@@ -163,7 +163,7 @@
             String portOfTwo = "" + platform.second().port();
             platform.discovery().publish(true, "s-9", "" + late.port(), "ready", "s-2", portOfTwo, "ready");
             platform.awaitNotified();
-            Program.await("a connection is tried", () -> {
+            Program.await("a connection is being established", () -> {
                 try {
                     return caller.call(TestingClient.fields(2400), "select 1")
                                     .body()
@@ -197,7 +197,7 @@
             String portOfTwo = "" + platform.second().port();
             platform.discovery().publish(true, "s-9", "" + late.port(), "ready", "s-2", portOfTwo, "ready");
             platform.awaitNotified();
-            Program.await("it is ejected", () -> {
+            Program.await("the engine is ejected", () -> {
                 try {
                     return caller.call(TestingClient.fields(2400), "select 1")
                                     .body()
@@ -210,7 +210,7 @@
         }
     }
 
-    /** Replies after an incomplete line can't be parsed, so the connection gets no request. */
+    /** A reply after an incomplete line can't be parsed, so the connection gets no request. */
     @Test
     public void anIncompleteLineOnAnIdleConnectionFailsNoRequest() throws IOException {
         platform = new TestingPlatform(Map.of());
@@ -220,8 +220,8 @@
             platform.first().writeToAll("00");
             assertTrue(caller.callMethod("ping").good());
             assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), ROWS);
-            assertEquals(platform.first().requests(), 2, "nothing had to go out again");
-            Program.await("the connection is asked", () -> platform.first().healthChecks() > 0);
+            assertEquals(platform.first().requests(), 2, "no request is retried");
+            Program.await("the engine is pinged", () -> platform.first().healthChecks() > 0);
         }
     }
 }
--- a/src/test/java/lineward/thrift/FrameDecoderTest.java
+++ b/src/test/java/lineward/thrift/FrameDecoderTest.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import org.testng.annotations.Test;
 
-/** Frames of clients that write in pieces of any size. */
+/** Decoding of frames that arrive in pieces of any size. */
 public class FrameDecoderTest {
     private static final byte[] TWO = {0, 0, 0, 2, 'a', 'b', 0, 0, 0, 3, 'c', 'd', 'e'};
 
--- a/src/test/java/lineward/thrift/GracefulShutdownTest.java
+++ b/src/test/java/lineward/thrift/GracefulShutdownTest.java
@@ -17,7 +17,7 @@
 import lineward.testing.TestingPlatform;
 import org.testng.annotations.Test;
 
-/** A drain that operators start and stop. */
+/** A drain that an operator starts and stops at the admin endpoint. */
 public class GracefulShutdownTest {
     private static final int REJECTED = 1;
 
@@ -25,7 +25,7 @@
     public void rejectsClientsDuringTheDrainAndAdmitsThemAfterwards() throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of())) {
             AdminClient operator = new AdminClient(platform.program());
-            Program.await("it is ready", operator::isReady);
+            Program.await("the program is ready", operator::isReady);
             List<TestingClient> resting = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 resting.add(platform.client());
@@ -35,7 +35,7 @@
             TestingClient busy = platform.client();
             busy.send(TestingClient.fields(2400), "select 1");
             Program.await(
-                    "it runs",
+                    "the request runs",
                     () -> platform.first().requests() + platform.second().requests() > 0);
             long start = System.nanoTime();
             assertEquals(operator.post("/ops/drain/start", "").status(), 200);
@@ -45,9 +45,9 @@
                 assertTrue(caller.isClosed());
             }
             long closed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
-            assertTrue(closed > 700 && closed < 3000, "closed over " + closed + " ms");
-            Program.await("new requests are refused", () -> refuses(busy));
-            Program.await("the open one is answered and its connection closed", () -> isClosed(busy));
+            assertTrue(closed > 700 && closed < 3000, "closed after " + closed + " ms");
+            Program.await("new requests are rejected", () -> refuses(busy));
+            Program.await("the open request ends and its connection closes", () -> isClosed(busy));
             assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(4000));
             assertTrue(platform.program().isAlive());
 
--- a/src/test/java/lineward/thrift/HotRestartHandoverTest.java
+++ b/src/test/java/lineward/thrift/HotRestartHandoverTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A new process takes over from the old one at a socket that both inherit. */
+/** A hot restart: a new process takes over from the old one on a listening socket that both inherit. */
 public class HotRestartHandoverTest {
     private static final int SERVED = 0;
     private SocketActivator holder;
@@ -37,7 +37,7 @@
         platform = new TestingPlatform(Map.of(), holder);
         next = platform.startAgain();
         operator = new AdminClient(next);
-        Program.await("the new one is ready", operator::isReady);
+        Program.await("the new process is ready", operator::isReady);
     }
 
     @AfterMethod(alwaysRun = true)
@@ -60,9 +60,9 @@
         }
         int before = ProgramMetrics.read(next).get("edge_relay_relayed_total");
         platform.program().terminate();
-        Program.await("it has heard", () -> platform.program().log().contains("SIGTERM"));
+        Program.await("SIGTERM was received", () -> platform.program().log().contains("SIGTERM"));
         for (TestingClient caller : kept) {
-            assertTrue(serves(caller), "a kept connection is served on");
+            assertTrue(serves(caller), "an open connection is still served");
         }
         for (int i = 0; i < 20; i++) {
             try (TestingClient caller = platform.client()) {
@@ -72,7 +72,7 @@
         assertTrue(
                 ProgramMetrics.read(next).get("edge_relay_relayed_total") >= before + 20,
                 "new connections go to the new process");
-        Program.await("the old one ends", () -> !platform.program().isAlive());
+        Program.await("the old process exits", () -> !platform.program().isAlive());
         assertFalse(
                 platform.program().log().contains("rror"), platform.program().log());
         for (TestingClient caller : kept) {
@@ -91,7 +91,7 @@
             open.add(caller.send(TestingClient.fields(9000), "select 1"));
         }
         Program.await(
-                "they run",
+                "the requests run",
                 () -> platform.first().requests() + platform.second().requests() >= 5);
         boolean nextHasRequests = ProgramMetrics.read(next).get("edge_relay_open_requests") > 0;
         Program first = nextHasRequests ? next : platform.program();
@@ -104,10 +104,10 @@
                 open.add(caller.send(TestingClient.fields(9000), "select 1"));
             }
         } catch (EOFException | SocketException e) {
-            // Closed when nothing was open any more.
+            // The program has closed the connection, as no request was open.
         }
-        assertTrue(answered >= 5, "all that ran were answered");
-        Program.await("it ends", () -> !first.isAlive());
+        assertTrue(answered >= 5, "all running requests were answered");
+        Program.await("the process exits", () -> !first.isAlive());
         assertTrue(first.log().contains("graceful shutdown complete: openRequests=0"), first.log());
     }
 
--- a/src/test/java/lineward/thrift/InvalidClientTest.java
+++ b/src/test/java/lineward/thrift/InvalidClientTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Malformed requests, invalid clients, and the bound on connections. */
+/** Malformed requests, clients that violate the protocol, and the limit of connections. */
 public class InvalidClientTest {
     private static final int EXCEPTION = 3;
     private static final int SERVED = 0;
@@ -89,7 +89,7 @@
         }
     }
 
-    /** What invalid clients send: the program serves none of it and closes the connection soon. */
+    /** What clients send that violate the protocol. The program must soon close their connections. */
     @DataProvider
     public Object[][] invalidClients() {
         InvalidClient silent = caller -> {};
@@ -121,7 +121,7 @@
         try (TestingClient caller = platform.client()) {
             caller.socket().setSoTimeout(3000);
             invalidClient.speak(caller);
-            assertTrue(caller.isClosed(), "no close within 3 s");
+            assertTrue(caller.isClosed(), "not closed within 3 s");
         }
     }
 
@@ -132,7 +132,7 @@
                 TestingClient second = platform.client()) {
             Map<String, String> fields = TestingClient.fields(2000);
             first.send(fields, "select 1");
-            Program.await("it runs", () -> requests() == 1);
+            Program.await("the request runs", () -> requests() == 1);
             Answer answer = second.call(fields, "select 2");
             assertEquals(answer.kind(), EXCEPTION);
             assertTrue(answer.body().contains(RequestFields.REQUEST_ID), answer.body());
@@ -149,7 +149,7 @@
                 assertEquals(call(caller, 2000).field(), SERVED);
             }
             all.get(0).send(TestingClient.fields(2000), "select 1");
-            assertTrue(all.get(0).isClosed(), "it rested longest");
+            assertTrue(all.get(0).isClosed(), "it was idle longest");
         } finally {
             for (TestingClient caller : all) {
                 caller.close();
--- a/src/test/java/lineward/thrift/LargeFleetTest.java
+++ b/src/test/java/lineward/thrift/LargeFleetTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The program with long lists of front ends and engines, within the limits of a small one. */
+/** The program in a fleet of many front ends and engines, within the resource limits of a small one. */
 public class LargeFleetTest {
     private static final String LIMITS = "-Xmx64m -Xss512k -XX:MaxMetaspaceSize=48m";
     private static final int SOCKETS = 128;
@@ -24,7 +24,7 @@
         return new Object[][] {{120, 300}, {1024, 1024}};
     }
 
-    /** There are more engines than allowed connections; idle connections close in favor of new ones. */
+    /** There are more engines than allowed connections: idle connections are closed in favor of new ones. */
     @Test(dataProvider = "fleets")
     public void servesALargeFleetAndFollowsItsUpdates(int fronts, int engines) throws Exception {
         Map<String, String> variables = Map.of("JAVA_TOOL_OPTIONS", LIMITS);
@@ -35,8 +35,9 @@
             for (int i = 1; i <= 2 * SOCKETS; i++) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "request " + i);
             }
+            // A few attempts are cancelled and relaunched.
             int attempts = ProgramMetrics.read(program).get("edge_relay_relayed_total");
-            assertTrue(attempts <= 2 * SOCKETS * 1.05, attempts + " attempts: a few are cut and run again");
+            assertTrue(attempts <= 2 * SOCKETS * 1.05, attempts + " attempts: too many relaunches");
             assertTrue(program.descriptors() <= SOCKETS, program.descriptors() + " descriptors");
             assertTrue(program.memoryMb() <= MEMORY_MB, program.memoryMb() + " MB");
             platform.discovery().publish(false, platform.engines(1, engines / 2, "gone"));
--- a/src/test/java/lineward/thrift/MaintenanceTest.java
+++ b/src/test/java/lineward/thrift/MaintenanceTest.java
@@ -15,7 +15,7 @@
 import lineward.testing.TestingPlatform;
 import org.testng.annotations.Test;
 
-/** Operators hold an engine out and call it back. */
+/** Operators put an engine under maintenance and release it. */
 public class MaintenanceTest {
     private static final String DOWN = "/ops/query-engines/down";
     private static final String UP = "/ops/query-engines/up";
@@ -32,7 +32,7 @@
     public void keepsAnEngineOutOfRotationUntilItIsReleased() throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of())) {
             AdminClient operator = new AdminClient(platform.program());
-            Program.await("it is ready", operator::isReady);
+            Program.await("the program is ready", operator::isReady);
             serve(platform, 30);
             boolean first = platform.first().requests() > 0;
             TestingEngine used = first ? platform.first() : platform.second();
@@ -43,20 +43,20 @@
             assertEquals(operator.post(DOWN, id).status(), 200);
             assertEquals(operator.post(DOWN, id + "\n").status(), 200);
             long before = used.requests();
-            assertTrue(before > 0, "it was used");
+            assertTrue(before > 0, "the engine was used");
             serve(platform, 30);
             assertEquals((int) ProgramMetrics.read(platform.program()).get("edge_relay_out_of_rotation"), 1);
             for (String state : new String[] {"gone", "ready"}) {
                 platform.discovery().publish(false, id, "" + used.port(), state);
                 long polls = platform.discovery().polls();
-                Program.await("it has heard", () -> platform.discovery().polls() > polls + 1);
+                Program.await("the event arrived", () -> platform.discovery().polls() > polls + 1);
                 serve(platform, 30);
             }
             assertEquals(used.requests(), before);
             assertEquals(operator.post(UP, id).status(), 200);
             long start = System.nanoTime();
             serve(platform, 1);
-            assertEquals(used.requests(), before + 1, "the first request goes there");
+            assertEquals(used.requests(), before + 1, "the first request goes to the engine");
             assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(5));
             assertEquals((int) ProgramMetrics.read(platform.program()).get("edge_relay_out_of_rotation"), 0);
         }
@@ -67,20 +67,20 @@
         try (SocketActivator holder = new SocketActivator();
                 TestingPlatform platform = new TestingPlatform(Map.of(), holder)) {
             AdminClient old = new AdminClient(platform.program());
-            Program.await("it is ready", old::isReady);
+            Program.await("the program is ready", old::isReady);
             assertEquals(old.post(DOWN, "s-1").status(), 200);
             try (Program next = platform.startAgain()) {
                 AdminClient operator = new AdminClient(next);
-                Program.await("the new one is ready", operator::isReady);
+                Program.await("the new process is ready", operator::isReady);
                 assertTrue(next.log().contains("engine maintenance started: engine=s-1"), next.log());
                 assertEquals(operator.post(DOWN, "s-2").status(), 200);
                 assertEquals(operator.post(UP, "s-1").status(), 200);
                 Program.await(
-                        "the old one has read it",
+                        "the old process has read the orders",
                         () -> platform.program().log().contains("engine maintenance started: engine=s-2")
                                 && platform.program().log().contains("engine maintenance ended: engine=s-1"));
                 platform.program().terminate();
-                Program.await("the old one ends", () -> !platform.program().isAlive());
+                Program.await("the old one exits", () -> !platform.program().isAlive());
                 serve(platform, 20);
                 assertEquals(platform.second().requests(), 0);
                 assertEquals(platform.first().requests(), 20);
--- a/src/test/java/lineward/thrift/MetricsTest.java
+++ b/src/test/java/lineward/thrift/MetricsTest.java
@@ -13,7 +13,7 @@
 import lineward.testing.TestingPlatform;
 import org.testng.annotations.Test;
 
-/** The figures agree with what the clients and engines saw. */
+/** The metrics agree with what clients and engines have observed. */
 public class MetricsTest {
     private static final String ENDS = "edge_relay_operations_total{priority=\"look\",status=";
 
@@ -42,9 +42,9 @@
             assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.SERVED + "\"}"), answers[0]);
             assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.REJECTED + "\"}"), answers[1]);
             assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.FAILED + "\"}"), answers[2] + 1);
-            assertTrue(answers[0] > 50 && answers[1] >= 10, "both kinds were there");
+            assertTrue(answers[0] > 50 && answers[1] >= 10, "some are served and some rejected");
             long wants = platform.first().requests() + platform.second().requests();
-            assertTrue(wants > answers[0], "some were attempted again");
+            assertTrue(wants > answers[0], "some were retried");
             assertEquals((int) seen.get("edge_relay_relayed_total"), wants);
             assertEquals((int) seen.get("edge_relay_open_requests"), 0);
             assertEquals((int) seen.get("edge_relay_registry_entries"), 2);
@@ -61,12 +61,12 @@
                 caller.send(TestingClient.fields(2000), "select 1");
             }
             Program.await(
-                    "they run",
+                    "the requests run",
                     () -> platform.first().requests() + platform.second().requests() == 3);
             assertEquals((int) ProgramMetrics.read(platform.program()).get("edge_relay_open_requests"), 3);
             platform.first().close();
             platform.second().setBehavior(EngineBehavior.SERVE);
-            Program.await("a dead engine is avoided", () -> {
+            Program.await("the closed engine is ejected", () -> {
                 try {
                     caller.call(TestingClient.fields(2000), "select 1");
                     return ProgramMetrics.read(platform.program()).get("edge_relay_out_of_rotation") == 1;
@@ -75,7 +75,7 @@
                 }
             });
             platform.discovery().publish(false, "s-1", "" + platform.first().port(), "gone");
-            Program.await("it has left the list", () -> {
+            Program.await("the engine is not listed", () -> {
                 try {
                     Map<String, Integer> seen = ProgramMetrics.read(platform.program());
                     int outOfRotation = seen.get("edge_relay_out_of_rotation");
--- a/src/test/java/lineward/thrift/OverloadTest.java
+++ b/src/test/java/lineward/thrift/OverloadTest.java
@@ -18,19 +18,19 @@
 import lineward.testing.TestingPlatform;
 import org.testng.annotations.Test;
 
-/** Crowds and floods: others are served meanwhile, and nothing grows past its bound. */
+/** Floods of connections and of requests: other clients are served, and all resources stay bounded. */
 public class OverloadTest {
     private static final int SERVED = 0;
     private static final int FRAMES = 5000;
     private static final int MAX_OPEN_CALLS = 32;
     private static final int SOCKETS = 256;
-    /** What clients and engines may take of the descriptors; the rest is the program's own. */
+    /** Maximum of the descriptors for clients and engines; the rest is reserved for the program itself. */
     private static final int MAX_PERCENT = 85;
 
     private static final String LIMITS = "-Xmx64m -Xss512k -XX:MaxMetaspaceSize=48m";
     private static final int MEMORY_MB = 192;
 
-    /** One connection sends thousands of frames at once and goes. */
+    /** A connection sends thousands of frames at once and closes. */
     @Test
     public void releasesTheRequestsOfAClosedFlood() throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of("JAVA_TOOL_OPTIONS", LIMITS));
@@ -45,11 +45,11 @@
                     flood.sendRaw(all.toByteArray());
                     flood.socket().shutdownOutput();
                 } catch (SocketException e) {
-                    assertTrue(platform.program().isAlive(), "the front closed it amid the flood: " + e);
+                    assertTrue(platform.program().isAlive(), "the program closed the connection: " + e);
                 }
                 assertEquals(other.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
-            Program.await("nothing stays open", () -> figure(platform, "edge_relay_open_requests") == 0);
+            Program.await("no request stays open", () -> figure(platform, "edge_relay_open_requests") == 0);
             assertTrue(platform.requests() <= 10 * MAX_OPEN_CALLS + 11, platform.requests() + " attempts");
             assertTrue(
                     platform.program().memoryMb() <= MEMORY_MB,
@@ -59,8 +59,8 @@
     }
 
     /**
-     * More connections than descriptors, silent ones first, then idle ones, while service discovery is down:
-     * the endpoint list, the engines and new clients can still be reached.
+     * More connections than descriptors, first silent ones, then idle ones, while service discovery is down:
+     * the program can still reach service discovery and the engines, and new clients are served.
      */
     @Test
     public void idleClientsDoNotBlockOthers() throws IOException {
@@ -90,7 +90,7 @@
             try (TestingClient late = platform.client()) {
                 assertEquals(late.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
-            assertEquals(platform.first().requests(), before, "the drain was heard");
+            assertEquals(platform.first().requests(), before, "the drain is in effect");
             assertTrue(
                     platform.program().memoryMb() <= MEMORY_MB,
                     platform.program().memoryMb() + " MB");
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Endless replies on each connection fail only their own requests. */
+    /** Endless replies on each connection of one engine end only their own attempts. */
     @Test
     public void endlessRepliesAreBounded() throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of("JAVA_TOOL_OPTIONS", LIMITS));
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/PlatformRulesTest.java
@@ -24,7 +24,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The rules of the platform, each with real sockets. */
+/** The platform's rules for front ends, each tested over real sockets. */
 public class PlatformRulesTest {
     private static final int REPLY = 2;
     private static final int SERVED = 0;
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Unknown progress reports and a failed health check leave the attempt in place. */
+    /** Unknown progress reports and a failed health check do not end the attempt. */
     @Test
     public void progressReportsDoNotDisturbARequest() throws IOException {
         platform.setBehavior(EngineBehavior.PROGRESS_REPORTS);
@@ -113,7 +113,7 @@
         try (TestingClient caller = platform.client()) {
             for (int i = 1; i <= 20; i++) {
                 assertEquals(call(caller, 2000).body(), String.join("", TestingEngine.PAGES));
-                assertEquals(requests(), i, "nothing runs again");
+                assertEquals(requests(), i, "no request is retried");
             }
         }
     }
@@ -130,7 +130,7 @@
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         caller.send(TestingClient.fields(2400), "select 1");
         caller.send(TestingClient.fields(2400), "select 1");
-        Program.await("one runs at each", this::oneRunsAtEach);
+        Program.await("each engine runs one", this::oneRunsAtEach);
     }
 
     private static void serveAtOnce(TestingClient caller, int many) throws IOException {
@@ -150,7 +150,7 @@
             platform.second().setBehavior(EngineBehavior.SERVE);
             platform.first().setBehavior(EngineBehavior.MALFORMED_REPLY_ONCE);
             serveAtOnce(caller, 6);
-            assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "one met the unreadable reply");
+            assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "one got the malformed reply");
             String first = platform.first().receivedLines().get(0).split(" ", -1)[1];
             assertEquals(platform.second().requests(first) + platform.first().cancels(), 0);
         }
@@ -165,7 +165,7 @@
             platform.first().limitResets(3);
             platform.first().setBehavior(EngineBehavior.RESET_LIMITED);
             serveAtOnce(caller, 12);
-            assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "three were reset");
+            assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "three connections were reset");
             assertFalse(
                     platform.program().log().contains("resets"),
                     platform.program().log());
@@ -181,9 +181,9 @@
                 open.add(caller.send(TestingClient.fields(1500), "select 1"));
             }
             while (!open.isEmpty()) {
-                assertTrue(open.remove(caller.read().seqid()), "an answer nobody waits for");
+                assertTrue(open.remove(caller.read().seqid()), "an unexpected response");
             }
-            assertEquals(caller.callMethod("ping").seqid(), 33, "no second answer came before the ping's");
+            assertEquals(caller.callMethod("ping").seqid(), 33, "no second response before the ping's");
         }
         assertEquals(platform.concurrentRuns().duplicates(), Set.of());
     }
@@ -191,14 +191,14 @@
     @Test
     public void rejectsWithRetryAfterBeforeTheDeadlineIfEnginesDoNotRespond() throws IOException {
         try (TestingClient caller = platform.client()) {
-            // The first answer of a cold virtual machine may take 50 ms more.
+            // The first response after the start of the JVM may take 50 ms longer.
             assertEquals(call(caller, 2000).field(), SERVED);
             platform.setBehavior(EngineBehavior.NO_RESPONSE);
             long start = System.nanoTime();
             Answer answer = call(caller, 800);
             assertEquals(answer.field(), REJECTED);
             assertTrue(Integer.parseInt(answer.fields().get(RequestFields.RETRY_AFTER_MS)) > 0);
-            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(850), "in time");
+            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(850), "rejected in time");
         }
     }
 
@@ -215,10 +215,10 @@
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client()) {
             int seqid = caller.send(TestingClient.fields(2000), "select 1");
-            Program.await("it runs", () -> requests() == 1);
+            Program.await("the request runs", () -> requests() == 1);
             caller.abort(seqid);
-            Program.await("the engine hears", () -> cancels() == 1);
-            assertEquals(caller.callMethod("ping").seqid(), seqid + 2, "nothing came but the ping's answer");
+            Program.await("the engine has received the cancel", () -> cancels() == 1);
+            assertEquals(caller.callMethod("ping").seqid(), seqid + 2, "no response but the ping's");
         }
     }
 
@@ -227,9 +227,9 @@
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client()) {
             caller.send(TestingClient.fields(2000), "select 1");
-            Program.await("it runs", () -> requests() == 1);
+            Program.await("the request runs", () -> requests() == 1);
         }
-        Program.await("the engine hears", () -> cancels() == 1);
+        Program.await("the engine has received the cancel", () -> cancels() == 1);
     }
 
     @Test
@@ -288,7 +288,7 @@
         platform.configure("{");
         platform.program().hangUp();
         String logLine = "configuration not reloaded: cause=";
-        Program.await("its line", () -> platform.program().log().contains(logLine));
+        Program.await("the error is logged", () -> platform.program().log().contains(logLine));
         try (TestingServiceDiscovery next = new TestingServiceDiscovery();
                 TestingClient caller = platform.client()) {
             String portOfTwo = "" + platform.second().port();
@@ -296,10 +296,10 @@
             platform.configure(next);
             platform.program().hangUp();
             platform.program().hangUp();
-            Program.await("it moves", () -> next.polls() > 0);
+            Program.await("the new service is polled", () -> next.polls() > 0);
             platform.discovery().close();
             next.publish(false, "s-1", "" + platform.first().port(), "gone");
-            Program.await("it is told", () -> next.lastDelivered() == 2);
+            Program.await("the event has been received", () -> next.lastDelivered() == 2);
             long before = platform.first().requests();
             for (int i = 0; i < 10; i++) {
                 assertEquals(call(caller, 2000).field(), SERVED);
@@ -308,7 +308,7 @@
             platform.program().terminate();
             platform.program().hangUp();
         }
-        assertEquals(platform.program().status(), 0, "SIGHUP amid a drain");
+        assertEquals(platform.program().status(), 0, "SIGHUP during the shutdown");
     }
 
     @Test
@@ -318,12 +318,12 @@
                 TestingClient resting = platform.client()) {
             assertTrue(resting.callMethod("ping").good());
             caller.send(TestingClient.fields(9000), "select 1");
-            Program.await("it runs", () -> requests() == 1);
+            Program.await("the request runs", () -> requests() == 1);
             long start = System.nanoTime();
             platform.program().terminate();
             assertEquals(caller.read().field(), FAILED);
             assertEquals(platform.program().status(), 0);
-            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(3700), "ends in time");
+            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(3700), "exits in time");
         }
     }
 
@@ -332,7 +332,7 @@
         try (TestingClient open = platform.client()) {
             assertTrue(open.callMethod("ping").good());
             platform.program().terminate();
-            Program.await("it drains", () -> platform.program().log().contains("SIGTERM"));
+            Program.await("it shuts down", () -> platform.program().log().contains("SIGTERM"));
             try (TestingClient late = platform.client()) {
                 assertEquals(call(late, 2000).field(), SERVED);
                 assertFalse(late.callMethod("ping").good());
--- a/src/test/java/lineward/thrift/ShutdownSignalTest.java
+++ b/src/test/java/lineward/thrift/ShutdownSignalTest.java
@@ -27,7 +27,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Signals and shutdowns that cross requests, each held at a point until the other side has acted. */
+/** Signals and shutdowns that coincide with requests. Tests wait at set points to force the order. */
 public class ShutdownSignalTest {
     private static final int SERVED = 0;
     private static final int FAILED = 2;
@@ -54,39 +54,39 @@
         }
     }
 
-    /** Half a frame is here as the listener closes and what rests is closed: the request still counts. */
+    /** Half a frame has arrived when the listener and idle connections close: the request is still served. */
     @Test
     public void servesARequestSplitBySigterm() throws IOException, InterruptedException {
         try (TestingClient caller = platform.client()) {
             byte[] frame = caller.encode(TestingClient.fields(2000), "select 1");
             caller.sendRaw(Arrays.copyOf(frame, frame.length / 2));
             platform.program().terminate();
-            Program.await("it accepts nobody any more", () -> !isListening());
+            Program.await("it accepts no connections", () -> !isListening());
             caller.sendRaw(Arrays.copyOfRange(frame, frame.length / 2, frame.length));
             assertEquals(caller.read().field(), SERVED);
             assertEquals(platform.program().status(), 0);
         }
     }
 
-    /** Both signals repeat; open requests get one response and the exit is the same. */
+    /** Both signals are repeated; the open request gets one response, and the exit status is the same. */
     @Test
     public void repeatedSignalsChangeNothing() throws IOException, InterruptedException {
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client()) {
             caller.send(TestingClient.fields(9000), "select 1");
-            Program.await("it runs", () -> platform.requests() == 1);
+            Program.await("the request runs", () -> platform.requests() == 1);
             platform.program().hangUp();
             platform.program().terminate();
-            Program.await("it ends", () -> platform.program().log().contains("SIGTERM"));
+            Program.await("it shuts down", () -> platform.program().log().contains("SIGTERM"));
             platform.program().terminate();
             platform.program().hangUp();
-            assertEquals(caller.read().field(), FAILED, "the last word");
-            assertTrue(caller.isClosed(), "and nothing behind it");
+            assertEquals(caller.read().field(), FAILED, "the final response");
+            assertTrue(caller.isClosed(), "nothing follows");
             assertEquals(platform.program().status(), 0);
         }
     }
 
-    /** A client that never reads its answers must not hold the process until it is killed. */
+    /** A client that reads no responses must not delay the exit until the process is killed. */
     @Test
     public void aClientThatReadsNothingDoesNotDelayTheShutdown() throws IOException, InterruptedException {
         platform.setBehavior(EngineBehavior.LARGE_RESULT);
@@ -95,8 +95,8 @@
             while (ProgramMetrics.read(platform.program()).get("edge_relay_unread_answer_bytes") < 100_000) {
                 deaf.send(TestingClient.fields(2000), "select 1");
                 int most = ++asked;
-                assertTrue(most < 200, "all buffers take more than that");
-                Program.await("it runs", () -> platform.requests() >= most);
+                assertTrue(most < 200, "the buffers must be full by now");
+                Program.await("the request runs", () -> platform.requests() >= most);
             }
             long start = System.nanoTime();
             platform.program().terminate();
@@ -106,8 +106,8 @@
     }
 
     /**
-     * The process is held while a request comes on a resting connection and the time of its close passes:
-     * both are there in the turn in which it goes on.
+     * The process is suspended while a request arrives on an idle connection and the close of that connection
+     * falls due: both are pending in the event loop run in which it resumes.
      */
     @Test
     public void servesARequestThatArrivesAsItsConnectionCloses() throws IOException, InterruptedException {
@@ -119,7 +119,7 @@
             platform.program().signal("STOP");
             caller.send(TestingClient.fields(5000), "select 1");
             long closeDueNanos = TimeUnit.MILLISECONDS.toNanos(1550);
-            Program.await("its close is due", () -> System.nanoTime() - drains > closeDueNanos);
+            Program.await("the close is due", () -> System.nanoTime() - drains > closeDueNanos);
             platform.program().signal("CONT");
             assertEquals(caller.read().field(), SERVED);
         }
@@ -135,7 +135,7 @@
             assertThrows(EOFException.class, caller::read);
             caller.send(TestingClient.fields(2000), "select 1");
             assertEquals(operator.post("/ops/drain/stop", "").status(), 200);
-            assertEquals(other.isClosed(), true, "it rested too");
+            assertEquals(other.isClosed(), true, "it was idle too");
             try (TestingClient next = platform.client()) {
                 assertEquals(next.call(TestingClient.fields(2000), "select 2").field(), SERVED);
             }
@@ -143,7 +143,7 @@
         }
     }
 
-    /** The start is held where it reads its configuration. */
+    /** The start is held at the point where it reads its configuration. */
     @Test
     public void handlesSignalsDuringTheStart() throws Exception {
         Path folder = Files.createTempDirectory("start");
@@ -151,12 +151,12 @@
         assertEquals(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor(), 0);
         String config = Files.readString(platform.config());
         try (Program program = new Program(Map.of("RELAY_CONFIG", pipe.toString()), "serve")) {
-            // Opening the pipe returns once the program has come to reading it.
+            // Opening the pipe blocks until the program opens it to read its configuration.
             try (OutputStream out = Files.newOutputStream(pipe)) {
                 program.hangUp();
                 out.write(config.getBytes(StandardCharsets.UTF_8));
             }
-            // SIGHUP has it read anew: that is served as well.
+            // SIGHUP makes the program read the configuration again, so the pipe is written again.
             Files.writeString(pipe, config);
             try (TestingClient caller = new TestingClient(program.port())) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
@@ -167,7 +167,7 @@
         try (Program program = new Program(Map.of("RELAY_CONFIG", pipe.toString()), "serve")) {
             try (OutputStream out = Files.newOutputStream(pipe)) {
                 program.terminate();
-                assertTrue(program.status() != 2, "the configuration is not at fault");
+                assertTrue(program.status() != 2, "no configuration error");
                 assertFalse(program.log().contains("listening"), program.log());
                 assertTrue(out != null);
             }
--- a/src/test/java/lineward/thrift/ThriftReaderTest.java
+++ b/src/test/java/lineward/thrift/ThriftReaderTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What clients may send, and what they may not. Bytes are in hexadecimal, spaces for the eye. */
+/** Decoding of valid and malformed messages, which are written in hexadecimal with ignored spaces. */
 public class ThriftReaderTest {
     private static ByteBuf hex(String text) {
         return Unpooled.wrappedBuffer(ByteBufUtil.decodeHexDump(text.replace(" ", "")));
