--- a/src/test/java/lineward/thrift/ClientDisconnectTest.java
+++ b/src/test/java/lineward/thrift/ClientDisconnectTest.java
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Returns whether both engines have responded to all requests. An engine rejects a request before it reads
-     * anything else.
+     * Returns whether both engines have responded to all requests. An engine rejects a request before it
+     * reads anything else.
      */
     private boolean enginesAreIdle() {
         return platform.first().isIdle() && platform.second().isIdle();
