--- a/src/test/java/lineward/testing/Answer.java
+++ b/src/test/java/lineward/testing/Answer.java
@@ -7,7 +7,7 @@
  *
  * @param seqid sequence number of the request
  * @param kind type of the message: 2 for a reply, 3 for an application exception
- * @param field id of the reply's field that is set: 0 for a result, 1 if rejected, 2 if failed
+ * @param field id of the field that is set: 0 for a result, 1 if rejected, 2 if failed, -1 for an exception
  * @param body text of the result or of the application exception
  * @param fields fields of the result or of the declared exception
  * @param good flag of the result
