--- a/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
@@ -6,16 +6,16 @@
 
 /** Orders queued requests and decides which of them can no longer be answered in time. */
 public final class AdmissionPolicy {
-    /** A queued request is given up this long before its deadline, whatever its estimate. */
+    /** A queued request is given up this long before its deadline, however short its expected run time. */
     private static final double ANSWER_MARGIN_MS = 60;
     /**
      * Fraction of the expected run time that must fit before the objective, or before the deadline if a late
      * answer has a value; below 1 because estimates are inexact.
      */
     private static final double MIN_FIT_RATIO = 0.8;
-    /** Upper bound on the slowdown by which that check multiplies the expected run time. */
+    /** Maximum slowdown that is assumed in that check. */
     private static final double MAX_FIT_SLOWDOWN = 2;
-    /** Increase of the urgency factor, from 1 at admission to 1 plus this value at the objective. */
+    /** The urgency factor rises from 1 at admission to 1 plus this value at the objective. */
     private static final double URGENCY = 2;
 
     private static final double RELAUNCH_FACTOR = 2;
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Returns the dispatch priority of a queued request: its value per millisecond of expected work. It rises
-     * with the waiting time until the request can no longer meet its objective; from then on only the value
-     * of a late answer counts.
+     * Returns the dispatch priority of a queued request: its value per millisecond of expected work, higher
+     * for a relaunch. It rises with the waiting time until the request can no longer meet its objective; from
+     * then on only the value of a late answer counts.
      */
     public double dispatchPriority(TrackedRequest request) {
         RequestClass.Objective objective = request.type().settings().objective();
@@ -59,7 +59,7 @@
         return endMs > (hasOverdueValue ? request.deadlineMs() : request.objectiveAtMs());
     }
 
-    /** Returns the part of the expected run time that must fit into the time left. */
+    /** Returns the part of the expected run time that must fit into the remaining time. */
     static double minRunMs(TrackedRequest request) {
         return MIN_FIT_RATIO * request.expectedRunMs();
     }
--- a/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
@@ -6,11 +6,11 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Decides which attempts may be cancelled, and which are no longer worth running. */
+/** Decides which attempts may be cancelled, and which are given up because a result would come too late. */
 public final class CancellationPolicy {
     /**
-     * Time past the objective, as a fraction of the latency objective, after which a run whose late answer
-     * has no value is given up.
+     * Grace period after the objective, as a fraction of the class's latency objective, before an attempt is
+     * given up whose late answer has no value.
      */
     private static final double OVERDUE_GRACE_RATIO = 0.3;
 
@@ -28,15 +28,17 @@
         return context.settings().capabilities().cancel() && attempt.isRunning();
     }
 
-    /** Returns whether the request has neither a final answer nor the beginning of a response. */
+    /** Returns whether no final answer exists and no part of a response has reached the client. */
     public boolean isUnanswered(TrackedRequest request) {
         return request.state() == RequestState.QUEUED || request.state() == RequestState.IN_FLIGHT;
     }
 
     /**
-     * Returns whether an attempt can no longer be answered while its answer has a value. This includes an
-     * attempt that is being cancelled: its request is given up instead of being relaunched. Always false if
-     * the request is not idempotent or the settings do not permit cancellation.
+     * Returns whether the request of an attempt should be given up. It should if the attempt waits at its
+     * engine without any progress and would miss the objective, or if the grace period after the objective
+     * is over and a late answer has no value. This includes an attempt that is already being cancelled, so
+     * that its request is not relaunched. Always false if the request is not idempotent or the settings do
+     * not permit cancellation.
      */
     public boolean hasNoValue(Attempt attempt) {
         TrackedRequest request = attempt.request();
--- a/src/main/java/lineward/scheduling/decision/ClientEvictionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ClientEvictionPolicy.java
@@ -3,17 +3,17 @@
 /** Decides which client connection is closed to make room for a new one when a server is at its capacity. */
 public final class ClientEvictionPolicy {
     /**
-     * Divisor of the capacity that gives the number of silent connections above which the oldest of them is
-     * evicted, so that a flood of them cannot displace clients that send requests.
+     * If more than the capacity divided by this value are silent, that is, have never sent a request, the
+     * oldest silent one is evicted. A flood of silent connections thus cannot displace active clients.
      */
     private static final int SILENT_DIVISOR = 4;
     /**
-     * Divisor of the capacity that gives the number of connections that may be closing gracefully at once;
-     * these still use file descriptors.
+     * At most the capacity divided by this value may be closing gracefully at once, because such connections
+     * still use file descriptors.
      */
     private static final int CLOSING_DIVISOR = 16;
 
-    /** Which connection is closed; never one that awaits a response. */
+    /** Which connection is closed and how; never one that awaits a response. */
     public enum Eviction {
         /** Closes the connection that has been open for longest without sending any request. */
         CLOSE_OLDEST_SILENT,
@@ -25,7 +25,7 @@
 
     private ClientEvictionPolicy() {}
 
-    /** Returns which connection of a full server is closed, given the number of connections in each state. */
+    /** Returns which connection of a full server to close, given the number of connections in each state. */
     public static Eviction evict(int capacity, int silent, int idle, int closing) {
         if (silent > capacity / SILENT_DIVISOR || idle == 0) {
             return Eviction.CLOSE_OLDEST_SILENT;
--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -9,29 +9,32 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Limits the threads that the attempts of this front end use on each engine and on all engines together. */
+/**
+ * Limits the threads that the attempts of this front end use on each engine and on all engines together, and
+ * the memory that they are granted on each engine.
+ */
 public final class ConcurrencyLimits {
     /** Threads per core, over all front ends, above which an engine completes less work. */
     private static final double SATURATION_THREADS_PER_CORE = 1.5;
     /**
-     * Number of front ends up to which each one estimates the load of the fleet from its own counts alone.
+     * Number of front ends up to which each one estimates the load of an engine from its own attempts alone.
      */
     static final double SMALL_FLEET = 4;
     /**
-     * Minimum quota, as a multiple of an even one. A smaller minimum would let a false sign of overload
-     * reinforce itself.
+     * Minimum quota, as a multiple of an even share of the fleet among the front ends. With a smaller one, a
+     * false sign of overload would reinforce itself.
      */
     private static final double MIN_EVEN_QUOTAS = 1.3;
     /**
-     * Time in which the quota of a front end with queued requests grows from an even one to the whole fleet,
-     * while the fleet is calm.
+     * Time in which the quota grows from an even share to the whole fleet if load reports are not shared. It
+     * shrinks at the same rate while the fleet is not calm.
      */
     private static final double FULL_QUOTA_AFTER_MS = 10_000;
-    /** The fleet is calm while the slowdown of every class is below this factor. */
+    /** Slowdown of every class below which the fleet counts as calm if load reports are not shared. */
     private static final double CALM_SLOWDOWN = 1.3;
-    /** Factor of each increase and decrease of the quota where load reports show the load of the fleet. */
+    /** Factor by which the quota grows or shrinks at each adaptation if load reports are shared. */
     private static final double REPORTED_GROWTH = 1.3;
-    /** Divisor of each decrease of an unused quota while the fleet is calm. */
+    /** Divisor of the quota at each adaptation while it is not needed and the fleet is calm. */
     private static final double UNUSED_SHRINK = 1.05;
     /** Factor by which the granted fraction of an engine's memory may exceed the quota. */
     private static final double MEMORY_QUOTA_FACTOR = 1.2;
@@ -74,7 +77,10 @@
         return Math.max(0, 1 - SMALL_FLEET / frontEnds);
     }
 
-    /** Adapts the quota: it grows while requests are blocked and the fleet is calm, and shrinks otherwise. */
+    /**
+     * Adapts the quota: it grows while requests are blocked and the fleet is calm, and otherwise shrinks to
+     * the minimum.
+     */
     public void adaptQuota(boolean requestsBlocked, double intervalMs) {
         boolean calm = isCalm();
         double growth = growth(intervalMs);
@@ -87,6 +93,7 @@
         return reports.areShared() ? REPORTED_GROWTH : Math.pow(frontEnds, intervalMs / FULL_QUOTA_AFTER_MS);
     }
 
+    /** Returns whether the fleet can take more load, by shared load reports or else by the slowdowns. */
     private boolean isCalm() {
         return reports.areShared()
                 ? reports.threadsPerCore() < SATURATION_THREADS_PER_CORE * LoadReports.MIN_LIMIT_JITTER
@@ -122,9 +129,10 @@
     }
 
     /**
-     * Returns whether a request fits into this front end's quota of all usable engines. The check has an
-     * effect only where the quota of each engine is less than one request. Beyond the quota, each class may
-     * use the part of it that corresponds to its fraction of the value of all requests.
+     * Returns whether a request fits into this front end's quota of all usable engines together. This matters
+     * only if the quota of each single engine is less than one request. Once the quota is used up, a request
+     * may still start within the quota of its class, which is the fraction that the class has of the value
+     * of all requests.
      */
     public boolean withinFleetQuota(TrackedRequest request, Predicate<Engine> isUsable) {
         if (reports.areShared() && frontEnds <= SMALL_FLEET) {
@@ -153,8 +161,8 @@
     }
 
     /**
-     * Lets a class with nothing in flight exceed its quota at intervals that keep its mean use within the
-     * quota.
+     * Returns whether a request fits into the quota of its class. If that quota is less than one request, the
+     * class may start single requests, at intervals that keep its mean use within the quota.
      */
     private boolean withinClassQuota(TrackedRequest request, double inFlight, double classLimit) {
         if (inFlight > 0) {
--- a/src/main/java/lineward/scheduling/decision/EngineEligibility.java
+++ b/src/main/java/lineward/scheduling/decision/EngineEligibility.java
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Returns whether the request may run on the engine, which is below its concurrency limits and has enough
-     * of its slow-start budget left.
+     * Returns whether the request may run on the engine and can start now: the engine is below its
+     * concurrency limits, and the request fits into its slow-start budget.
      */
     public boolean hasCapacityNow(TrackedRequest request, Engine engine) {
         boolean hasCapacity = mayRunOn(request, engine) && limits.hasCapacity(engine, request);
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Returns whether another healthy engine that the request has not tried could take it now. Unlike the
-     * selection of an engine for an attempt, this counts neither ejected nor tried engines, and ignores
+     * Returns whether the request could be relaunched now on another engine that it has not tried. Unlike the
+     * selection of an engine for an attempt, this never considers ejected or tried engines, and it ignores
      * overdue health checks.
      */
     public boolean hasTargetForRelaunch(Attempt attempt) {
--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -11,20 +11,20 @@
 /** Scores engines for a request by their load, in multiples of their capacity; lower is better. */
 public final class EngineLoadScore {
     /**
-     * Scale of the random spread of scores where all load comes from other front ends and is not seen here:
-     * the differences between engines that chance alone causes.
+     * Scale of the random noise in scores if this front end sees none of the load on the engines. It matches
+     * the differences in load between engines that arise by chance.
      */
     private static final double UNSEEN_SPREAD = 0.3;
-    /** Scale of the random spread of scores where all load is seen. */
+    /** Scale of the random noise in scores if this front end sees all load; it only breaks ties. */
     private static final double TIE_SPREAD = 0.01;
     /** Minimum fraction of an engine's cores that counts as free for a class. */
     private static final double MIN_FREE_RATIO = 0.05;
     /**
-     * Load added where the request and an attempt at the engine would delay each other because one of them
-     * loads the table group that both use.
+     * Load added if the request and an attempt on the engine would delay each other because one of them loads
+     * the table group that both use.
      */
     private static final double GROUP_CONFLICT_LOAD = 1.5;
-    /** Thread load that is added to that of the attempts, as a fraction of the cores. */
+    /** Threads added to those of the attempts on every engine, as a fraction of its cores. */
     private static final double BASE_LOAD_RATIO = 0.3;
 
     private static final double MEMORY_BASE_LOAD = 0.3;
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Draws the amount by which an engine's score is lowered. It is Gumbel noise, so that many front ends
-     * that see the same load spread over the engines in proportion to their free cores.
+     * Draws the amount by which an engine's score is lowered: the logarithm of its free cores plus Gumbel
+     * noise. Front ends that see the same load thus spread over the engines in proportion to the free cores.
      */
     public double drawSpread(ClassState type, Engine engine) {
         double draw = 1 - context.drawRandom() * DRAW_RANGE - DRAW_OFFSET;
@@ -71,7 +71,10 @@
         return scale * (Math.log(freeCores(type, engine)) + noise);
     }
 
-    /** Returns the cores of the engine that are left by classes that can run on fewer cores of the fleet. */
+    /**
+     * Returns the engine's cores that are expected to be left over by classes that may run on fewer cores of
+     * the fleet than the given class.
+     */
     private double freeCores(ClassState type, Engine engine) {
         double boundRatio = 0;
         for (ClassState other : context.classes()) {
@@ -86,8 +89,8 @@
     }
 
     /**
-     * Returns the expected load of the engine with the request, relative to its speed, plus penalties for a
-     * table group conflict and for another zone.
+     * Returns the expected load of the engine with the request, relative to the engine's speed, plus
+     * penalties for a table group conflict and for another zone.
      */
     public double score(TrackedRequest request, Engine engine) {
         if (isFastEnoughWhileWarmingUp(request, engine)) {
@@ -103,8 +106,9 @@
     }
 
     /**
-     * Returns whether this front end should use its slot at a warming engine. In a large fleet such slots
-     * come rarely, so a slot is used if the request would meet its objective on the cold engine.
+     * Returns whether the request should use this front end's slot at a warming engine. In a large fleet a
+     * front end rarely has a slot, so it uses one whenever the request would meet its objective even on a
+     * cold engine.
      */
     private boolean isFastEnoughWhileWarmingUp(TrackedRequest request, Engine engine) {
         double runMs = capacity.runMsWhenCold(request);
