--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -10,10 +10,15 @@
 public final class EngineSelector {
     /** An engine whose health check has been in flight for this long is not selected. */
     private static final double MAX_HEALTH_CHECK_MS = 25;
-    /** Score of an engine that must be selected, below any other score. */
+    /** Score of an engine that must be selected, lower than any other score. */
     private static final double SELECT_FIRST = Double.NEGATIVE_INFINITY;
 
-    /** The number of ready engines that a request may run on, and whether ejected ones are used as well. */
+    /**
+     * The engines that a request may run on.
+     *
+     * @param engines number of ready engines that the request's class may use, including ejected ones
+     * @param useEjected whether so few of them are healthy that the request may also run on an ejected one
+     */
     private record Placement(int engines, boolean useEjected) {}
 
     private final SchedulerContext context;
@@ -83,8 +88,8 @@
 
     /**
      * Returns whether the next attempt may go to the engine. Unlike the target of a relaunch, the engine may
-     * be ejected and due for a recovery probe, or already tried if all were tried, but must not have an
-     * overdue health check.
+     * be ejected if a recovery probe is due, and may have been tried if no untried engine is left, but must
+     * not have an overdue health check.
      */
     private boolean isCandidate(Engine engine, TrackedRequest request, boolean probe, Placement placement) {
         return isUsable(engine, probe, placement)
@@ -109,8 +114,8 @@
     }
 
     /**
-     * Returns whether the engine must be selected whatever its score. The score of an engine that warms up
-     * would never be the lowest, so it would get no attempt that could show its recovery.
+     * Returns whether the engine must be selected regardless of its score, because an attempt is needed to
+     * show that it has recovered. While it warms up, its score would never be the lowest.
      */
     private static boolean isNeededForRecovery(Engine engine, boolean probe) {
         boolean awaited = engine.isAwaitingFirstAnswer() && engine.attempts().isEmpty();
--- a/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
@@ -8,8 +8,8 @@
 /** Decides the final answer of a request that is given up. */
 public final class FinalAnswerPolicy {
     /**
-     * Retry-After as a fraction of the latency objective, so that a retry by the client may still meet the
-     * objective.
+     * Retry-After as a fraction of the latency objective: short enough that a retry by the client may still
+     * meet the objective.
      */
     private static final double RETRY_AFTER_RATIO = 0.25;
 
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Returns a rejection, which invites the client to retry, if nothing has run or a second run is harmless;
-     * otherwise a failure.
+     * Returns a rejection, which invites the client to retry, if no attempt can have run or if a second run
+     * is harmless; otherwise a failure.
      */
     public SchedulerAction finalAnswer(TrackedRequest request) {
         boolean neverRan = request.firstUnansweredRun() == null && !request.hasAttemptInFlight();
--- a/src/main/java/lineward/scheduling/decision/KeyOrder.java
+++ b/src/main/java/lineward/scheduling/decision/KeyOrder.java
@@ -10,7 +10,7 @@
 public final class KeyOrder {
     private final SchedulerContext context;
     private final KeyedQueues<TrackedRequest> queues = new KeyedQueues<>();
-    /** By key, the time at which its next request may start after an indeterminate outcome. */
+    /** By key, the time from which its next request may start after an indeterminate outcome. */
     private final Map<Long, Double> settledAtMs = new LinkedHashMap<>();
 
     /** Creates a policy over the given scheduler state. */
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Delays the next request of the key by the settle time of the settings, because an attempt of this one
-     * may still run.
+     * Delays the next request of the key by the settle time in the settings, because an attempt of the given
+     * request may still be running.
      */
     public void settle(TrackedRequest request) {
         if (request.isOrdered()) {
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Returns whether the request may start: it is the oldest request of its key, and it has either started
-     * before or the settle time of the key has passed.
+     * Returns whether key order permits an attempt now: the request is the oldest of its key, and it has had
+     * an attempt before or the settle time of the key has passed. Always true for an unordered request.
      */
     public boolean isNext(TrackedRequest request) {
         if (!request.isOrdered()) {
@@ -58,7 +58,7 @@
         return untilMs == null || context.nowMs() >= untilMs;
     }
 
-    /** Forgets keys whose settle time has passed. */
+    /** Removes the settle times that have passed. */
     public void forgetSettledKeys() {
         settledAtMs.values().removeIf(atMs -> atMs <= context.nowMs());
     }
--- a/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
+++ b/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
@@ -20,8 +20,8 @@
     /** Token of the timer for the next poll. */
     public static final int TIMER = 1;
     /**
-     * Maximum cost of polling per admitted request, in the unit of {@link SchedulerSettings.Costs} (points of
-     * the result). It is far below the cost of overload.
+     * Maximum cost of polling per admitted request, in points of the evaluation score like
+     * {@link SchedulerSettings.Costs}. It is far below the cost of overload.
      */
     private static final double COST_BUDGET = 0.01;
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Counts an admitted request: the cost budget of polling grows with the traffic. */
+    /** Counts an admitted request; the cost budget of polling grows with the request rate. */
     public void countRequest() {
         requestsSeen++;
     }
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Returns the time of the engine's last report, with a jitter that keeps front ends, which share their
-     * reports, from polling the same engine.
+     * Returns the time of the engine's last report, with a jitter so that front ends, which share their
+     * reports, do not all poll the same engine.
      */
     private double jitteredReportMs(Engine engine) {
         double jitterMs = context.drawRandom() * MIN_INTERVAL_MS;
@@ -84,8 +84,9 @@
     }
 
     /**
-     * Returns the time per polled engine that keeps polling within its cost budget and spreads the polls over
-     * the front ends.
+     * Returns the mean time between two polled engines. It is long enough that polling stays within its cost
+     * budget, and that all front ends together poll each engine about once in {@value #MIN_INTERVAL_MS} ms at
+     * most.
      */
     private double intervalMs(int engines) {
         SchedulerSettings.Costs costs = context.settings().costs();
@@ -106,7 +107,10 @@
         context.emit(new SchedulerAction.StartHealthCheck(engine.id()));
     }
 
-    /** Applies the result of a health check: a failure ejects the engine, a rejection has no effect. */
+    /**
+     * Applies the result of a health check: the load report of a successful one is stored, a failed one
+     * ejects the engine, and a rejected one has no effect.
+     */
     public void complete(SchedulerEvent.HealthCheckCompleted check, Engine engine) {
         engine.load().endHealthCheck();
         if (check.outcome() == AttemptOutcome.OK) {
--- a/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
@@ -7,8 +7,8 @@
 /** Decides which attempts that wait at their engine are cancelled and queued at another one. */
 public final class MigrationPolicy {
     /**
-     * Number of attempts of any kind up to which a request migrates; after more, another engine is unlikely
-     * to have capacity.
+     * Maximum number of attempts, of any kind, of a request that is still migrated. After more, another
+     * engine is unlikely to have capacity.
      */
     private static final int MAX_MIGRATIONS = 2;
 
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Returns whether an attempt that waits and has made no progress is migrated now: its request is
-     * idempotent, keeps one more attempt for a relaunch, and can be in time on another engine that can take
-     * it.
+     * Returns whether the attempt should be migrated now: it waits at its engine without any progress, and
+     * its request is idempotent, has attempts left for the migration and a later relaunch, and can meet its
+     * objective on another engine that can take it.
      */
     public boolean shouldMigrate(Attempt attempt) {
         TrackedRequest request = attempt.request();
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -12,7 +12,7 @@
 /** Decides the memory grant and the priority of a request's attempts. */
 public final class ResourceLimits {
     private static final double MAX_GRANT_FACTOR = 3;
-    /** Quantile of the memory needs of requests that the grant factor converges to. */
+    /** The grant factor converges to this quantile of the memory needs relative to their estimates. */
     private static final double NEED_QUANTILE = 0.98;
 
     private static final double NEED_STEP = 0.03;
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Returns the grant to request. An engine that pages counts only the memory in use, up to the need, so
-     * the largest grant costs nothing there.
+     * Returns the grant to send to the engine. An engine that pages counts only the memory in use, which is
+     * at most the need of the request, so the maximum grant costs nothing there.
      */
     private double requestedGrantMb(TrackedRequest request, Engine engine) {
         SchedulerSettings.MemoryLimits memory = context.settings().memory();
@@ -59,7 +59,8 @@
     }
 
     /**
-     * Returns the memory that a request is expected to need on an engine. Other decisions count this amount.
+     * Returns the memory that a request is expected to need on an engine. Other policies count this amount as
+     * granted, even if the grant that is sent differs.
      */
     public double grantMb(TrackedRequest request, Engine engine) {
         SchedulerSettings settings = context.settings();
@@ -74,7 +75,7 @@
 
     /**
      * Returns the priority; a higher one runs first. Short work comes first, then loads and relaunches, then
-     * long work; what is already late comes last.
+     * other long work; requests that are expected to miss their objective come last.
      */
     private int priority(TrackedRequest request) {
         double nowMs = context.nowMs();
@@ -101,7 +102,7 @@
         type.setGrantFactor(type.grantFactor() * change);
     }
 
-    /** Raises the grant factor after a request that spilled to disk. */
+    /** Raises the grant factor, up to its maximum, after a request has spilled to disk. */
     public void recordSpill(ClassState type) {
         type.setGrantFactor(Math.min(MAX_GRANT_FACTOR, type.grantFactor() * SPILL_STEP));
     }
--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -11,11 +11,11 @@
 import lineward.scheduling.state.TrackedRequest;
 
 /**
- * Decides whether a request may be attempted, retried or relaunched, by key order, idempotence, number of
- * attempts and retry budget.
+ * Decides whether a request may be attempted, retried or relaunched, according to key order, idempotence,
+ * number of attempts and retry budget.
  */
 public final class RetryPolicy {
-    /** Number of errors from which the request itself is taken to be at fault. */
+    /** Number of errors at which the request itself is assumed to be at fault. */
     private static final int MAX_ERRORS_PER_REQUEST = 3;
 
     private final SchedulerContext context;
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Returns whether an attempt of the request at the engine complies with all rules that concern the
-     * request.
+     * Returns whether an attempt of the request on the engine is permitted by its state, key order,
+     * idempotence and retry budget, regardless of the engine's health and load.
      */
     public boolean mayAttempt(TrackedRequest request, Engine engine) {
         boolean firstAttempt = request.attempts().isEmpty();
@@ -57,14 +57,15 @@
         return request.attempts().size() < context.settings().attempts().maxPerRequest();
     }
 
-    /** Returns whether two runs of the request are harmless on any engines, at least for some time. */
+    /** Returns whether a second run of the request is harmless on any engine, at least for some time. */
     public boolean mayRunTwice(TrackedRequest request) {
         return request.type().settings().repeatability().isRepeatableAnywhere();
     }
 
     /**
-     * Returns the time within which the next attempt must start. An idempotency key expires, and a
-     * non-idempotent request that may have run must not start again.
+     * Returns the time within which the next attempt must start; 0 or less if it must not start. The time is
+     * limited only for a request that may have run and is not idempotent: to the remaining lifetime of its
+     * idempotency key, or to 0 if it has none.
      */
     public double startWithinMs(TrackedRequest request) {
         Attempt first = request.firstUnansweredRun();
@@ -93,7 +94,7 @@
 
     /**
      * Returns whether the request may be queued for another attempt after one that ended with this outcome.
-     * There is no retry after NOT_STARTED, as the request was complete or its time was up.
+     * After NOT_STARTED it may not, as it was complete or its time had run out.
      */
     public boolean mayRetry(TrackedRequest request, AttemptOutcome outcome) {
         boolean requestAtFault = request.errors() >= MAX_ERRORS_PER_REQUEST;
@@ -104,8 +105,8 @@
     }
 
     /**
-     * Returns whether a relaunch of the attempt in flight would be within the retry budget and the lifetime
-     * of the request's key.
+     * Returns whether a relaunch of the attempt in flight would be within the retry budget, which the
+     * relaunches after cancellations in flight will use too, and within the lifetime of the request's key.
      */
     public boolean mayRelaunch(TrackedRequest request) {
         return budget.allows(1 + cancelsInFlight()) && !mayOutliveItsKey(request);
@@ -119,8 +120,8 @@
     }
 
     /**
-     * Returns whether a relaunch might start after the key has expired. The lifetime counts from the first
-     * attempt, which may turn out to have run; the relaunch may be delayed by a silent engine.
+     * Returns whether a relaunch might start after the key has expired. The lifetime counts from the start of
+     * the first attempt, which may turn out to have run; a silent engine may delay the relaunch.
      */
     private boolean mayOutliveItsKey(TrackedRequest request) {
         return request.isRepeatableByKey()
--- a/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
@@ -1,16 +1,15 @@
 package lineward.scheduling.decision;
 
 /**
- * Decides which requests and clients a protocol server admits before the scheduler sees them. The table of
- * the coordinator then bounds the number of requests, and the scheduler decides when each one runs, or
- * rejects it.
+ * Decides which requests and clients a protocol server admits. After this check, the coordinator's request
+ * table limits the number of requests, and the scheduler decides when each of them runs, or rejects it.
  */
 public final class ServerAdmissionPolicy {
-    /** The phases of a server, by which requests and clients it accepts. */
+    /** The phases of a server, which differ in the requests and clients that it accepts. */
     public enum Phase {
-        /** Admits all requests and welcomes new clients. */
+        /** Admits requests and accepts new clients. */
         OPEN,
-        /** Admits all requests, but asks clients to use other front ends. */
+        /** Admits requests, but asks clients to use other front ends. */
         DRAINING,
         /** Rejects new requests and completes those already admitted. */
         REJECTING
@@ -42,7 +41,7 @@
         return phase == Phase.OPEN;
     }
 
-    /** Returns whether requests are admitted at all. */
+    /** Returns whether the phase permits admitting requests. */
     public boolean admitsRequests() {
         return phase != Phase.REJECTING;
     }
@@ -52,9 +51,7 @@
         return admitsRequests() && statementBytes + bytes <= maxStatementBytes;
     }
 
-    /**
-     * Returns whether the server keeps a new client, given the number of its clients, the new one included.
-     */
+    /** Returns whether the server keeps a new client, given the number of clients including the new one. */
     public static boolean mayConnect(int clients, int maxClients) {
         return clients <= maxClients;
     }
--- a/src/main/java/lineward/scheduling/decision/SlowStart.java
+++ b/src/main/java/lineward/scheduling/decision/SlowStart.java
@@ -13,11 +13,11 @@
  */
 public final class SlowStart {
     /**
-     * Number of front ends that may use a warming engine in one slot: enough to fill it, few enough that each
-     * one's budget covers a request.
+     * Number of front ends that may use a warming engine in one slot: enough to use its capacity, few enough
+     * that the budget of each one covers a request.
      */
     private static final int FRONT_ENDS_PER_SLOT = 4;
-    /** Number of slots that the sliding window overlaps, so that each slot may use half of the budget. */
+    /** Number of slots that a sliding window may overlap; each slot may use half of the window's budget. */
     private static final int OVERLAPPING_SLOTS = 2;
     /** Fraction of the overload limit that is used; below 1 because the capacity is an estimate. */
     private static final double BUDGET_RATIO = 0.4;
@@ -51,7 +51,7 @@
         joinedHotRestart |= ratio < FULL_QUOTA;
     }
 
-    /** Returns whether the fleet is so large that front ends take turns at a warming engine, in slots. */
+    /** Returns whether the fleet is so large that front ends use a warming engine in turn, in time slots. */
     public boolean usesSlots() {
         return position.frontEnds() > FRONT_ENDS_PER_SLOT;
     }
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Returns whether this front end has the current slot at the engine. Each slot lasts one window and goes
-     * to front ends by their ordinals and the engine's id, so that they need not exchange messages.
+     * Returns whether this front end has the current slot at the engine. A slot lasts one window. Who has it
+     * follows from the ordinals of the front ends and the engine's id, without any messages between them.
      */
     private boolean hasSlot(Engine engine) {
         double ageMs = context.nowMs() - engine.warmupStartMs().getAsDouble();
@@ -105,8 +105,8 @@
     }
 
     /**
-     * Returns the quota that applies now. Work sent by another process counts for one more window, so a
-     * larger quota applies only after that.
+     * Returns the quota that applies now. After a change, work sent by the other process still counts for one
+     * window, so an increase takes effect only after that time.
      */
     private double effectiveQuotaRatio() {
         return isQuotaJustChanged() ? Math.min(quotaRatio, previousQuotaRatio) : quotaRatio;
