--- a/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
+++ b/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
@@ -84,9 +84,9 @@
     }
 
     /**
-     * Returns the mean time between two polled engines. It is long enough that polling stays within its cost
-     * budget, and that all front ends together poll each engine about once in {@value #MIN_INTERVAL_MS} ms at
-     * most.
+     * Returns the mean time to allow for each polled engine. It is long enough that polling stays within its
+     * cost budget, and that all front ends together poll each engine about once in {@value #MIN_INTERVAL_MS}
+     * ms at most.
      */
     private double intervalMs(int engines) {
         SchedulerSettings.Costs costs = context.settings().costs();
--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -20,32 +20,32 @@
 
     private static final int MAX_CONSECUTIVE_FAILURES = 3;
     /**
-     * Number of consecutive failures, the last one a reset, at which the engine's process counts as lost. A
-     * single connection may break for other reasons.
+     * Minimum number of consecutive failures, the last one a reset, at which the engine's process counts as
+     * ended. A single connection may break for other reasons.
      */
     private static final int RESETS_OF_A_LOST_PROCESS = 2;
     /**
-     * Fraction of healthy engines among the allowed ones below which ejected ones are used as well, for one
-     * attempt in each probe interval: the fault is then more likely at this front end.
+     * Fraction of healthy engines below which ejected ones are used as well, each for one attempt in every
+     * recovery probe interval. If so many engines seem faulty, the fault is more likely at this front end.
      */
     private static final double MIN_HEALTHY_RATIO = 0.34;
-    /** An attempt is overdue after this multiple of its expected run time plus {@link #SILENCE_MS}. */
+    /** An attempt is overdue after this multiple of its usual run time plus {@link #SILENCE_MS}. */
     private static final double OVERDUE_FACTOR = 3;
     /**
-     * Number of unanswered attempts, one of them overdue, for which a silent engine is ejected. A single one
-     * may be a straggler in a large fleet.
+     * Minimum number of unanswered attempts, at least one of them overdue, at which a silent engine is
+     * ejected. In a large fleet a single one may be a straggler.
      */
     private static final int UNANSWERED_ATTEMPTS = 2;
     /**
      * Number of progress intervals without a report after which a silent engine is ejected. The first report
-     * takes up to 1.5 intervals.
+     * may take up to 1.5 intervals.
      */
     private static final double MISSED_PROGRESS_INTERVALS = 1.55;
 
     private static final double RECOVERY_PROBE_INTERVAL_MS = 700;
     /**
-     * Recovery probes that each admitted request earns. The rate is limited because the probes of all front
-     * ends add up.
+     * Recovery probes that each admitted request adds to the budget. The probes are limited because those of
+     * all front ends add up.
      */
     private static final double RECOVERY_PROBES_PER_REQUEST = 0.1;
 
@@ -64,14 +64,14 @@
         this.context = context;
     }
 
-    /** Counts an admitted request, which earns a fraction of a recovery probe. */
+    /** Adds the fraction of a recovery probe that an admitted request earns to the budget. */
     public void earnRecoveryProbe() {
         recoveryProbes = Math.min(MAX_RECOVERY_PROBES, recoveryProbes + RECOVERY_PROBES_PER_REQUEST);
     }
 
     /**
-     * Records that an attempt is started at an ejected engine: it uses one recovery probe and delays the
-     * engine's next one.
+     * Records that an attempt is started on an ejected engine: it uses up one recovery probe of the budget
+     * and delays the engine's next one.
      */
     public void spendRecoveryProbe(Engine engine) {
         scheduleRecoveryProbe(engine);
@@ -83,8 +83,8 @@
     }
 
     /**
-     * Returns whether so few of the allowed engines are healthy that any request may use an ejected engine
-     * whose next recovery probe is due.
+     * Returns whether so few of the engines that a request may run on are healthy that it may use any ejected
+     * engine whose next recovery probe is due.
      */
     public boolean mustUseEjected(int healthy, int allowed) {
         return healthy < MIN_HEALTHY_RATIO * allowed;
@@ -108,7 +108,7 @@
                 && slackMs > RECOVERY_PROBE_SLACK * request.expectedRunMs();
     }
 
-    /** Ejects the engine if it has overdue work and has sent neither an answer nor progress for too long. */
+    /** Ejects the engine if it has overdue work and has sent neither answers nor progress for too long. */
     public void detectSilence(Engine engine) {
         double silentMs = context.nowMs() - engine.health().lastResponseMs();
         boolean silent = !engine.health().isEjected() && silentMs >= SILENCE_MS;
@@ -117,6 +117,10 @@
         }
     }
 
+    /**
+     * Returns whether a running attempt has missed its progress reports, or several attempts are unanswered
+     * and one of them is overdue.
+     */
     private boolean hasOverdueWork(Engine engine, double silentMs) {
         double intervalMs = context.settings().attempts().progressIntervalMs();
         boolean reportsProgress = intervalMs > 0;
@@ -124,7 +128,7 @@
         boolean overdue = false;
         int unanswered = 0;
         for (Attempt attempt : engine.attempts()) {
-            // An engine reports once that an attempt waits, and sends no more reports until it runs.
+            // An engine reports only once that an attempt waits, and is then silent until the attempt runs.
             if (!attempt.isWaiting()) {
                 double ageMs = context.nowMs() - attempt.startedAtMs();
                 double usualMs = usualRunMs(attempt.request());
@@ -140,6 +144,7 @@
         return false;
     }
 
+    /** Returns the run time to expect at the current slowdown of the class. */
     private static double usualRunMs(TrackedRequest request) {
         return request.expectedRunMs() * request.type().model().slowdown();
     }
@@ -149,7 +154,10 @@
         engine.recordSuccess(context.nowMs());
     }
 
-    /** Records that a connection to the engine broke during an attempt. */
+    /**
+     * Records that a connection to the engine broke during an attempt. After several failures in a row the
+     * engine's process counts as ended, and the engine as warming up.
+     */
     public void recordReset(Engine engine) {
         recordFailure(engine, EjectionCause.RESETS);
         if (engine.health().consecutiveFailures() >= RESETS_OF_A_LOST_PROCESS) {
@@ -157,7 +165,7 @@
         }
     }
 
-    /** Records that no connection to the engine could be established, which ejects it at once. */
+    /** Records that no connection to the engine could be established, and ejects it at once. */
     public void recordConnectFailure(Engine engine) {
         engine.health().setConsecutiveFailures(MAX_CONSECUTIVE_FAILURES);
         engine.recordConnectionLost(context.nowMs());
@@ -166,7 +174,7 @@
 
     /**
      * Records that an engine answered a request with an error. The first error of a request counts as a
-     * failure of its engine; the second one reverts that, as the request itself may be at fault.
+     * failure of its engine; the second error reverts that failure, as the request itself may be at fault.
      */
     public void attributeError(TrackedRequest request, Engine engine) {
         request.recordError(engine);
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -12,7 +12,7 @@
 /** Decides the memory grant and the priority of a request's attempts. */
 public final class ResourceLimits {
     private static final double MAX_GRANT_FACTOR = 3;
-    /** The grant factor converges to this quantile of the memory needs relative to their estimates. */
+    /** The grant factor converges to this quantile of the ratio of memory needs to corrected estimates. */
     private static final double NEED_QUANTILE = 0.98;
 
     private static final double NEED_STEP = 0.03;
--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -9,21 +9,23 @@
 /** Decides which attempts are cancelled because they are slow, to be relaunched on another engine. */
 public final class SpeculativeCancellation {
     /**
-     * Fraction of the requests that are exempt from the speculative timeout (tau), so that the survival curve
-     * of run times keeps its tail.
+     * Fraction of the requests that are exempt from the speculative timeout, so that the survival curve of
+     * run times keeps its tail.
      */
     private static final double EXEMPT_RATIO = 0.02;
 
     private static final double PROGRESS_FRESH_INTERVALS = 2.5;
     /**
-     * An attempt is cancelled before tau if its predicted remaining time exceeds this multiple of a relaunch.
+     * An attempt is cancelled before the speculative timeout if its predicted remaining time exceeds this
+     * multiple of the expected run time of a relaunch.
      */
     private static final double EARLY_CANCEL_RELAUNCHES = 2;
     /**
-     * A relaunch counts as stalled if its predicted remaining time exceeds this multiple of another relaunch.
+     * A relaunch is stalled if its predicted remaining time exceeds this multiple of the expected run time of
+     * another relaunch.
      */
     private static final double STANDSTILL_RELAUNCHES = 4;
-    /** Time that a recovery probe may take, as a multiple of its expected run time, besides a margin. */
+    /** A recovery probe may take this multiple of its expected run time plus a margin. */
     private static final double RECOVERY_PROBE_FACTOR = 2;
 
     private static final double RECOVERY_PROBE_MARGIN_MS = 300;
@@ -51,8 +53,8 @@
     }
 
     /**
-     * Returns whether the attempt is to be cancelled now: its request may run again, it is past tau or its
-     * engine has failed or stalled, and another engine can take the relaunch.
+     * Returns whether the attempt should be cancelled now: it is too slow, or its engine is ejected or makes
+     * no progress; its request may run again; and another engine can take the relaunch.
      */
     public boolean shouldCancel(Attempt attempt) {
         return cancellation.mayCancel(attempt)
@@ -73,7 +75,7 @@
         return engineFails || isPastTau(attempt, relaunchMs);
     }
 
-    /** Returns the expected run time of a relaunch, at the present slowdown of its class on all engines. */
+    /** Returns the expected run time of a relaunch at the current slowdown of its class on all engines. */
     private double expectedRelaunchMs(TrackedRequest request) {
         ServiceTimeModel model = request.type().model();
         return model.relaunchRatio(context.nowMs()) * request.workUnitMs() * model.slowdown();
@@ -90,8 +92,8 @@
     }
 
     /**
-     * Returns whether a relaunch is stalled. Tau does not apply to a relaunch, but its progress may show that
-     * its engine does no work.
+     * Returns whether the attempt is a relaunch that is stalled. The speculative timeout does not apply to a
+     * relaunch, but its progress may show that its engine does no work.
      */
     private boolean isStandingStill(Attempt attempt, double relaunchMs) {
         return attempt.request().isRelaunched()
@@ -112,8 +114,9 @@
     }
 
     /**
-     * Returns whether the attempt is past tau. If there is a fresh progress report, an attempt that is nearly
-     * done is spared, and one that has far more left than a relaunch would take is due before tau.
+     * Returns whether the attempt is too slow. That is so from the speculative timeout on. With a fresh
+     * progress report, however, an attempt that would end before a relaunch is spared, and one that would
+     * take far longer than a relaunch is too slow before the timeout; its predicted run time is recorded.
      */
     private boolean isPastTau(Attempt attempt, double relaunchMs) {
         if (!isSubjectToTau(attempt)) {
--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -6,21 +6,24 @@
 import lineward.scheduling.state.ClassState;
 
 /**
- * Computes the speculative timeout (tau): the run time after which a relaunch on another engine is expected
- * to cost less load than waiting.
+ * Computes the speculative timeout: the run time after which a relaunch on another engine is expected to cost
+ * less load than waiting.
  */
 public final class SpeculativeTimeout {
     /**
-     * Fraction of the load that cancellation must save; a smaller saving is within the error of the estimate.
+     * Minimum fraction of the load that a timeout must save; a smaller saving is within the error of the
+     * estimate.
      */
     private static final double MIN_LOAD_SAVED = 0.02;
 
     private SpeculativeTimeout() {}
 
     /**
-     * Returns tau in units of the estimated run time: the bin edge of the survival curve with the least
-     * expected load; empty if nothing is to be cancelled. For a class with too few runs for a curve, that
-     * edge, or the run time of a straggler if no edge saves load, is clamped to the bounds of a straggler.
+     * Returns the speculative timeout as a multiple of the estimated run time: the bin edge of the survival
+     * curve at which cancellation leads to the least expected load; empty if no edge saves enough load, or if
+     * the class has too few runs for a typical run time. If it has a typical run time but too few runs for a
+     * reliable curve, the timeout is limited to the bounds for a straggler, and is the upper bound if no edge
+     * saves enough load.
      */
     public static OptionalDouble tauRatio(ClassState type, double nowMs) {
         ServiceTimeModel model = type.model();
@@ -34,6 +37,7 @@
         return OptionalDouble.of(withinStragglerBounds(leastLoad, model.typicalRatio()));
     }
 
+    /** Returns the bin edge with the least expected load; empty if no edge saves enough load. */
     private static OptionalDouble leastLoadRatio(ServiceTimeModel model, double nowMs) {
         SurvivalCurve curve = model.firstRuns();
         double relaunchRatio = model.relaunchRatio(nowMs);
