--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -64,7 +64,7 @@
         this.context = context;
     }
 
-    /** Adds the fraction of a recovery probe that an admitted request earns to the budget. */
+    /** Adds to the budget the fraction of a recovery probe that an admitted request earns. */
     public void earnRecoveryProbe() {
         recoveryProbes = Math.min(MAX_RECOVERY_PROBES, recoveryProbes + RECOVERY_PROBES_PER_REQUEST);
     }
--- a/src/test/java/lineward/scheduling/ErrorAttributionTest.java
+++ b/src/test/java/lineward/scheduling/ErrorAttributionTest.java
@@ -8,7 +8,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Errors and resets count against the engine only if neither the request nor the connection is at fault. */
+/**
+ * Tests which errors and resets count against an engine: not those for which the request or a single
+ * connection may be at fault.
+ */
 public class ErrorAttributionTest {
     private static long ejections(TestingScheduler scheduler) {
         return scheduler.allActions(SchedulerAction.LogMessage.class).stream()
@@ -46,7 +49,7 @@
             }
             scheduler.attemptEnds(id, attempt, AttemptOutcome.OK);
         }
-        assertTrue(atFaultyEngine <= 3, atFaultyEngine + " of 40");
+        assertTrue(atFaultyEngine <= 3, atFaultyEngine + " attempts at the faulty engine");
     }
 
     @DataProvider
@@ -54,7 +57,10 @@
         return new Object[][] {{2}, {14}, {100}};
     }
 
-    /** The engine always looks idle, but is not ejected since it never fails three times in a row. */
+    /**
+     * The engine fails every other attempt at once, so it looks idle, but it is not ejected, since it never
+     * fails three times in a row. Its error ratio must keep requests away from it.
+     */
     @Test(dataProvider = "frontEnds")
     public void engineThatFailsHalfOfItsRequestsGetsLessThanItsQuota(int frontEnds) {
         SchedulerSettings settings = settings(frontEnds, lookupClass());
@@ -76,8 +82,8 @@
     }
 
     /**
-     * Returns the attempts started at once after the resets: fewer if the engine counts as restarted and is
-     * in slow start.
+     * Returns how many of ten requests start at once after the resets: fewer if the engine counts as
+     * restarted and is in slow start.
      */
     private static int startedAfterResets(int resets) {
         TestingScheduler scheduler = new TestingScheduler(settings(lookupClass())).listEngines(1);
--- a/src/test/java/lineward/scheduling/RareClassStragglerTest.java
+++ b/src/test/java/lineward/scheduling/RareClassStragglerTest.java
@@ -7,7 +7,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Stragglers of a class with only a few requests per minute are relaunched and do not use up the quota. */
+/**
+ * Tests that stragglers of a class with only a few requests per minute are relaunched. A straggler that is
+ * never cancelled takes up the quota of its front end.
+ */
 public class RareClassStragglerTest {
     private static final long STRAGGLER = 1000;
     private static final int USUAL_MS = 300;
@@ -37,8 +40,8 @@
     }
 
     /**
-     * Eight outcomes are too few for a survival curve, but a run of several times their duration is still
-     * cancelled, and only once.
+     * Eight outcomes are too few for a survival curve, but a run that takes several times as long is still
+     * cancelled, and its relaunch is not.
      */
     @Test(dataProvider = "fleets")
     public void stragglerOfARareClassIsRelaunchedElsewhere(int frontEnds, int engines) {
--- a/src/test/java/lineward/scheduling/SpeculationTest.java
+++ b/src/test/java/lineward/scheduling/SpeculationTest.java
@@ -14,8 +14,9 @@
 public class SpeculationTest {
 
     /**
-     * Of 100 runs, 80 take 1 and 20 are censored at 2. A censored run leaves the set at risk, so a fifth of
-     * the runs survives past 2.
+     * Of 100 runs, 80 take about 1 and 20 take more than 2. If the latter are censored there, because they
+     * were cancelled, the curve must still show that a fifth of the runs take longer than 1. It would not if
+     * censored runs were dropped.
      */
     @Test
     public void censoredRunsKeepTheTail() {
@@ -40,8 +41,8 @@
     }
 
     /**
-     * Of 100 runs, 90 take 1 and 10 take 10. The area under the curve is 1.9 if nothing is cancelled, and
-     * about 1 up to 1.2.
+     * Of 100 runs, 90 take about 1 and 10 take 10. The area under the curve is the mean run time, 1.9. If
+     * runs are cancelled at about 1.1 and relaunched, the mean load is little more than 1.
      */
     @Test
     public void areasAreThoseOfTheCurve() {
@@ -63,9 +64,7 @@
         return i;
     }
 
-    /**
-     * Completes runs one after another; one in ten is a straggler that takes {@code stretch} times as long.
-     */
+    /** Completes runs of about 200 ms one after another. One in ten takes {@code stretch} times as long. */
     private static TestingScheduler afterRuns(double stretch) {
         SchedulerSettings settings = settings(lookupClass(), loadClass());
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3, 4);
@@ -94,8 +93,9 @@
         for (int i = 0; i < 40 && scheduler.allCancels().isEmpty(); i++) {
             scheduler.advance(25);
         }
-        // Expected load: past 1 it is 1 + 0.1 (tau - 1) + 0.1 m and rises; below 1 nearly all runs are
-        // relaunched. So tau is the upper edge of the bin of 1, at most 2^0.2 x 200 ms; the cancel follows at
+        // In units of the usual run time, and with a mean m of relaunches, the expected load of a timeout t
+        // past 1 is 1 + 0.1 (t - 1) + 0.1 m, which rises with t; below 1, nearly all runs are relaunched. So
+        // the timeout is the upper edge of the bin of 1, at most 2^0.2 x 200 ms. The cancellation follows at
         // the next sweep.
         assertThat(scheduler.nowMs - startedMs).isBetween(200.0, 275.0);
         assertThat(scheduler.allCancels()).hasSize(1);
@@ -168,7 +168,7 @@
         assertThat(scheduler.allCancels()).isEmpty();
     }
 
-    /** A run whose answer has no more value would use capacity that other requests need. */
+    /** A run whose answer has no value any more would use capacity that other requests need. */
     @Test
     public void runWithoutOverdueValueIsGivenUp() {
         SchedulerSettings settings = settings(lookupClass(), loadClass());
@@ -185,8 +185,8 @@
     }
 
     /**
-     * Progress reports whose ratio does not rise show that the engine is alive, but the relaunch would never
-     * end.
+     * Progress reports whose ratio does not rise show that the engine is alive, so it is not ejected, but the
+     * relaunch would never end.
      */
     @Test
     public void relaunchWithoutProgressIsCancelled() {
--- a/src/test/java/lineward/scheduling/WaitingAttemptsTest.java
+++ b/src/test/java/lineward/scheduling/WaitingAttemptsTest.java
@@ -13,7 +13,10 @@
 import lineward.scheduling.SchedulerEvent.TimerFired;
 import org.testng.annotations.Test;
 
-/** Attempts that wait at their engine, and stragglers of classes with few outcomes. */
+/**
+ * Tests attempts that wait at their engine, stragglers of a class without outcomes, and a batch of events
+ * after a stall.
+ */
 public class WaitingAttemptsTest {
     private static TestingScheduler schedulerOfFourEngines(double progressIntervalMs, int attempts) {
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
@@ -24,7 +27,7 @@
         return new TestingScheduler(settings).listEngines(1, 2, 3, 4);
     }
 
-    /** An engine reports once that a load waits, and sends no more reports until it runs. */
+    /** An engine reports only once that an attempt waits, and is then silent until the attempt runs. */
     @Test
     public void waitingAttemptIsNoSilence() {
         TestingScheduler scheduler = schedulerOfFourEngines(500, 5);
@@ -104,7 +107,10 @@
         }
     }
 
-    /** After a stall of the process, one batch may contain an overdue timer before the answers. */
+    /**
+     * After a stall of the process, a batch may contain an overdue timer event before the answers. The sweep
+     * must not count their attempts as unanswered.
+     */
     @Test
     public void answersOfABatchAreAppliedBeforeAnyDecision() {
         TestingScheduler scheduler = schedulerOfFourEngines(0, 5);
--- a/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The objective of a request is 1,000 ms plus its work after its admission, and its deadline is 5,000 ms. */
+/** A request's objective is 1,000 ms plus its work after admission, and its deadline 5,000 ms. */
 public class AdmissionPolicyTest {
     private static final double ROUNDING = 1e-12;
 
--- a/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
@@ -69,7 +69,7 @@
         assertThat(policies.cancellation.isUnanswered(request)).isEqualTo(unanswered);
     }
 
-    /** The state of an attempt of 200 ms whose request has its objective at 1,200 ms. */
+    /** The state of an attempt of 200 ms that starts at admission, 1,200 ms before the objective. */
     private enum Run {
         WAITING,
         RUNNING,
@@ -92,7 +92,7 @@
 
     /**
      * Columns: state of the attempt, its age in ms, overdue value ratio, idempotence, whether cancellation is
-     * permitted, whether the attempt has no value.
+     * permitted, whether the request is to be given up.
      */
     @DataProvider
     public Object[][] runs() {
--- a/src/test/java/lineward/scheduling/decision/ClientEvictionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/ClientEvictionPolicyTest.java
@@ -11,7 +11,7 @@
 public class ClientEvictionPolicyTest {
     private static final int CAPACITY = 1_600;
 
-    /** Columns: silent, idle and closing connections at a capacity of 1,600, expected eviction. */
+    /** Columns: number of silent, idle and closing connections at a capacity of 1,600, expected eviction. */
     @DataProvider
     public Object[][] connections() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -100,7 +100,7 @@
         assertThat(policies.limits.hasCapacity(engine, policies.admit())).isEqualTo(hasCapacity);
     }
 
-    /** Columns: front ends, initial quota, fraction of the load that other front ends cause unseen. */
+    /** Columns: front ends, initial quota, fraction of the load that this front end does not see. */
     @DataProvider
     public Object[][] frontEnds() {
         return new Object[][] {{1, 1, 0}, {2, 0.65, 0}, {4, 0.325, 0}, {8, 0.1625, 0.5}, {100, 0.013, 0.96}};
@@ -114,8 +114,8 @@
     }
 
     /**
-     * The quota of one of 100 front ends, 0.13 after 5 s of blocked requests, is adapted once more. Columns:
-     * whether requests are blocked, slowdown, interval in ms, expected quota.
+     * One of 100 front ends has a quota of 0.13 after 5 s of blocked requests; the quota is then adapted once
+     * more. Columns: whether requests are blocked, slowdown, interval in ms, expected quota.
      */
     @DataProvider
     public Object[][] adaptations() {
@@ -143,8 +143,8 @@
 
     /**
      * Each of 20 front ends may use 3.12 threads on the four engines. Columns: front ends, threads in flight
-     * of the class and of another one, the class's fraction of the value, time in ms since its last start,
-     * whether a request is within the quota.
+     * of the request's class and of another class, fraction of the value that its class has, time in ms since
+     * the last start of its class, whether the request is within the quota.
      */
     @DataProvider
     public Object[][] fleetQuotas() {
--- a/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
@@ -83,7 +83,7 @@
         assertThat(policies.eligibility.hasCapacityNow(request, engine)).isEqualTo(hasCapacity);
     }
 
-    /** The state of the only engine besides that of the attempt. */
+    /** The state of the only engine besides the one that the attempt runs on. */
     private enum OtherEngine {
         FREE,
         GONE,
--- a/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Columns: whether the request waits for loads, whether the load in flight is of its table group, added
-     * load.
+     * Columns: whether requests of the class wait for loads, whether the load in flight uses the same table
+     * group, expected load added to the score.
      */
     @DataProvider
     public Object[][] conflicts() {
@@ -105,7 +105,7 @@
         assertThat(policies.loadScore.score(request, engine) == 0).isEqualTo(free);
     }
 
-    /** Columns: front ends, expected scale of the random spread relative to that of a single front end. */
+    /** Columns: front ends, expected scale of the random noise relative to that of a single front end. */
     @DataProvider
     public Object[][] spreads() {
         return new Object[][] {{1, 1}, {4, 1}, {8, 16}, {100, (0.01 + 0.3 * 0.96) / SPREAD}};
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Columns: work ratio of a class that can run on half of the cores, fraction of its engine's cores that
-     * stays free.
+     * Columns: fraction of all work that belongs to a class restricted to one of two equal engines, fraction
+     * of that engine's cores that counts as free for other classes.
      */
     @DataProvider
     public Object[][] boundClasses() {
--- a/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
@@ -27,9 +27,7 @@
         return engine.map(Engine::id).orElse(NONE);
     }
 
-    /**
-     * A state of an engine that excludes it from the next attempt of a request, or makes it the first choice.
-     */
+    /** The state of an engine, which affects whether the next attempt of a request goes to it. */
     private enum Condition {
         NOT_BUSY,
         BUSY,
@@ -141,7 +139,7 @@
 
     /**
      * Each of 100 front ends may use 0.156 threads of the only engine. Columns: attempts in flight there,
-     * engine expected to be selected, whether the class is paused.
+     * engine expected to be selected, whether dispatch of the class is paused.
      */
     @DataProvider
     public Object[][] quotas() {
--- a/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
+++ b/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Columns: whether the outcome is indeterminate, key of the next request, time in ms since the outcome,
-     * whether the next request may start.
+     * Columns: whether the outcome of a request is indeterminate, key of the next request, time in ms since
+     * the outcome, whether the next request may start.
      */
     @DataProvider
     public Object[][] settleTimes() {
--- a/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 public class MigrationPolicyTest {
-    /** Age in ms from which a run of 200 ms ends past the objective of 1,200 ms. */
+    /** Age in ms from which a run of 200 ms would not end before the objective at 1,200 ms. */
     private static final double MIGRATION_END_MS = 1_000;
 
     private static boolean shouldMigrate(TestingPolicies policies, Attempt attempt) {
@@ -22,7 +22,7 @@
         return policy.shouldMigrate(attempt);
     }
 
-    /** The conditions of a migration. Each row but the first violates one of them. */
+    /** The conditions of a migration. A test case violates one of them, or none. */
     private enum Unmet {
         NONE,
         CANCEL_PERMITTED,
--- a/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
@@ -14,7 +14,7 @@
 /** Requests have an estimated run time of 200 ms, so an attempt is overdue after 3 x 200 + 900 ms. */
 public class OutlierDetectorTest {
 
-    /** An outcome at an engine, each for another request. */
+    /** The outcome of an attempt on an engine; each attempt belongs to a different request. */
     private enum Answer {
         SUCCESS,
         ERROR,
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Columns: successive outcomes at one engine, whether it is ejected, whether its process counts as
+     * Columns: successive outcomes on one engine, whether it is then ejected, whether its process counts as
      * restarted.
      */
     @DataProvider
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Columns: interval of progress reports in ms, running attempts, waiting attempts, their age in ms, time
-     * of the last answer in ms, whether the engine is ejected.
+     * Columns: interval of progress reports in ms (0 for none), running attempts, waiting attempts, their age
+     * in ms, time from their start to the last response in ms, whether the engine is ejected.
      */
     @DataProvider
     public Object[][] silences() {
@@ -129,7 +129,7 @@
         assertThat(engine.health().isEjected()).isEqualTo(ejected);
     }
 
-    /** Columns: healthy engines, engines of the placement, whether ejected ones are used as well. */
+    /** Columns: healthy engines, engines that a request may run on, whether ejected ones are used as well. */
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {{0, 0, false}, {0, 1, true}, {1, 2, false}, {1, 3, true}, {2, 5, false}};
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Columns: whether engines support grants, memory shortage, and in MB the engine memory, the estimate,
-     * the grant and the memory that is counted.
+     * Columns: whether engines support grants, what they do if memory is short, and in MB the memory of the
+     * engine, the estimate of the request, the expected grant and the memory expected to be counted.
      */
     @DataProvider
     public Object[][] grants() {
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Columns: mean work of the class in ms, age of a request of 200 ms, whether relaunched, whether a load,
-     * expected priority.
+     * Columns: mean work of the class in ms, age in ms of a request of 200 ms, whether it is relaunched,
+     * whether it is a load, expected priority.
      */
     @DataProvider
     public Object[][] priorities() {
--- a/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Columns: idempotence, scope, zone and cell of another engine, time in ms since the first start, whether
-     * the request may be repeated there.
+     * The first attempt runs in zone 0 and cell 0. Columns: idempotence, scope, zone and cell of another
+     * engine, time in ms since the start of the first attempt, whether the request may be repeated there.
      */
     @DataProvider
     public Object[][] repeats() {
@@ -147,8 +147,8 @@
     }
 
     /**
-     * Columns: idempotence, outcome, time in ms since the first start, time in ms within which the next
-     * attempt must start.
+     * Columns: idempotence, outcome of the first attempt, time in ms since its start, time in ms within which
+     * the next attempt must start.
      */
     @DataProvider
     public Object[][] startLimits() {
@@ -172,8 +172,8 @@
     }
 
     /**
-     * Columns: retry budget, ended attempts, cancellations of others in flight, whether the request may be
-     * attempted, whether it may be relaunched.
+     * Columns: retry budget, ended attempts of the request, cancellations of other requests in flight,
+     * whether the request may be attempted, whether it may be relaunched.
      */
     @DataProvider
     public Object[][] budgets() {
@@ -204,8 +204,8 @@
     }
 
     /**
-     * Columns: idempotence, time in ms since the first start, whether a relaunch would be within the lifetime
-     * of the key.
+     * Columns: idempotence, time in ms since the start of the first attempt, whether a relaunch is permitted
+     * by the lifetime of the key.
      */
     @DataProvider
     public Object[][] keyAges() {
@@ -225,7 +225,7 @@
         assertThat(policies.retries.mayRelaunch(attempt.request())).isEqualTo(mayRelaunch);
     }
 
-    /** Columns: idempotence, scope, whether two runs on any engines are harmless. */
+    /** Columns: idempotence, scope, whether a second run is harmless on any engine. */
     @DataProvider
     public Object[][] doubleRuns() {
         return new Object[][] {
--- a/src/test/java/lineward/scheduling/decision/ServerAdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/ServerAdmissionPolicyTest.java
@@ -11,7 +11,7 @@
 public class ServerAdmissionPolicyTest {
     private static final long MAX_STATEMENT_BYTES = 1_000;
 
-    /** Columns: phase, whether clients are welcome, whether requests are admitted. */
+    /** Columns: phase, whether clients should use this front end, whether requests are admitted. */
     @DataProvider
     public Object[][] phases() {
         return new Object[][] {{OPEN, true, true}, {DRAINING, false, true}, {REJECTING, false, false}};
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Columns: bytes admitted before, bytes of these completed, bytes of the next statement, whether it is
-     * admitted.
+     * Columns: bytes of the statements admitted so far, bytes of those that are completed, bytes of the next
+     * statement, whether it is admitted.
      */
     @DataProvider
     public Object[][] statements() {
--- a/src/test/java/lineward/scheduling/decision/SlowStartTest.java
+++ b/src/test/java/lineward/scheduling/decision/SlowStartTest.java
@@ -14,7 +14,9 @@
     private static final double WARMUP_MS = 15_000;
     private static final double NO_OVERLOAD = 0;
 
-    /** Sets a deadline so short that the usual work of the class, 100 ms, is less than any estimate here. */
+    /**
+     * Sets a deadline so short that the prior mean work of the class, 100 ms, is less than any estimate here.
+     */
     private static TestingSettings settings(int frontEnds) {
         TestingSettings settings = new TestingSettings();
         settings.objective = new RequestClass.Objective(1_000, 1, 800, 1, 0);
@@ -102,8 +104,8 @@
     }
 
     /**
-     * Columns: time in ms from the start of the engine to that of this process, time in ms since the latter,
-     * whether in a hot restart, whether the request is allowed.
+     * Columns: time in ms from the start of the engine to the start of this process, time in ms since the
+     * start of this process, whether it joined a hot restart, whether the request is allowed.
      */
     @DataProvider
     public Object[][] processStarts() {
@@ -129,8 +131,8 @@
     }
 
     /**
-     * Columns: quota before and after a change, time in ms since the change, work in ms, whether it is
-     * allowed on an engine that starts now.
+     * Columns: quota before and after a change, time in ms since the change, work of the request in ms,
+     * whether it is allowed on an engine that has just started.
      */
     @DataProvider
     public Object[][] quotas() {
--- a/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Requests have an estimated run time of 200 ms, and tau, the speculative timeout, is twice that. */
+/** Requests have an estimated run time of 200 ms and a speculative timeout of 400 ms. */
 public class SpeculativeCancellationTest {
     private static final double TAU_RATIO = 2;
     private static final double TAU_MS = TAU_RATIO * TestingPolicies.WORK_MS;
@@ -34,7 +34,7 @@
         return policies;
     }
 
-    /** The conditions of a cancellation at tau. Each row but the first violates one of them. */
+    /** The conditions of a cancellation at the speculative timeout. A test case violates one, or none. */
     private enum Unmet {
         NONE,
         CANCEL_PERMITTED,
@@ -149,7 +149,7 @@
         assertThat(shouldCancel(policies, attempt)).isEqualTo(cancelled);
     }
 
-    /** Columns: fraction that a relaunch has done after 400 ms, whether it waits, whether it is cancelled. */
+    /** Columns: fraction done by a relaunch after 400 ms, whether it waits, whether it is cancelled. */
     @DataProvider
     public Object[][] relaunches() {
         return new Object[][] {{0.33, false, true}, {0.34, false, false}, {0.33, true, false}};
@@ -170,8 +170,8 @@
     }
 
     /**
-     * Columns: whether the attempt is a recovery probe of its ejected engine, run time in ms, whether it is
-     * cancelled.
+     * The attempt's engine is ejected. Columns: whether the attempt is a recovery probe, run time in ms,
+     * whether it is cancelled.
      */
     @DataProvider
     public Object[][] ejections() {
--- a/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
@@ -10,7 +10,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Run times are multiples of the estimate. Usual runs take 1.05, which is in the bin that ends at 2^0.2. */
+/**
+ * Run times are multiples of the estimate. Usual runs take 1.05, which is in the bin of the survival curve
+ * that ends at 2^0.2.
+ */
 public class SpeculativeTimeoutTest {
     private static final double USUAL = 1.05;
     private static final double USUAL_BIN_EDGE = Math.pow(2, 0.2);
@@ -34,7 +37,7 @@
         return type;
     }
 
-    /** Columns: runs of the usual time, slow runs, their time, expected tau (the speculative timeout). */
+    /** Columns: number of usual runs, number of slow runs, run time of a slow run, expected timeout. */
     @DataProvider
     public Object[][] runs() {
         return new Object[][] {
@@ -61,7 +64,7 @@
     }
 
     /**
-     * One run in ten takes ten times the usual time. Columns: mean time of relaunches, whether cancellation
+     * One run in ten takes ten times the estimate. Columns: mean run time of relaunches, whether cancellation
      * saves load.
      */
     @DataProvider
--- a/src/test/java/lineward/scheduling/decision/TestingPolicies.java
+++ b/src/test/java/lineward/scheduling/decision/TestingPolicies.java
@@ -16,22 +16,20 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Creates the policies of one scheduler over a state that the test builds and a clock that the test sets. */
+/** The policies of one scheduler, over a state that the test builds and a clock that the test sets. */
 final class TestingPolicies {
     static final double START_MS = 100_000;
-    /**
-     * Estimated work of a request. Its objective is then 1,200 ms and its deadline 5,000 ms after admission.
-     */
+    /** Default work estimate. The objective is then 1,200 ms and the deadline 5,000 ms after admission. */
     static final double WORK_MS = 200;
 
     static final long NO_KEY = 0;
     static final double NO_MEMORY_ESTIMATE = 0;
     static final double TIME_LEFT_MS = 5_000;
-    /** Threads in flight at which an engine of 8 cores has no more capacity. */
+    /** Threads in flight at which an engine of 8 cores has no capacity left, with a single front end. */
     static final int THREAD_LIMIT = 12;
 
     private static final long SEED = 7;
-    /** Enough runs to outweigh the prior runs at the usual speed. */
+    /** Enough runs to outweigh the prior runs at the typical speed. */
     private static final int SLOW_RUNS = 500;
 
     final SchedulerContext context;
@@ -67,8 +65,8 @@
     }
 
     /**
-     * Returns a row for each condition that is not met. The expected decision is true only for the first,
-     * which stands for none.
+     * Returns one row for each constant: the condition that is violated, and whether the decision is expected
+     * to be positive. The first constant stands for no violation, so that only its row expects true.
      */
     static Object[][] oneUnmetEach(Enum<?>[] conditions) {
         return Arrays.stream(conditions)
@@ -130,7 +128,7 @@
         return request;
     }
 
-    /** Admits a request that is never cancelled because it is slow. */
+    /** Admits a request that is exempt from the speculative timeout. */
     TrackedRequest admitExempt() {
         lastRequest++;
         return context.admit(
@@ -151,7 +149,7 @@
         return attempt;
     }
 
-    /** Starts attempts of one thread at the engine, each for a new request. */
+    /** Starts attempts on the engine, each for a new request. */
     void fill(Engine engine, int attempts) {
         for (int i = 0; i < attempts; i++) {
             start(admit(), engine);
@@ -183,9 +181,7 @@
         }
     }
 
-    /**
-     * Adds recent runs of all classes that were slower than usual by the factor, and recomputes the models.
-     */
+    /** Adds recent runs to all classes, slower than typical by the factor, and recomputes the models. */
     void slowDown(double factor) {
         double nowMs = context.nowMs();
         context.classes().forEach(type -> {
--- a/src/test/java/lineward/scheduling/decision/TestingSettings.java
+++ b/src/test/java/lineward/scheduling/decision/TestingSettings.java
@@ -10,9 +10,7 @@
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerSettings;
 
-/**
- * Builds settings with one class of requests and equal engines. A test sets the fields that its cases vary.
- */
+/** Builds settings with one class of requests and equal engines. Tests set the fields that they vary. */
 final class TestingSettings {
     static final double NO_COST = 0;
 
@@ -26,7 +24,7 @@
     boolean inOrder;
     RequestClass.Placement placement = RequestClass.Placement.ANYWHERE;
     RequestClass.Workload workload = new RequestClass.Workload(false, false, 1);
-    /** Classes after the one that the fields above describe. */
+    /** Additional classes; the class that the fields above describe comes first. */
     final List<RequestClass> otherClasses = new ArrayList<>();
 
     EngineKind engineKind = new EngineKind(8, 16_000);
