--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -14,10 +14,8 @@
     private static final double SELECT_FIRST = Double.NEGATIVE_INFINITY;
 
     /**
-     * The engines that a request may run on.
-     *
-     * @param engines number of ready engines that the request's class may use, including ejected ones
-     * @param useEjected whether so few of them are healthy that the request may also run on an ejected one
+     * The number of engines that a request may run on, ejected ones included, and whether ejected ones are
+     * used as well because too few are healthy.
      */
     private record Placement(int engines, boolean useEjected) {}
 
--- a/src/test/java/lineward/scheduling/SpeculationTest.java
+++ b/src/test/java/lineward/scheduling/SpeculationTest.java
@@ -64,7 +64,7 @@
         return i;
     }
 
-    /** Completes runs of about 200 ms one after another. One in ten takes {@code stretch} times as long. */
+    /** Completes runs of about 200 ms one after another. One in ten is a straggler, longer by the factor. */
     private static TestingScheduler afterRuns(double stretch) {
         SchedulerSettings settings = settings(lookupClass(), loadClass());
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3, 4);
