--- a/src/main/java/lineward/scheduling/estimation/ClassDemand.java
+++ b/src/main/java/lineward/scheduling/estimation/ClassDemand.java
@@ -1,6 +1,6 @@
 package lineward.scheduling.estimation;
 
-/** The arriving work of one class, its fraction of the demand of all classes, and the cores it may use. */
+/** The demand of one class: its arriving work, its fractions of all work and value, and usable cores. */
 public final class ClassDemand {
     private double workMs;
     private double requests;
@@ -38,7 +38,10 @@
         return workRatio;
     }
 
-    /** Returns the class's fraction of the value of all classes, in [0, 1]. */
+    /**
+     * Returns the class's fraction of the value of all classes, in [0, 1]. The value of a class is its number
+     * of requests, weighted by their priority.
+     */
     public double valueRatio() {
         return valueRatio;
     }
--- a/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
+++ b/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
@@ -1,8 +1,8 @@
 package lineward.scheduling.estimation;
 
 /**
- * Run times of the first runs of all classes, as multiples of their estimates. A class that has too few runs
- * of its own uses these instead.
+ * Run time statistics over the first runs of all classes: the typical run time, which classes with too few
+ * runs use instead of their own, the number of completed runs, and the slowdown of the fleet.
  */
 public final class FleetServiceTimes {
     /** Window of the slowdown: shorter than a typical fault, long enough for several responses. */
@@ -14,7 +14,7 @@
     private double decayedAtMs;
     private double slowdown = 1;
 
-    /** Adds the run time of a completed first run, as a multiple of its estimate. */
+    /** Adds the run time of a completed first run, as a multiple of its reference run time. */
     public void add(double ratio) {
         completedRuns++;
         typicalLogRatio.add(Math.log(ratio));
@@ -25,7 +25,7 @@
         recentLogSlowdown.add(nowMs, logRatio);
     }
 
-    /** Recomputes the slowdown of recent runs relative to typical run times, over all engines. */
+    /** Recomputes the slowdown of recent runs relative to the typical run times of their classes. */
     public void recomputeSlowdown(double nowMs) {
         double median = recentLogSlowdown.median(nowMs, ServiceTimeModel.PRIOR_ANSWERS);
         slowdown = Math.max(1, Math.exp(median));
@@ -37,7 +37,7 @@
         decayedAtMs = nowMs;
     }
 
-    /** Returns the logarithm of the typical run time as a multiple of the estimate. */
+    /** Returns the logarithm of the typical run time as a multiple of the reference run time. */
     public double typicalLogRatio() {
         return typicalLogRatio.value();
     }
--- a/src/main/java/lineward/scheduling/estimation/RobustMean.java
+++ b/src/main/java/lineward/scheduling/estimation/RobustMean.java
@@ -13,7 +13,7 @@
     /**
      * Creates an empty mean.
      *
-     * @param maxDeviation largest deviation from the mean with which a value counts
+     * @param maxDeviation bound to which the deviation of a value from the mean is clamped
      * @param minStep minimum fraction of its deviation by which a value moves the mean
      */
     public RobustMean(double maxDeviation, double minStep) {
--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -4,8 +4,9 @@
 import lineward.scheduling.RequestClass;
 
 /**
- * Run times of one class, as multiples of the estimate: the survival curve of first runs, the mean of
- * relaunches, the current slowdown relative to the typical run time, and the bias of the estimates.
+ * Run times of one class: the survival curve and the typical run time of first runs, the mean run time of
+ * relaunches, the current slowdown, and the bias of the estimates. A ratio is a run time divided by the
+ * reference run time of its request, which is the corrected estimate or a default.
  */
 public final class ServiceTimeModel {
     /** Number of completed first runs from which the survival curve is used. */
@@ -17,16 +18,16 @@
     /** Number of prior runs at the typical run time, so that a few slow runs do not count as a slowdown. */
     public static final double PRIOR_ANSWERS = 5;
 
-    /** Minimum weight of one outcome in the typical run time. */
+    /** Minimum weight of a new value in the typical run time and the biases. */
     private static final double MIN_USUAL_STEP = 0.02;
     /** Half-life of the measurements: longer than a fault, shorter than a change in traffic. */
     private static final double HALF_LIFE_MS = 60_000;
-    /** Number of bins of the curve. The first one starts at 0, the others above 1/16 of the estimate. */
+    /** Number of bins of the curve. The first one starts at 0, the others above a ratio of 1/16. */
     private static final int BINS = 130;
 
     private static final double LOWEST_BIN_LOG2 = -4;
     private static final double BINS_PER_DOUBLING = 5;
-    /** Run time assumed before the first outcome, as a fraction of the deadline; weighs as one outcome. */
+    /** Prior run time of a request, as a fraction of the deadline; it weighs as one request. */
     private static final double FIRST_GUESS_RATIO = 0.125;
 
     private static final double FIRST_GUESS_WEIGHT = 1;
@@ -55,7 +56,7 @@
         this.fleet = fleet;
     }
 
-    /** Creates an empty mean of logarithms of run time ratios. */
+    /** Creates an empty mean of logarithms of ratios. */
     static RobustMean robustMean() {
         return new RobustMean(STRAGGLER_LOG_RATIO, MIN_USUAL_STEP);
     }
@@ -65,15 +66,12 @@
         return Math.pow(0.5, agoMs / HALF_LIFE_MS);
     }
 
-    /**
-     * Returns the typical run time of a first run as a multiple of the estimate; that of all classes if this
-     * class has too few runs.
-     */
+    /** Returns the typical ratio of first runs; that of all classes if this class has too few runs. */
     public double typicalRatio() {
         return Math.exp(hasTypicalRatio() ? typicalLogRatio.value() : fleet.typicalLogRatio());
     }
 
-    /** Returns whether the class has enough runs for a typical run time of its own. */
+    /** Returns whether the class has enough runs for a typical ratio of its own. */
     public boolean hasTypicalRatio() {
         return typicalLogRatio.count() >= MIN_RUNS;
     }
@@ -83,7 +81,7 @@
         return completedRuns >= MIN_COMPLETED_RUNS;
     }
 
-    /** Returns the mean work of a request, with one prior value derived from the deadline. */
+    /** Returns the mean work of a request, including one prior value derived from the deadline. */
     public double usualWorkMs(double nowMs) {
         double guess = settings.objective().deadlineMs() * FIRST_GUESS_RATIO;
         return work.mean(nowMs, FIRST_GUESS_WEIGHT, guess * settings.workload().threads());
@@ -94,10 +92,7 @@
         return work.mean(nowMs, NEGLIGIBLE_WEIGHT, 0);
     }
 
-    /**
-     * Returns the mean run time of a relaunch as a multiple of the estimate; that of first runs if there were
-     * too few relaunches.
-     */
+    /** Returns the mean ratio of relaunches; that of first runs if there were too few relaunches. */
     public double relaunchRatio(double nowMs) {
         if (relaunches.count(nowMs) >= MIN_RUNS) {
             return relaunches.mean(nowMs, 0, 0);
@@ -110,7 +105,7 @@
         return slowdown;
     }
 
-    /** Returns the mean run time of first runs according to the curve, as a multiple of the estimate. */
+    /** Returns the mean ratio of first runs by the curve. */
     public double meanRatio() {
         return meanRatio;
     }
@@ -125,21 +120,22 @@
         work.add(nowMs, workMs);
     }
 
-    /** Adds the run time of a completed relaunch, as a multiple of its estimate. */
+    /** Adds the ratio of a completed relaunch. */
     public void addRelaunch(double ratio, double nowMs) {
         relaunches.add(nowMs, ratio);
     }
 
-    /** Adds the run time of a first run; a run that did not complete is censored. */
+    /** Adds the ratio of a first run; a run that did not complete is censored. */
     public void addFirstRun(double ratio, boolean completed) {
         firstRuns.add(ratio, completed);
         completedRuns += completed ? 1 : 0;
     }
 
     /**
-     * Adds a run time, as a multiple of the estimate, to the typical run time.
+     * Updates the typical ratio with the ratio of a completed first run.
      *
-     * @return the logarithm of its ratio to the typical run time, clamped to {@link #STRAGGLER_LOG_RATIO}
+     * @return the logarithm of the run time relative to the typical one, clamped to plus or minus
+     *     {@link #STRAGGLER_LOG_RATIO}
      */
     public double addToUsual(double ratio) {
         return typicalLogRatio.add(Math.log(Math.max(MIN_RUN_RATIO, ratio)));
@@ -153,8 +149,8 @@
     /**
      * Decays earlier measurements and recomputes the slowdown and the curve.
      *
-     * @param inFlight elapsed run times of the first runs in flight, as multiples of their estimates; without
-     *     them a class whose runs are all slow would show no slowdown until they complete
+     * @param inFlight ratios that the first runs in flight have reached; without them a class whose runs are
+     *     all slow would show no slowdown until they complete
      */
     public void recompute(double nowMs, List<Double> inFlight) {
         double kept = ratioKept(nowMs - decayedAtMs);
@@ -185,7 +181,7 @@
     /**
      * Adds the logarithm of the ratio of reported memory to its estimate.
      *
-     * @return its deviation from the previous mean, clamped to {@link #STRAGGLER_LOG_RATIO}
+     * @return its deviation from the previous mean, clamped to plus or minus {@link #STRAGGLER_LOG_RATIO}
      */
     public double addMemoryDeviation(double logRatio) {
         return memoryBias.add(logRatio);
--- a/src/main/java/lineward/scheduling/estimation/SlidingWindowCounter.java
+++ b/src/main/java/lineward/scheduling/estimation/SlidingWindowCounter.java
@@ -33,6 +33,7 @@
             sum -= entries.poll().amount();
         }
         if (entries.isEmpty()) {
+            // Discards accumulated rounding errors.
             sum = 0;
         }
     }
--- a/src/main/java/lineward/scheduling/estimation/SurvivalCurve.java
+++ b/src/main/java/lineward/scheduling/estimation/SurvivalCurve.java
@@ -8,7 +8,7 @@
  * bins is fixed and their widths grow exponentially.
  */
 public final class SurvivalCurve {
-    /** Counts and run times up to this value are treated as rounding errors. */
+    /** Counts up to this value are rounding errors; smaller run times count as this value. */
     private static final double EPSILON = 1e-9;
 
     private final double lowestLog2;
