--- a/src/main/java/lineward/scheduling/state/Attempt.java
+++ b/src/main/java/lineward/scheduling/state/Attempt.java
@@ -68,7 +68,7 @@
         return recoveryProbe;
     }
 
-    /** Returns whether the attempt is no relaunch, so that its run time counts in the curve of first runs. */
+    /** Returns whether the attempt is not a relaunch; the survival curve is based on such runs. */
     public boolean isFirstRun() {
         return firstRun;
     }
@@ -105,8 +105,8 @@
     }
 
     /**
-     * Returns whether the next attempt of the request is a relaunch: this one was cancelled, but not for a
-     * migration, and is not a recovery probe.
+     * Returns whether later attempts of the request are relaunches because this one was cancelled. That does
+     * not hold for a recovery probe or an attempt cancelled for a migration.
      */
     public boolean isRelaunchedAfterCancel() {
         return cancelCause != null && !recoveryProbe && !isMigrated();
@@ -117,7 +117,7 @@
         return waiting;
     }
 
-    /** Records whether the attempt waits at its engine from {@code nowMs}. */
+    /** Records whether the attempt waits at its engine from {@code nowMs} on. */
     public void setWaiting(boolean waits, double nowMs) {
         waitedMs += waiting ? nowMs - waitingSinceMs : 0;
         waiting = waits;
@@ -155,16 +155,16 @@
     }
 
     /**
-     * Records the total run time predicted from progress if the attempt is due for cancellation before the
-     * speculative timeout (tau); else empty.
+     * Records the last prediction from progress: the total run time of the attempt if a relaunch would be so
+     * much faster that the attempt should be cancelled before its speculative timeout; empty otherwise.
      */
     public void recordPrediction(OptionalDouble slowRunMs) {
         slowRunPredictedMs = slowRunMs;
     }
 
     /**
-     * Returns the predicted total run time if, at the last prediction, the attempt was due for cancellation
-     * before the speculative timeout (tau); else empty.
+     * Returns the predicted total run time if the attempt should be cancelled before its speculative timeout
+     * by the last prediction; empty otherwise.
      */
     public OptionalDouble slowRunPredictedMs() {
         return slowRunPredictedMs;
--- a/src/main/java/lineward/scheduling/state/ClassState.java
+++ b/src/main/java/lineward/scheduling/state/ClassState.java
@@ -8,7 +8,7 @@
 
 /** One class of requests: its settings, its measurements, and the values that policies derive for it. */
 public final class ClassState {
-    /** Ratio of memory grants to the corrected estimates before the first outcome. */
+    /** Ratio of memory grants to the corrected memory estimates before the first outcome. */
     public static final double INITIAL_GRANT_FACTOR = 1.25;
 
     private final RequestClass settings;
@@ -41,14 +41,14 @@
     }
 
     /**
-     * Returns the speculative timeout (tau) of the class as a multiple of the estimate: the run time past
-     * which an attempt is cancelled and relaunched on another engine; empty if there is none.
+     * Returns the speculative timeout of the class as a multiple of the reference run time: the run time
+     * after which an attempt is cancelled and relaunched on another engine; empty if there is none.
      */
     public OptionalDouble tauRatio() {
         return tauRatio;
     }
 
-    /** Sets the speculative timeout (tau) as a multiple of the estimate; empty for none. */
+    /** Sets the speculative timeout as a multiple of the reference run time; empty for none. */
     public void setTauRatio(OptionalDouble ratio) {
         tauRatio = ratio;
     }
@@ -83,7 +83,7 @@
         lastStartedMs = OptionalDouble.of(nowMs);
     }
 
-    /** Returns the work that a request counts in the slow-start budget: at least the class's mean work. */
+    /** Returns the work by which a request counts in a slow-start budget: at least the class's mean work. */
     public double slowStartWorkMs(TrackedRequest request, double nowMs) {
         return Math.max(request.expectedWorkMs(), model.usualWorkMs(nowMs));
     }
--- a/src/main/java/lineward/scheduling/state/EjectionCause.java
+++ b/src/main/java/lineward/scheduling/state/EjectionCause.java
@@ -12,7 +12,7 @@
     RESETS,
     /** Connections to the engine cannot be established. */
     CONNECT_FAILURES,
-    /** A health check was answered as unhealthy or not at all. */
+    /** A health check failed or was not answered. */
     HEALTH_CHECK;
 
     @Override
--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -67,7 +67,7 @@
         return cores;
     }
 
-    /** Returns the size of the memory; 0 if the settings do not specify it. */
+    /** Returns the size of the memory; 0 if unknown. */
     public double memoryMb() {
         return memoryMb;
     }
@@ -155,7 +155,7 @@
      * Records that an operator releases the engine. The engine counts as restarted at that time, since it may
      * have been restarted during maintenance.
      *
-     * @param atMs time of the release; at or before the clock's origin it does not count as a restart
+     * @param atMs time of the release; 0 or less does not count as a restart
      */
     public void release(double atMs) {
         maintenance = maintenance.release();
@@ -179,7 +179,7 @@
         updateWarmupStart();
     }
 
-    /** Adds an attempt that starts at {@code nowMs}, and the work that counts in the slow-start budget. */
+    /** Adds an attempt that starts at {@code nowMs}, with its work in the slow-start budget. */
     public void startAttempt(Attempt attempt, double slowStartWorkMs, double nowMs) {
         if (attempts.isEmpty()) {
             health.recordResponse(nowMs);
@@ -198,7 +198,7 @@
         grantedMb = attempts.isEmpty() ? 0 : grantedMb - attempt.grantMb();
     }
 
-    /** Returns the work sent within the window of the slow-start rule. */
+    /** Returns the work of all attempts sent within the window of the slow-start rule. */
     public double sentWorkMs(double nowMs) {
         return sentWork.sum(nowMs);
     }
@@ -213,12 +213,12 @@
         return Math.exp(logSlowdown.mean(nowMs, PRIOR_ANSWERS, 0));
     }
 
-    /** Returns the time of the last announced start, release or lost connection; empty if there was none. */
+    /** Returns the start of the warm-up: the last announced start, release or lost connection, if any. */
     public OptionalDouble warmupStartMs() {
         return warmupStartMs;
     }
 
-    /** Returns whether a lost connection is the only sign of the engine's last start. */
+    /** Returns whether the last start was only inferred from a lost connection. */
     public boolean isStartUnannounced() {
         OptionalDouble announced = latest(startedAtMs, releasedAtMs);
         return connectionLostMs.isPresent()
--- a/src/main/java/lineward/scheduling/state/EngineCapacity.java
+++ b/src/main/java/lineward/scheduling/state/EngineCapacity.java
@@ -5,7 +5,7 @@
 
 /** Estimates the current capacity of an engine from its warm-up and its recent speed. */
 public final class EngineCapacity {
-    /** Fraction of the warm-up that the lower bound includes, as engines may warm up late or unevenly. */
+    /** Fraction of the warm-up counted in the lower bound, as engines may warm up late or unevenly. */
     private static final double CERTAIN_WARMUP_RATIO = 0.75;
 
     private static final double MIN_SPEED = 0.1;
@@ -14,7 +14,7 @@
     private final SchedulerContext context;
     private final SchedulerSettings.SlowStartRule rule;
 
-    /** Creates an estimator for the engines of that scheduler. */
+    /** Creates an estimator for the engines of a scheduler. */
     public EngineCapacity(SchedulerContext context) {
         this.context = context;
         this.rule = context.settings().rules().slowStart();
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Returns a lower bound of the fraction of its full capacity that the engine has. A start that service
-     * discovery has not announced may be later than the lost connection that indicates it, so such an engine
-     * counts as just started.
+     * Returns a lower bound of the fraction of full capacity that the engine has had since the start of the
+     * slow-start window. If its last start was only inferred from a lost connection, the actual start may be
+     * later, so it counts as just started.
      */
     public double certainRatio(Engine engine) {
         if (engine.isStartUnannounced()) {
--- a/src/main/java/lineward/scheduling/state/EngineHealth.java
+++ b/src/main/java/lineward/scheduling/state/EngineHealth.java
@@ -2,7 +2,7 @@
 
 import lineward.scheduling.estimation.DecayingMean;
 
-/** The health of one engine by the outcomes of its attempts. The outlier detector decides on ejection. */
+/** The health of one engine: errors, failures, silence, and whether the outlier detector has ejected it. */
 public final class EngineHealth {
     private enum State {
         HEALTHY,
@@ -45,12 +45,12 @@
         return lastResponseMs;
     }
 
-    /** Returns the fraction of its recent attempts that the engine failed with an error. */
+    /** Returns the fraction of recent attempts that ended with an error response of the engine. */
     public double errorRatio(double nowMs) {
         return errorRatio.mean(nowMs, PRIOR_ANSWERS, 0);
     }
 
-    /** Records the time from which a silence of the engine is measured. */
+    /** Sets the time from which the engine's silence is measured. */
     public void recordResponse(double nowMs) {
         lastResponseMs = nowMs;
     }
@@ -67,7 +67,7 @@
         errorRatio.add(nowMs, ERROR);
     }
 
-    /** Compensates one error in the error ratio, without removing its weight as an attempt. */
+    /** Offsets one error in the error ratio by a value of -1, so that both count as attempts. */
     public void revertError(double nowMs) {
         errorRatio.add(nowMs, -ERROR);
     }
@@ -77,7 +77,7 @@
         consecutiveFailures++;
     }
 
-    /** Sets the number of consecutive failures, for events that count as several failures or reset it. */
+    /** Sets the number of consecutive failures, for events that reset it or count as several failures. */
     public void setConsecutiveFailures(int failures) {
         consecutiveFailures = failures;
     }
--- a/src/main/java/lineward/scheduling/state/EngineLoadState.java
+++ b/src/main/java/lineward/scheduling/state/EngineLoadState.java
@@ -18,7 +18,7 @@
         return reportedAtMs;
     }
 
-    /** Returns a value of the last report; at least one report must have been received. */
+    /** Returns the value at an index of the last report, of which there must be one. */
     public double value(int field) {
         return values[field];
     }
@@ -46,7 +46,7 @@
         return values;
     }
 
-    /** Replaces the last report and resets the threads sent since. */
+    /** Replaces the last report and resets the number of threads sent since. */
     void applyReport(double[] reported, double nowMs, double jitter) {
         values = reported;
         reportedAtMs = OptionalDouble.of(nowMs);
--- a/src/main/java/lineward/scheduling/state/FleetDemand.java
+++ b/src/main/java/lineward/scheduling/state/FleetDemand.java
@@ -16,7 +16,7 @@
         return readyCores;
     }
 
-    /** Returns the mean threads of a request in flight, as load reports count requests instead of threads. */
+    /** Returns the mean number of threads of a request in flight; load reports count requests only. */
     public double threadsPerRequest() {
         return threadsPerRequest;
     }
--- a/src/main/java/lineward/scheduling/state/GossipCodec.java
+++ b/src/main/java/lineward/scheduling/state/GossipCodec.java
@@ -37,7 +37,7 @@
         return pending.size() > 0;
     }
 
-    /** Returns whether one more report fits into the next message. */
+    /** Returns whether the next message stays below its maximum size with one more report. */
     boolean hasCapacity() {
         return pending.size() < MAX_PAYLOAD_BYTES - reportBytes();
     }
--- a/src/main/java/lineward/scheduling/state/KeyedQueues.java
+++ b/src/main/java/lineward/scheduling/state/KeyedQueues.java
@@ -31,7 +31,7 @@
         return queue != null && queue.peek() == request;
     }
 
-    /** Returns the number of keys with a queue. */
+    /** Returns the number of keys with queued elements. */
     public int size() {
         return queues.size();
     }
--- a/src/main/java/lineward/scheduling/state/LoadReports.java
+++ b/src/main/java/lineward/scheduling/state/LoadReports.java
@@ -8,11 +8,14 @@
 
 /** The load reports of engines, from this front end's health checks and from gossip. */
 public final class LoadReports {
-    /** Minimum random factor on an engine's limit; it keeps front ends from all acting on the same report. */
+    /**
+     * Minimum of the random factor on an engine's limit. The factor keeps front ends with the same report
+     * from all deciding alike.
+     */
     public static final double MIN_LIMIT_JITTER = 0.8;
 
     private static final double FRESH_FOR_MS = 1_500;
-    /** Threads per core assumed where no report has shown the load: a busy fleet below saturation. */
+    /** Threads per core assumed before the first report: those of a busy fleet below saturation. */
     private static final double DEFAULT_THREADS_PER_CORE = 0.7;
     /** Weight of one report in the fleet's moving average of threads per core. */
     private static final double REPORT_WEIGHT = 0.05;
@@ -26,7 +29,7 @@
     private final int memoryField;
     private double threadsPerCore = DEFAULT_THREADS_PER_CORE;
 
-    /** Creates a store that has received no reports. */
+    /** Creates a store without reports. */
     public LoadReports(SchedulerContext context) {
         this.context = context;
         List<LoadReportField> fields = context.settings().reporting().fields();
@@ -60,13 +63,16 @@
         return context.nowMs() - reportedAtMs.getAsDouble() < FRESH_FOR_MS;
     }
 
-    /** Returns the threads on an engine by its last report and own attempts since; at least the own ones. */
+    /**
+     * Returns the estimated threads on an engine: those of its last report and of this front end's attempts
+     * since, but at least those of this front end's attempts in flight.
+     */
     public double threadsAt(Engine engine) {
         double reported = engine.load().value(inFlightField) * context.demand().threadsPerRequest();
         return Math.max(engine.threadsInFlight(), reported + engine.load().threadsSentSinceReport());
     }
 
-    /** Returns the moving average of the threads per core on the engines that reported. */
+    /** Returns the moving average of the threads per core, over the reports of all engines. */
     public double threadsPerCore() {
         return threadsPerCore;
     }
@@ -91,7 +97,7 @@
         return gossip.reportBytes() / (double) GossipCodec.MAX_PAYLOAD_BYTES;
     }
 
-    /** Adds an engine's report to the next gossip message if it is fresh and fits. */
+    /** Adds an engine's report to the next gossip message, if the report is fresh and fits. */
     public void collectGossip(Engine engine) {
         if (areShared() && gossip.hasCapacity() && areFresh(engine)) {
             gossip.collect(new GossipCodec.EngineReport(
@@ -100,8 +106,8 @@
     }
 
     /**
-     * Sends the collected reports, unless a health check in flight that started within
-     * {@code checkDurationMs} may still add to them.
+     * Sends the collected reports, unless a health check that started less than {@code checkDurationMs} ago
+     * is in flight: its report may go into the same message.
      */
     public void publishGossip(double checkDurationMs) {
         if (gossip.hasPending() && !hasRecentCheck(checkDurationMs)) {
--- a/src/main/java/lineward/scheduling/state/RequestState.java
+++ b/src/main/java/lineward/scheduling/state/RequestState.java
@@ -4,7 +4,7 @@
 public enum RequestState {
     /** The request waits for an engine with capacity and has no attempt in flight. */
     QUEUED,
-    /** An attempt was started, and no response has reached the client yet. */
+    /** An attempt was started, and the client has received no part of a response yet. */
     IN_FLIGHT,
     /** An attempt was started, and the client has received a part of a response. */
     STREAMING,
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -70,7 +70,7 @@
         return nowMs;
     }
 
-    /** Returns the time of the first decision; the current time before it. */
+    /** Returns the time of the first decision, or the current time if there was none. */
     public double startedMs() {
         return startedMs.orElse(nowMs);
     }
@@ -90,7 +90,7 @@
         actions.add(action);
     }
 
-    /** Emits a log message; dropped if another one was emitted less than a second ago. */
+    /** Emits a log message, or drops it if another one was emitted less than a second ago. */
     public void log(String text) {
         if (lastLogMs.isEmpty() || nowMs - lastLogMs.getAsDouble() >= LOG_INTERVAL_MS) {
             lastLogMs = OptionalDouble.of(nowMs);
@@ -108,7 +108,7 @@
         return classes.get(Math.min(index, classes.size() - 1));
     }
 
-    /** Returns the run time statistics of all classes together. */
+    /** Returns the run time statistics over all classes. */
     public FleetServiceTimes serviceTimes() {
         return serviceTimes;
     }
@@ -159,12 +159,12 @@
         demand.recompute(classes, engines.values());
     }
 
-    /** Returns whether no request is open. */
+    /** Returns whether there are no requests; completed ones count while an attempt is in flight. */
     public boolean hasNoRequests() {
         return requests.isEmpty();
     }
 
-    /** Returns the open request with the given id; null if there is none. */
+    /** Returns the request with the given id; null if there is none. */
     public TrackedRequest findRequest(long id) {
         return requests.get(id);
     }
@@ -172,7 +172,7 @@
     /**
      * Adds a request that has just been admitted.
      *
-     * @param exempt whether the speculative timeout (tau) does not apply to its attempts
+     * @param exempt whether the speculative timeout does not apply to its attempts
      */
     public TrackedRequest admit(SchedulerEvent.RequestArrived arrival, boolean exempt) {
         ClassState type = requestClass(arrival.requestClass());
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -49,7 +49,7 @@
     /**
      * Creates a queued request.
      *
-     * @param exempt whether the speculative timeout (tau) does not apply to its attempts
+     * @param exempt whether the speculative timeout does not apply to its attempts
      */
     TrackedRequest(SchedulerEvent.RequestArrived arrival, ClassState type, boolean exempt, double nowMs) {
         this.id = arrival.request();
@@ -72,7 +72,7 @@
         this.objectiveAtMs = Math.min(deadlineMs, objectiveMs);
     }
 
-    /** Returns the id of the request, unique among the open requests. */
+    /** Returns the id of the request, unique among the requests that the scheduler holds. */
     public long id() {
         return id;
     }
@@ -107,7 +107,10 @@
         return objectiveAtMs;
     }
 
-    /** Returns the estimated or default run time, the unit in which run times of the class are measured. */
+    /**
+     * Returns the reference run time: the corrected estimate, or a default if the request has no estimate.
+     * Measured run times are compared with it.
+     */
     public double workUnitMs() {
         return workUnitMs;
     }
@@ -128,8 +131,8 @@
     }
 
     /**
-     * Returns whether the speculative timeout (tau) does not apply to the request. A fraction of the requests
-     * is exempt so that the survival curve keeps its tail.
+     * Returns whether the speculative timeout does not apply to the request. A fraction of the requests is
+     * exempt, so that runs beyond the timeout are still measured and the survival curve keeps its tail.
      */
     public boolean isExemptFromCancellation() {
         return exemptFromCancellation;
@@ -191,7 +194,8 @@
     }
 
     /**
-     * Returns whether an attempt was cancelled because it was slow, which makes later attempts relaunches.
+     * Returns whether an attempt other than a recovery probe was cancelled as slow or on an ejected engine,
+     * which makes later attempts relaunches.
      */
     public boolean isRelaunched() {
         return relaunched;
@@ -202,7 +206,7 @@
         return firstUnansweredRun;
     }
 
-    /** Returns the number of attempts that ended with an error response of the engine. */
+    /** Returns the number of attempts that ended with an error response of an engine. */
     public int errors() {
         return errors;
     }
--- a/src/main/java/lineward/scheduling/state/package-info.java
+++ b/src/main/java/lineward/scheduling/state/package-info.java
@@ -1,6 +1,6 @@
 /**
  * State of the scheduling module: requests, attempts, engines and classes, with one enum for each lifecycle.
- * A class modifies only its own fields, in methods named after the recorded events.
+ * Each class modifies only its own fields, in methods named after the events that they record.
  * {@link lineward.scheduling.state.SchedulerContext} holds the state of one scheduler and the actions of the
  * current decision. The package depends on {@code estimation} and the types of {@code lineward.scheduling},
  * and runs on the scheduler's thread. Its memory is bounded by the admitted requests, the listed engines and
