--- a/src/test/java/lineward/scheduling/FleetQuotaTest.java
+++ b/src/test/java/lineward/scheduling/FleetQuotaTest.java
@@ -13,7 +13,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests that front ends without shared load reports together start about what the engines can run. */
+/**
+ * Tests that front ends without shared load reports together start about as many attempts as the engines can
+ * run.
+ */
 public class FleetQuotaTest {
     private static final int CORES = 8;
     private static final int THREADS = 3;
@@ -80,7 +83,7 @@
         assertTrue(started >= CORES * engines / 2, "the fleet is used: " + started + " threads");
     }
 
-    /** Lookups start although reports fill the quota, because they have a higher value per work. */
+    /** A lookup starts although reports fill the quota: a class with nothing in flight may exceed it. */
     @Test(dataProvider = "largeFleets")
     public void lookupsStartPastAFullQuota(int frontEnds, int engines) {
         TestingScheduler scheduler = frontEnd(frontEnds, 0, engines);
@@ -92,7 +95,7 @@
         assertEquals(scheduler.allStarts().size(), before + 1);
     }
 
-    /** Past the quota, a class may use its fraction of the value, which must not fill the quota again. */
+    /** A class may exceed a full quota only by its fraction of the value, not by a second quota. */
     @Test(dataProvider = "largeFleets")
     public void lookupsDoNotFillTheQuotaASecondTime(int frontEnds, int engines) {
         TestingScheduler scheduler = frontEnd(frontEnds, 0, engines);
--- a/src/test/java/lineward/scheduling/FleetSlowStartTest.java
+++ b/src/test/java/lineward/scheduling/FleetSlowStartTest.java
@@ -73,7 +73,7 @@
             }
         }
 
-        /** Returns the requests of mean work that an engine tolerates in a window that starts at that age. */
+        /** Returns how many requests of mean work an engine tolerates in a window that starts at an age. */
         static double allowed(double age) {
             double capacityRatio = RULES.slowStart().initialRatio()
                     + (1 - RULES.slowStart().initialRatio())
@@ -106,7 +106,6 @@
         int startedInSlowStart;
         int retries;
 
-        /** @param rules settings of each front end */
         Fleet(int frontEnds, SchedulerSettings.Rules rules, int seed) {
             this.frontEnds = frontEnds;
             this.rules = rules;
--- a/src/test/java/lineward/scheduling/LearnedStateTest.java
+++ b/src/test/java/lineward/scheduling/LearnedStateTest.java
@@ -40,7 +40,7 @@
                 .listEngines(1, 2, 3, 4);
     }
 
-    /** Polls until gossip is sent; engine 1 reports {@code load} requests, each other engine one. */
+    /** Polls until gossip is sent. Engine 1 reports {@code load} requests in flight, the others one each. */
     private static List<SchedulerAction.BroadcastGossip> pollGossip(TestingScheduler scheduler, double load) {
         List<SchedulerAction.BroadcastGossip> messages = new ArrayList<>();
         for (int i = 0; i < 400 && messages.isEmpty(); i++) {
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Estimates are about a third of the reported work. With the correction learned from reports, the latency
-     * objective of a long request is large enough that the request is started.
+     * Estimates are about a third of the actual run times. Without the correction learned from reported work,
+     * the latency objective of a long request is too short for its run time, so that it is rejected.
      */
     @Test
     public void reportedWorkCorrectsTheEstimatesOfTheClass() {
--- a/src/test/java/lineward/scheduling/MaintenanceTest.java
+++ b/src/test/java/lineward/scheduling/MaintenanceTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests that an engine under maintenance gets no attempts, and its slow start after the release. */
+/** Tests that an engine under maintenance gets no attempts, and that a released one is in slow start. */
 public class MaintenanceTest {
     private static Endpoint listed(EndpointState state, double startedAtMs) {
         return new Endpoint(1, 0, 1, startedAtMs, state, 0, 1);
@@ -83,6 +83,7 @@
                 scheduler.attemptEnds(10, 0, AttemptOutcome.OK);
             }
         }
+        // Budget ratio, overload factor, initial capacity ratio, cores, window in ms.
         double budget = 0.4 * 3 * 0.33 * 8 * 1000;
         assertTrue(atReleasedEngine * 200 <= budget, atReleasedEngine + " requests of 200 ms at once");
     }
--- a/src/test/java/lineward/scheduling/ZoneLossTest.java
+++ b/src/test/java/lineward/scheduling/ZoneLossTest.java
@@ -5,7 +5,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests that each class is served during and after a 5 s outage of a zone while a zone is partitioned. */
+/**
+ * Tests that lookups and reports are served during and after an outage of 5 s, in which one zone fails and
+ * one, possibly the same, is partitioned from the others.
+ */
 public class ZoneLossTest {
     private static final double OUTAGE_MS = 5000;
     private static final double DAY_MS = 30_000;
