--- a/src/main/java/lineward/scheduling/AttemptOutcome.java
+++ b/src/main/java/lineward/scheduling/AttemptOutcome.java
@@ -2,7 +2,7 @@
 
 /** How an attempt or a health check ended. */
 public enum AttemptOutcome {
-    /** The engine answered. */
+    /** The engine answered without an error. */
     OK(true),
     /** The engine answered with an error. */
     ERROR(true),
@@ -12,9 +12,9 @@
     TIMEOUT(true),
     /** No connection to the engine could be established. */
     CONNECT_FAILED(false),
-    /** The connection to the engine broke. */
+    /** Its connection to the engine broke, and the engine's process may have ended. */
     RESET(true),
-    /** This front end cancelled it, or its connection broke while the engine is up. */
+    /** It was cancelled, or its connection broke although the engine is up. */
     CANCELLED(true),
     /** It was not sent because its request had completed or its time had run out. */
     NOT_STARTED(false);
@@ -30,7 +30,7 @@
         return mayHaveRun;
     }
 
-    /** Returns whether the outcome leaves open whether the attempt ran or is still running. */
+    /** Returns whether the engine may still be running the attempt. */
     public boolean isIndeterminate() {
         return this == TIMEOUT || this == RESET || this == CANCELLED;
     }
--- a/src/main/java/lineward/scheduling/Endpoint.java
+++ b/src/main/java/lineward/scheduling/Endpoint.java
@@ -7,7 +7,7 @@
  *
  * @param engine the engine's number, the same at every front end
  * @param kind index of its {@link EngineKind} in the settings
- * @param weight relative weight in the list
+ * @param weight weight relative to the other engines; the scheduler does not use it
  * @param startedAtMs when its process started, or {@link #STARTED_LONG_AGO}
  * @param zone index of its zone
  * @param cell index of its cell, a group of engines that share stored idempotency keys
--- a/src/main/java/lineward/scheduling/EngineKind.java
+++ b/src/main/java/lineward/scheduling/EngineKind.java
@@ -4,7 +4,7 @@
  * A type of machine that engines run on.
  *
  * @param cores number of cores, at least 1
- * @param memoryMb memory; 0: not known
+ * @param memoryMb memory in megabytes; 0: not known
  */
 public record EngineKind(int cores, double memoryMb) {
     /** Validates the ranges. */
--- a/src/main/java/lineward/scheduling/Idempotence.java
+++ b/src/main/java/lineward/scheduling/Idempotence.java
@@ -5,8 +5,8 @@
     /** Always. */
     IDEMPOTENT,
     /**
-     * Where engines detect duplicates by an idempotency key, for a limited time and within a {@link
-     * DeduplicationScope}.
+     * Only with an idempotency key, by which engines detect duplicates for a limited time and within a
+     * {@link DeduplicationScope}.
      */
     BY_KEY,
     /** Never. */
--- a/src/main/java/lineward/scheduling/InvalidSettingException.java
+++ b/src/main/java/lineward/scheduling/InvalidSettingException.java
@@ -11,10 +11,11 @@
     /**
      * Checks one setting.
      *
+     * @param inRange whether the configured value is valid
      * @param key name of the setting
      * @param found the configured value
      * @param allowed description of the valid range
-     * @throws InvalidSettingException if the condition does not hold
+     * @throws InvalidSettingException if the value is not valid
      */
     public static void require(boolean inRange, String key, Object found, String allowed) {
         if (!inRange) {
--- a/src/main/java/lineward/scheduling/LoadReportField.java
+++ b/src/main/java/lineward/scheduling/LoadReportField.java
@@ -8,7 +8,7 @@
     QUEUED(1),
     /** Fraction of the cores in use. */
     UTILISATION(100),
-    /** Recent latency of a request, in milliseconds. */
+    /** Recent latency of requests, in milliseconds. */
     LATENCY(1),
     /** Requests per second. */
     THROUGHPUT(1),
@@ -27,7 +27,10 @@
         this.gossipScale = gossipScale;
     }
 
-    /** Returns the factor by which gossip scales a value: fractions become hundredths, counts stay. */
+    /**
+     * Returns the factor by which a value is multiplied before gossip rounds it to an integer: fractions are
+     * sent as percentages.
+     */
     public double gossipScale() {
         return gossipScale;
     }
--- a/src/main/java/lineward/scheduling/MemoryShortage.java
+++ b/src/main/java/lineward/scheduling/MemoryShortage.java
@@ -4,7 +4,7 @@
 public enum MemoryShortage {
     /** The request waits for memory. */
     WAIT,
-    /** The request is granted the free memory only. */
+    /** The request runs, and its grant is reduced to the free memory. */
     SHRINK,
     /** The request runs, the engine pages, and all work on it slows down. */
     PAGE
--- a/src/main/java/lineward/scheduling/ProgressKind.java
+++ b/src/main/java/lineward/scheduling/ProgressKind.java
@@ -4,14 +4,14 @@
 public enum ProgressKind {
     /** A fraction of the work is done. */
     RATIO_DONE,
-    /** It spills to disk because memory is short. */
+    /** The attempt spills to disk because memory is short. */
     SPILLING,
-    /** It is queued for memory. */
+    /** The attempt waits for memory and does not run. */
     WAITING_FOR_MEMORY,
-    /** It is queued behind a load of its table group. */
+    /** The attempt waits for a load of its table group and does not run. */
     WAITING_FOR_LOAD;
 
-    /** Returns whether the attempt is queued at the engine and not running. */
+    /** Returns whether the attempt waits at the engine and does not run. */
     public boolean isWaiting() {
         return this == WAITING_FOR_MEMORY || this == WAITING_FOR_LOAD;
     }
--- a/src/main/java/lineward/scheduling/RequestClass.java
+++ b/src/main/java/lineward/scheduling/RequestClass.java
@@ -14,11 +14,11 @@
         Workload workload /* how it runs there */) {
 
     /**
-     * The latency objective of a request and the value of its answer.
+     * The latency objective of requests, their deadline, and the value of an answer.
      *
      * @param latencyMs constant part of the objective
      * @param latencyPerWork part of the objective for each millisecond of the request's run time
-     * @param deadlineMs how long clients wait
+     * @param deadlineMs how long a client waits for the answer
      * @param priorityWeight value of an answer within the objective
      * @param overdueValueRatio fraction of that value that a late answer still has
      */
@@ -41,8 +41,8 @@
     /**
      * Whether, where and for how long a request may run again.
      *
-     * @param scope which engines recognise an idempotency key
-     * @param keyTtlMs how long they recognise it
+     * @param scope the engines that recognise an idempotency key after the first one has received it
+     * @param keyTtlMs how long they recognise the key
      * @param inOrder whether requests with the same key run one after another, in order of arrival
      */
     public record Repeatability(
--- a/src/main/java/lineward/scheduling/SchedulerAction.java
+++ b/src/main/java/lineward/scheduling/SchedulerAction.java
@@ -51,7 +51,7 @@
         /** Value of {@link #startWithinMs} for an attempt that may start at any time. */
         public static final double ANY_TIME = Double.POSITIVE_INFINITY;
 
-        /** Creates an attempt that may start at any time. */
+        /** Creates an action whose attempt may start at any time. */
         public StartAttempt(long request, long engine, double timeoutMs) {
             this(request, engine, timeoutMs, ANY_TIME);
         }
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Asks for a {@link SchedulerEvent.TimerFired} with this token. */
+    /** Asks for a {@link SchedulerEvent.TimerFired} with this token after the delay. */
     record ScheduleTimer(double delayMs, int token) implements SchedulerAction {
         @Override
         public void dispatchTo(Handler handler) {
--- a/src/main/java/lineward/scheduling/SchedulerEvent.java
+++ b/src/main/java/lineward/scheduling/SchedulerEvent.java
@@ -19,7 +19,7 @@
         /** An engine was put under maintenance, or released. */
         void maintenanceChanged(MaintenanceChanged event);
 
-        /** This process's fraction of the front end's quota has changed. */
+        /** The fraction of the front end's quota that this process may use has changed. */
         void quotaChanged(QuotaChanged event);
 
         /** A request was admitted by the front end. */
@@ -71,7 +71,7 @@
      * An operator has put an engine under maintenance or released it. This overrides service discovery, and
      * the engine need not be listed.
      *
-     * @param sinceMs when the operator gave the order
+     * @param sinceMs when the operator gave the order, on the clock of {@link Scheduler#decide}
      */
     record MaintenanceChanged(long engine, boolean underMaintenance, double sinceMs /* Unix time */)
             implements SchedulerEvent {
@@ -82,7 +82,7 @@
     }
 
     /**
-     * This process's fraction of the front end's quota has changed.
+     * The fraction of the front end's quota that this process may use has changed.
      *
      * @param ratio 1 when it serves alone, 0.5 while another process serves beside it during a hot restart
      */
@@ -97,13 +97,14 @@
      * A request was admitted.
      *
      * @param requestClass index of its class in the settings
-     * @param key its idempotency or ordering key; requests of one key may have to run in order; 0: none
+     * @param key its idempotency or ordering key; requests with the same key may have to run in order;
+     *     0: none
      * @param timeLeftMs how long the client still waits
      * @param estimatedWorkMs estimated work of all its threads together; 0: not known
      * @param estimatedMemoryMb estimated memory; 0: not known
      * @param tableGroup number of the table group that it uses
-     * @param clientRetry whether the client marks it as a retry
-     * @param tenant index of its tenant in the settings
+     * @param clientRetry whether the client marks it as a retry; not used
+     * @param tenant index of its tenant in the settings; not used
      */
     record RequestArrived(
             long request,
@@ -136,7 +137,8 @@
     /**
      * An engine has reported on an attempt in flight.
      *
-     * @param amount the fraction that is done, or the megabytes that are missing
+     * @param amount for {@link ProgressKind#RATIO_DONE} the fraction that is done, from 0 to 1; for {@link
+     *     ProgressKind#SPILLING} the megabytes that are missing; the scheduler uses only the former
      */
     record AttemptProgress(long request, int attempt, ProgressKind kind, double amount /* by its kind */)
             implements SchedulerEvent {
@@ -149,7 +151,7 @@
     /**
      * An attempt has ended.
      *
-     * @param requestCompleted whether the request has its final answer
+     * @param requestCompleted whether the request has its final answer or needs none any more
      * @param workMs the work that it took; 0: not reported
      * @param memoryMb the memory that it needed; 0: not reported
      * @param loadReport the engine's load report; empty if the response had none
@@ -170,7 +172,7 @@
         }
     }
 
-    /** A request needs no answer any more, as when its client has disconnected. */
+    /** A request needs no answer any more, for example because its client has disconnected. */
     record RequestCancelled(long request) implements SchedulerEvent {
         @Override
         public void dispatchTo(Handler handler) {
--- a/src/main/java/lineward/scheduling/SchedulerSettings.java
+++ b/src/main/java/lineward/scheduling/SchedulerSettings.java
@@ -51,7 +51,7 @@
         return limits.memory();
     }
 
-    /** Returns the kind of a listed engine; an index out of range counts as the last one. */
+    /** Returns the kind of a listed engine; an index past the end selects the last kind. */
     public EngineKind kindOf(Endpoint endpoint) {
         return kinds.get(Math.min(endpoint.kind(), kinds.size() - 1));
     }
@@ -79,7 +79,7 @@
      *
      * @param cancel attempts in flight may be cancelled
      * @param healthChecks engines may be asked for their health
-     * @param hedging two attempts of one request may be in flight at once
+     * @param hedging two attempts of one request may be in flight at once; not used
      * @param retryAfter a rejection may advise when to retry
      * @param grants engines honour memory grants
      * @param priorities engines honour priorities
@@ -127,7 +127,8 @@
     /**
      * Rules of the platform, which checks that front ends follow them.
      *
-     * @param drainGraceMs how long an engine may still get requests after its drain was announced
+     * @param drainGraceMs how long an engine may still get requests after its drain was announced; not
+     *     used, as a draining engine gets none
      * @param settleMs how long the next request of an ordering key is held back after an attempt with an
      *     indeterminate outcome
      */
@@ -148,9 +149,9 @@
      *
      * @param durationMs duration of the warm-up
      * @param initialRatio fraction of its capacity that an engine has at the start
-     * @param overloadFactor most work that it can be sent within the window without failing, as a multiple
-     *     of its current capacity; 0: any amount
-     * @param windowMs length of the window
+     * @param overloadFactor most work that an engine can be sent within the window without failing, as a
+     *     multiple of the work that it can do in that time; 0: no limit
+     * @param windowMs length of the sliding window
      */
     public record SlowStartRule(
             double durationMs, double initialRatio, double overloadFactor /* 0: any */, double windowMs) {
@@ -169,11 +170,12 @@
     }
 
     /**
-     * Retries allowed within a sliding window: a constant number, and a number for each admitted request.
+     * Limit on the retries within a sliding window: a constant, plus an amount for each request admitted in
+     * the window.
      *
      * @param windowMs length of the window; 0: retries are not limited
-     * @param base constant number of retries
-     * @param perRequest retries for each admitted request
+     * @param base retries that are always allowed
+     * @param perRequest further retries for each admitted request
      */
     public record RetryBudget(double windowMs, double base, double perRequest) {
         /** Validates the ranges. */
@@ -192,8 +194,8 @@
     /**
      * What engines report about their load.
      *
-     * @param fields the values of a report, in order; empty: engines report nothing
-     * @param inResponses whether responses contain a report
+     * @param fields the meaning of each value of a report, in order; empty: engines report nothing
+     * @param inResponses whether responses contain a report; not used
      */
     public record Reporting(List<LoadReportField> fields, boolean inResponses) {
         /** Copies the list. */
@@ -206,13 +208,13 @@
      * How front ends learn of endpoints.
      *
      * @param subscribe whether service discovery sends the list to subscribers only
-     * @param pollWithinMs longest time between polls; 0: not specified
-     * @param weightsAreMeaningful whether the weights in the list carry information
+     * @param pollWithinMs longest time between polls; 0: not specified; not used
+     * @param weightsAreMeaningful whether the weights in the list carry information; not used
      */
     public record Discovery(boolean subscribe, double pollWithinMs, boolean weightsAreMeaningful) {}
 
     /**
-     * What messages cost: points of the evaluation score at a rate of one message per request.
+     * Costs of messages: the points by which the evaluation score falls at a rate of one message per request.
      *
      * @param healthCheck cost of a health check
      * @param gossip cost of a gossip message of the largest size, for each front end that receives it
@@ -226,9 +228,9 @@
     }
 
     /**
-     * The tenants' quotas.
+     * The tenants' quotas, which the scheduler does not use.
      *
-     * @param perTenant requests per second within each tenant's quota, over all front ends
+     * @param perTenant quota of each tenant in requests per second, over all front ends
      * @param overQuotaValueRatio fraction of its value that a request beyond its tenant's quota keeps
      */
     public record Quotas(List<Double> perTenant, double overQuotaValueRatio) {
--- a/src/main/java/lineward/scheduling/execution/AdmissionQueue.java
+++ b/src/main/java/lineward/scheduling/execution/AdmissionQueue.java
@@ -58,7 +58,7 @@
         return blocked;
     }
 
-    /** Starts attempts of queued requests in order of priority, where engines have capacity. */
+    /** Starts attempts of queued requests in order of priority, as far as engines have capacity. */
     void dispatch() {
         blocked = false;
         if (queue.isEmpty()) {
--- a/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
@@ -32,7 +32,7 @@
         this.queue = queue;
     }
 
-    /** Handles the end of an attempt; ignored if the attempt is unknown or has already ended. */
+    /** Handles the end of an attempt. An unknown attempt, or one that has already ended, is ignored. */
     void end(SchedulerEvent.AttemptEnded end) {
         Attempt attempt = context.findUnendedAttempt(end.request(), end.attempt());
         if (attempt == null) {
--- a/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
@@ -82,9 +82,10 @@
     }
 
     /**
-     * Adds a first run that did not complete as a censored one. If it was due before tau by its predicted
-     * run time, it counts as having run up to tau, or up to the prediction if that is less: at its actual
-     * run time the curve would lose its tail.
+     * Adds a first run that did not complete to the survival curve, as a censored one. A run that was due for
+     * cancellation before the speculative timeout, because of its predicted run time, counts as one that
+     * lasted until the timeout, or as long as predicted if that is less. Censored at its actual run time, it
+     * would not count as a slow run, and the curve would lose its tail.
      */
     private void learnCensoredRun(Attempt attempt) {
         if (!attempt.isFirstRun() || attempt.isMigrated()) {
--- a/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
+++ b/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
@@ -12,7 +12,7 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Recomputes the estimates, tau, the demand and the quota, twice a second. */
+/** Recomputes the estimates, the speculative timeouts, the demand and the quota, twice a second. */
 final class PeriodicRecomputation {
     private static final double INTERVAL_MS = 500;
 
--- a/src/main/java/lineward/scheduling/execution/RequestLifecycle.java
+++ b/src/main/java/lineward/scheduling/execution/RequestLifecycle.java
@@ -9,7 +9,7 @@
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
-/** Completes requests: emits at most one final answer for each and cancels its attempts in flight. */
+/** Completes requests: emits at most one final answer for each, and cancels its attempts in flight. */
 final class RequestLifecycle {
     private final SchedulerContext context;
     private final CancellationPolicy cancellation;
@@ -33,7 +33,10 @@
         complete(request);
     }
 
-    /** Completes a request that has its final answer or needs none: no further attempt is started. */
+    /**
+     * Completes a request that has its final answer or needs none: no further attempt is started, and those
+     * in flight are cancelled if the settings permit it.
+     */
     void complete(TrackedRequest request) {
         request.complete();
         for (Attempt attempt : request.attempts()) {
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -17,7 +17,7 @@
  * The scheduler of one pool of engines: passes each event to the class that handles it, sweeps over the
  * attempts in flight every {@value #SWEEP_INTERVAL_MS} ms, and dispatches queued requests. It is
  * deterministic: callers pass the time, random draws depend on the seed, and all loops run in a fixed order,
- * so the same events give the same actions.
+ * so the same calls give the same actions.
  */
 public final class SpeculativeScheduler implements Scheduler, SchedulerEvent.Handler {
     /** Time between sweeps: short compared to any objective, long compared to the duration of a sweep. */
@@ -54,8 +54,8 @@
             sweep();
         }
         mechanisms.sweep.migrateWaiting();
-        // Gossip arrives far more often than requests, so the queue is not dispatched for gossip alone, but
-        // by the next sweep.
+        // Gossip arrives far more often than requests, so gossip alone does not dispatch the queue; the next
+        // sweep does.
         if (!events.stream().allMatch(SchedulerEvent.GossipReceived.class::isInstance)) {
             mechanisms.queue.dispatch();
         }
--- a/src/main/java/lineward/scheduling/execution/Sweep.java
+++ b/src/main/java/lineward/scheduling/execution/Sweep.java
@@ -12,7 +12,10 @@
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.SchedulerContext;
 
-/** Applies time-dependent rules to all attempts in flight, and migrates attempts that wait at an engine. */
+/**
+ * Applies the rules that depend on time: ejects silent engines, cancels slow attempts, and removes state that
+ * is no longer needed. It also migrates attempts that wait at an engine.
+ */
 final class Sweep {
     private final SchedulerContext context;
     private final OutlierDetector outliers;
@@ -58,8 +61,8 @@
     }
 
     /**
-     * Removes the state of keys whose settle time has passed, and of gone engines without maintenance,
-     * attempts in flight and work that still counts in their slow-start budget.
+     * Removes the keys whose settle time has passed, and the engines that are gone and not under maintenance,
+     * unless attempts are in flight on them or work sent to them still counts in their slow-start budget.
      */
     void forgetSettled() {
         keyOrder.forgetSettledKeys();
--- a/src/main/java/lineward/scheduling/simulator/BatchReader.java
+++ b/src/main/java/lineward/scheduling/simulator/BatchReader.java
@@ -10,7 +10,7 @@
 import lineward.scheduling.ProgressKind;
 import lineward.scheduling.SchedulerEvent;
 
-/** Reads batches and passes their contents to a sink in order. Endpoint lists are kept across batches. */
+/** Decodes batches and passes their contents to a sink in order. Endpoint lists are kept across batches. */
 final class BatchReader {
     private static final int CLOCK_BYTES = Double.BYTES;
     private static final int MAX_ENDPOINT_LISTS = 16;
@@ -166,7 +166,7 @@
     private SchedulerEvent endpointsChanged(EventRecord entry) {
         int mode = entry.signedByte(1);
         if (mode < 0 || mode > 3) {
-            throw new WireException("unknown endpoint list mode: " + mode);
+            throw new WireException("unknown endpoint list mode " + mode);
         }
         if (mode == 3) {
             return new SchedulerEvent.DiscoveryFailed();
@@ -208,7 +208,7 @@
             case 0 -> EndpointState.GONE;
             case 2 -> EndpointState.READY;
             case 3 -> EndpointState.DRAINING;
-            default -> throw new WireException("unknown engine state: " + code);
+            default -> throw new WireException("unknown engine state " + code);
         };
     }
 
--- a/src/main/java/lineward/scheduling/simulator/Main.java
+++ b/src/main/java/lineward/scheduling/simulator/Main.java
@@ -30,9 +30,7 @@
         System.exit(run(System.in, new FileOutputStream(FileDescriptor.out), System.err));
     }
 
-    /**
-     * Returns the exit status: 0 at the end of the input, else 1 after a message on the error stream.
-     */
+    /** Processes the input until it ends. Returns the exit status: 0, or 1 after an error was printed. */
     static int run(InputStream input, OutputStream output, PrintStream errors) {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(input, INPUT_BUFFER_BYTES))) {
             SchedulerInstances instances = new SchedulerInstances();
--- a/src/main/java/lineward/scheduling/simulator/SchedulerInstances.java
+++ b/src/main/java/lineward/scheduling/simulator/SchedulerInstances.java
@@ -17,7 +17,7 @@
     private final Map<Integer, List<SchedulerEvent>> batch = new LinkedHashMap<>();
     private int selected;
 
-    /** Returns the reply frame to a batch. */
+    /** Processes a batch and returns the reply frame. */
     byte[] answer(int count, ByteBuffer body) {
         batch.clear();
         writer.clear();
@@ -56,7 +56,7 @@
         batch.put(selected, new ArrayList<>());
     }
 
-    /** Removes the instance, and its events from earlier in the batch. */
+    /** Removes the instance, and its events that came earlier in the batch. */
     @Override
     public void killInstance() {
         schedulers.remove(selected);
--- a/src/main/java/lineward/scheduling/simulator/SettingsReader.java
+++ b/src/main/java/lineward/scheduling/simulator/SettingsReader.java
@@ -222,7 +222,10 @@
         return names;
     }
 
-    /** Returns the indices of a list's entries, each a name or an index; null if there is no list. */
+    /**
+     * Returns the indices of the entries of a list, each of which is a name or an index; null if there is no
+     * list.
+     */
     private static List<Integer> indices(JsonNode list, List<String> names) {
         if (list == null || !list.isArray()) {
             return null;
