--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -16,8 +16,8 @@
 import lineward.scheduling.execution.SpeculativeScheduler;
 
 /**
- * Simulates a fleet over a period that tests call a day: front ends without gossip, engines whose runs share
- * their cores, a zone that fails and restarts, and a zone that is partitioned from the others.
+ * Simulates a fleet: front ends without gossip, engines whose runs share their cores, a zone that fails and
+ * restarts, and a zone that is partitioned from the others. A day is one such simulation.
  */
 final class FleetDay {
     /** Lookups, reports, and loads that are not idempotent. */
@@ -41,7 +41,9 @@
     private static final double[] MEAN_WORK = {100, 3000, 4000};
     private static final double[] WORK_LOG_DEVIATION = {0.85, 1.0, 0.6};
     private static final double REPORT_RATIO = 0.15;
+    /** Fraction of the attempts of reports that need far more work than the request has. */
     private static final double RUNAWAY_RATIO = 0.065;
+    /** Minimum and range of the factor by which such an attempt needs more work, uniformly distributed. */
     private static final double[] RUNAWAY_FACTORS = {8.5, 16.5};
     /** Median ratio of the estimate to the actual work, by class. */
     private static final double[] ESTIMATE_RATIO = {0.7, 0.5, 1};
@@ -67,8 +69,8 @@
      * @param lost the zone that fails, or -1
      * @param partitionedZone the zone that is partitioned from the others, or -1
      * @param slowEngineInterval one engine in this many is three times slower; 0: none
-     * @param outageMs duration of the failure and of the partition
-     * @param lengthMs period in which requests arrive
+     * @param outageMs duration of the failure and of the partition, which start at 0.3 of {@code lengthMs}
+     * @param lengthMs duration of the period in which requests arrive
      * @param loads fraction of the requests that are loads
      * @param retryBudget retries of each front end in 10 s, besides a fifth of its requests; 0: no limit
      */
@@ -194,7 +196,10 @@
             return INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (now - startedAtMs) / WARMUP_MS;
         }
 
-        /** Divides the cores among the runs by priority and threads, with at most one core per thread. */
+        /**
+         * Divides the cores among the runs by priority and threads, with at most one core per thread, and
+         * schedules the next step.
+         */
         void shareCores() {
             double threads = runs.stream()
                     .mapToInt(run -> CLASSES.get(run.type).workload().threads())
@@ -294,7 +299,7 @@
         }
     }
 
-    /** One front end: its scheduler and its connections. */
+    /** One front end: its scheduler, open requests and connections. */
     private final class FrontEnd {
         final int ordinal;
         final int zone;
@@ -546,7 +551,10 @@
                 }));
     }
 
-    /** Returns the fraction of the requests that arrived in a period and were answered, late or not. */
+    /**
+     * Returns the fraction of the requests that were answered, late or not, among those of one class that
+     * arrived from second {@code from} to second {@code to}, exclusive.
+     */
     double served(int type, int from, int to) {
         double[] sum = new double[3];
         seconds.subMap(from, to).values().forEach(rows -> {
@@ -572,8 +580,8 @@
                             (int) numbers[2],
                             numbers[4],
                             0.3,
-                            0 /* lost */,
-                            1 /* partitioned */,
+                            0 /* failed zone */,
+                            1 /* partitioned zone */,
                             8,
                             5000,
                             30_000,
--- a/src/measure/java/lineward/scheduling/RuleChecker.java
+++ b/src/measure/java/lineward/scheduling/RuleChecker.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Checks the events and actions of one front end and throws at the first violated rule: a request has one
- * final answer and at most one attempt in flight, a non-idempotent one never runs twice, and retries stay
- * within their budget.
+ * Checks the events and actions of one front end and throws at the first violated rule: a request gets at
+ * most one final answer, one attempt at a time and no more attempts than allowed; a non-idempotent one is
+ * neither retried nor rejected after it may have run; and retries stay within their budget.
  */
 final class RuleChecker {
     private static final class RequestRecord {
--- a/src/test/java/lineward/scheduling/ActionDigest.java
+++ b/src/test/java/lineward/scheduling/ActionDigest.java
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Adds the tag of a type of value, and its numbers. */
+    /** Adds a tag, which identifies the type of what follows, and numbers. */
     public ActionDigest add(char tag, double... values) {
         sha256.update((byte) tag);
         for (double value : values) {
--- a/src/test/java/lineward/scheduling/DecisionCostTest.java
+++ b/src/test/java/lineward/scheduling/DecisionCostTest.java
@@ -10,7 +10,7 @@
 public class DecisionCostTest {
     private static final int QUEUED = 200;
     private static final double SECONDS = 5;
-    /** Limit on the CPU time of a busy front end per second, in ms; the benchmark's machines have 400. */
+    /** Maximum CPU time of a busy front end in a second, in ms; on the benchmark's machines it has 400. */
     private static final double MAX_MS = 200;
 
     @DataProvider
@@ -31,7 +31,7 @@
         long after = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
         double costMs = (after - before) / 1e6 / SECONDS;
         String fleet = frontEnds + " front ends, " + engines + " engines";
-        System.out.printf("%d queued: %.1f ms, %s%n", QUEUED, costMs, fleet);
-        assertTrue(costMs < MAX_MS, costMs + " ms a second");
+        System.out.printf("%d queued: %.1f ms per second, %s%n", QUEUED, costMs, fleet);
+        assertTrue(costMs < MAX_MS, costMs + " ms per second");
     }
 }
--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -14,9 +14,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Compares digests of all actions in seeded simulations with recorded ones. A digest changes with any
- * decision, the order of decisions and each random draw; a change that alters decisions on purpose records
- * new digests. The digests are valid on x86-64, on which Java's mathematical intrinsics give equal results.
+ * Compares digests of all actions in seeded simulations with recorded ones. A digest changes if any decision,
+ * the order of the decisions or a random draw changes; a change that alters decisions on purpose records new
+ * digests. They are valid on x86-64: on other processors, Java's mathematical intrinsics may give different
+ * results.
  */
 public class DecisionDigestTest {
     private static final int ENGINES = 9;
--- a/src/test/java/lineward/scheduling/LargeFleetTest.java
+++ b/src/test/java/lineward/scheduling/LargeFleetTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Checks fleets of many front ends without gossip: slow start, placement, slowdowns, recovery probes. */
+/** Tests slow start, placement, slowdowns and recovery probes in fleets of many front ends without gossip. */
 public class LargeFleetTest {
     private static final int CORES = 8;
 
@@ -59,15 +59,15 @@
         }
     }
 
-    /**
-     * Half of the engines have just started. The front ends together use each of them, and send no more work
-     * within any window than its slow-start budget.
-     */
     @DataProvider
     public Object[][] fleetSizes() {
         return new Object[][] {{1}, {3}, {50}, {300}};
     }
 
+    /**
+     * Half of the engines have just started. The front ends together use each of them, and send no more work
+     * within any window than its slow-start budget.
+     */
     @Test(dataProvider = "fleetSizes")
     public void enginesInSlowStartAreUsedWithinTheirBudget(int frontEnds) {
         SchedulerSettings.Rules rules = rules();
@@ -145,16 +145,16 @@
         }
     }
 
-    /**
-     * Each front end has one request at a time and sees only idle engines. Still the larger engine kind must
-     * not get all requests: the class that may run anywhere must leave that kind to the class that is
-     * restricted to it.
-     */
     @DataProvider
     public Object[][] largeFleetSizes() {
         return new Object[][] {{50}, {300}};
     }
 
+    /**
+     * Each front end has one request at a time and sees only idle engines. Still the larger engine kind must
+     * not get all requests: the class that may run anywhere must leave that kind to the class that is
+     * restricted to it.
+     */
     @Test(dataProvider = "largeFleetSizes")
     public void enginesOfAPlacementAreLeftToTheClassesPlacedThere(int frontEnds) {
         List<EngineKind> kinds = List.of(new EngineKind(16, 32000), new EngineKind(12, 24000));
@@ -190,15 +190,15 @@
                 scheduler.decide(now + 200, List.of(served(request)));
             }
         }
-        // Half of the work is restricted to kind 0, which has 16 of the 28 cores. With equal load on all
-        // cores, kind 0 gets 1 in 7 of the other requests.
+        // Half of the work is restricted to kind 0, which has 16 of the 28 cores. Equal load on all cores
+        // means that kind 0 gets 1 in 7 of the other requests.
         assertThat(lookupsByKind[0]).isGreaterThan(frontEnds / 4);
         assertThat(lookupsByKind[1]).isGreaterThan(2 * lookupsByKind[0]);
     }
 
     /**
-     * A few answers per second from forty engines are too few to tell that any one engine is slow, but enough
-     * to tell that the fleet is.
+     * A few answers per second from forty engines are too few to detect that a single engine is slow, but
+     * enough to detect that the fleet is.
      */
     @Test
     public void frontEndWithLittleTrafficDetectsASlowFleet() {
@@ -237,12 +237,12 @@
                 .hasSize(1);
     }
 
-    /** Half of the engines refuse connections; recovery probes to them stay a fraction of the traffic. */
     @DataProvider
     public Object[][] probedFleetSizes() {
         return new Object[][] {{1}, {50}, {300}};
     }
 
+    /** Half of the engines refuse connections; recovery probes to them stay a fraction of the traffic. */
     @Test(dataProvider = "probedFleetSizes")
     public void recoveryProbesStayAFractionOfTheTraffic(int frontEnds) {
         int requests = 0;
--- a/src/test/java/lineward/scheduling/RandomDaysTest.java
+++ b/src/test/java/lineward/scheduling/RandomDaysTest.java
@@ -28,7 +28,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Random valid events with random settings: the rules hold, and the same events give the same actions. */
+/**
+ * Tests with random settings and random valid events that the rules hold and that the same events give the
+ * same actions.
+ */
 public class RandomDaysTest {
     private record Due(double at, int order, SchedulerEvent event) {}
 
--- a/src/test/java/lineward/scheduling/RulesTest.java
+++ b/src/test/java/lineward/scheduling/RulesTest.java
@@ -20,6 +20,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
+/** Tests the rules on deadlines, repeats, key order, drains, slow start and the retry budget. */
 public class RulesTest {
 
     @Test
@@ -108,7 +109,8 @@
 
     @Test
     public void engineInSlowStartStaysWithinItsBudget() {
-        // Two windows of 1 s at 3 x 0.33 x 0.85 x 8 cores allow 13,464 ms of work: 67 requests of 200 ms.
+        // Two windows of 1 s allow 2 x 3 x 0.33 x 8 cores x 0.85 (the utilisation at full capacity) x 1 s =
+        // 13,464 ms of work: 67 requests of 200 ms.
         assertThat(startedAtEngineInSlowStart(1)).isBetween(10, 67);
         int ofFour = startedAtEngineInSlowStart(4);
         assertThat(ofFour).as("a quarter for each of four front ends").isBetween(2, 17);
@@ -209,7 +211,7 @@
     }
 
     /**
-     * A request without an estimate counts with the mean work of its class, for which a high value is assumed
+     * A request without an estimate counts with the mean work of its class, which is assumed to be high
      * before the first outcome. So 300 front ends with one request each do not overload an engine in slow
      * start.
      */
@@ -239,7 +241,8 @@
             scheduler.requestArrives(1, 0, 0, 0, 15_000);
             started += scheduler.lastStarts().size();
         }
-        // 3 x 0.33 x 8 cores x 1 s are 7,900 ms; a request with a deadline of 15 s may take 3,750 ms or more.
+        // The engine takes 3 x 0.33 x 8 cores x 1 s = 7,920 ms of work. Each request counts with 3,750 ms or
+        // more: an eighth of its deadline of 15 s, for each of 2 threads.
         assertThat(started).isLessThanOrEqualTo(1);
     }
 
--- a/src/test/java/lineward/scheduling/SeededDay.java
+++ b/src/test/java/lineward/scheduling/SeededDay.java
@@ -242,7 +242,7 @@
         return new AttemptEnded(request, attempt, outcome, completed, work, memory, new double[0]);
     }
 
-    /** A cancelled attempt may end by itself before the cancel; the scheduler ignores the second end. */
+    /** A cancelled attempt may end by itself before it is stopped; the scheduler ignores the second end. */
     private void cancel(SchedulerAction.CancelAttempt cancel, double nowMs) {
         AttemptOutcome outcome = random.nextInt(10) == 0 ? OK : CANCELLED;
         schedule(nowMs + 1 + random.nextInt(40), attemptEnded(cancel.request(), cancel.attempt(), outcome));
--- a/src/test/java/lineward/scheduling/SeededRulesTest.java
+++ b/src/test/java/lineward/scheduling/SeededRulesTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Simulates fleets of several sizes with non-idempotent loads and a small retry budget. */
+/** Tests that fleets of several sizes keep the rules, with non-idempotent loads and a small retry budget. */
 public class SeededRulesTest {
     private static final double LOADS = 0.06;
     private static final int DAY_MS = 15_000;
@@ -27,7 +27,7 @@
         return new Object[][] {{2, 7, 2, 5}, {3, 8, 2, 5}, {14, 60, 2, 5}, {100, 20, 4, 1}};
     }
 
-    /** A zone fails and another is partitioned; the checker throws at the first violated rule. */
+    /** A zone fails and another one is partitioned; the simulation throws at the first violated rule. */
     @Test(dataProvider = "fleets")
     public void nothingRunsTwiceAndRetriesAreBudgeted(int frontEnds, int engines, int zones, int budget) {
         for (int seed = 1; seed <= (frontEnds < 10 ? 3 : 1); seed++) {
--- a/src/test/java/lineward/scheduling/StyleTest.java
+++ b/src/test/java/lineward/scheduling/StyleTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** Checks that decision classes are listed for deployment and limited in size, and the length of lines. */
+/** Checks that the deploy file lists the decision classes, and limits their length and that of lines. */
 public class StyleTest {
     private static final int MAX_DECISION_LINES = 300;
     private static final int MAX_COLUMNS = 110;
--- a/src/test/java/lineward/scheduling/TestingScheduler.java
+++ b/src/test/java/lineward/scheduling/TestingScheduler.java
@@ -6,7 +6,7 @@
 import lineward.scheduling.SchedulerSettings.Rules;
 import lineward.scheduling.execution.SpeculativeScheduler;
 
-/** A scheduler with a simulated clock whose actions are recorded. */
+/** A scheduler with a simulated clock, which records the scheduler's actions. */
 final class TestingScheduler {
     static final SchedulerSettings.Costs NO_COSTS = new SchedulerSettings.Costs(0, 0);
 
@@ -17,7 +17,7 @@
     double nowMs = 1000;
     final SpeculativeScheduler scheduler;
     final SchedulerSettings settings;
-    /** The actions of the last event, or of all ticks of the last {@link #advance}. */
+    /** The actions of the last batch of events, or of all ticks of the last {@link #advance}. */
     final List<SchedulerAction> lastActions = new ArrayList<>();
 
     final List<SchedulerAction> allActions = new ArrayList<>();
@@ -54,7 +54,7 @@
                 new RequestClass.Workload(false, false, 1));
     }
 
-    /** Requests that run on one kind of engine only. */
+    /** Requests that may run on one kind of engine only. */
     static RequestClass classOnKind(int kind) {
         return new RequestClass(
                 new RequestClass.Objective(2000, 1, 5000, 1, 0),
--- a/src/test/java/lineward/scheduling/simulator/AdapterTest.java
+++ b/src/test/java/lineward/scheduling/simulator/AdapterTest.java
@@ -14,6 +14,7 @@
 import lineward.scheduling.SchedulerSettings;
 import org.testng.annotations.Test;
 
+/** Tests the frames and records of the simulator's protocol, and the keys of the settings. */
 public class AdapterTest {
     private static final String SETTINGS = "{\"classes\":[{\"aim\":1000,\"deadline\":5000,"
             + "\"effect\":\"retryable\",\"value\":1}],\"skus\":[\"a\"],\"zones\":[\"z\"],\"peers-total\":1,"
