--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -69,8 +69,9 @@
      * @param lost the zone that fails, or -1
      * @param partitionedZone the zone that is partitioned from the others, or -1
      * @param slowEngineInterval one engine in this many is three times slower; 0: none
-     * @param outageMs duration of the failure and of the partition, which start at 0.3 of {@code lengthMs}
-     * @param lengthMs duration of the period in which requests arrive
+     * @param outageMs duration of the failure and of the partition, which start after 0.3 of the period in
+     *     which requests arrive
+     * @param lengthMs duration of that period
      * @param loads fraction of the requests that are loads
      * @param retryBudget retries of each front end in 10 s, besides a fifth of its requests; 0: no limit
      */
