--- a/src/main/java/lineward/core/ActionExecutor.java
+++ b/src/main/java/lineward/core/ActionExecutor.java
@@ -6,13 +6,14 @@
 import lineward.scheduling.SchedulerEvent;
 
 /**
- * Translates the scheduler's actions into commands for the forwarder and deadlines. Actions that refer to a
- * request that has already been released are ignored. Called by the coordinator, on the event loop.
+ * Executes the scheduler's actions for the coordinator, by issuing commands to the forwarder and setting
+ * deadlines. Ignores actions on requests that have already been released. Called by the coordinator, on the
+ * event loop.
  *
  * @param <X> the protocol's representation of a request
  */
 final class ActionExecutor<X> implements SchedulerAction.Handler {
-    /** An attempt times out this long before its client, which leaves time to send the client an answer. */
+    /** An attempt times out this long before its request's deadline, which leaves time to send an answer. */
     private static final double ANSWER_MARGIN_MS = 10;
 
     private final Coordinator<X> coordinator;
@@ -24,7 +25,7 @@
         this.cancelDurationMs = cancelDurationMs;
     }
 
-    /** Executes the actions in order. The time is the same for all of them. */
+    /** Executes the actions in order; {@code now} is the current time for all of them. */
     void execute(List<SchedulerAction> actions, double now) {
         nowMs = now;
         actions.forEach(action -> action.dispatchTo(this));
--- a/src/main/java/lineward/core/Command.java
+++ b/src/main/java/lineward/core/Command.java
@@ -14,8 +14,9 @@
      *
      * @param engine id of the engine; null if the engine is no longer known
      * @param timeoutMs maximum duration of the attempt
-     * @param startWithinMs time after which the attempt must no longer be sent to the engine; an attempt
-     *     that was not sent by then is reported as one that never ran
+     * @param startWithinMs time after which the attempt must no longer be sent to the engine, because the
+     *     request might then run twice; an attempt that was not sent by then is reported as one that never
+     *     ran
      * @param grantMb memory to grant; 0 lets the engine decide
      * @param priority from 0 (lowest) to 3 (highest)
      */
@@ -36,8 +37,8 @@
     }
 
     /**
-     * Cancels an attempt. The forwarder need not report the end: the coordinator records it, at the latest
-     * after the maximum duration of a cancel.
+     * Cancels an attempt. The forwarder need not report its end, because the coordinator records it after the
+     * maximum duration of a cancel at the latest.
      */
     record CancelAttempt<X>(X exchange, long request, int attempt, String engine) implements Command<X> {
         @Override
@@ -73,7 +74,8 @@
     }
 
     /**
-     * Answers a request as rejected. A retry is safe: the request has not run, or may run more than once.
+     * Tells the client that its request was rejected. The client may safely retry it: either the request has
+     * not run, or running it again does no harm.
      *
      * @param retryAfterMs delay after which the client should retry, or {@link #NO_RETRY_AFTER}
      */
@@ -87,7 +89,7 @@
         }
     }
 
-    /** Answers a request as failed. The request may have run. */
+    /** Tells the client that its request failed. The request may have run. */
     record Fail<X>(X exchange) implements Command<X> {
         @Override
         public void executeBy(Forwarder<X> forwarder) {
--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -39,7 +39,8 @@
      *
      * @param scheduler scheduler used by this coordinator only
      * @param capacity maximum number of requests in the request table; further requests are rejected
-     * @param cancelDurationMs maximum time from a cancel to the end of the attempt; a relaunch waits for it
+     * @param cancelDurationMs time after which a cancelled attempt counts as ended if the forwarder has not
+     *     reported its end; a relaunch of the request waits for that
      * @param tracer receives the progress and end of requests and attempts
      */
     public Coordinator(Scheduler scheduler, int capacity, double cancelDurationMs, Tracer<X> tracer) {
@@ -83,7 +84,7 @@
         shutdownDeadlineMs = OptionalDouble.of(atMs);
     }
 
-    /** Cancels a request whose client has disconnected. Does nothing if the request is completed. */
+    /** Cancels a request whose client no longer needs the answer. Does nothing if it is completed. */
     public void cancelRequest(long requestId) {
         TrackedRequest<X> request = requests.get(requestId);
         if (request != null) {
@@ -101,7 +102,7 @@
         return true;
     }
 
-    /** Answers all open requests as failed. */
+    /** Fails all open requests, has their attempts cancelled, and tells their clients. */
     public void failOpenRequests() {
         requests.forEach(request -> {
             if (cancel(request, Tracer.Ending.FAILED)) {
@@ -136,10 +137,11 @@
     }
 
     /**
-     * Records that the first part of an attempt's response was sent to the client. From then on the attempt
-     * has no timeout, and the request fails if the attempt fails.
+     * Records that an attempt starts to send its response to the client. From then on the attempt has no
+     * timeout, and the request fails if the attempt fails.
      *
-     * @return false if the request is completed, or the attempt has ended or is being cancelled
+     * @return false if the response must not be sent, because the request is completed, or the attempt has
+     *     ended or is being cancelled
      */
     public boolean responseStarted(long requestId, int attempt) {
         TrackedRequest<X> request = requests.get(requestId);
@@ -217,7 +219,7 @@
         return engines.listedCount();
     }
 
-    /** Returns the number of listed engines that are ejected or under maintenance, and so get no attempts. */
+    /** Returns the number of listed engines that are ejected or under maintenance. */
     public int excludedEngines() {
         return scheduler.excludedEngines();
     }
--- a/src/main/java/lineward/core/EngineNumbers.java
+++ b/src/main/java/lineward/core/EngineNumbers.java
@@ -9,18 +9,18 @@
 import lineward.scheduling.EndpointState;
 
 /**
- * Assigns the numbers that identify engines to the scheduler. An engine is known while it is listed or under
- * maintenance. Its number is a hash of its id, so that all front ends compute the same one: slow start uses
- * it to assign time slots at a warming engine to front ends. The numbers of engines that are no longer known
- * are removed, because a restarted engine gets a new id and the map would grow. Called by the coordinator, on
- * the event loop.
+ * Assigns the numbers that identify engines to the scheduler. The number of an engine is a hash of its id, so
+ * that all front ends compute the same one; slow start derives from it when each front end may use a warming
+ * engine. An engine is known while it is listed or under maintenance. The numbers of engines that are no
+ * longer known are removed: a restarted engine gets a new id, so the maps would otherwise grow without limit.
+ * Called by the coordinator, on the event loop.
  */
 final class EngineNumbers {
-    // Parameters of the 64-bit FNV-1a hash.
+    // Parameters of the 64-bit FNV-1a hash, which is computed over the characters of the id.
     private static final long FNV_SEED = 0xcbf29ce484222325L;
 
     private static final long FNV_PRIME = 0x100000001b3L;
-    /** The simulator's protocol encodes an engine number in six bytes. */
+    /** Low bits of the hash that are dropped, as the simulator's protocol encodes a number in six bytes. */
     private static final int UNUSED_BITS = 16;
 
     private final Map<String, Long> numbers = new HashMap<>();
--- a/src/main/java/lineward/core/Forwarder.java
+++ b/src/main/java/lineward/core/Forwarder.java
@@ -28,9 +28,9 @@
      */
     void broadcastGossip(Command.BroadcastGossip<X> command);
 
-    /** Answers the request as rejected. */
+    /** Tells the client that its request was rejected. */
     void reject(Command.Reject<X> command);
 
-    /** Answers the request as failed. */
+    /** Tells the client that its request failed. */
     void fail(Command.Fail<X> command);
 }
--- a/src/main/java/lineward/core/RequestState.java
+++ b/src/main/java/lineward/core/RequestState.java
@@ -2,14 +2,14 @@
 
 /** States of an admitted request. A transition that does not apply to a state leaves it unchanged. */
 enum RequestState {
-    /** No part of a response was sent to the client. */
+    /** No attempt has started to send its response to the client. */
     OPEN,
-    /** The first part of an attempt's response was sent to the client. */
+    /** An attempt has started to send its response to the client. */
     RESPONDING,
     /** The final answer is decided, or the request was cancelled. Final state. */
     COMPLETED;
 
-    /** Returns the state after the first part of a response is sent to the client. */
+    /** Returns the state after an attempt starts to send its response to the client. */
     RequestState responseStarted() {
         return this == OPEN ? RESPONDING : this;
     }
--- a/src/main/java/lineward/core/SqlTokens.java
+++ b/src/main/java/lineward/core/SqlTokens.java
@@ -63,7 +63,7 @@
         return token;
     }
 
-    /** Returns the offset of the first character of the current token. */
+    /** Returns the offset of the first character of the current token; not set for executable comments. */
     public int start() {
         return tokenStart;
     }
@@ -73,7 +73,7 @@
         return position;
     }
 
-    /** Returns whether the current token is this keyword or symbol, ignoring case. False for quoted names. */
+    /** Returns whether the current token is this keyword or symbol, ignoring case, and is not quoted. */
     public boolean is(String keyword) {
         return kind != Kind.NAME && token.equalsIgnoreCase(keyword);
     }
--- a/src/main/java/lineward/core/TableGroups.java
+++ b/src/main/java/lineward/core/TableGroups.java
@@ -5,7 +5,12 @@
 
 /** Determines the table group of an SQL statement from the number at the end of a schema name. */
 public final class TableGroups {
+    /**
+     * Tokens after which a qualified name is taken for a table. A qualified column after a comma is taken for
+     * one, too.
+     */
     private static final Set<String> BEFORE_TABLES = Set.of("from", "join", "into", "update", "table", ",");
+
     private static final int MAX_DIGITS = 6;
 
     private TableGroups() {}
--- a/src/main/java/lineward/core/Tracer.java
+++ b/src/main/java/lineward/core/Tracer.java
@@ -11,9 +11,9 @@
 public interface Tracer<X> {
     /** Final status of a request. */
     enum Ending {
-        /** An engine's result was sent to the client. */
+        /** An engine's result is the final answer. */
         SERVED,
-        /** The request was rejected. A retry is safe: it has not run, or may run more than once. */
+        /** The request was rejected. It has not run, or running it again does no harm. */
         REJECTED,
         /** The request failed and may have run. */
         FAILED,
@@ -24,7 +24,11 @@
     /** Called when a request is admitted. */
     void requestAdmitted(X exchange);
 
-    /** Called when an attempt is started at an engine. */
+    /**
+     * Called when an attempt is started at an engine.
+     *
+     * @param engine id of the engine; null if the engine is no longer known
+     */
     void attemptStarted(X exchange, int attempt, String engine);
 
     /** Called when an attempt ends. */
--- a/src/main/java/lineward/core/TrackedRequest.java
+++ b/src/main/java/lineward/core/TrackedRequest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The coordinator's bookkeeping for one admitted request. Times are in milliseconds of the clock whose time
- * is passed to the coordinator. Used on the event loop only.
+ * The coordinator's bookkeeping for one admitted request. Times are in milliseconds, as callers pass them to
+ * the coordinator. Used on the event loop only.
  *
  * @param <X> the protocol's representation of a request
  */
@@ -27,7 +27,7 @@
     private double grantMb = ENGINE_DECIDES_MEMORY;
     private int priority = DEFAULT_PRIORITY;
 
-    /** @param deadlineMs time of the client's deadline */
+    /** @param deadlineMs time of the client's deadline, or of the shutdown deadline if that is earlier */
     TrackedRequest(X exchange, double deadlineMs) {
         this.exchange = exchange;
         this.deadlineMs = deadlineMs;
@@ -38,7 +38,7 @@
         return exchange;
     }
 
-    /** Returns the time of the client's deadline. */
+    /** Returns the time of the request's deadline. */
     double deadlineMs() {
         return deadlineMs;
     }
@@ -80,7 +80,7 @@
         attemptsInFlight--;
     }
 
-    /** Records that the first part of this attempt's response was sent to the client. */
+    /** Records that this attempt starts to send its response to the client. */
     void startResponse(TrackedAttempt attempt) {
         state = state.responseStarted();
         responding = attempt;
@@ -103,7 +103,7 @@
         return state.isCompleted();
     }
 
-    /** Returns whether the request is completed and no attempt is in flight, so its slot can be reused. */
+    /** Returns whether the request is completed and has no attempt in flight, so its id can be released. */
     boolean isReleasable() {
         return isCompleted() && attemptsInFlight == 0;
     }
