--- a/src/main/java/lineward/frontend/Channels.java
+++ b/src/main/java/lineward/frontend/Channels.java
@@ -5,8 +5,8 @@
 import io.netty.channel.socket.DuplexChannel;
 
 /**
- * Channel operations whose result can be ignored, because Netty releases the file descriptor even if they
- * fail. Thread-safe.
+ * Channel operations whose result is ignored. Netty releases the file descriptor even if a close fails.
+ * Thread-safe.
  */
 public final class Channels {
     private Channels() {}
@@ -16,7 +16,7 @@
         ChannelFuture unused = channel.close();
     }
 
-    /** Shuts down the output of the channel without waiting for completion. */
+    /** Shuts down the output of the channel without waiting for completion. The channel stays open. */
     public static void shutdownOutput(DuplexChannel channel) {
         ChannelFuture unused = channel.shutdownOutput();
     }
--- a/src/main/java/lineward/frontend/CoordinatorDriver.java
+++ b/src/main/java/lineward/frontend/CoordinatorDriver.java
@@ -94,13 +94,13 @@
     /**
      * Limits the deadline of requests that are admitted from now on.
      *
-     * @param deadlineMs time from now
+     * @param deadlineMs time from now to the shutdown deadline
      */
     public void setShutdownDeadline(int deadlineMs) {
         coordinator.setShutdownDeadline(clock.getAsDouble() + deadlineMs);
     }
 
-    /** Answers all open requests as failed at the next tick. */
+    /** Fails all open requests; their clients are told at the next tick. */
     public void failOpenRequests() {
         coordinator.failOpenRequests();
         tickRequest.run();
--- a/src/main/java/lineward/frontend/LingeringClose.java
+++ b/src/main/java/lineward/frontend/LingeringClose.java
@@ -19,7 +19,7 @@
     private static final String HANDLER_NAME = "lingering-close";
     /** Delay before the shutdown, during which the event loop reads the bytes that have arrived. */
     private static final int READ_AHEAD_MS = 1;
-    /** Time after which a connection is closed if the peer has not; most peers close within a round trip. */
+    /** Time that the peer has to close the connection, which most peers do within a round trip. */
     private static final int LINGER_MS = 500;
 
     private LingeringClose() {}
--- a/src/main/java/lineward/frontend/Listener.java
+++ b/src/main/java/lineward/frontend/Listener.java
@@ -7,17 +7,17 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import java.net.InetSocketAddress;
 
-/** Opens and closes the listening socket of a protocol server. May be called from any thread. */
+/** Opens the listening socket of a protocol server. May be called from any thread. */
 public interface Listener {
     /**
      * Starts to accept connections.
      *
      * @param clients bootstrap that configures the accepted connections
-     * @param loop event loop of the listening socket and the connections
+     * @param loop event loop of the accepted connections
      */
     ChannelFuture bind(ServerBootstrap clients, EventLoopGroup loop);
 
-    /** Stops accepting connections on the channel that {@link #bind} opened. */
+    /** Stops accepting connections on the channel that {@link #bind} opened, which may stay open. */
     void stopAccepting(Channel listener);
 
     /** Returns a listener that opens its own socket at the given address. */
--- a/src/main/java/lineward/frontend/ProtocolServer.java
+++ b/src/main/java/lineward/frontend/ProtocolServer.java
@@ -20,7 +20,7 @@
      * Limits the deadline of requests that arrive from now on, even if their clients set a later one. Ignored
      * by protocols whose requests keep the deadline of their class.
      *
-     * @param deadlineMs time from now
+     * @param deadlineMs time from now to the shutdown deadline
      */
     void setShutdownDeadline(int deadlineMs);
 
@@ -30,12 +30,12 @@
      */
     void failOpenRequests();
 
-    /** Closes the listening socket. Other processes that share the socket keep it open. */
+    /** Stops accepting clients. A listening socket that is shared with other processes stays open. */
     void stopListening();
 
     /**
-     * Closes each idle client connection with the given probability. During a shutdown, also closes the other
-     * connections once the server's time limit for them has passed.
+     * Closes each idle client connection with the given probability. If others stay open for too long during
+     * a drain or shutdown, also closes these; the time limit depends on the server.
      *
      * @param probability between 0 and 1; 1 closes all idle connections
      */
--- a/src/main/java/lineward/gossip/GossipSocket.java
+++ b/src/main/java/lineward/gossip/GossipSocket.java
@@ -36,7 +36,7 @@
 
     /** Maximum size of a message; longer datagrams are ignored. */
     public static final int MAX_MESSAGE_BYTES = 256;
-    /** Datagrams read per iteration of the event loop, so that a flood does not delay client requests. */
+    /** Maximum per iteration of the event loop, so that a flood of datagrams does not delay requests. */
     private static final int MAX_DATAGRAMS_PER_READ = 64;
     /** One byte more than the maximum size, so that oversized datagrams can be detected. */
     private static final int RECEIVE_BUFFER_BYTES = MAX_MESSAGE_BYTES + 1;
@@ -101,7 +101,7 @@
         return content.isReadable() && content.readableBytes() <= MAX_MESSAGE_BYTES;
     }
 
-    /** Ignores errors, which occur while a peer is down; later messages may reach it again. */
+    /** Ignores errors: sending fails while a peer is down, but later messages may reach it again. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {}
 }
