--- a/src/main/java/lineward/core/Command.java
+++ b/src/main/java/lineward/core/Command.java
@@ -38,7 +38,7 @@
 
     /**
      * Cancels an attempt. The forwarder need not report its end, because the coordinator records it after the
-     * maximum duration of a cancel at the latest.
+     * cancel timeout at the latest.
      */
     record CancelAttempt<X>(X exchange, long request, int attempt, String engine) implements Command<X> {
         @Override
--- a/src/test/java/lineward/core/CoordinatorTest.java
+++ b/src/test/java/lineward/core/CoordinatorTest.java
@@ -126,7 +126,7 @@
         assertTrue(last(ERROR).requestCompleted());
     }
 
-    /** The end is reported after the duration of a cancel, so that a relaunch can't overtake the cancel. */
+    /** The end is recorded after the cancel timeout only, so that a relaunch can't overtake the cancel. */
     @Test
     public void cancelledAttemptEndsOnceTheCancelHasReachedItsEngine() {
         long id = admitAndStart(3000, 5000);
