--- a/src/main/java/lineward/lifecycle/DrainSchedule.java
+++ b/src/main/java/lineward/lifecycle/DrainSchedule.java
@@ -5,14 +5,17 @@
  * not all reconnect at the same time. Does no I/O; times are milliseconds since the start of the drain.
  */
 enum DrainSchedule {
-    /** A drain started by an operator: clients reconnect to other front ends. */
+    /** A drain started by an operator: all clients have to reconnect to other front ends. */
     OPERATOR_DRAIN(1500) {
         @Override
         boolean rejectsRequests(double elapsedMs) {
             return elapsedMs >= REJECT_AFTER_MS;
         }
     },
-    /** A hot restart: clients reconnect to the same socket, and two processes share the load until then. */
+    /**
+     * A hot restart: clients reconnect to the same socket. The period is short, because each of the two
+     * processes has only half of the front end's quota while both run.
+     */
     HOT_RESTART(400) {
         @Override
         boolean rejectsRequests(double elapsedMs) {
@@ -20,11 +23,11 @@
         }
     };
 
-    /** Clients may still open connections before this time; afterwards idle connections are closed. */
+    /** Idle connections are closed from this time on; until then clients still open new ones. */
     private static final double FIRST_CLOSE_AFTER_MS = 300;
     /**
-     * A connection that is still open after 4 s must have carried no request for the last 2 s, so requests
-     * are rejected from shortly before 2 s on.
+     * A connection that is open 4 s after the start of the drain must have carried no request for the last
+     * 2 s. Requests are therefore rejected from shortly before 2 s on.
      */
     private static final double REJECT_AFTER_MS = 1800;
 
--- a/src/main/java/lineward/lifecycle/HotRestart.java
+++ b/src/main/java/lineward/lifecycle/HotRestart.java
@@ -7,24 +7,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Shares operators' maintenance commands among the processes of one front end during a hot restart, including
- * the process that takes over. Each process writes its own file and reads the files of the others. A file
- * that can't be read is skipped; one that has expired is deleted. {@link HotRestartPolicy} decides; this
- * class reads, writes, logs and notifies. Runs on the event loop and blocks it during reads and writes,
- * which is short: the files are a few hundred bytes in a directory of the local machine.
+ * Exchanges state with the other processes of this front end, which run beside this one during a hot restart:
+ * operators' maintenance commands, and a heartbeat, from which each process derives its quota. Each process
+ * writes its own file and reads the files of the others. A file that can't be read is skipped; one that has
+ * expired is deleted. {@link HotRestartPolicy} decides; this class reads, writes, logs and notifies. Runs on
+ * the event loop, which its reads and writes block briefly: the files are a few hundred bytes in a directory
+ * of the local machine.
  */
 public final class HotRestart {
-    /** Is notified of changes; called on the event loop. */
+    /** Receives the changes that other parts of this process must apply; called on the event loop. */
     public interface Listener {
         /**
          * An engine has been excluded from requests, or released.
          *
-         * @param excluded true while the engine gets no requests
+         * @param excluded whether the engine gets no requests from now on
          * @param sinceMs when the operator gave the command, in Unix milliseconds
          */
         void maintenanceChanged(String engine, boolean excluded, double sinceMs);
 
-        /** This process's quota of the front end's load has changed; it is in (0, 1]. */
+        /**
+         * The quota of this process has changed.
+         *
+         * @param quota the fraction of the front end's load for this process, in (0, 1]
+         */
         void quotaChanged(double quota);
     }
 
@@ -40,7 +45,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(HotRestart.class);
 
     private final HotRestartPolicy policy = new HotRestartPolicy();
-    /** Null if no shared directory is configured. */
+    /** Null if no state is exchanged. */
     private final PeerStateFiles files;
 
     private final DoubleSupplier clock;
@@ -51,9 +56,9 @@
     /**
      * Prepares the exchange without reading or writing anything.
      *
-     * @param directory that only the processes of a hot restart share; null if nothing is shared
-     * @param name of this front end; the process that takes over uses the same name
-     * @param clock the current time in Unix milliseconds
+     * @param directory directory that only the processes of a hot restart use; null if no state is exchanged
+     * @param name name of this front end, the same in all of its processes
+     * @param clock current time in Unix milliseconds
      */
     public HotRestart(Path directory, String name, DoubleSupplier clock, Listener listener) {
         long startedAtMs = Math.round(clock.getAsDouble());
@@ -62,7 +67,7 @@
         this.listener = listener;
     }
 
-    /** Returns whether an operator has excluded the engine. */
+    /** Returns whether an operator has excluded the engine from requests. */
     public boolean isExcluded(String engine) {
         return policy.isExcluded(engine);
     }
@@ -84,7 +89,7 @@
         }
     }
 
-    /** Writes this process's file, whose time is also its heartbeat. */
+    /** Writes this process's file; the time in the file is the heartbeat of this process. */
     public void writeState() {
         if (files == null || left) {
             return;
@@ -97,7 +102,7 @@
         }
     }
 
-    /** Applies the commands of this front end's other processes, and updates the quota. */
+    /** Applies the commands in the files of the other processes, and updates the quota. */
     public void readPeers() {
         if (files == null) {
             return;
@@ -141,8 +146,8 @@
     }
 
     /**
-     * Deletes this process's file at the end of the process, when the process that takes over has read it; no
-     * further file is written.
+     * Ends the exchange at the end of this process: deletes its file, which the process that takes over has
+     * read by then, and prevents further writes.
      */
     public void leave() {
         left = true;
@@ -151,7 +156,7 @@
         }
     }
 
-    /** Logs only the first of consecutive failures; the next successful write ends the series. */
+    /** Logs only the first of a series of failures; a successful write ends the series. */
     private void logFirstFailure(Operation operation, Path file, IOException failure) {
         if (!failureLogged) {
             failureLogged = true;
--- a/src/main/java/lineward/lifecycle/HotRestartPolicy.java
+++ b/src/main/java/lineward/lifecycle/HotRestartPolicy.java
@@ -5,24 +5,24 @@
 import java.util.TreeMap;
 
 /**
- * Decides which maintenance commands are in effect, and this process's quota of the front end's load. Of two
- * commands for one engine the later one is in effect. Does no I/O; times are Unix milliseconds. {@link
- * HotRestart} calls it on the event loop.
+ * Decides which maintenance commands are in effect, and which fraction of the front end's load this process
+ * may use: its quota. Of two commands for one engine the later one is in effect. Does no I/O; times are Unix
+ * milliseconds. {@link HotRestart} calls it on the event loop.
  */
 final class HotRestartPolicy {
     /** The status of another process, judged by the time in its file. */
     enum PeerStatus {
-        /** It is running and has a quota. */
+        /** It is running and uses a part of the front end's quota. */
         RUNNING,
         /** It has ended; its commands are still in effect. */
         ENDED,
-        /** It ended long ago, or its time is unusable; its file has to be deleted. */
+        /** It ended long ago, or its file contains no valid time; the file has to be deleted. */
         EXPIRED
     }
 
     /** Several heartbeats, so that a process with a late heartbeat still counts as running. */
     private static final double RUNNING_MAX_AGE_MS = 3_000;
-    /** Gives the process that takes over enough time to read the file. */
+    /** Long enough for the process that takes over to read the file of a process that has ended. */
     private static final double ENDED_MAX_AGE_MS = 10_000;
     /** Longer than a slow start, so that a release is remembered while it still affects the engine. */
     private static final double REVOKED_ORDER_TTL_MS = 60_000;
@@ -34,15 +34,15 @@
 
     private double quota = 1;
 
-    /** Returns whether an operator has excluded the engine. */
+    /** Returns whether an operator has excluded the engine from requests. */
     boolean isExcluded(String engine) {
         MaintenanceOrder order = orders.get(engine);
         return order != null && order.excluded();
     }
 
     /**
-     * Applies a command unless it is no later than the one in effect. Returns whether the engine's exclusion
-     * changes; the first command for an engine always counts as a change.
+     * Applies a command if it is later than the one in effect for its engine. Returns whether this excludes
+     * or releases the engine; the first command for an engine always counts as a change.
      */
     boolean apply(MaintenanceOrder order) {
         MaintenanceOrder previous = orders.get(order.engine());
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Returns whether the time of another process's command is credible: a command from the future would
-     * override later ones.
+     * Returns whether the time of another process's command is plausible. A command with a time in the future
+     * would override later ones.
      */
     boolean isCredible(MaintenanceOrder order, double nowMs) {
         return order.sinceMs() < nowMs + MAX_CLOCK_SKEW_MS;
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Returns the status of the process that wrote this state; a time in the future counts like the same age
-     * in the past.
+     * Returns the status of the process that wrote this state. A time in the future is judged like one that
+     * is as far in the past.
      */
     PeerStatus statusOf(PeerState peer, double nowMs) {
         double ageMs = Math.abs(nowMs - peer.writtenAtMs());
@@ -87,7 +87,7 @@
         return quota != previous;
     }
 
-    /** Returns this process's quota of the front end's load, in (0, 1]. */
+    /** Returns the fraction of the front end's load that this process may use, in (0, 1]. */
     double quota() {
         return quota;
     }
--- a/src/main/java/lineward/lifecycle/InheritedListener.java
+++ b/src/main/java/lineward/lifecycle/InheritedListener.java
@@ -15,10 +15,10 @@
 import lineward.frontend.Listener;
 
 /**
- * A listening socket that was inherited as descriptor 0 and is shared with other processes. Two processes may
- * wake up for the same connection, and all share the flag that makes the socket non-blocking: if another
- * process clears it, the second accept blocks until the next connection arrives. Accepts therefore run on a
- * dedicated thread.
+ * A listening socket that was inherited as descriptor 0 and is shared with other processes. Accepts run on a
+ * dedicated thread, because they may block: two processes may wake up for the same connection, and all
+ * processes share the flag that makes the socket non-blocking. If another process clears the flag, the accept
+ * that comes second blocks until the next connection arrives.
  */
 public final class InheritedListener implements Listener {
     private final ServerSocketChannel socket;
@@ -30,7 +30,8 @@
     /**
      * Returns the listener on descriptor 0.
      *
-     * @throws IllegalArgumentException if the descriptor is not 0, or not a listening socket
+     * @param descriptor number of the descriptor, as text; only 0 is supported
+     * @throws IllegalArgumentException if the descriptor is not 0 or not a listening socket
      */
     public static InheritedListener fromDescriptor(String descriptor) {
         try {
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -27,10 +27,14 @@
     public record ShutdownOptions(boolean inherited, int shutdownDeadlineMs) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(Lifecycle.class);
-    /** Requests still arrive for 0.6 s after SIGTERM, and slightly longer on a slow network. */
+    /**
+     * At a shutdown without a hot restart, connections are accepted and kept open for this time after
+     * SIGTERM: requests arrive for another 0.6 s, and slightly longer on a slow network.
+     */
     private static final int REQUEST_ARRIVAL_GRACE_MS = 900;
     /**
-     * Interval of polls for other processes' maintenance commands, which must be in effect within a second.
+     * Interval of polls for the maintenance commands of other processes, which must take effect within a
+     * second.
      */
     private static final int PEER_POLL_MS = 100;
 
@@ -50,7 +54,7 @@
     /**
      * Creates the lifecycle of a process that is starting.
      *
-     * @param servers the servers of all protocols; servers may be added until {@link #serve}
+     * @param servers the servers of all protocols; more may be added to the list until {@link #serve}
      * @param shutdown how this process shuts down
      */
     public Lifecycle(
@@ -69,8 +73,8 @@
     }
 
     /**
-     * Joins the other processes of this front end: applies their maintenance commands and writes this
-     * process's state, now and periodically.
+     * Starts the exchange of state with the other processes of this front end: reads their files and writes
+     * the file of this process, now and periodically.
      */
     public void joinHotRestart() {
         hotRestart.readPeers();
@@ -79,7 +83,10 @@
         ticker.every(HotRestart.HEARTBEAT_MS, hotRestart::writeState);
     }
 
-    /** Makes this process ready, once all protocols listen. */
+    /**
+     * Called once all protocols listen: makes this process ready, unless an operator has started a drain, and
+     * starts the periodic close of drained connections.
+     */
     public void serve() {
         state = state.afterListening();
         ticker.every(Ticker.TICK_MS, this::closeDrainedConnections);
@@ -156,7 +163,7 @@
 
     /**
      * Shuts down gracefully after SIGTERM: serves requests that still arrive, completes all open ones, and
-     * returns when every response has been written. Blocks; called once, on the thread of the shutdown hook.
+     * returns once every response has been written. Blocks; called once, on the thread of the shutdown hook.
      */
     public void shutdownGracefully() {
         LOG.info("graceful shutdown started: signal=SIGTERM deadlineMs={}", shutdown.shutdownDeadlineMs());
@@ -196,11 +203,12 @@
         }
     }
 
+    /** Fails the open requests; servers whose requests end at the deadline of their class ignore it. */
     private void failOpenRequests() {
         int openRequests = servers.stream()
                 .mapToInt(server -> server.coordinator().openRequests())
                 .sum();
-        LOG.info("shutdown deadline passed: failedRequests={}", openRequests);
+        LOG.info("shutdown deadline passed: openRequests={}", openRequests);
         setAdmission(ServerAdmissionPolicy.Phase.REJECTING);
         servers.forEach(ProtocolServer::failOpenRequests);
     }
--- a/src/main/java/lineward/lifecycle/PeerState.java
+++ b/src/main/java/lineward/lifecycle/PeerState.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * The state that a process shares with the other processes of its front end during a hot restart.
+ * The content of the file through which a process shares its state with the other processes of its front end.
  *
- * @param writtenAtMs when it was written, in Unix milliseconds; {@link #LONG_AGO_MS} if the file lacks it
- * @param orders the maintenance commands that the process knows
+ * @param writtenAtMs when it was written, in Unix milliseconds; {@link #LONG_AGO_MS} if the file does not say
+ * @param orders the latest maintenance command that the process knows for each engine
  */
 record PeerState(double writtenAtMs, List<MaintenanceOrder> orders) {
-    /** The time of a state whose file lacks one, which makes it count as expired. */
+    /** Replaces a missing time; so far in the past that the state counts as expired. */
     static final double LONG_AGO_MS = 0;
 
     /** The state of a file whose content can't be used. */
--- a/src/main/java/lineward/lifecycle/PeerStateCodec.java
+++ b/src/main/java/lineward/lifecycle/PeerStateCodec.java
@@ -21,7 +21,7 @@
 
     private PeerStateCodec() {}
 
-    /** Returns the content of the file for a state. */
+    /** Returns the content of the file that stores this state. */
     static String encode(PeerState state) {
         ObjectNode root = JSON.createObjectNode().put(WRITTEN_AT, state.writtenAtMs());
         ObjectNode engines = root.putObject(ENGINES);
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Returns the state in the content of a file; commands of an unexpected form are ignored.
+     * Returns the state that this file content stores. Commands of an unexpected form are ignored.
      *
      * @throws JsonProcessingException if the content is not JSON
      */
--- a/src/main/java/lineward/lifecycle/PeerStateFiles.java
+++ b/src/main/java/lineward/lifecycle/PeerStateFiles.java
@@ -24,9 +24,9 @@
     /**
      * Determines the file names without writing anything.
      *
-     * @param name of this front end
-     * @param startedAtMs start time, which distinguishes this process from earlier ones with the same process
-     *     id
+     * @param name name of this front end, the same in all of its processes
+     * @param startedAtMs start time of this process, which distinguishes its file from those of earlier
+     *     processes with the same process id
      */
     PeerStateFiles(Path directory, String name, long startedAtMs) {
         this.directory = directory;
@@ -63,7 +63,7 @@
         return fileName.startsWith(prefix) && fileName.endsWith(SUFFIX) && !file.equals(own);
     }
 
-    /** Returns the state in a file of {@link #listPeers}; {@link PeerState#UNUSABLE} if it is too large. */
+    /** Reads a file of {@link #listPeers}; returns {@link PeerState#UNUSABLE} if it is too large. */
     PeerState read(Path file) throws IOException {
         if (Files.size(file) > MAX_FILE_BYTES) {
             return PeerState.UNUSABLE;
@@ -76,7 +76,7 @@
         Files.deleteIfExists(file);
     }
 
-    /** Deletes this process's file; if that fails, other processes delete it once it has expired. */
+    /** Deletes this process's file. If that fails, another process deletes it once it has expired. */
     void deleteOwn() {
         own.toFile().delete();
         draft.toFile().delete();
--- a/src/main/java/lineward/lifecycle/ProcessState.java
+++ b/src/main/java/lineward/lifecycle/ProcessState.java
@@ -1,20 +1,20 @@
 package lineward.lifecycle;
 
 /**
- * The states of this process, and the transitions that operators and signals cause.
+ * The states of this process, and the transitions that its start, operators and SIGTERM cause.
  *
- * <p>The process starts, serves, may be drained, and terminates. A drain may start in any state; a drain that
- * is in effect at SIGTERM can no longer be stopped. {@code TERMINATING_DRAINED} differs from {@code
- * TERMINATING} in that starting a drain has no effect.
+ * <p>The process starts, serves, may be drained, and terminates. A drain may start in any state; after
+ * SIGTERM it can't be stopped. {@code TERMINATING_DRAINED} differs from {@code TERMINATING} only in that
+ * starting another drain has no effect.
  */
 enum ProcessState {
     /** Not all protocols listen yet. */
     STARTING,
     /** Not all protocols listen yet, and an operator has started a drain. */
     STARTING_DRAINED,
-    /** All protocols listen, and new clients are accepted. */
+    /** All protocols listen, and new clients are welcome. */
     SERVING,
-    /** An operator is draining the process, which keeps running without clients. */
+    /** An operator has started a drain: clients have to leave, and the process keeps running. */
     DRAINING,
     /** SIGTERM was received: open requests are completed. */
     TERMINATING,
@@ -57,12 +57,12 @@
         };
     }
 
-    /** Returns whether the process accepts new clients. */
+    /** Returns whether new clients are welcome. */
     boolean isReady() {
         return this == SERVING;
     }
 
-    /** Returns whether an operator's drain is in effect and SIGTERM was not received. */
+    /** Returns whether an operator's drain is in effect and SIGTERM has not been received. */
     boolean isDraining() {
         return this == STARTING_DRAINED || this == DRAINING;
     }
--- a/src/main/java/lineward/lifecycle/Ticker.java
+++ b/src/main/java/lineward/lifecycle/Ticker.java
@@ -9,7 +9,7 @@
 
 /** Runs periodic tasks on the event loop, scheduled by a hashed wheel timer, which is coarse but cheap. */
 public final class Ticker {
-    /** The resolution of the timer. */
+    /** Resolution of the timer. */
     public static final int TICK_MS = 5;
 
     private static final Logger LOG = LoggerFactory.getLogger(Ticker.class);
@@ -20,7 +20,7 @@
     /**
      * Creates a timer whose thread starts with its first task.
      *
-     * @param loop on which all tasks run
+     * @param loop event loop on which all tasks run
      */
     public Ticker(EventLoop loop) {
         wheel = new HashedWheelTimer(
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Runs the task repeatedly until the process ends, with this delay before the first run and after the end
-     * of each run. May be called on any thread.
+     * Runs the task periodically until the process ends, with this delay before the first run and between the
+     * end of one run and the start of the next. May be called on any thread.
      */
     public void every(int periodMs, Runnable task) {
         wheel.newTimeout(
--- a/src/test/java/lineward/lifecycle/DrainScheduleTest.java
+++ b/src/test/java/lineward/lifecycle/DrainScheduleTest.java
@@ -7,7 +7,10 @@
 
 /** What each schedule decides at each time of a drain. */
 public class DrainScheduleTest {
-    /** Schedule, time; whether idle connections are closed, with what probability, and requests rejected. */
+    /**
+     * Schedule, time; whether idle connections are closed, the probability of each close, and whether
+     * requests are rejected.
+     */
     @DataProvider
     public Object[][] times() {
         return new Object[][] {
--- a/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
+++ b/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
@@ -10,7 +10,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Which maintenance commands are in effect, how a peer's age decides its status, and this process's quota.
+ * Which maintenance commands are in effect, how the age of a peer's file determines the peer's status, and
+ * the quota of a process.
  */
 public class HotRestartPolicyTest {
     private static final double NOW_MS = 1_000_000;
@@ -19,7 +20,7 @@
         return new MaintenanceOrder("s-1", excluded, sinceMs);
     }
 
-    /** Age of a peer's file in milliseconds, negative in the future, and the peer's status. */
+    /** Age of a peer's file in milliseconds, negative if its time is in the future, and the peer's status. */
     @DataProvider
     public Object[][] ages() {
         return new Object[][] {
@@ -47,7 +48,8 @@
     }
 
     /**
-     * First command, second command; whether the second changes the exclusion, and the exclusion afterwards.
+     * First command, second command; whether the second excludes or releases the engine, and whether the
+     * engine is excluded afterwards.
      */
     @DataProvider
     public Object[][] orders() {
--- a/src/test/java/lineward/lifecycle/HotRestartTest.java
+++ b/src/test/java/lineward/lifecycle/HotRestartTest.java
@@ -17,14 +17,17 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Maintenance commands reach the other process; expired and malformed files have no effect. */
+/**
+ * Maintenance commands reach the other process of a hot restart, whichever version it runs; expired and
+ * malformed files have no effect.
+ */
 public class HotRestartTest {
     private static final class RecordingListener implements HotRestart.Listener {
         private final List<String> events = new ArrayList<>();
 
         @Override
         public void maintenanceChanged(String engine, boolean excluded, double sinceMs) {
-            events.add(engine + (excluded ? " out" : " back"));
+            events.add(engine + (excluded ? " excluded" : " released"));
         }
 
         @Override
@@ -52,7 +55,7 @@
     }
 
     private HotRestart process(RecordingListener listener) {
-        now++; // Each process has its own file, whose name contains its start time.
+        now++; // All have this test's process id, so only the start time distinguishes their files.
         return new HotRestart(directory, "n1", () -> now, listener);
     }
 
@@ -66,20 +69,20 @@
         HotRestart next = process(second);
         next.readPeers();
         next.writeState();
-        assertEquals(second.events, List.of("s-1 out", "s-2 out", "quota 0.5"));
+        assertEquals(second.events, List.of("s-1 excluded", "s-2 excluded", "quota 0.5"));
         now += 10;
         next.setMaintenance("s-1", false);
         old.readPeers();
-        assertEquals(first.events, List.of("s-1 out", "s-2 out", "s-1 back", "quota 0.5"));
+        assertEquals(first.events, List.of("s-1 excluded", "s-2 excluded", "s-1 released", "quota 0.5"));
         old.leave();
         old.writeState();
         next.readPeers();
         assertTrue(next.isExcluded("s-2"));
         assertFalse(next.isExcluded("s-1"));
-        assertEquals(second.events.subList(3, 5), List.of("s-1 back", "quota 1.0"));
+        assertEquals(second.events.subList(3, 5), List.of("s-1 released", "quota 1.0"));
     }
 
-    /** Content of another process's file, and whether its command for s-1 is accepted. */
+    /** Content of another process's file, and whether a process accepts its command to exclude s-1. */
     @DataProvider
     public Object[][] files() {
         String order = "\"engines\":{\"s-1\":{\"out\":true,\"since\":999000}}}";
@@ -118,9 +121,10 @@
     /** A file of an earlier version, the time at which it is read, and the events of the listener. */
     @DataProvider
     public Object[][] storedFiles() {
-        List<String> oddEvents = List.of(ODD_ENGINE + " out", "s-3 back", "quota 0.5");
+        List<String> firstEvents = List.of("s-1 excluded", "s-2 released", "quota 0.5");
+        List<String> oddEvents = List.of(ODD_ENGINE + " excluded", "s-3 released", "quota 0.5");
         return new Object[][] {
-            {"hot-restart-1.engines.json", 1.7646540005e12, List.of("s-1 out", "s-2 back", "quota 0.5")},
+            {"hot-restart-1.engines.json", 1.7646540005e12, firstEvents},
             {"hot-restart-2.engines.json", 1.764654102e12, oddEvents},
             {"hot-restart-3.engines.json", 1.764654102e12, List.of("quota 0.5")}
         };
@@ -138,7 +142,7 @@
         assertEquals(PeerStateCodec.encode(PeerStateCodec.decode(content)), content);
     }
 
-    /** The same commands are written to the same bytes as by the version of commit 3520411. */
+    /** For the same commands a process writes the same bytes as the version of commit 3520411. */
     @Test
     public void stateIsWrittenAsTheEarlierVersionWroteIt() throws IOException {
         writeState(directory, "n1", true);
@@ -162,7 +166,7 @@
         }
     }
 
-    /** Writes the state of a process that has received several commands, or none. */
+    /** Writes the file of a process that has received several commands, or none. */
     private static void writeState(Path folder, String name, boolean hasOrders) {
         double[] clock = {1.764654100e12};
         HotRestart process = new HotRestart(folder, name, () -> clock[0], new RecordingListener());
@@ -177,8 +181,8 @@
     }
 
     /**
-     * Writes the stored files 2 and 3 into the given folder. Was run once, with the version whose files must
-     * stay readable.
+     * Writes the stored files 2 and 3 into the folder of the first argument. It was run once, with the
+     * version whose files must stay readable.
      */
     public static void main(String[] args) {
         writeState(Path.of(args[0]), "n1", true);
@@ -193,7 +197,7 @@
             alone.readPeers();
             alone.setMaintenance("s-1", true);
             alone.leave();
-            assertEquals(listener.events, List.of("s-1 out"));
+            assertEquals(listener.events, List.of("s-1 excluded"));
         }
     }
 }
--- a/src/test/java/lineward/lifecycle/ProcessStateTest.java
+++ b/src/test/java/lineward/lifecycle/ProcessStateTest.java
@@ -11,9 +11,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The transition table of the process: every state with every event. */
+/** The transitions of the process, for every state and every event, and the properties of the states. */
 public class ProcessStateTest {
-    /** State; next state after: all protocols listen, drain started, drain stopped, SIGTERM. */
+    /**
+     * State; the next state once all protocols listen, a drain is started, a drain is stopped, on SIGTERM.
+     */
     @DataProvider
     public Object[][] transitions() {
         ProcessState drained = TERMINATING_DRAINED;
@@ -40,7 +42,7 @@
         assertEquals(state.afterTermination(), terminated);
     }
 
-    /** State; whether it is ready, draining, terminating. */
+    /** State; whether the process is ready, draining, terminating. */
     @DataProvider
     public Object[][] properties() {
         return new Object[][] {
