--- a/src/main/java/lineward/operations/AdminHandler.java
+++ b/src/main/java/lineward/operations/AdminHandler.java
@@ -18,8 +18,8 @@
 import lineward.frontend.ClientRegistry;
 
 /**
- * Replies to the first request of a connection and closes it; {@link AdminRoutes} decides the reply. Runs on
- * the event loop.
+ * Responds to the first request of a connection, then shuts the connection down. {@link AdminRoutes} carries
+ * out the request. Runs on the event loop.
  */
 final class AdminHandler extends SimpleChannelInboundHandler<Object> {
     private static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
@@ -48,7 +48,7 @@
      */
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Object message) {
-        // Each connection carries one request; later ones are dropped.
+        // Later requests on the connection are ignored.
         if (replied) {
             return;
         }
@@ -61,8 +61,9 @@
     }
 
     /**
-     * Shuts down the output only: closing the socket while bytes of the client are unread would reset the
-     * connection and lose the response. The client or the request timeout closes the connection.
+     * Sends the response, then shuts down the output only: closing the socket while bytes of the client are
+     * unread would reset the connection and lose the response. The client or the request timeout closes the
+     * connection.
      */
     private static void send(ChannelHandlerContext ctx, AdminReply reply) {
         ByteBuf body = ByteBufUtil.writeUtf8(ctx.alloc(), reply.text());
@@ -72,7 +73,7 @@
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         reply.allowedMethod().ifPresent(method -> headers.set(HttpHeaderNames.ALLOW, method.name()));
-        // The pipeline releases the response, and the body with it.
+        // Netty releases the response, and the body with it, after the write.
         ctx.writeAndFlush(response).addListener((ChannelFutureListener) written -> {
             if (written.isSuccess() && written.channel() instanceof DuplexChannel duplex) {
                 Channels.shutdownOutput(duplex);
@@ -82,7 +83,7 @@
         });
     }
 
-    /** Closes the connection without a reply: the client has disconnected or its request is malformed. */
+    /** Closes the connection without a response, after an I/O error or a malformed request. */
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         Channels.close(ctx.channel());
--- a/src/main/java/lineward/operations/AdminReply.java
+++ b/src/main/java/lineward/operations/AdminReply.java
@@ -7,7 +7,7 @@
 /**
  * A response of the admin endpoint.
  *
- * @param text the body
+ * @param text body of the response
  * @param allowedMethod value of the header {@code Allow}; empty unless the request's method is not allowed
  */
 record AdminReply(HttpResponseStatus status, String text, Optional<HttpMethod> allowedMethod) {
--- a/src/main/java/lineward/operations/AdminRequestAggregator.java
+++ b/src/main/java/lineward/operations/AdminRequestAggregator.java
@@ -4,9 +4,9 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 
-/** Aggregates a request and its body, which contains at most an engine's id. Runs on the event loop. */
+/** Combines a request with its body, which contains at most an engine's id. Runs on the event loop. */
 final class AdminRequestAggregator extends HttpObjectAggregator {
-    /** Marker that replaces a request whose body is too large. */
+    /** Passed on in place of a request whose body is too large. */
     static final Object TOO_LARGE = new Object();
 
     private static final int MAX_BODY_BYTES = 1024;
--- a/src/main/java/lineward/operations/AdminRoutes.java
+++ b/src/main/java/lineward/operations/AdminRoutes.java
@@ -9,9 +9,9 @@
 import java.util.function.BiFunction;
 import java.util.function.Function;
 
-/** The paths of the admin endpoint, each with its method, operation and replies. Runs on the event loop. */
+/** The paths of the admin endpoint, each with its method, operation and responses. Runs on the event loop. */
 final class AdminRoutes {
-    /** The method that a path allows, and its operation, which receives the body of the request. */
+    /** The method that a path allows, and the operation behind it, which receives the body of the request. */
     private record Route(HttpMethod method, BiFunction<AdminOperations, String, AdminReply> operation) {}
 
     private static final Map<String, Route> ROUTES = Map.of(
@@ -32,7 +32,7 @@
         return new Route(HttpMethod.POST, operation);
     }
 
-    /** Carries out a complete request and returns its reply. */
+    /** Carries out a complete request and returns the response. */
     static AdminReply handle(AdminOperations operations, FullHttpRequest request) {
         if (!request.decoderResult().isSuccess()) {
             return AdminReply.of(HttpResponseStatus.BAD_REQUEST, "no call that can be read\n");
@@ -48,7 +48,7 @@
         return route.operation().apply(operations, body);
     }
 
-    /** Returns the reply to a request whose body is too large. */
+    /** Returns the response to a request whose body is too large. */
     static AdminReply bodyTooLarge() {
         return AdminReply.of(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large\n");
     }
--- a/src/main/java/lineward/operations/AdminServer.java
+++ b/src/main/java/lineward/operations/AdminServer.java
@@ -19,9 +19,9 @@
  * passed to {@link #listen}.
  */
 public final class AdminServer {
-    /** Limit on connections; above it the connection that has been open longest is closed. */
+    /** Maximum number of connections; a further one closes the connection that has been open longest. */
     private static final int MAX_CLIENTS = 32;
-    /** Limit on the time in which a client sends its request and reads the response. */
+    /** Time from the connect in which a client must send its request and read the response. */
     private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
     private static final int MAX_REQUEST_LINE_BYTES = 1024;
@@ -32,7 +32,7 @@
             new ClientRegistry<>(MAX_CLIENTS, System::nanoTime, Channels::close, Channels::close);
 
     /**
-     * Creates a server, which does not listen before {@link #listen}.
+     * Creates a server that does not listen yet.
      *
      * @param operations carries out the requests
      */
@@ -67,7 +67,7 @@
                         new AdminHandler(operations, clients));
     }
 
-    /** Closes the connections of clients that are over the time limit; called on the event loop. */
+    /** Closes connections that have exceeded the request timeout; called on the event loop. */
     public void closeUnresponsive() {
         clients.closeSilent(REQUEST_TIMEOUT_NANOS);
     }
--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -12,15 +12,15 @@
 import lineward.frontend.ProtocolServer;
 import lineward.spool.SpoolPolicy;
 
-/** The counters and gauges of this process. Used on the event loop. */
+/** The counters and gauges of this process. Set up on the main thread, then used on the event loop only. */
 public final class Metrics {
-    /** The outcome of a request in the counters. */
+    /** The final status of a request in the counters. */
     public enum RequestStatus {
-        /** The engine's response was sent to its client. */
+        /** An engine's result was sent to the client. */
         SERVED("fulfilled"),
-        /** It was rejected. */
+        /** The request was rejected. */
         REJECTED("throttled"),
-        /** It failed. */
+        /** The request failed. */
         FAILED("faulted");
 
         private final String label;
@@ -39,19 +39,19 @@
     private static final String CLASS_LABEL = "priority";
     private static final String STATUS_LABEL = "status";
 
-    /** Counts by class and status; bounded by the classes of the configuration. */
+    /** Numbers of ended requests by class and status; bounded by the classes of the configuration. */
     private final Map<String, Map<RequestStatus, Long>> endedRequests = new TreeMap<>();
 
     private long forwardedAttempts;
     /** Null if the process has no service discovery. */
     private LongSupplier listAgeMs;
 
-    /** Null if no server counts them. */
+    /** Null if no protocol server sets it. */
     private LongSupplier unreadBytes;
     /** Null if the process has no spool. */
     private Supplier<SpoolPolicy.Statistics> spool;
 
-    /** Registers classes, so that their counters are exported, starting at 0. */
+    /** Registers classes, whose counters start at 0 and are exported from now on. */
     public void registerClasses(Collection<String> classes) {
         for (String className : classes) {
             endedRequests.computeIfAbsent(className, name -> emptyRow());
@@ -66,7 +66,7 @@
         return row;
     }
 
-    /** Counts a request that has ended; a class that is not registered is ignored. */
+    /** Counts a request that has ended, unless its class is not registered. */
     public void countEnded(String className, RequestStatus status) {
         Map<RequestStatus, Long> row = endedRequests.get(className);
         if (row != null) {
@@ -80,9 +80,9 @@
     }
 
     /**
-     * Sets the source of the endpoint list's age.
+     * Sets the source of the age of the endpoint list.
      *
-     * @param ageMs milliseconds since the last usable response of service discovery
+     * @param ageMs returns the milliseconds since the last usable response of service discovery
      */
     public void setListAge(LongSupplier ageMs) {
         listAgeMs = ageMs;
--- a/src/main/java/lineward/operations/MetricsTracer.java
+++ b/src/main/java/lineward/operations/MetricsTracer.java
@@ -6,10 +6,10 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * Counts each request that the coordinator completes, except those that their clients cancelled. Called on
- * the event loop.
+ * Counts the requests that the coordinator completes, except those that their clients have cancelled. Called
+ * on the event loop.
  *
- * @param <X> the protocol's type of a request
+ * @param <X> the protocol's representation of a request
  */
 public final class MetricsTracer<X> implements Tracer<X> {
     private final Metrics metrics;
@@ -19,7 +19,7 @@
     /**
      * Creates a tracer that counts requests and forwards each event.
      *
-     * @param classOf returns a request's class
+     * @param classOf returns the class of a request
      * @param next receives each event
      */
     public MetricsTracer(Metrics metrics, Function<X, String> classOf, Tracer<X> next) {
--- a/src/main/java/lineward/operations/PrometheusText.java
+++ b/src/main/java/lineward/operations/PrometheusText.java
@@ -4,7 +4,7 @@
 
 /** Builds metrics in the Prometheus text format, version 0.0.4. */
 final class PrometheusText {
-    /** The types of metrics, under the names that the format gives them. */
+    /** The metric types of the format. */
     private enum Kind {
         COUNTER("counter"),
         GAUGE("gauge");
@@ -25,7 +25,7 @@
         sample(name, value);
     }
 
-    /** Writes the header of a counter with labels; the caller writes its samples next. */
+    /** Writes the header of a counter with labels; the caller must then write the samples. */
     void labelledCounter(String name, String help) {
         header(name, Kind.COUNTER, help);
     }
@@ -36,7 +36,7 @@
         sample(name, value);
     }
 
-    /** Writes a sample with labels, in the order of the map. */
+    /** Writes a sample, with the labels in the order of the map. */
     void sample(String name, Map<String, String> labels, long value) {
         text.append(PREFIX).append(name).append('{');
         String separator = "";
--- a/src/test/java/lineward/operations/AdminServerTest.java
+++ b/src/test/java/lineward/operations/AdminServerTest.java
@@ -19,7 +19,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The admin endpoint replies correctly and in time while other clients send nothing or malformed requests.
+ * The admin endpoint responds correctly and in time, even while other clients send malformed requests or
+ * nothing.
  */
 public class AdminServerTest {
     private TestingPlatform platform;
@@ -29,7 +30,7 @@
     public void start() throws IOException {
         platform = new TestingPlatform(Map.of());
         operator = new AdminClient(platform.program());
-        Program.await("it is ready", operator::isReady);
+        Program.await("the program is ready", operator::isReady);
     }
 
     @AfterClass(alwaysRun = true)
@@ -41,6 +42,7 @@
         return new Socket(InetAddress.getLoopbackAddress(), platform.program().operations());
     }
 
+    /** Bytes sent, and the status of the response; 0 if the connection is closed without a response. */
     @DataProvider
     public Object[][] requests() {
         return new Object[][] {
@@ -66,7 +68,7 @@
     public void eachRequestGetsItsResponseInTime(String bytes, int status) throws IOException {
         long startNanos = System.nanoTime();
         assertEquals(operator.raw(bytes).status(), status);
-        assertTrue(AdminClient.millisSince(startNanos) < 2000, "response or close in time");
+        assertTrue(AdminClient.millisSince(startNanos) < 2000, "no response or close within 2 s");
     }
 
     @Test
