--- a/src/main/java/lineward/telemetry/OtlpTracer.java
+++ b/src/main/java/lineward/telemetry/OtlpTracer.java
@@ -18,10 +18,10 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * Creates a span for each request with child spans for its attempts, and counts both by class and outcome.
- * Called on the event loop.
+ * Creates a span for each request with child spans for its attempts, counts both by class and outcome, and
+ * measures the durations of requests. Called on the event loop.
  *
- * @param <X> the protocol's type of a request
+ * @param <X> the protocol's representation of a request
  */
 final class OtlpTracer<X> implements Tracer<X> {
     private static final String INSTRUMENTATION_SCOPE = "lineward";
@@ -32,7 +32,7 @@
     private static final AttributeKey<Long> ATTEMPT = AttributeKey.longKey("lineward.attempt");
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** The spans of a request that is not complete: the request or one of its attempts has not ended. */
+    /** The spans of a request; kept until the request and all of its attempts have ended. */
     private static final class RequestSpans {
         private final Span request;
         private final String className;
@@ -132,7 +132,7 @@
             Attributes attributes = Attributes.of(CLASS, request.className, OUTCOME, value);
             requestCounter.add(1, attributes);
             requestDuration.record(request.secondsSinceStart(), attributes);
-            // A cancellation by the client is not an error of the front end.
+            // A cancellation by the client is not an error.
             end(request.request, value, ending == Ending.SERVED || ending == Ending.CANCELLED);
             request.requestEnded = true;
             removeIfComplete(exchange, request);
--- a/src/main/java/lineward/telemetry/OutcomeAttribute.java
+++ b/src/main/java/lineward/telemetry/OutcomeAttribute.java
@@ -10,7 +10,7 @@
 final class OutcomeAttribute {
     private OutcomeAttribute() {}
 
-    /** Returns the exported value of an attempt's outcome. */
+    /** Returns the exported outcome of an attempt. */
     static String valueOf(AttemptOutcome outcome) {
         return switch (outcome) {
             case OK -> "ok";
@@ -24,7 +24,7 @@
         };
     }
 
-    /** Returns the exported value of a request's ending. */
+    /** Returns the exported outcome of a request. */
     static String valueOf(Tracer.Ending ending) {
         return switch (ending) {
             case SERVED -> "served";
--- a/src/main/java/lineward/telemetry/Telemetry.java
+++ b/src/main/java/lineward/telemetry/Telemetry.java
@@ -18,7 +18,7 @@
     private static final String ENDPOINT = "OTEL_EXPORTER_OTLP_ENDPOINT";
     private static final String TRACES_ENDPOINT = "OTEL_EXPORTER_OTLP_TRACES_ENDPOINT";
     private static final String METRICS_ENDPOINT = "OTEL_EXPORTER_OTLP_METRICS_ENDPOINT";
-    /** Limit on the final export at shutdown, which happens after the last response. */
+    /** Maximum duration of the final export at shutdown, which follows the last response. */
     private static final int LAST_EXPORT_TIMEOUT_MS = 1500;
 
     private final OpenTelemetrySdk sdk;
@@ -36,8 +36,8 @@
     /**
      * Starts the export that the environment configures.
      *
-     * @param name of this front end, exported as the id of the service instance
-     * @throws IllegalArgumentException with a message of one line if a variable can't be used
+     * @param name name of this front end, exported as the id of the service instance
+     * @throws IllegalArgumentException if an environment variable has an invalid value
      */
     public static Telemetry start(Map<String, String> environment, String name) {
         boolean all = isSet(environment, ENDPOINT);
@@ -82,15 +82,15 @@
     /**
      * Returns a tracer that exports each event and forwards it.
      *
-     * @param classOf returns a request's class
-     * @param idOf returns a request's id
+     * @param classOf returns the class of a request
+     * @param idOf returns the id of a request
      * @param next receives each event
      */
     public <X> Tracer<X> tracer(Function<X, String> classOf, Function<X, String> idOf, Tracer<X> next) {
         return new OtlpTracer<>(sdk, classOf, idOf, next);
     }
 
-    /** Exports the queued spans and metrics; blocks for at most {@value #LAST_EXPORT_TIMEOUT_MS} ms. */
+    /** Exports the remaining spans and metrics; blocks for at most {@value #LAST_EXPORT_TIMEOUT_MS} ms. */
     @Override
     public void close() {
         sdk.shutdown().join(LAST_EXPORT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/lineward/telemetry/package-info.java
+++ b/src/main/java/lineward/telemetry/package-info.java
@@ -5,8 +5,8 @@
  * requests and attempts in progress. Uses {@code lineward.core} for the tracer interface and
  * {@code lineward.scheduling} for the outcomes of attempts; other packages use {@code Telemetry} only.
  *
- * <p>The tracer runs on the event loop; the SDK exports on its own threads. Bounds: the SDK's queue of
- * spans, beyond which spans are dropped, one span for each admitted request or started attempt, and the time
- * that the last export may take at shutdown. Design: docs/architecture.md.
+ * <p>The tracer runs on the event loop; the SDK exports on its own threads. Bounds: the SDK's queue, which
+ * drops further spans when it is full; one open span for each request and attempt in progress; and the time
+ * that the final export may take at shutdown. Design: docs/architecture.md.
  */
 package lineward.telemetry;
--- a/src/test/java/lineward/telemetry/OutcomeAttributeTest.java
+++ b/src/test/java/lineward/telemetry/OutcomeAttributeTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The exported outcomes, on which dashboards depend, are independent of the names of enum constants. */
+/** The exported outcomes, on which dashboards depend, stay the same if an enum constant is renamed. */
 public class OutcomeAttributeTest {
     @DataProvider
     public Object[][] attemptOutcomes() {
--- a/src/test/java/lineward/telemetry/TelemetryTest.java
+++ b/src/test/java/lineward/telemetry/TelemetryTest.java
@@ -21,7 +21,7 @@
 import lineward.testing.TestingPlatform;
 import org.testng.annotations.Test;
 
-/** The export over OTLP to a fake collector. */
+/** Exports spans and metrics over OTLP to a fake collector. */
 public class TelemetryTest {
     private final List<Span> spans = new CopyOnWriteArrayList<>();
     private final List<String> metrics = new CopyOnWriteArrayList<>();
@@ -80,7 +80,7 @@
     @Test
     public void requestsAndAttemptsAreExportedAsSpansAndMetrics() throws IOException {
         HttpServer collector = collector(new CountDownLatch(0));
-        // Discards spans that the program of another test exported late.
+        // Discards what the program of another test has exported late.
         spans.clear();
         metrics.clear();
         try (TestingPlatform platform = new TestingPlatform(variables(collector))) {
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Requests do not wait for a collector that accepts connections but never responds. */
+    /** Requests must not wait for a collector that accepts connections but never responds. */
     @Test
     public void anUnresponsiveCollectorDelaysNoRequestAndSpansAreDropped() throws IOException {
         CountDownLatch release = new CountDownLatch(1);
@@ -117,7 +117,7 @@
             platform.exercise(200);
             assertTrue((System.nanoTime() - start) / 1e9 < 10, "200 requests took 10 s or longer");
             Program.await("the first batch", () -> !spans.isEmpty());
-            assertTrue(spans.size() <= 16, "queue of 8 and batch of 8, got " + spans.size());
+            assertTrue(spans.size() <= 16, spans.size() + " spans, with a queue of 8 and a batch of 8");
         } finally {
             release.countDown();
             collector.stop(0);
