--- a/src/main/java/lineward/app/LogTracer.java
+++ b/src/main/java/lineward/app/LogTracer.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs the events of the coordinator; those of single requests and attempts at debug level. */
+/** Logs events of requests and attempts at level DEBUG, and messages of the scheduler at level INFO. */
 final class LogTracer<X> implements Tracer<X> {
     private static final Logger LOG = LoggerFactory.getLogger("planner");
 
@@ -26,7 +26,7 @@
 
     @Override
     public void requestEnded(X exchange, Ending ending) {
-        LOG.debug("request ended: request={} result={}", exchange, ending);
+        LOG.debug("request ended: request={} outcome={}", exchange, ending);
     }
 
     @Override
--- a/src/main/java/lineward/app/Main.java
+++ b/src/main/java/lineward/app/Main.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command line; {@code --help} lists its commands. Usage errors end with status 2. */
+/** The command line; {@code --help} lists its commands. Usage and configuration errors end with status 2. */
 @Command(
         name = "lineward",
         mixinStandardHelpOptions = true,
@@ -21,7 +21,7 @@
             Main.Mysql.class,
             Main.Adapter.class,
             Main.Rehearse.class,
-            // Its subcommands are methods of the class.
+            // The subcommands are methods of this class.
             SpoolCommand.class
         })
 public final class Main implements Runnable {
@@ -33,7 +33,7 @@
     private static final int STATUS_OK = 0;
     private static final int STATUS_FAILED = 1;
     private static final int STATUS_USAGE = 2;
-    /** Returned by commands whose front end keeps running on its own threads. */
+    /** Returned instead of an exit status by commands whose front end keeps running on its own threads. */
     private static final int STILL_RUNNING = -1;
 
     @Spec
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Returns whether this is a command that the platform runs. Those commands have no options and bypass
-     * picocli, which costs 9 MB and delays the start on a fraction of a core.
+     * Returns whether this is one of the commands that the platform runs. They have no options and bypass
+     * picocli, which costs 9 MB and delays a start on a fraction of a core.
      */
     private static boolean isPlatformCommand(String[] args) {
         return switch (args.length) {
@@ -94,7 +94,7 @@
             System.err.println("lineward: " + e.getMessage());
             return STATUS_USAGE;
         }
-        // The caller exits, because the event loop would keep a failed process running.
+        // The caller must exit with this status: the event loop would keep the process running.
         e.printStackTrace();
         return STATUS_FAILED;
     }
@@ -145,7 +145,7 @@
 
     @Command(
             name = REHEARSE,
-            description = "Starts a front end with that configuration and exits at once,"
+            description = "Starts a front end with the given configuration and exits at once,"
                     + " so that the build can archive the classes that a start loads.")
     static final class Rehearse implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "CONFIG")
@@ -160,7 +160,7 @@
 
     private static void startPlatform(String config, Path mysqlFile, boolean isMysqlRequired) {
         FrontEnd frontEnd = new FrontEnd();
-        // SIGHUP may arrive during the start, and ends the virtual machine if it has no handler.
+        // Registered first: SIGHUP may arrive during the start, and without a handler it ends the process.
         Signals.register("HUP", frontEnd::reload);
         frontEnd.addPlatform(new ConfigFile(config));
         if (isMysqlRequired || Files.exists(mysqlFile)) {
--- a/src/main/java/lineward/app/MysqlConfigReader.java
+++ b/src/main/java/lineward/app/MysqlConfigReader.java
@@ -15,7 +15,7 @@
 import lineward.scheduling.EndpointState;
 import lineward.spool.SpoolLimits;
 
-/** Reads the typed configuration from a MySQL file. Only this class contains its keys and defaults. */
+/** Converts the content of the MySQL file. Only this class contains the keys and defaults of the file. */
 final class MysqlConfigReader {
     private static final long BYTES_PER_MB = 1 << 20;
     private static final double MS_PER_SECOND = 1000;
@@ -31,20 +31,25 @@
     private static final int DEFAULT_OBJECTIVE_MS = 500;
     private static final int DEFAULT_DEADLINE_MS = 2500;
 
-    /** Heap size that is assumed if the virtual machine reports less. */
+    /** Heap size that is assumed if the JVM reports less. */
     private static final int MIN_HEAP_MB = 4;
-    /** Spooled results use the heap divided by this, unless configured; requests use the rest. */
+    /** By default the spool's memory is the heap divided by this; the rest is for requests. */
     private static final int SPOOL_HEAP_DIVISOR = 4;
 
     private static final int MAX_DEFAULT_SPOOL_MEMORY_MB = 1024;
     private static final int DEFAULT_SPOOL_FILE_MB = 1024;
     private static final int DEFAULT_SPOOL_FILES = 1000;
     private static final int DEFAULT_SPOOL_RESULTS = 10_000;
-    /** One user or one result may use half of the spool, so that neither fills it. */
+    /** By default one user, and one result, may use half of the spool, so that neither can fill it. */
     private static final int SINGLE_OWNER_DIVISOR = 2;
-    /** Results that are buffered for a retry may use a quarter of the memory. */
+    /**
+     * By default up to a quarter of the spool's memory buffers a result before its first row is sent; until
+     * then a failed attempt can be retried.
+     */
     private static final int RETRYABLE_MEMORY_DIVISOR = 4;
-    /** Fraction of an attempt's timeout for which its result is buffered, so that it may be retried. */
+    /**
+     * Fraction of an attempt's timeout after which the first row is sent even if the result is incomplete.
+     */
     private static final double RETRYABLE_TIME_RATIO = 0.5;
 
     private static final int DEFAULT_LEASE_S = 60;
@@ -62,7 +67,8 @@
         List<MysqlConfig.QueryClass> classes = classes(root.member("class"));
         boolean canServe = !users.isEmpty() && !engines.isEmpty() && !classes.isEmpty();
         if (address != null && !canServe) {
-            throw listen.invalid("needs a user, an engine and a class", "an address with at least one of each");
+            String allowed = "an address with at least one of each";
+            throw listen.invalid("needs a user, an engine and a class", allowed);
         }
         return new MysqlConfig(address, bounds, users, engines, classes, spooling(root.member("spool")));
     }
--- a/src/main/java/lineward/app/MysqlFile.java
+++ b/src/main/java/lineward/app/MysqlFile.java
@@ -10,12 +10,15 @@
 import java.nio.file.attribute.FileTime;
 import lineward.mysql.MysqlConfig;
 
-/** The TOML file that configures the MySQL server; its engines are reloaded when the file changes. */
+/**
+ * The TOML file that configures the server for MySQL clients. Its list of engines is reloaded when the file
+ * changes.
+ */
 final class MysqlFile {
     private static final String SCHEMA = "mysql.schema.json";
 
     private final Path path;
-    /** Modification time of the content that was read; null before the first read. */
+    /** Modification time of the file at the last read; null before the first read. */
     private FileTime readAt;
 
     /** Creates a reader of the file, which need not exist before it is read. */
@@ -28,7 +31,7 @@
         try {
             return !Files.getLastModifiedTime(path).equals(readAt);
         } catch (IOException e) {
-            // An editor may be replacing the file, so the last configuration stays in use.
+            // An editor may be replacing the file; the last configuration stays in use meanwhile.
             return false;
         }
     }
--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSettings.java
@@ -13,7 +13,7 @@
 
 /** The scheduler's settings for the pool of MySQL engines. */
 final class MysqlSettings {
-    /** An answer has some value up to this multiple of the latency objective. */
+    /** Milliseconds that the latency objective grows with each millisecond of a request's run time. */
     private static final double OBJECTIVE_STRETCH = 2;
 
     private static final double OVERDUE_VALUE_RATIO = 0.3;
@@ -29,8 +29,8 @@
     private MysqlSettings() {}
 
     /**
-     * Returns the settings, with two classes for each class of the file: one for statements that only read,
-     * which are idempotent, and one for others, which are not.
+     * Returns the settings, with two classes for each class of the file: an idempotent one for statements
+     * that only read, and one that is not idempotent for all others.
      */
     static SchedulerSettings of(MysqlConfig config) {
         int cores =
--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -30,7 +30,7 @@
         this.file = file;
     }
 
-    /** Adds the server to the front end, unless the file has no listen address. */
+    /** Adds the server to the front end if the file has a listen address. */
     void connect(TelemetryWiring telemetry) {
         MysqlConfig config = file.read();
         if (config.listen() == null) {
--- a/src/main/java/lineward/app/SpoolCommand.java
+++ b/src/main/java/lineward/app/SpoolCommand.java
@@ -18,8 +18,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Lists and verifies the results in a spool folder, even while a process has locked it, and deletes results
- * from a folder that is not locked.
+ * Lists and verifies the results in a spool folder, even if a process has locked it, and deletes results from
+ * a folder that is not locked.
  */
 @Command(name = SpoolCommand.NAME, description = SpoolCommand.DESCRIPTION, mixinStandardHelpOptions = true)
 final class SpoolCommand implements Runnable {
@@ -45,7 +45,7 @@
         return STATUS_OK;
     }
 
-    @Command(name = "verify", description = "Verifies every block; ends with status 1 if a result is corrupt.")
+    @Command(name = "verify", description = "Verifies every result; ends with status 1 if any is corrupt.")
     int verify(@Parameters(paramLabel = "FOLDER") Path folder) {
         SpoolFolder.Recovered contents = read(folder);
         printUnusable(contents);
@@ -91,14 +91,14 @@
         }
     }
 
-    /** Returns whether a result has this user and this key; null matches any. */
+    /** Returns whether a result has this user and this key; null stands for any. */
     private static boolean matches(Manifest manifest, String user, String key) {
         boolean isOfUser = user == null || manifest.user().equals(user);
         boolean isUnderKey = key == null || manifest.key().equals(key);
         return isOfUser && isUnderKey;
     }
 
-    /** Returns the fault of the first block that can't be read; empty if all can be read. */
+    /** Returns the fault of the first block that can't be read; empty if all blocks can be read. */
     private static Optional<String> findFault(Segment.Found result) {
         for (Segment.Extent block : result.blocks()) {
             try {
--- a/src/main/java/lineward/app/SpoolWiring.java
+++ b/src/main/java/lineward/app/SpoolWiring.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Wires a spool: its folder, the threads that read and write it, and the recovery of results of an earlier
- * process.
+ * Wires the spool: its folder, the threads that read and write it, and the recovery of an earlier process's
+ * results.
  */
 final class SpoolWiring {
     private static final Logger LOG = LoggerFactory.getLogger(SpoolWiring.class);
@@ -18,8 +18,8 @@
     private SpoolWiring() {}
 
     /**
-     * Opens a spool, which is used on the event loop and closed at shutdown. Results stay in memory if there
-     * is no usable folder.
+     * Opens the spool, which is used on the event loop and closed at shutdown. Without a usable folder,
+     * results stay in memory.
      *
      * @throws ConfigException if another process uses the folder
      */
