--- a/src/main/java/lineward/app/AdminWiring.java
+++ b/src/main/java/lineward/app/AdminWiring.java
@@ -10,7 +10,7 @@
 /** Wires the admin endpoint. */
 final class AdminWiring {
     private static final Logger LOG = LoggerFactory.getLogger(AdminWiring.class);
-    /** Interval of checks for unresponsive clients, well below the time limit for a request. */
+    /** Interval of checks for unresponsive clients; well below the request timeout of the endpoint. */
     private static final int UNRESPONSIVE_INTERVAL_MS = 100;
 
     private AdminWiring() {}
@@ -18,8 +18,8 @@
     /**
      * Starts the endpoint.
      *
-     * @param address null if the process has no admin endpoint
-     * @throws ConfigException if the address can't be listened on
+     * @param address listen address; null if the process has no admin endpoint
+     * @throws ConfigException if the server can't listen on the address
      */
     static void start(FrontEndContext context, Lifecycle lifecycle, InetSocketAddress address) {
         if (address == null) {
--- a/src/main/java/lineward/app/CoalescedTick.java
+++ b/src/main/java/lineward/app/CoalescedTick.java
@@ -4,8 +4,8 @@
 import lineward.frontend.ProtocolServer;
 
 /**
- * Combines the events of one iteration of the event loop into a single tick of a protocol server. All methods
- * are called on the event loop, except {@link #attach}.
+ * Schedules a tick of a protocol server on the event loop. Further calls of {@link #run} before that tick
+ * have no effect. All methods are called on the event loop, except {@link #attach}.
  */
 final class CoalescedTick implements Runnable {
     private final EventLoop eventLoop;
@@ -17,8 +17,8 @@
     }
 
     /**
-     * Sets the server, before the first event; the server's constructor needs this object, so it can't be set
-     * earlier.
+     * Sets the server; must be called before the first {@link #run}. The server can't be passed to the
+     * constructor, because its own constructor needs this object.
      */
     void attach(ProtocolServer protocolServer) {
         server = protocolServer;
--- a/src/main/java/lineward/app/Config.java
+++ b/src/main/java/lineward/app/Config.java
@@ -8,10 +8,10 @@
 /**
  * The configuration of a front end of the platform. Immutable.
  *
- * @param name of this front end
- * @param seed of the scheduler's random numbers
- * @param settings of the scheduler
- * @param initialEndpoints the discovery events that are known before the start, in the wire format of service
+ * @param name name of this front end
+ * @param seed seed of the scheduler's random numbers
+ * @param settings settings of the scheduler
+ * @param initialEndpoints discovery events that are applied before the start, in the wire format of service
  *     discovery
  */
 record Config(
@@ -25,21 +25,21 @@
         ConfigNode initialEndpoints) {
 
     /**
-     * The addresses at which the process listens, and to which it connects.
+     * The addresses on which the process listens, and to which it connects.
      *
-     * @param listen where clients connect
-     * @param discovery HOST:PORT of service discovery
-     * @param admin where the admin endpoint listens; null if there is none
-     * @param gossip between the front ends of the tier; null if there is none
+     * @param listen listen address for clients
+     * @param discovery address of service discovery, as HOST:PORT
+     * @param admin listen address of the admin endpoint; null if there is none
+     * @param gossip addresses of the gossip between the front ends of the tier; null if there is none
      */
     record Addresses(InetSocketAddress listen, String discovery, InetSocketAddress admin, Gossip gossip) {}
 
     /**
      * The addresses of gossip between the front ends of a tier.
      *
-     * @param listen where messages from the others arrive
-     * @param peers the number of each front end of the tier, by the address from which it sends
-     * @param all the address that broadcasts to all others
+     * @param listen address on which messages from the others arrive
+     * @param peers number of each front end of the tier, by the address from which it sends
+     * @param all broadcast address, which reaches all others
      */
     record Gossip(InetSocketAddress listen, Map<InetSocketAddress, Integer> peers, InetSocketAddress all) {}
 
@@ -49,9 +49,9 @@
     /**
      * The limits on connections to engines.
      *
-     * @param connectTimeoutMs time after which a connection attempt counts as slow
-     * @param idleMs time after which an engine closes an idle connection
-     * @param streams maximum of concurrent attempts on one connection
+     * @param connectTimeoutMs time after which a connection that is not established is overdue
+     * @param idleMs time after which engines close an idle connection
+     * @param streams maximum number of concurrent attempts on one connection
      */
     record EngineConnections(int connectTimeoutMs, double idleMs, int streams) {}
 
--- a/src/main/java/lineward/app/ConfigException.java
+++ b/src/main/java/lineward/app/ConfigException.java
@@ -1,13 +1,14 @@
 package lineward.app;
 
 /**
- * A configuration that can't be used.
+ * Thrown if the configuration can't be used.
  *
- * <p>The message is one line without the program's name: file, key, reason, value found, values allowed.
+ * <p>The message is one line, without the name of the program. If one value is at fault, it consists of file,
+ * key, reason, value found and values allowed.
  */
 final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
-    /** Longer values are truncated in the message, which stays one readable line. */
+    /** Longer values are truncated in the message, to keep it readable. */
     private static final int MAX_FOUND_CHARS = 80;
 
     private final String file;
@@ -38,7 +39,7 @@
      * Creates an exception for one value.
      *
      * @param reason the fault, as the predicate of a sentence whose subject is the key
-     * @param found the value in the file; never a password
+     * @param found the value in the file; must not be a password
      * @param allowed the values that are allowed
      */
     static ConfigException invalid(String file, String key, String reason, String found, String allowed) {
@@ -67,17 +68,17 @@
         return file;
     }
 
-    /** Returns the path of the key at fault, its parts separated by dots; empty if no single value is. */
+    /** Returns the path of the key at fault, separated by dots; empty if no single value is at fault. */
     String key() {
         return key;
     }
 
-    /** Returns the value found, as the message shows it. */
+    /** Returns the value found, as the message shows it; empty if no single value is at fault. */
     String found() {
         return found;
     }
 
-    /** Returns the values that are allowed. */
+    /** Returns the values that are allowed; empty if no single value is at fault. */
     String allowed() {
         return allowed;
     }
--- a/src/main/java/lineward/app/ConfigFile.java
+++ b/src/main/java/lineward/app/ConfigFile.java
@@ -31,8 +31,10 @@
     private final String path;
 
     /**
-     * Creates a reader of the file; {@link #read} fails if the path is null or blank, as when the environment
-     * variable is not set.
+     * Creates a reader of the file.
+     *
+     * @param path path of the file; null or blank if the environment names none, in which case {@link #read}
+     *     fails
      */
     ConfigFile(String path) {
         this.path = path;
@@ -94,7 +96,7 @@
                 limits.path("streams-per-conn").asInt(DEFAULT_STREAMS));
     }
 
-    /** Returns null if the settings do not allow gossip or the file has no address for it. */
+    /** Returns null if the settings do not allow gossip, or the file has no listen address for it. */
     private static Config.Gossip gossip(ConfigNode root) {
         ConfigNode limits = root.member("settings").member("limits");
         boolean isAllowed = limits.member("peer-messages").value().asBoolean(false);
@@ -111,8 +113,7 @@
     }
 
     /**
-     * Checks the address and returns it unresolved: the client of service discovery resolves it at each
-     * connect.
+     * Checks the address and returns it as text: the client of service discovery resolves it at each connect.
      */
     private static String discovery(ConfigNode address) {
         address.address();
--- a/src/main/java/lineward/app/ConfigNode.java
+++ b/src/main/java/lineward/app/ConfigNode.java
@@ -10,8 +10,8 @@
 /**
  * A value of a configuration file, with the file and key that error messages name.
  *
- * @param file the file it was read from
- * @param key the path of the value, its parts separated by dots; empty for the whole file
+ * @param file the file that contains the value
+ * @param key path of the value, separated by dots; empty for the whole file
  * @param value the value; a missing node if the file does not contain it
  */
 record ConfigNode(String file, String key, JsonNode value) {
@@ -23,7 +23,7 @@
         return new ConfigNode(file, "", value);
     }
 
-    /** Returns the member of that name, even if the file does not contain it. */
+    /** Returns the member with this name, even if the file does not contain it. */
     ConfigNode member(String name) {
         return new ConfigNode(file, key.isEmpty() ? name : key + '.' + name, value.path(name));
     }
@@ -42,12 +42,12 @@
         return !value.isMissingNode() && !value.isNull();
     }
 
-    /** Returns the value as text. */
+    /** Returns the value as text, or the fallback if it is missing or null. */
     String text(String fallback) {
         return value.asText(fallback);
     }
 
-    /** Returns the value as text; throws a {@link ConfigException} if it is missing or empty. */
+    /** Returns the value as text; throws a {@link ConfigException} if that is missing or empty. */
     String requiredText() {
         String text = text("");
         if (text.isEmpty()) {
@@ -96,12 +96,12 @@
         return new InetSocketAddress(parts.group(1), Integer.parseInt(parts.group(2)));
     }
 
-    /** Returns an exception that names this value. */
+    /** Returns an exception for this value. */
     ConfigException invalid(String reason, String allowed) {
         return invalid(reason, allowed, null);
     }
 
-    /** Returns an exception that names this value, with its cause. */
+    /** Returns an exception for this value, with its cause. */
     ConfigException invalid(String reason, String allowed, Throwable cause) {
         return ConfigException.invalid(file, key, reason, shown(), allowed, cause);
     }
--- a/src/main/java/lineward/app/DiscoveryWiring.java
+++ b/src/main/java/lineward/app/DiscoveryWiring.java
@@ -3,7 +3,7 @@
 import lineward.discovery.DiscoveryClient;
 import lineward.discovery.EndpointList;
 
-/** Wires service discovery: polls for endpoints, and reloads the service's address on SIGHUP. */
+/** Wires service discovery: polls for endpoints, and reloads the address of the service on SIGHUP. */
 final class DiscoveryWiring {
     /** Coarse, because each tick wakes up the event loop. */
     private static final int TICK_INTERVAL_MS = 20;
@@ -18,7 +18,13 @@
         this.context = context;
     }
 
-    /** Polls service discovery at this address; a reload reads the address from the file again. */
+    /**
+     * Creates a client that polls service discovery from the start of the front end on.
+     *
+     * @param address address of service discovery
+     * @param file the file from which a reload reads the address
+     * @param endpoints updated by the polls
+     */
     void follow(String address, ConfigFile file, EndpointList endpoints) {
         context.runOnEventLoop(() -> {
             client = new DiscoveryClient(
@@ -36,12 +42,12 @@
     }
 
     private void startPolling() {
-        // Runs the first poll before clients are accepted: it loads classes, which would delay requests.
+        // Polls once before clients are accepted: the first poll loads classes, which would delay requests.
         context.runOnEventLoop(client::tick);
         context.ticker().every(TICK_INTERVAL_MS, client::tick);
     }
 
-    /** Reads the service's address again. May be called on any thread, even during the start. */
+    /** Reads the address of the service again. May be called on any thread, even during the start. */
     void reloadAddress() {
         context.eventLoop().execute(() -> {
             reloadRequested = true;
--- a/src/main/java/lineward/app/FileSchema.java
+++ b/src/main/java/lineward/app/FileSchema.java
@@ -10,7 +10,9 @@
 import java.io.UncheckedIOException;
 import java.util.Comparator;
 
-/** Checks a configuration file against its schema. The schema library is not loaded for an empty file. */
+/**
+ * Checks a configuration file against its schema. An empty file passes without loading the schema library.
+ */
 final class FileSchema {
     private static final String SECRET = "password";
 
@@ -19,8 +21,8 @@
     /**
      * Checks the whole file.
      *
-     * @param schema the file name of the schema, a resource of this package
-     * @throws ConfigException that names one key at fault
+     * @param schema name of the schema, a resource of this package
+     * @throws ConfigException for one of the violations, if there are any
      */
     static void check(String schema, ConfigNode root) {
         if (root.value().isEmpty()) {
@@ -48,6 +50,7 @@
         return ConfigException.invalid(file, key, reason, shown(key, violation.getInstanceNode()), rule);
     }
 
+    /** Returns a value as messages show it; passwords, lists and tables are left out. */
     private static String shown(String key, JsonNode found) {
         if (found == null || found.isContainerNode() || key.endsWith(SECRET)) {
             return "a value not shown";
--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -10,12 +10,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A front end. The main thread adds its subsystems and starts it; it runs until it has written the last
- * response after SIGTERM.
+ * A front end. The main thread adds its servers and starts it; after SIGTERM it runs until it has written the
+ * last response.
  */
 final class FrontEnd {
     private static final Logger LOG = LoggerFactory.getLogger(FrontEnd.class);
-    /** Interval of checks for idle connections to engines. */
+    /** Interval of checks for engine connections that have exceeded their idle timeout. */
     private static final int IDLE_INTERVAL_MS = 1000;
     /** Interval of checks for unresponsive clients. */
     private static final int UNRESPONSIVE_INTERVAL_MS = 100;
@@ -30,7 +30,8 @@
     private Lifecycle lifecycle;
 
     /**
-     * Adds the server of the platform's protocol; throws a {@link ConfigException} if the file can't be used.
+     * Adds the server for the platform's protocol; throws a {@link ConfigException} if the file can't be
+     * used.
      */
     void addPlatform(ConfigFile file) {
         Config config = file.read();
@@ -38,7 +39,10 @@
         adminAddress = config.addresses().admin();
     }
 
-    /** Adds the server of MySQL clients, unless its file has no listen address. */
+    /**
+     * Adds the server for MySQL clients if the file has a listen address; throws a {@link ConfigException} if
+     * the file can't be used.
+     */
     void addMysql(MysqlFile file) {
         new MysqlWiring(context, file).connect(telemetry);
     }
@@ -51,7 +55,9 @@
         discovery.reloadAddress();
     }
 
-    /** Starts all servers and returns; the process runs until the last response after SIGTERM. */
+    /**
+     * Starts the servers and returns; throws a {@link ConfigException} if there is none or one can't listen.
+     */
     void run() {
         lifecycle = LifecycleWiring.create(context, instance);
         // Registered before the start: clients may connect during it, and SIGTERM must drain them too.
@@ -84,7 +90,7 @@
         context.runOnEventLoop(lifecycle::serve);
     }
 
-    /** Shuts down gracefully and ends the process with status 0. */
+    /** Shuts down gracefully and ends the process with status 0, instead of the one that SIGTERM causes. */
     private void terminate() {
         lifecycle.shutdownGracefully();
         context.closeables().forEach(FrontEnd::close);
@@ -96,7 +102,7 @@
         try {
             closeable.close();
         } catch (Exception e) {
-            // The process ends anyway, and the next start recovers the files.
+            // The process ends anyway; spool files are recovered at the next start.
             LOG.warn("close failed at shutdown: resource={} cause={}", closeable, String.valueOf(e));
         }
     }
--- a/src/main/java/lineward/app/FrontEndContext.java
+++ b/src/main/java/lineward/app/FrontEndContext.java
@@ -16,13 +16,14 @@
 import lineward.operations.Metrics;
 
 /**
- * The objects that the subsystems of one front end share: event loop, ticker, clock, metrics, and the actions
- * that each subsystem adds for start and shutdown. Filled on the main thread, before the front end runs.
+ * The objects that the subsystems of a front end share: event loop, ticker, clock, metrics, and lists to
+ * which each subsystem adds its servers, start actions and resources. The main thread fills the lists before
+ * the front end runs.
  */
 final class FrontEndContext {
     /**
-     * Limit on the open requests of one protocol server, each of which takes a slot in a table. Requests
-     * above it could not be answered in time and are rejected.
+     * Maximum number of open requests of one protocol server, each of which takes a slot in a table. Further
+     * requests could not be answered in time and are rejected.
      */
     static final int MAX_OPEN_REQUESTS = 8192;
 
@@ -72,12 +73,12 @@
         return startActions;
     }
 
-    /** Returns the resources that are closed, in order, after the last response. */
+    /** Returns the resources that are closed at shutdown, in order, after the last response. */
     List<AutoCloseable> closeables() {
         return closeables;
     }
 
-    /** Runs a task on the event loop and blocks until it ends; throws what the task throws. */
+    /** Runs a task on the event loop and blocks until it has completed; throws what the task throws. */
     void runOnEventLoop(Runnable task) {
         eventLoop.submit(task).syncUninterruptibly();
     }
--- a/src/main/java/lineward/app/GossipWiring.java
+++ b/src/main/java/lineward/app/GossipWiring.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Wires the gossip between the front ends of a tier. Gossip is optional: it is disabled if the socket can't
- * be opened.
+ * Wires the gossip between the front ends of a tier. A front end starts without gossip if the socket can't be
+ * opened.
  */
 final class GossipWiring {
     private static final Logger LOG = LoggerFactory.getLogger(GossipWiring.class);
@@ -18,11 +18,11 @@
     private GossipWiring() {}
 
     /**
-     * Opens the socket when the front end starts.
+     * Creates a socket that is opened when the front end starts.
      *
-     * @param gossip null if there is no gossip; messages are then dropped
-     * @param received run on the event loop after each message
-     * @return a function that broadcasts a message
+     * @param gossip addresses of the gossip; null if there is none
+     * @param received run on the event loop after each message from another front end
+     * @return a function that broadcasts a message; it drops the message if there is no gossip
      */
     static Consumer<byte[]> connect(
             FrontEndContext context, Config.Gossip gossip, Coordinator<?> coordinator, Runnable received) {
--- a/src/main/java/lineward/app/LifecycleWiring.java
+++ b/src/main/java/lineward/app/LifecycleWiring.java
@@ -9,18 +9,18 @@
 /** Wires graceful shutdown and hot restart. */
 final class LifecycleWiring {
     /**
-     * Upper limit on the longest deadline of the classes at a restart; the platform sends SIGKILL 0.7 s after
-     * that deadline.
+     * The longest class deadline counts as at most this at a restart; the platform sends SIGKILL 0.7 s after
+     * it.
      */
     static final int MAX_RESTART_MS = 3000;
     /**
-     * Upper limit on the longest deadline at a hot restart, during which another process accepts on the
-     * socket.
+     * The longest class deadline counts as at most this at a hot restart, where another process accepts on
+     * the socket.
      */
     private static final int MAX_HOT_RESTART_MS = 5000;
-    /** Open requests are failed this long after the longest deadline, 0.4 s before SIGKILL. */
+    /** Open requests are failed this long after the longest class deadline, 0.4 s before SIGKILL. */
     private static final int SHUTDOWN_GRACE_MS = 300;
-    /** Environment variable for the directory that the processes of a hot restart share. */
+    /** Names the directory through which the processes of a hot restart share their state. */
     private static final String SHARED_FOLDER_VARIABLE = "TMPDIR";
 
     private static final String MYSQL_ONLY_NAME = "mysql";
@@ -28,9 +28,9 @@
     /**
      * The properties of this process that its lifecycle depends on.
      *
-     * @param name of the front end; the process that takes over uses the same name
+     * @param name name of the front end, the same in all of its processes
      * @param isListenerInherited whether other processes accept on the clients' socket
-     * @param longestDeadlineMs the longest deadline of the classes of requests
+     * @param longestDeadlineMs longest deadline of the classes of requests
      */
     record Instance(String name, boolean isListenerInherited, double longestDeadlineMs) {
         /** Returns the properties of a process that serves MySQL clients only. */
@@ -63,10 +63,7 @@
                 new Lifecycle.ShutdownOptions(instance.isListenerInherited(), instance.shutdownDeadlineMs()));
     }
 
-    /**
-     * Applies the maintenance commands of operators and other processes, and the quota, to all protocol
-     * servers.
-     */
+    /** Applies changes of engines' maintenance and of the quota to all protocol servers. */
     private record RestartListener(List<ProtocolServer> servers) implements HotRestart.Listener {
         @Override
         public void maintenanceChanged(String engine, boolean excluded, double sinceMs) {
--- a/src/main/java/lineward/app/ListenerWiring.java
+++ b/src/main/java/lineward/app/ListenerWiring.java
@@ -6,16 +6,17 @@
 import lineward.lifecycle.InheritedListener;
 
 /**
- * Wires the socket on which clients of the platform connect.
+ * Wires the listening socket for clients of the platform's protocol.
  *
- * @param isInherited whether other processes accept on the same socket
+ * @param isInherited whether the socket is inherited, so that other processes accept on it too
  */
 record ListenerWiring(Listener listener, boolean isInherited) {
     private static final String INHERITED_DESCRIPTOR_VARIABLE = "RELAY_ACCEPT_FD";
 
     /**
-     * Returns the inherited socket if the environment names one, otherwise a new socket at the address.
+     * Returns a listener on the inherited socket if the environment names one, otherwise on a new socket.
      *
+     * @param address address of the new socket
      * @throws ConfigException if the inherited descriptor can't be used
      */
     static ListenerWiring open(InetSocketAddress address, Map<String, String> environment) {
--- a/src/main/java/lineward/app/TelemetryWiring.java
+++ b/src/main/java/lineward/app/TelemetryWiring.java
@@ -7,7 +7,7 @@
 import lineward.operations.MetricsTracer;
 import lineward.telemetry.Telemetry;
 
-/** Wires the tracers of requests: log, metrics and, if the environment names a collector, OTLP export. */
+/** Wires the tracers: log, metrics and, if the environment names a collector, the export over OTLP. */
 final class TelemetryWiring implements AutoCloseable {
     private static final String INSTANCE_VARIABLE = "RELAY_NAME";
     private static final String DEFAULT_INSTANCE = "lineward";
@@ -31,7 +31,11 @@
         }
     }
 
-    /** Returns the tracer of one protocol server. */
+    /**
+     * Returns the tracer of one protocol server.
+     *
+     * @param classOf returns the class of a request
+     */
     <X> Tracer<X> tracer(Function<X, String> classOf) {
         Tracer<X> counter = new MetricsTracer<>(metrics, classOf, new LogTracer<>());
         return export == null ? counter : export.tracer(classOf, Object::toString, counter);
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -12,9 +12,9 @@
 
 /** Wires the platform's protocol: the Thrift server, the connections to engines and a coordinator. */
 final class ThriftWiring {
-    /** Time within which a cancellation takes effect on an engine, including network latency. */
+    /** Maximum time until a cancellation has taken effect on an engine, including network latency. */
     private static final double CANCEL_LATENCY_MS = 6;
-    /** Limits open requests by memory, at 16 KB for each request. */
+    /** Open requests per megabyte of configured memory: 16 KB for each request. */
     private static final int OPEN_REQUESTS_PER_MB = 64;
     /** The statements of open requests may use the memory divided by this. */
     private static final int STATEMENT_MEMORY_DIVISOR = 16;
@@ -24,10 +24,7 @@
     private static final long BYTES_PER_MB = 1 << 20;
     /** Fraction of the descriptors for clients. */
     private static final double CLIENT_DESCRIPTOR_RATIO = 0.5;
-    /**
-     * Fraction of the descriptors for connections to engines. The remaining descriptors are for everything
-     * else.
-     */
+    /** Fraction of the descriptors for connections to engines. The remaining ones are for everything else. */
     private static final double ENGINE_DESCRIPTOR_RATIO = 0.35;
 
     private final FrontEndContext context;
@@ -52,9 +49,10 @@
     }
 
     /**
-     * Adds the server to the front end, after a warm-up and with the endpoints of the configuration.
+     * Creates the server, after a warm-up, applies the initial endpoints and adds the server to the front
+     * end.
      *
-     * @param file the file that a reload reads
+     * @param file file from which a reload reads the address of service discovery
      * @return the properties of this process that its lifecycle depends on
      */
     LifecycleWiring.Instance connect(TelemetryWiring telemetry, DiscoveryWiring discovery, ConfigFile file) {
@@ -104,7 +102,7 @@
         return new EngineCluster(context.eventLoopGroup(), limits, context.metrics()::countForwarded);
     }
 
-    /** Warms up: loads and compiles the code that the first requests use, with a separate coordinator. */
+    /** Loads and compiles the code that the first requests use; runs it with a separate coordinator. */
     private void loadClasses(EngineCluster cluster) {
         EngineWarmup.run();
         ProtocolWarmup.run(names, bounds, coordinator(0, new LogTracer<>()), cluster, context.clock());
--- a/src/test/java/lineward/app/ConfigExceptionTest.java
+++ b/src/test/java/lineward/app/ConfigExceptionTest.java
@@ -29,6 +29,7 @@
         Files.delete(file);
     }
 
+    /** Content of a MySQL file; the key, the value found and the allowed values that the error names. */
     @DataProvider
     public Object[][] invalidMysqlValues() {
         return new Object[][] {
@@ -60,6 +61,7 @@
         assertNames(error, key, found, allowed);
     }
 
+    /** Members of a platform file; the key, the value found and the allowed values that the error names. */
     @DataProvider
     public Object[][] invalidPlatformValues() {
         return new Object[][] {
