--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -20,8 +20,8 @@
     /**
      * How this process shuts down after SIGTERM.
      *
-     * @param inherited whether other processes accept on the clients' socket, so that this one stops
-     *     accepting at once
+     * @param inherited whether other processes accept on the clients' socket, so that this one
+     *     stops accepting at once
      * @param shutdownDeadlineMs time after SIGTERM at which open requests are failed
      */
     public record ShutdownOptions(boolean inherited, int shutdownDeadlineMs) {}
--- a/src/test/java/lineward/app/ConfigExceptionTest.java
+++ b/src/test/java/lineward/app/ConfigExceptionTest.java
@@ -105,7 +105,8 @@
 
     @Test
     public void missingFileIsRejected() throws IOException {
-        assertThrows(ConfigException.class, () -> new MysqlFile(file.resolveSibling("missing.toml")).read());
+        Path missing = file.resolveSibling("missing.toml");
+        assertThrows(ConfigException.class, () -> new MysqlFile(missing).read());
         assertThrows(ConfigException.class, () -> new ConfigFile(null).read());
     }
 }
--- a/src/test/java/lineward/lifecycle/HotRestartTest.java
+++ b/src/test/java/lineward/lifecycle/HotRestartTest.java
@@ -73,7 +73,8 @@
         now += 10;
         next.setMaintenance("s-1", false);
         old.readPeers();
-        assertEquals(first.events, List.of("s-1 excluded", "s-2 excluded", "s-1 released", "quota 0.5"));
+        List<String> firstEvents = List.of("s-1 excluded", "s-2 excluded", "s-1 released", "quota 0.5");
+        assertEquals(first.events, firstEvents);
         old.leave();
         old.writeState();
         next.readPeers();
--- a/src/test/java/lineward/telemetry/TelemetryTest.java
+++ b/src/test/java/lineward/telemetry/TelemetryTest.java
@@ -127,6 +127,7 @@
     @Test
     public void exportIsOffWithoutAnEndpoint() {
         assertFalse(Telemetry.isOn(Map.of("OTEL_SERVICE_NAME", "x")));
-        assertTrue(Telemetry.isOn(Map.of("OTEL_EXPORTER_OTLP_METRICS_ENDPOINT", "http://127.0.0.1:4318")));
+        String endpoint = "http://127.0.0.1:4318";
+        assertTrue(Telemetry.isOn(Map.of("OTEL_EXPORTER_OTLP_METRICS_ENDPOINT", endpoint)));
     }
 }
