--- a/src/test/java/lineward/app/ConfigExceptionTest.java
+++ b/src/test/java/lineward/app/ConfigExceptionTest.java
@@ -29,6 +29,7 @@
         Files.delete(file);
     }
 
+    /** Content of a MySQL file; the key, the value found and the allowed values that the error names. */
     @DataProvider
     public Object[][] invalidMysqlValues() {
         return new Object[][] {
@@ -60,6 +61,7 @@
         assertNames(error, key, found, allowed);
     }
 
+    /** Members of a platform file; the key, the value found and the allowed values that the error names. */
     @DataProvider
     public Object[][] invalidPlatformValues() {
         return new Object[][] {
@@ -103,7 +105,8 @@
 
     @Test
     public void missingFileIsRejected() throws IOException {
-        assertThrows(ConfigException.class, () -> new MysqlFile(file.resolveSibling("missing.toml")).read());
+        Path missing = file.resolveSibling("missing.toml");
+        assertThrows(ConfigException.class, () -> new MysqlFile(missing).read());
         assertThrows(ConfigException.class, () -> new ConfigFile(null).read());
     }
 }
