--- a/src/main/java/lineward/spool/Block.java
+++ b/src/main/java/lineward/spool/Block.java
@@ -2,7 +2,7 @@
 
 import lineward.spool.store.Segment;
 
-/** One block of a result. Its bytes are in memory until it has been written to disk. */
+/** One block of a result. Its bytes stay in memory unless they have been written to disk. */
 final class Block {
     private enum Storage {
         MEMORY,
--- a/src/main/java/lineward/spool/BlockBuffer.java
+++ b/src/main/java/lineward/spool/BlockBuffer.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Collects rows until they fill a block. */
+/** Collects the packets of a reply until they fill a block. */
 final class BlockBuffer {
     /** Size at which a block is full; a row is never split, so a block may be longer. */
     static final int BLOCK_BYTES = 64 << 10;
@@ -42,7 +42,7 @@
         return length >= BLOCK_BYTES;
     }
 
-    /** Returns the collected rows as a block, given the number of its first row, and clears the buffer. */
+    /** Removes the collected packets and returns them as a block, whose first row has this number. */
     Block removeBlock(long firstRow) {
         byte[] data = length == bytes.length ? bytes : Arrays.copyOf(bytes, length);
         Block block = Block.inMemory(firstRow, rows, data);
--- a/src/main/java/lineward/spool/BlockPlacement.java
+++ b/src/main/java/lineward/spool/BlockPlacement.java
@@ -6,7 +6,7 @@
 final class BlockPlacement {
     /** Maximum fraction of the memory that one result may use; its other blocks are written to disk. */
     private static final double RESULT_MEMORY_RATIO = 0.25;
-    /** Reads resume once total memory, result and user are each at most at their limit divided by this. */
+    /** Reads resume once memory, the result and the user are each at or below their limit divided by this. */
     private static final int RESUME_DIVISOR = 2;
 
     private final SpoolLimits limits;
@@ -62,7 +62,10 @@
         return mayHaveFile && hasSpace && fileBackoff.hasElapsed(nowMs);
     }
 
-    /** Returns whether the engine may be read, as there is capacity to store more of this result. */
+    /**
+     * Returns whether the engine may be read. A result without blocks in memory may always continue, as its
+     * readers can't free capacity: bytes on disk are counted until the result is released.
+     */
     boolean mayReadEngine(ResultAccount account) {
         return !account.hasBackpressure() || account.memoryBytes() == 0 || hasCapacityToResume(account);
     }
@@ -73,7 +76,7 @@
                 && ledger.bytesOf(account.user()) <= limits.userBytes() / RESUME_DIVISOR;
     }
 
-    /** Returns how many times backpressure has started for a result. */
+    /** Returns how many times backpressure has started, over all results. */
     long backpressured() {
         return backpressured;
     }
--- a/src/main/java/lineward/spool/FileBackoff.java
+++ b/src/main/java/lineward/spool/FileBackoff.java
@@ -14,7 +14,7 @@
         lastFailureMs = OptionalDouble.of(nowMs);
     }
 
-    /** Returns whether files may be written, as no write has failed within the backoff time. */
+    /** Returns whether files may be written: no write has failed within the backoff time. */
     boolean hasElapsed(double nowMs) {
         return lastFailureMs.isEmpty() || nowMs >= lastFailureMs.getAsDouble() + BACKOFF_MS;
     }
--- a/src/main/java/lineward/spool/LeasePolicy.java
+++ b/src/main/java/lineward/spool/LeasePolicy.java
@@ -1,6 +1,6 @@
 package lineward.spool;
 
-/** Decides when a result expires because no reader uses it. */
+/** Decides when a result expires because nobody reads it. */
 final class LeasePolicy {
     /** Maximum time for which backpressure may stop an engine without a block being read. */
     static final double MAX_STALL_MS = 20_000;
@@ -13,7 +13,7 @@
 
     /**
      * Returns whether a result has been idle for longer than its lease, or backpressure has stopped its
-     * engine for too long.
+     * engine for longer than {@link #MAX_STALL_MS}.
      */
     boolean isExpired(ResultAccount account, double nowMs) {
         boolean idle = nowMs - account.lastUsedMs() > leaseMs(account);
--- a/src/main/java/lineward/spool/ReaderState.java
+++ b/src/main/java/lineward/spool/ReaderState.java
@@ -10,7 +10,7 @@
     LOADED,
     /** The next block could not be loaded, so nothing more can be read. */
     FAILED,
-    /** The client has stopped reading. */
+    /** The reader has been closed. */
     CLOSED;
 
     /** Starts the load of the next block; only a ready reader may start one. */
@@ -31,12 +31,12 @@
         return this == LOADING ? FAILED : this;
     }
 
-    /** Moves past the next block, which has been read from memory or after a load. */
+    /** Handles the read of the next block, from memory or after a load. */
     ReaderState blockRead() {
         return this == LOADED ? READY : this;
     }
 
-    /** Ends the reading. */
+    /** Closes the reader; allowed in every state. */
     ReaderState close() {
         return CLOSED;
     }
--- a/src/main/java/lineward/spool/ResultAccount.java
+++ b/src/main/java/lineward/spool/ResultAccount.java
@@ -15,7 +15,7 @@
     private long fileBytes;
     private boolean hasFile;
     private double lastUsedMs;
-    /** Empty while the engine is read without backpressure. */
+    /** When backpressure started, or the latest read since then; empty without backpressure. */
     private OptionalDouble backpressureSinceMs = OptionalDouble.empty();
 
     ResultAccount(String user, boolean keyed, double nowMs) {
@@ -31,19 +31,19 @@
         lastUsedMs = nowMs;
     }
 
-    /** Adds a reader. */
+    /** Adds a reader, which renews the lease. */
     void readerOpened(double nowMs) {
         readers++;
         lastUsedMs = nowMs;
     }
 
-    /** Removes a reader, whether or not it has read the whole result. */
+    /** Removes a reader, whether or not it has read the whole result; renews the lease. */
     void readerClosed(double nowMs) {
         readers--;
         lastUsedMs = nowMs;
     }
 
-    /** Records the read of a block, which renews the lease and restarts the time of a stall. */
+    /** Records the read of a block, which renews the lease and restarts the stall timeout. */
     void blockRead(double nowMs) {
         lastUsedMs = nowMs;
         if (hasBackpressure()) {
@@ -56,7 +56,6 @@
         backpressureSinceMs = OptionalDouble.of(nowMs);
     }
 
-    /** Ends backpressure: the engine no longer has to wait. */
     void endBackpressure() {
         backpressureSinceMs = OptionalDouble.empty();
     }
@@ -110,12 +109,12 @@
         return lastUsedMs;
     }
 
-    /** Returns whether the lease applies; an incomplete unread result is limited by its attempt's timeout. */
+    /** Returns whether the lease applies; the attempt's timeout limits an unread incomplete result. */
     boolean hasLease() {
         return complete || readers > 0;
     }
 
-    /** Returns whether the result is retained after its last reader has closed it. */
+    /** Returns whether the result is retained after its last reader has been closed. */
     boolean isRetained() {
         return keyed && complete;
     }
--- a/src/main/java/lineward/spool/ResultFile.java
+++ b/src/main/java/lineward/spool/ResultFile.java
@@ -6,8 +6,8 @@
 import lineward.spool.store.SegmentStore;
 
 /**
- * The file of one result. Its methods run on the event loop. {@link SegmentStore} writes blocks on its writer
- * thread and reports completion on the event loop, where the bytes are accounted for.
+ * The file of one result. Confined to the event loop: {@link SegmentStore} writes on its writer thread and
+ * reports the completion on the event loop, where the bytes are accounted for.
  */
 final class ResultFile {
     private final Spool spool;
@@ -65,6 +65,7 @@
         spool.store().complete(handle, manifest, locations, (fileBytes, failure) -> {
             spool.logWriteFailure(failure);
             if (failure == null) {
+                // From now on the header, the manifest and the trailer are counted too.
                 long blockBytes = locations.stream()
                         .mapToLong(Segment.Extent::storedBytes)
                         .sum();
--- a/src/main/java/lineward/spool/ResultFileState.java
+++ b/src/main/java/lineward/spool/ResultFileState.java
@@ -6,7 +6,7 @@
     ABSENT,
     /** At least one block has been submitted for writing, and more may follow. */
     GROWING,
-    /** The manifest and the index have been submitted, or recovered: no more blocks are written. */
+    /** The manifest and the index have been submitted or were recovered; no more blocks are written. */
     SEALED;
 
     /** Submits a block; a sealed file accepts none. */
--- a/src/main/java/lineward/spool/ResultReader.java
+++ b/src/main/java/lineward/spool/ResultReader.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Reads the blocks of a result in order and loads those on disk. Runs on the event loop. */
+/** Reads the blocks of a result in order and loads those on disk. Confined to the event loop. */
 final class ResultReader implements SpoolReader {
     private final SpooledResult result;
     private final Runnable onProgress;
@@ -20,7 +20,7 @@
         onProgress.run();
     }
 
-    /** Returns the number of the block that is read next; blocks before it are not read again. */
+    /** Returns the number of the block that is read next; only {@link #seek} returns to an earlier one. */
     int nextBlock() {
         return nextBlock;
     }
--- a/src/main/java/lineward/spool/SpoolAdmission.java
+++ b/src/main/java/lineward/spool/SpoolAdmission.java
@@ -75,6 +75,7 @@
         return account.isReclaimable() && (!onlyFromUser || account.user().equals(user));
     }
 
+    /** Returns the estimated time to release the memory above the high-water mark, limited to a range. */
     private long retryAfterMs() {
         double neededBytes = Math.max(1, (1 - HIGH_WATER_RATIO) * limits.memoryBytes());
         double expectedMs = releaseRate.bytesPerMs() > 0
--- a/src/main/java/lineward/spool/SpoolLedger.java
+++ b/src/main/java/lineward/spool/SpoolLedger.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Accounts for the bytes of all results: by result, by user, in memory and on disk. Every byte added is
- * subtracted again, at the latest by {@link #close}.
+ * Accounts for the bytes and files of all results: by result, by user, in memory and on disk. Every byte
+ * added is subtracted again, at the latest by {@link #close}.
  */
 final class SpoolLedger {
     /** By result id, in the order in which the accounts were opened. */
--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -124,14 +124,14 @@
         }
     }
 
-    /** Returns whether the engine may be read, as there is capacity to store more of this result. */
+    /** Returns whether the engine may be read to receive more of this result; false after its release. */
     public boolean mayReadEngine(long id) {
         ResultAccount account = ledger.account(id);
         return account != null && placement.mayReadEngine(account);
     }
 
     /**
-     * Returns whether the first row is sent now, although the result is incomplete.
+     * Returns whether to start sending the result now, although it is incomplete.
      *
      * @param bytes bytes of the result received so far
      * @param ageMs age of the attempt
@@ -144,17 +144,17 @@
         return hasBackpressure || isOld || bytes > limits.responseBufferBytes();
     }
 
-    /** Marks a result as complete. */
+    /** Marks a result as complete, which ends backpressure and renews the lease. */
     public void complete(long id, double nowMs) {
         ledger.account(id).complete(nowMs);
     }
 
-    /** Adds a reader to a result. */
+    /** Adds a reader to a result, which renews the lease. */
     public void readerOpened(long id, double nowMs) {
         ledger.account(id).readerOpened(nowMs);
     }
 
-    /** Records the read of a block, which renews the lease. */
+    /** Records the read of a block, which renews the lease and restarts the stall timeout. */
     public void blockRead(long id, double nowMs) {
         ResultAccount account = ledger.account(id);
         if (account != null) {
@@ -162,7 +162,7 @@
         }
     }
 
-    /** Removes a reader; returns whether it was the last one and the result need not be retained. */
+    /** Removes a reader; returns whether it was the last one and the result is not retained without one. */
     public boolean readerClosed(long id, double nowMs) {
         ResultAccount account = ledger.account(id);
         if (account == null) {
--- a/src/main/java/lineward/spool/SpoolReader.java
+++ b/src/main/java/lineward/spool/SpoolReader.java
@@ -1,20 +1,21 @@
 package lineward.spool;
 
-/** Reads a result in order, from its first block. Runs on the event loop. */
+/** Reads a result in order, from its first block. Confined to the event loop. */
 public interface SpoolReader {
     /** Returned by {@link #seek} if the result has no such row. */
     int ROW_NOT_FOUND = -1;
 
-    /** Returns the next block; null if it is not available, and the listener runs when that may change. */
+    /** Returns the next block; null if none is available. The listener is run when that may change. */
     ResultChunk poll();
 
     /** Returns what follows the blocks read so far. */
     ReadState readState();
 
     /**
-     * Moves to the block that contains a row; for results with a key, as others remove the blocks read.
+     * Moves to the block that contains a row. Must not be called for results without a key, which remove
+     * the blocks that have been read, or after {@link #poll} has returned null, as a block may be loading.
      *
-     * @return number of rows before it in that block, or {@link #ROW_NOT_FOUND}
+     * @return number of rows that precede the row in its block, or {@link #ROW_NOT_FOUND}
      */
     int seek(long row);
 
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -9,7 +9,7 @@
 /**
  * One result: its blocks in order, in memory or on disk; blocks are added until it is complete. A result
  * without a key is read once, and its blocks are removed as they are read. A complete result with a key is
- * retained until its lease expires or its space is needed. Runs on the event loop.
+ * retained until its lease expires or its space is needed. Confined to the event loop.
  */
 public final class SpooledResult {
     private final Spool spool;
@@ -88,14 +88,14 @@
         flowListener.run();
     }
 
-    /** Returns whether the engine may be read: there is capacity and the writes to disk keep up. */
+    /** Returns whether the engine may be read: memory and disk have capacity, or the result is released. */
     public boolean mayReadEngine() {
         boolean hasCapacity = spool.policy().mayReadEngine(id) && spool.diskKeepsUp();
         return state.isReleased() || hasCapacity;
     }
 
     /**
-     * Returns whether the first row is sent now, although the result is incomplete.
+     * Returns whether to start sending the result now, although it is incomplete.
      *
      * @param ageMs age of the attempt
      * @param timeoutMs timeout of the attempt
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Ends the current block, so that a block never contains both rows and the packets around them. */
+    /** Ends the current block; called before and after rows, so that they share none with other packets. */
     public void seal() {
         if (buffer.isEmpty() || state.isReleased()) {
             return;
@@ -169,7 +169,7 @@
         });
     }
 
-    /** Marks the result as complete; with a key and all blocks on disk, it survives a restart. */
+    /** Marks the result as complete; with a key, it survives a restart once all its blocks are on disk. */
     public void complete() {
         if (state.isReleased()) {
             return;
@@ -259,7 +259,7 @@
         return !state.isReleased() && !state.isExpired();
     }
 
-    /** Returns a block by its number, after ending it if it is the current one; null if it is empty. */
+    /** Returns a block by number, null if it has not arrived; ends the current block if it is that one. */
     Block blockOrNull(int number) {
         if (number == blocks.end()) {
             seal();
