--- a/src/main/java/lineward/spool/Spool.java
+++ b/src/main/java/lineward/spool/Spool.java
@@ -14,10 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** All spooled results of one front end, managed by a {@link SpoolPolicy}. Runs on the event loop. */
+/** All spooled results of one front end, managed by a {@link SpoolPolicy}. Confined to the event loop. */
 public final class Spool implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Spool.class);
-    /** Maximum number of bytes being written; at this limit no engine is read until writes have ended. */
+    /** Number of bytes waiting to be written at which no engine is read until writes have ended. */
     private static final long MAX_PENDING_WRITE_BYTES = 4L << 20;
 
     private record ResultKey(String user, String key) {
@@ -31,7 +31,7 @@
     private final SegmentStore store;
 
     private final DoubleSupplier clock;
-    /** Bounded by {@link SpoolLimits#results}; statements are rejected once that limit is reached. */
+    /** Bounded by admission, which rejects statements at {@link SpoolLimits#results}. */
     private final Map<Long, SpooledResult> results = new HashMap<>();
 
     private final Map<ResultKey, SpooledResult> resultsByKey = new HashMap<>();
@@ -62,7 +62,7 @@
         recovered
                 .unusable()
                 .forEach(segment -> LOG.info(
-                        "spool segment not usable: file={} cause=\"{}\"",
+                        "spool segment not usable: file={} cause={}",
                         segment.path().getFileName(),
                         segment.reason()));
     }
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Begins a result.
+     * Begins a result, after releasing others that are not in use if capacity is short.
      *
      * @param key under which the client may request the result again; empty if it has none
      * @param statement digest of the statement and its arguments
@@ -96,7 +96,7 @@
         SpooledResult result = SpooledResult.begin(this, id, description);
         results.put(id, result);
         if (description.isKeyed()) {
-            // Later requests with this key attach to the running result.
+            // Requests with this key read the first result begun with it, even while it is incomplete.
             resultsByKey.putIfAbsent(ResultKey.of(description), result);
         }
         return result;
@@ -162,10 +162,10 @@
         pendingWriteBytes -= bytes;
     }
 
-    /** Logs the first of consecutive write failures; {@code failure} is null if the write succeeded. */
+    /** Logs the first of consecutive failed writes and deletions; {@code failure} is null after a success. */
     void logWriteFailure(IOException failure) {
         if (failure != null && !lastWriteFailed) {
-            LOG.warn("spool write failed, new results stay in memory: cause=\"{}\"", failure.toString());
+            LOG.warn("spool write or delete failed, blocks may stay in memory: cause={}", failure.toString());
         }
         lastWriteFailed = failure != null;
     }
--- a/src/main/java/lineward/spool/SpoolLimits.java
+++ b/src/main/java/lineward/spool/SpoolLimits.java
@@ -5,15 +5,15 @@
  *
  * @param memoryBytes bytes in memory of all results together, at least 1 MB
  * @param fileBytes bytes on disk of all results together, compressed; 0 if no files are used
- * @param files results on disk at the same time, one file each
- * @param results results at the same time
- * @param userBytes bytes of one user, in memory and on disk
+ * @param files number of results on disk at the same time, one file each
+ * @param results number of results at the same time
+ * @param userBytes bytes of one user's results, in memory and on disk
  * @param resultBytes bytes of one result; beyond it the engine is read only as fast as the client reads
- * @param responseBufferBytes a result up to this size is complete before its first row is sent, so that a
- *     failed attempt has no effect on its client
+ * @param responseBufferBytes a result up to this size is complete before its first row is sent, so that its
+ *     client does not notice a failed attempt
  * @param responseDelayRatio fraction of an attempt's timeout, 0 to 1, after which the first row is sent even
  *     if the result is not complete
- * @param leaseMs idle time after which a result expires whose reader does not read
+ * @param leaseMs idle time after which a result expires that has a reader, or no key
  * @param keyLeaseMs idle time after which a result with a key and without readers expires
  */
 public record SpoolLimits(
@@ -38,7 +38,7 @@
         require(memoryBytes >= MIN_MEMORY_BYTES, "memory must be at least 1 MB");
         require(fileBytes >= 0 && files >= 0, "the number of files and their bytes must not be negative");
         boolean capacitiesPositive = results > 0 && userBytes > 0 && resultBytes > 0;
-        require(capacitiesPositive, "limits of results, of a user and of a result must be positive");
+        require(capacitiesPositive, "number of results, bytes of a user and of a result must be positive");
         boolean bufferInRange = responseBufferBytes >= 0 && isRatio(responseDelayRatio);
         require(bufferInRange, "response buffer must not be negative, response delay must be from 0 to 1");
         require(leaseMs > 0 && keyLeaseMs > 0, "leases must be positive");
--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -43,7 +43,7 @@
      * @param released results released so far
      * @param expired results that expired so far
      * @param rejected statements rejected so far
-     * @param backpressured number of times so far that an engine had to wait for the readers
+     * @param backpressured number of times so far that an engine had to wait for readers
      */
     public record Statistics(
             long memoryBytes,
