--- a/src/main/java/lineward/spool/store/Segment.java
+++ b/src/main/java/lineward/spool/store/Segment.java
@@ -21,12 +21,13 @@
      * @param offset offset of its first byte in the file
      * @param storedBytes bytes in the file, including the block's header
      * @param firstRow number of its first row in the result, from 0
+     * @param rows number of its rows
      * @param rawBytes bytes when decompressed, without the block's header
      */
     public record Extent(long offset, int storedBytes, long firstRow, int rows, int rawBytes) {}
 
     /**
-     * A complete result of an earlier process.
+     * A complete result that was found in a file.
      *
      * @param blocks locations of the blocks, in order
      * @param fileBytes length of the file
@@ -92,7 +93,7 @@
     /**
      * Returns the bytes of a block, decompressed.
      *
-     * @throws CorruptSegmentException if any bit differs from what was written
+     * @throws CorruptSegmentException if the block's bytes differ from those that were written
      */
     public byte[] read(Extent location) throws IOException {
         ByteBuffer block = ByteBuffer.allocate(location.storedBytes());
@@ -118,8 +119,8 @@
     }
 
     /**
-     * Opens an existing file; checks its header, trailer, manifest and index, while blocks are checked when
-     * they are read.
+     * Opens an existing file and checks its header, trailer, manifest and index. A block is checked only when
+     * it is read.
      *
      * @throws CorruptSegmentException if it is not a complete result
      */
--- a/src/main/java/lineward/spool/store/SegmentFooter.java
+++ b/src/main/java/lineward/spool/store/SegmentFooter.java
@@ -35,7 +35,7 @@
     /**
      * Decodes the footer at the buffer's position.
      *
-     * @param footerOffset offset of its block in the file, which is where the last indexed block must end
+     * @param footerOffset offset of the footer's block in the file, where the last indexed block must end
      * @throws CorruptSegmentException if the index has a gap or does not end at the footer
      */
     static SegmentFooter decode(ByteBuffer footer, long footerOffset) throws IOException {
--- a/src/main/java/lineward/spool/store/SegmentFormat.java
+++ b/src/main/java/lineward/spool/store/SegmentFormat.java
@@ -22,7 +22,7 @@
     static final int TRAILER_BYTES = 16;
     /** Size below which a segment can't be complete: header, header of the manifest's block, and trailer. */
     static final int MIN_COMPLETE_BYTES = HEADER_BYTES + BLOCK_HEADER_BYTES + TRAILER_BYTES;
-    /** Maximum size of a block, raw or stored; a block has less than 64 KB before its last row. */
+    /** Maximum size of a block, raw or stored; a block of rows has less than 64 KB before its last row. */
     static final int MAX_BLOCK_BYTES = 64 << 20;
 
     private static final int CRC_BYTES = 4;
@@ -133,7 +133,7 @@
     /**
      * Checks a block that fills the whole buffer.
      *
-     * @throws CorruptSegmentException if any bit of header or payload differs from what was written
+     * @throws CorruptSegmentException if its length or checksum does not match its header
      */
     static void verify(ByteBuffer block, BlockHeader header) throws CorruptSegmentException {
         check(block.remaining() == BLOCK_HEADER_BYTES + header.storedBytes, "a block ends early");
--- a/src/main/java/lineward/spool/store/SegmentStore.java
+++ b/src/main/java/lineward/spool/store/SegmentStore.java
@@ -10,8 +10,8 @@
 
 /**
  * Reads and writes segments on its own threads: one writes, in the order of the calls, and two read. The
- * methods are called on the event loop and complete there. The caller bounds the queues: it counts the bytes
- * that are being written, and each reader of a result waits for one block at a time.
+ * methods are called on the event loop, where their completions run too. The caller bounds the queues: it
+ * limits the bytes that are waiting to be written, and each reader of a result loads one block at a time.
  */
 public final class SegmentStore implements AutoCloseable {
     private static final int READER_THREADS = 2;
@@ -30,7 +30,7 @@
         void completed(T result, IOException failure);
     }
 
-    /** The file of one result, created when its first block is written. The writer thread sets the fields. */
+    /** The file of one result, created when its first block is written. The writer thread changes it. */
     public static final class Handle {
         private Segment segment;
         private boolean deleted;
@@ -82,7 +82,7 @@
             try {
                 result = task.run();
             } catch (IOException | RuntimeException e) {
-                // A corrupt file must not terminate the thread.
+                // An exception, e.g. for a corrupt file, must be reported and must not end the thread.
                 IOException failure = asIoException(e);
                 eventLoop.execute(() -> completion.completed(null, failure));
                 return;
@@ -136,7 +136,7 @@
         submit(readers, () -> file.segment.read(location), onEnd);
     }
 
-    /** Deletes a result's file after all earlier writes. */
+    /** Deletes a result's file, if it has one, after all earlier writes. */
     public void delete(Handle file, Completion<Void> onEnd) {
         submit(
                 writer,
--- a/src/main/java/lineward/spool/store/package-info.java
+++ b/src/main/java/lineward/spool/store/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Files of the spool: one segment for each result. It consists of blocks with their length and a CRC32C,
- * compressed if that saves space, followed by a manifest and an index once the result is complete.
+ * Files of the spool: one segment for each result. A segment consists of blocks with their lengths and a
+ * CRC32C, compressed if that saves space, and a manifest and an index once the result is complete.
  *
  * <p>Contains the file format ({@link lineward.spool.store.SegmentFormat}, {@code docs/spool-format.md}), the
  * lock of the folder and the I/O threads. May use the core only.
