--- a/src/measure/java/lineward/spool/store/SpoolFixture.java
+++ b/src/measure/java/lineward/spool/store/SpoolFixture.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.stream.Stream;
 
-/** Creates folders of spooled results, and corrupt files, for measurements. */
+/** Creates folders of spooled results for measurements, and checks reads of corrupt files. */
 public final class SpoolFixture {
     private static final int BLOCK_BYTES = 64 << 10;
     private static final int BLOCKS_PER_MB = 16;
@@ -37,14 +37,14 @@
         }
     }
 
-    /** Returns the total size of the files in a folder, in megabytes. */
+    /** Returns the total size of the files in a folder, in megabytes, rounded down. */
     public static long megabytes(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.mapToLong(f -> f.toFile().length()).sum() >> 20;
         }
     }
 
-    /** Corrupts a file several times; returns how many blocks were read with other bytes than written. */
+    /** Truncates or changes a file this many times; returns how many blocks were read with wrong bytes. */
     public static int wrongBytes(Path folder, Random random, int times) throws IOException {
         int wrong = 0;
         Path file = folder.resolve("corrupt" + SpoolFolder.SEGMENT_SUFFIX);
--- a/src/test/java/lineward/spool/SpoolTest.java
+++ b/src/test/java/lineward/spool/SpoolTest.java
@@ -148,6 +148,7 @@
                 append(result, row, true);
             }
             result.complete();
+            // Runs the completions of three block writes and the manifest write.
             for (int i = 0; i < 4; i++) {
                 runNextTask();
             }
@@ -184,8 +185,8 @@
     }
 
     /**
-     * Writes fail, as on a full or lost disk, after the file was deleted: the blocks in memory stay readable
-     * and backpressure reaches the engine.
+     * Writes fail, as on a full or lost disk, because the file has been deleted: the blocks in memory stay
+     * readable, and backpressure stops the reads from the engine.
      */
     @Test
     public void resultStaysInMemoryWhenWritesFail() throws IOException, InterruptedException {
@@ -209,7 +210,7 @@
                     task.run();
                 }
             }
-            assertTrue(rows < 100, "backpressure reaches the engine");
+            assertTrue(rows < 100, "no backpressure after " + rows + " rows");
             SpoolReader reader = result.read(() -> {});
             int readBytes = 0;
             while (reader.readState() == ReadState.MORE) {
@@ -219,7 +220,7 @@
                 }
                 readBytes += chunk.bytes().length;
             }
-            // The blocks on disk are lost with the file; the blocks before the first of them have been read.
+            // The block that was on disk is lost with the file; the blocks before it have been read.
             assertTrue(readBytes >= row.length, readBytes + " bytes");
             result.release();
             assertEquals(spool.statistics().memoryBytes(), 0);
--- a/src/test/java/lineward/spool/StoredSpoolTest.java
+++ b/src/test/java/lineward/spool/StoredSpoolTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Checks recovery of a folder written by commit 3520411: complete results are read, others deleted. */
+/** Checks that complete results of a folder written by commit 3520411 are recovered, others deleted. */
 public class StoredSpoolTest {
     private static final long MB = 1 << 20;
     private static final String USER = "reporting";
--- a/src/test/java/lineward/spool/store/SegmentTest.java
+++ b/src/test/java/lineward/spool/store/SegmentTest.java
@@ -19,7 +19,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Checks that truncated, corrupt, replaced or foreign segments never yield wrong bytes. */
+/**
+ * Checks that truncated, corrupt, replaced or foreign segments never yield wrong bytes, and how a folder is
+ * locked and recovered.
+ */
 public class SegmentTest {
     private Path folder;
 
@@ -60,7 +63,7 @@
         return segment.path();
     }
 
-    /** Returns whether the file is accepted although its blocks differ from those that were written. */
+    /** Returns whether the file is accepted and yields wrong bytes, or has another number of blocks. */
     private static boolean servesWrongBytes(Path file, List<byte[]> blocks) {
         Segment.Found found;
         try {
--- a/src/test/java/lineward/spool/store/StoredSegmentTest.java
+++ b/src/test/java/lineward/spool/store/StoredSegmentTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Checks that a stored segment of format version 1 is readable, and that its bytes are written again. */
+/** Checks that a stored segment of format version 1 can be read, and is still written to the same bytes. */
 public class StoredSegmentTest {
     private static final String STORED = "stored-v1" + SpoolFolder.SEGMENT_SUFFIX;
     private static final long CREATED_MS = 1_790_000_000_000L;
@@ -36,7 +36,7 @@
         }
     }
 
-    /** A head without rows, rows that compress, rows that do not compress, and an end without rows. */
+    /** Returns a block before the rows, one that compresses, one that does not, and one after the rows. */
     private static List<byte[]> blocks() {
         byte[] repeated = new byte[6000];
         Arrays.fill(repeated, (byte) 'x');
