--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -241,8 +241,8 @@
     /**
      * Returns a new reader.
      *
-     * @param onProgress run when {@link SpoolReader#poll} or {@link SpoolReader#readState} may return another
-     *     value
+     * @param onProgress run when {@link SpoolReader#poll} or {@link SpoolReader#readState} may return
+     *     another value
      */
     public SpoolReader read(Runnable onProgress) {
         ResultReader reader = new ResultReader(this, onProgress);
--- a/src/test/java/lineward/spool/SpoolPolicyTest.java
+++ b/src/test/java/lineward/spool/SpoolPolicyTest.java
@@ -109,7 +109,7 @@
         policy.release(read, 1901);
         assertEquals(policy.expire(5001), List.of(keyed));
         policy.release(keyed, 5001);
-        assertEquals(policy.expire(1e9), List.of(), "the attempt's timeout limits an incomplete result");
+        assertEquals(policy.expire(1e9), List.of(), "the attempt's timeout limits incomplete results");
         policy.release(growing, 1e9);
         assertEquals(policy.statistics().expired(), 2);
     }
