--- a/src/main/java/lineward/engine/AttemptEnd.java
+++ b/src/main/java/lineward/engine/AttemptEnd.java
@@ -18,11 +18,11 @@
     ENGINE_ERROR(AttemptOutcome.ERROR),
     /** A reply could not be decoded, so all later replies on the connection are unreadable too. */
     MALFORMED_REPLY(AttemptOutcome.ERROR),
-    /** No connection was established and the engine is at fault, or it is not on the endpoint list. */
+    /** Connecting failed and the engine is at fault, or the engine is not on the endpoint list. */
     ENGINE_UNREACHABLE(AttemptOutcome.CONNECT_FAILED),
     /**
-     * No connection had capacity, or the attempt was cancelled, its connection became overdue or its start
-     * deadline passed before the request was sent.
+     * No connection had capacity; or, before the request was sent, the attempt was cancelled, its connection
+     * became overdue or its start deadline passed.
      */
     NOT_SENT(AttemptOutcome.REJECTED),
     /** The connection broke before the last byte was sent; an engine runs only complete requests. */
--- a/src/main/java/lineward/engine/ConnectionListener.java
+++ b/src/main/java/lineward/engine/ConnectionListener.java
@@ -13,12 +13,12 @@
     /** The connection was established. */
     void connected(EngineConnection connection);
 
-    /** The engine has sent a reply. */
+    /** A reply was received. */
     void replyReceived();
 
-    /** The connection broke after these attempts' requests were written. The listener ends the attempts. */
+    /** The connection broke after the requests of these attempts were written. The listener ends them. */
     void attemptsLost(List<QueryAttempt> attempts);
 
-    /** The connection was not established. The listener ends these attempts or starts them elsewhere. */
+    /** Connecting failed. The listener ends these attempts or starts them on another connection. */
     void attemptsNotSent(List<QueryAttempt> attempts, Throwable cause);
 }
--- a/src/main/java/lineward/engine/ConnectionState.java
+++ b/src/main/java/lineward/engine/ConnectionState.java
@@ -13,7 +13,10 @@
     READY,
     /** Established; no reply was received since a heartbeat was sent. */
     HEARTBEAT_PENDING,
-    /** Established; an attempt was cancelled. No attempt is accepted before the next reply. */
+    /**
+     * Established; an attempt was cancelled and no reply was received since. As the connection may be broken,
+     * it accepts no attempts before the next reply.
+     */
     AWAITING_RESPONSE,
     /** Closed, or about to be closed. */
     CLOSED;
--- a/src/main/java/lineward/engine/EndedAttempts.java
+++ b/src/main/java/lineward/engine/EndedAttempts.java
@@ -8,7 +8,7 @@
  * reused on the connection until their timeouts have passed. Used on the event loop only.
  */
 final class EndedAttempts {
-    /** Bounds the ids kept if an engine rejects every request; when full, no attempts are accepted. */
+    /** Bounds the ids kept if an engine rejects every request; at the limit, no attempts are accepted. */
     static final int MAX_ATTEMPTS = 1024;
 
     private final Map<String, QueryAttempt> attempts = new HashMap<>();
--- a/src/main/java/lineward/engine/EngineCluster.java
+++ b/src/main/java/lineward/engine/EngineCluster.java
@@ -19,12 +19,12 @@
 
 /**
  * The engines on the endpoint list, each with its connection pool. All methods are called on the event loop.
- * An engine whose id is null or unknown has no pool.
+ * If an engine's id is null or unknown, attempts end as unreachable and nothing else is sent.
  */
 public final class EngineCluster {
     /**
-     * Idle connections are closed after this ratio of the engines' idle timeout. If the engine closed them,
-     * a request that is being sent could fail.
+     * Idle connections are closed after this fraction of the engines' idle timeout, because a request could
+     * fail if it were sent while the engine closes the connection.
      */
     private static final double IDLE_TIMEOUT_RATIO = 0.7;
 
@@ -62,7 +62,7 @@
     /**
      * Limits of the connections to engines.
      *
-     * @param connectTimeoutMs time after which a connection that is not established is overdue
+     * @param connectTimeoutMs time after which a connection that is still being established is overdue
      * @param engineIdleTimeoutMs time after which engines close idle connections
      * @param maxAttemptsPerConnection maximum number of attempts in flight on one connection
      * @param maxConnections maximum number of connections to all engines
@@ -129,7 +129,7 @@
         memberAt(endpoint.id(), parse(endpoint.address())).update(endpoint);
     }
 
-    /** Returns the member with that id, with a new pool if the engine is new or its address has changed. */
+    /** Returns the member with this id, with a new pool if the engine is new or its address has changed. */
     private Member memberAt(String engine, InetSocketAddress address) {
         Member member = members.get(engine);
         if (member != null && member.pool.address().equals(address)) {
@@ -178,7 +178,7 @@
         }
     }
 
-    /** Ends the attempts that wait for a connection to that engine as not sent. */
+    /** Ends the attempts that wait for a connection to this engine as not sent. */
     public void cancelWaiting(String engine) {
         Member member = members.get(engine);
         if (member != null) {
--- a/src/main/java/lineward/engine/EngineConnection.java
+++ b/src/main/java/lineward/engine/EngineConnection.java
@@ -19,18 +19,18 @@
     private static final RateLimitedLog LOG = new RateLimitedLog(LOGGER);
     /** A heartbeat is sent after this time without activity while attempts are in flight. */
     private static final long HEARTBEAT_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
-    /** A connection counts as alive for this time after a reply. */
+    /** A connection counts as responsive for this time after it was established, and after each reply. */
     private static final long ALIVE_WITHIN_NANOS = TimeUnit.SECONDS.toNanos(1);
     /**
      * Calls of {@link #keepAlive} after which an unanswered heartbeat has timed out. The timeout exceeds the
-     * half second for which an engine may pause. Calls are counted instead of time because after a pause of
-     * this process the answer may have arrived but not been read.
+     * half second for which an engine may pause. It is not measured in time because after a pause of this
+     * process the answer may have arrived but not been read.
      */
     private static final int HEARTBEAT_TIMEOUT_TICKS = 7;
 
     private static final String HEARTBEAT_TAG_PREFIX = "t";
     private static final String HEALTH_CHECK_TAG_PREFIX = "p";
-    /** Time allowed for a close to reach the engine. */
+    /** Delay before the attempts of a closed connection end, so that no retry overtakes the close. */
     static final int CLOSE_DELAY_MS = 6;
 
     private final InFlightAttempts attempts = new InFlightAttempts();
@@ -47,7 +47,7 @@
     private long lastUsedNanos = System.nanoTime();
     private long lastReplyNanos = lastUsedNanos;
     private int ticksSinceHeartbeat;
-    /** The health check in flight; null if there is none. An engine has at most one in flight. */
+    /** The last health check if it is unanswered, else null. An engine has at most one in flight. */
     private HealthCheck healthCheck;
 
     EngineConnection(ConnectionListener listener) {
@@ -59,7 +59,7 @@
         return state.isUp();
     }
 
-    /** Returns whether it is up and a reply came recently; a connection to a dead machine stays open. */
+    /** Returns whether it is up and a reply was received recently; sockets to failed machines stay open. */
     boolean isAlive() {
         return isUp() && System.nanoTime() - lastReplyNanos < ALIVE_WITHIN_NANOS;
     }
@@ -76,12 +76,12 @@
         return state.acceptsAttempts() && channelIsUsable && attempts.accepts(id, maxAttempts);
     }
 
-    /** Returns false if part of a reply arrived with no attempt in flight: the stream may be corrupt. */
+    /** Returns false if there is a partial reply but no attempt in flight: the stream may be corrupt. */
     private boolean isReadable() {
         return !attempts.isEmpty() || decoder == null || !decoder.hasPartialReply();
     }
 
-    /** Returns whether the channel accepts writes, or is being connected: attempts then wait for it. */
+    /** Returns whether a request can be written now, or can wait for the connection to be established. */
     private boolean isWritable() {
         return !isUp() || (channel.isOpen() && channel.isWritable());
     }
@@ -124,7 +124,10 @@
         }
     }
 
-    /** Sends the attempt's priority to the engine, unless the result has begun to arrive. */
+    /**
+     * Sends the attempt's priority to the engine, unless the request, which contains the priority, is still
+     * to be written or the first page was received.
+     */
     void sendPriority(QueryAttempt attempt) {
         if (attempt.isRequestWritten() && !attempt.hasFirstPage()) {
             writer.changePriority(attempt.id(), attempt.priority());
@@ -135,7 +138,7 @@
         return isUp() && channel.isWritable();
     }
 
-    /** Checks the engine's health once the connection is up. The listener is not called if it breaks. */
+    /** Checks the engine's health once the connection is up. The listener is called only on an answer. */
     void checkHealth(HealthCheck.Kind kind, Consumer<Reply> answerListener) {
         healthCheck = new HealthCheck(kind, HEALTH_CHECK_TAG_PREFIX + System.nanoTime(), answerListener);
         lastUsedNanos = System.nanoTime();
@@ -144,7 +147,7 @@
         }
     }
 
-    /** Sends a heartbeat if due, or closes after an unanswered one; called ten times a second. */
+    /** Sends a heartbeat if due, or closes the connection if one timed out; called ten times a second. */
     void keepAlive() {
         long now = System.nanoTime();
         if (state.isHeartbeatPending()) {
@@ -163,7 +166,7 @@
         return isSilent || !isReadable();
     }
 
-    /** Sends a heartbeat, to detect a broken connection that the socket still reports as open. */
+    /** Sends a heartbeat, unless one is pending, to detect a connection that is broken but still open. */
     private void sendHeartbeat() {
         if (!state.isHeartbeatPending()) {
             ticksSinceHeartbeat = 0;
@@ -200,13 +203,13 @@
         return state.isConnecting() ? attempts.removeAll() : List.of();
     }
 
-    /** Records that the connect timeout has passed; returns whether the connection is still not up. */
+    /** Records that the connect timeout has passed; returns whether it is still being established. */
     boolean setConnectOverdue() {
         state = state.connectOverdue();
         return state == ConnectionState.CONNECT_OVERDUE;
     }
 
-    /** Ends the attempts that wait for the connection as not sent, and closes it if it is not up. */
+    /** If the connection is still being established, closes it and ends its attempts as not sent. */
     void cancelWaiting() {
         if (state.isConnecting()) {
             release(waiting -> endAll(waiting, AttemptEnd.NOT_SENT));
@@ -251,7 +254,7 @@
         }
     }
 
-    /** Closes the connection. After a malformed reply all attempts end, as no later one can be decoded. */
+    /** Closes the connection. A malformed reply ends all attempts, as no later reply can be decoded. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         LOG.info("engine connection failed", "engine", context.channel().remoteAddress(), cause);
--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -17,13 +17,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connections to one engine. A new engine at the address of an earlier one gets a separate pool. Called
- * by the cluster on the event loop, which also runs the connections.
+ * The connections to one engine. Engines that use the same address one after the other have separate pools.
+ * Called by the cluster on the event loop, which also runs the connections.
  */
 final class EnginePool implements ConnectionListener {
-    /** Maximum number of connections to one engine; under heavy load attempts share connections. */
+    /** Maximum number of connections to one engine; at the limit, attempts share connections. */
     private static final int MAX_CONNECTIONS = 16;
-    /** Waiting attempts migrate to a live connection after the connect timeout divided by this. */
+    /** Waiting attempts migrate to a responsive connection after the connect timeout divided by this. */
     private static final int MIGRATE_AFTER_DIVISOR = 4;
     /** Connecting is abandoned after this multiple of the connect timeout. */
     static final int CONNECT_ABANDON_FACTOR = 8;
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Starts an attempt, if possible on a connection without other attempts, because a malformed reply fails
+     * Starts an attempt, if possible on a connection without other attempts, because a malformed reply ends
      * all attempts on its connection.
      */
     void start(QueryAttempt attempt) {
@@ -126,7 +126,7 @@
                 .addListener(FailureLog.TASK);
     }
 
-    /** Migrates waiting attempts from a slow connection to live ones; without one they keep waiting. */
+    /** Migrates attempts that wait for a slow connection to responsive ones; if there are none, they wait. */
     private void migrateWaiting(EngineConnection slow) {
         for (QueryAttempt attempt : slow.removeWaiting()) {
             EngineConnection target = leastLoaded(other -> other.isAlive() && accepts(other, attempt));
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Ends the attempts that wait for a connection after its connect timeout has passed. */
+    /** Ends the attempts that wait for a connection that is not established by its connect timeout. */
     private void endOverdue(EngineConnection connection) {
         if (connection.setConnectOverdue()) {
             faults.connectOverdue();
@@ -165,7 +165,7 @@
         faults.replyReceived();
     }
 
-    /** Ends the attempts after a delay, by which all connections that broke together are reported. */
+    /** Ends the attempts after a delay, so that other connections that broke at the same time count too. */
     @Override
     public void attemptsLost(List<QueryAttempt> attempts) {
         if (!attempts.isEmpty()) {
@@ -196,7 +196,7 @@
         }
     }
 
-    /** Checks the engine's health on an established connection, or on a new one if the quota allows it. */
+    /** Checks the engine's health on an established connection or a new one; does nothing at the limits. */
     void checkHealth(HealthCheck.Kind kind, Consumer<Reply> answerListener) {
         EngineConnection connection = leastLoaded(EngineConnection::acceptsHealthCheck);
         if (connection == null && mayConnect()) {
@@ -212,7 +212,7 @@
         connectionOf(attempt).ifPresent(connection -> connection.cancel(attempt));
     }
 
-    /** Sends the attempt's priority to the engine. */
+    /** Sends the attempt's changed priority to the engine. */
     void sendPriority(QueryAttempt attempt) {
         connectionOf(attempt).ifPresent(connection -> connection.sendPriority(attempt));
     }
@@ -241,7 +241,8 @@
 
     /**
      * Closes connections that were opened before the engine's process started, as they lead to an earlier
-     * process. Waiting attempts end too: they were meant for the earlier process, not for one in slow start.
+     * process. The attempts that wait for them end too: they were meant for the earlier process, not for one
+     * in slow start.
      *
      * @param unixMs start time of the engine's process
      */
@@ -260,7 +261,7 @@
         List.copyOf(connections).forEach(EngineConnection::keepAlive);
     }
 
-    /** Ends all attempts that wait for a connection as not sent. */
+    /** Closes connections that are being established; the attempts that wait for them end as not sent. */
     void cancelWaiting() {
         List.copyOf(connections).forEach(EngineConnection::cancelWaiting);
     }
--- a/src/main/java/lineward/engine/FaultAttribution.java
+++ b/src/main/java/lineward/engine/FaultAttribution.java
@@ -9,9 +9,9 @@
  * on the event loop.
  */
 final class FaultAttribution {
-    /** Lost or failed connections without a reply between them after which the engine is at fault. */
+    /** Number of lost or failed connections, without a reply between them, that are the engine's fault. */
     static final int REPEATED_FAILURES = 4;
-    /** Number of consecutive overdue connections after which the engine counts as unreachable. */
+    /** Number of consecutive overdue connections at which the engine counts as unreachable. */
     static final int REPEATED_OVERDUE = 2;
 
     private int failedConnections;
@@ -22,7 +22,7 @@
         overdueConnections = 0;
     }
 
-    /** Records that the engine has sent a reply. */
+    /** Records that a reply was received. */
     void replyReceived() {
         failedConnections = 0;
         overdueConnections = 0;
@@ -52,7 +52,7 @@
     /**
      * Records that a connection was not established.
      *
-     * @return whether this is the engine's fault: it refused the connection, or failures have repeated
+     * @return whether the engine is at fault: it refused the connection, or failures have repeated
      */
     boolean connectFailed(Throwable cause) {
         failedConnections++;
@@ -62,7 +62,7 @@
 
     /**
      * Returns how attempts end whose connection broke after their request was sent. A process that ends
-     * resets all its connections; if another connection is up, a single failure concerns one connection only.
+     * resets all its connections; while another one is up, a single failure is therefore not its fault.
      *
      * @param otherIsUp whether another connection to the engine is up
      */
--- a/src/main/java/lineward/engine/InFlightAttempts.java
+++ b/src/main/java/lineward/engine/InFlightAttempts.java
@@ -148,7 +148,7 @@
         return removed;
     }
 
-    /** Makes the ids of ended attempts available again once the timeouts have passed. */
+    /** Makes the ids of ended attempts available again if their timeouts have passed. */
     void freeExpiredIds(long nowNanos) {
         endedAttempts.removeExpired(nowNanos);
     }
--- a/src/main/java/lineward/engine/LineProtocol.java
+++ b/src/main/java/lineward/engine/LineProtocol.java
@@ -1,13 +1,13 @@
 package lineward.engine;
 
 /**
- * The tokens of the line protocol. Other code uses these constants, which are named after the meaning of the
- * token.
+ * The tokens of the line protocol. Other code refers to them by these constants, which are named after their
+ * meaning.
  */
 final class LineProtocol {
-    /** Terminates a header line, and the body that follows it. */
+    /** Terminates each line, and the body that may follow it. */
     static final String LINE_TERMINATOR = "\r\n";
-    /** Stands for the fields in a reply without fields. */
+    /** Placeholder in a reply that has no fields. */
     static final String NO_FIELDS = "-";
 
     // Requests.
--- a/src/main/java/lineward/engine/ProgressReports.java
+++ b/src/main/java/lineward/engine/ProgressReports.java
@@ -11,6 +11,7 @@
     /** A decimal number without sign or exponent, with enough digits for a ratio or megabytes. */
     private static final Pattern AMOUNT = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,18})?");
 
+    // Amounts that state what a waiting query waits for.
     private static final int WAITING_FOR_MEMORY = 1;
     private static final int WAITING_FOR_LOAD = 2;
 
--- a/src/main/java/lineward/engine/QueryAttempt.java
+++ b/src/main/java/lineward/engine/QueryAttempt.java
@@ -24,7 +24,8 @@
         /**
          * The engine reported progress.
          *
-         * @param amount by kind: the ratio done, the megabytes missing, or the code of what it waits for
+         * @param amount depends on the kind: the ratio done, the megabytes missing, or a code of what the
+         *     query waits for
          */
         default void progressed(ProgressKind kind, double amount) {}
     }
@@ -140,7 +141,7 @@
         return startByNanos - nowNanos < 0;
     }
 
-    /** Returns whether the timeout has passed, after which no request with this id is sent again. */
+    /** Returns whether the timeout has passed, after which the request is not retried. */
     boolean isExpired(long nowNanos) {
         return deadlineNanos - nowNanos < 0;
     }
--- a/src/main/java/lineward/engine/Reply.java
+++ b/src/main/java/lineward/engine/Reply.java
@@ -7,7 +7,7 @@
 /**
  * A reply of an engine. The receiver owns the body.
  *
- * @param id id of the attempt, or tag of the heartbeat or health check, to which this is the reply
+ * @param id id of the attempt, or tag of the heartbeat or health check, that is answered
  * @param fields values by the field names of {@link LineProtocol}; absent fields have no entry
  */
 record Reply(String id, ReplyType type, Map<String, String> fields, ByteBuf body) {
--- a/src/main/java/lineward/engine/ReplyDecoder.java
+++ b/src/main/java/lineward/engine/ReplyDecoder.java
@@ -71,7 +71,7 @@
     private static Header parseHeader(String text) {
         String[] parts = text.split(" ", -1);
         if (parts.length != HEADER_PARTS || parts[0].isEmpty()) {
-            throw new MalformedReplyException("invalid header of " + parts.length + " parts");
+            throw new MalformedReplyException("header has no id, or " + parts.length + " parts instead of 4");
         }
         ReplyType type = ReplyType.parse(parts[1]);
         return new Header(parts[0], type, parseFields(parts[2]), parseBodyLength(parts[3]));
--- a/src/main/java/lineward/engine/ResultPages.java
+++ b/src/main/java/lineward/engine/ResultPages.java
@@ -11,7 +11,7 @@
 
     /** Maximum size of a page. */
     private static final int MAX_PAGE_BYTES = 6_000;
-    /** Maximum number of pages of a result; enough for short rows with one row a page. */
+    /** Maximum number of pages of a result; enough for short rows at one row per page. */
     private static final int MAX_PAGES = 1024;
 
     private final ByteBuf[] pages;
--- a/src/main/java/lineward/engine/Rows.java
+++ b/src/main/java/lineward/engine/Rows.java
@@ -4,12 +4,12 @@
 import io.netty.util.ByteProcessor;
 
 /**
- * Checks that a page consists of complete rows of three tab-separated columns, without control characters and
- * bytes that are invalid in UTF-8, so that no corrupt data is sent to clients.
+ * Checks that a page consists of complete rows of three tab-separated columns, without other control
+ * characters and bytes that never occur in UTF-8, so that no corrupt data is sent to clients.
  */
 final class Rows implements ByteProcessor {
     private static final int TABS_PER_ROW = 2;
-    // Bytes that never occur in UTF-8: two lead bytes of overlong encodings, and BEYOND_UNICODE and above.
+    // The bytes that never occur in UTF-8: two lead bytes of overlong encodings, and all from BEYOND_UNICODE.
     private static final int OVERLONG = 0xc0;
     private static final int OVERLONG_ASCII = 0xc1;
     private static final int BEYOND_UNICODE = 0xf5;
--- a/src/main/java/lineward/engine/package-info.java
+++ b/src/main/java/lineward/engine/package-info.java
@@ -9,7 +9,7 @@
  * decides whether a connection failure is attributed to the engine.
  *
  * <p>The package may use {@code core}, {@code frontend} and {@code scheduling}. Everything runs on the event
- * loop that is passed to the cluster; nothing is thread-safe.
+ * loop that is passed to the cluster; objects with state are not thread-safe.
  *
  * <p>Bounds: connections in total and to one engine, attempts on one connection, ids of ended attempts, bytes
  * and pages of a result, lengths of a header and a body. The design is described in {@code
