--- a/src/main/java/lineward/discovery/AddressFileReader.java
+++ b/src/main/java/lineward/discovery/AddressFileReader.java
@@ -21,7 +21,7 @@
         /** The file has been read and contains this address. */
         void addressRead(String address);
 
-        /** The file can't be read or has no valid content. */
+        /** The file can't be read or its content is invalid. */
         void readFailed(String reason);
     }
 
--- a/src/main/java/lineward/discovery/DiscoveryClient.java
+++ b/src/main/java/lineward/discovery/DiscoveryClient.java
@@ -104,7 +104,7 @@
     }
 
     private final class FileListener implements AddressFileReader.Listener {
-        /** Reason of the last failure, which is logged once for all retries; null after a success. */
+        /** Reason of the last failed read, so that its retries do not log it again; null after a success. */
         private String lastReason;
 
         @Override
--- a/src/main/java/lineward/discovery/EndpointList.java
+++ b/src/main/java/lineward/discovery/EndpointList.java
@@ -21,7 +21,7 @@
          * An update was applied to the list.
          *
          * @param fullSnapshot whether engines without an entry are gone
-         * @param entries the entries of the update, with all fields even if the update is incremental
+         * @param entries the entries of the update, complete even if the update contains only changed fields
          */
         void changed(boolean fullSnapshot, List<EngineEndpoint> entries);
     }
--- a/src/main/java/lineward/discovery/FileReadSchedule.java
+++ b/src/main/java/lineward/discovery/FileReadSchedule.java
@@ -11,7 +11,7 @@
 final class FileReadSchedule {
     /** Time from the first fault of the service to a read of the file, and interval of further reads. */
     static final double FAULT_READ_INTERVAL_MS = 250;
-    /** Retry interval in the first {@link #SHORT_RETRIES_MS} after SIGHUP. */
+    /** Retry interval for the first {@link #SHORT_RETRIES_MS} after SIGHUP. */
     static final double RETRY_INTERVAL_MS = 50;
     /** Time after SIGHUP in which retries use {@link #RETRY_INTERVAL_MS}. */
     static final double SHORT_RETRIES_MS = 4000;
@@ -38,6 +38,7 @@
     }
 
     private State state = State.IDLE;
+    /** {@link PollPolicy#NEVER} if no read is scheduled. */
     private double nextReadAtMs = PollPolicy.NEVER;
     /** Time of the last SIGHUP if no read begun after it has succeeded; else {@link PollPolicy#NEVER}. */
     private double reloadRequestedAtMs = PollPolicy.NEVER;
--- a/src/main/java/lineward/discovery/PollConnection.java
+++ b/src/main/java/lineward/discovery/PollConnection.java
@@ -29,8 +29,8 @@
         }
 
         /**
-         * Returns the states to which a transition is allowed. An unsolicited response may repeat {@link
-         * #POLLING} or {@link #PAUSED}.
+         * Returns the states to which a transition is allowed. {@link #POLLING} repeats if the next poll
+         * follows a response at once, {@link #PAUSED} if an unsolicited response is received.
          */
         Set<State> successors() {
             return switch (this) {
@@ -91,8 +91,8 @@
 
     private void transitionTo(State next) {
         if (!state.successors().contains(next)) {
-            throw new IllegalStateException(
-                    "invalid transition of connection " + number + ": from=" + state + " to=" + next);
+            String transition = "connection=" + number + " from=" + state + " to=" + next;
+            throw new IllegalStateException("invalid poll connection transition: " + transition);
         }
         state = next;
     }
--- a/src/main/java/lineward/discovery/PollPolicy.java
+++ b/src/main/java/lineward/discovery/PollPolicy.java
@@ -20,7 +20,7 @@
      * event as delivered once it is published, even if a front end has not received it.
      */
     static final int LONG_POLL_TIMEOUT_MS = 1000;
-    /** Delay of a connect after a failure, and of the next poll after an early empty response. */
+    /** Delay of a connect after a connection has ended, and of a poll after an early empty response. */
     static final double PAUSE_MS = 100;
     /** Limit on connections; overdue ones stay open because a slow service may still respond on them. */
     static final int MAX_CONNECTIONS = 3;
@@ -42,7 +42,7 @@
     private int lastNumber;
     private double connectNotBeforeMs;
     private double lastResponseAtMs;
-    /** Time of the first fault since the last valid response; {@link #NEVER} if there was none. */
+    /** Time of the first fault since a valid response or new address; {@link #NEVER} if there was none. */
     private double failingSinceMs = NEVER;
 
     private PollFault lastFault = PollFault.NO_RESPONSE;
--- a/src/main/java/lineward/discovery/PollStep.java
+++ b/src/main/java/lineward/discovery/PollStep.java
@@ -20,7 +20,7 @@
         /** Reads the configuration file. */
         void readFile(ReadFile step);
 
-        /** Logs that the service has not responded for some time. */
+        /** Logs that no valid response was received for some time. */
         void warnOfSilence(WarnOfSilence step);
     }
 
--- a/src/main/java/lineward/discovery/PollTransport.java
+++ b/src/main/java/lineward/discovery/PollTransport.java
@@ -20,6 +20,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.net.SocketAddress;
 import java.util.HashMap;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -47,7 +48,7 @@
          */
         void responded(int number, FullHttpResponse response) throws IOException;
 
-        /** A connection was closed, not established or failed; may be called more than once for one. */
+        /** A connection was closed, was not established or failed; may be called repeatedly for one. */
         void failed(int number, PollFault fault);
     }
 
@@ -118,7 +119,8 @@
     private static void close(Channel channel) {
         channel.close().addListener(closed -> {
             if (!closed.isSuccess()) {
-                LOG.debug("closing a connection to service discovery failed", closed.cause());
+                SocketAddress address = channel.remoteAddress();
+                LOG.debug("service discovery connection not closed: address={}", address, closed.cause());
             }
         });
     }
