--- a/src/test/java/lineward/discovery/DiscoveryClientTest.java
+++ b/src/test/java/lineward/discovery/DiscoveryClientTest.java
@@ -32,7 +32,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests the client on real sockets with each fault of a service, and a file truncated at each length. */
+/** Tests the client on real sockets with each fault of the service, and a file truncated at each length. */
 public class DiscoveryClientTest {
     private static final int TICK_MS = 5;
 
@@ -163,7 +163,7 @@
         return service;
     }
 
-    /** Writes the file. Its content is an address and an end marker, without which it is incomplete. */
+    /** Writes the file. A complete file contains an address and an end marker. */
     private void write(String text) throws IOException {
         Files.writeString(file, text);
     }
@@ -281,7 +281,7 @@
         awaitEvent(21);
         int answersBefore = last.answers.get();
         Service followed = last;
-        Program.await("more polls there", () -> followed.answers.get() > answersBefore + 2);
+        Program.await("more polls at the last address", () -> followed.answers.get() > answersBefore + 2);
         assertEquals(lastEventNumber(), 21);
     }
 }
--- a/src/test/java/lineward/discovery/DiscoverySimulation.java
+++ b/src/test/java/lineward/discovery/DiscoverySimulation.java
@@ -27,7 +27,8 @@
     }
 
     /**
-     * One service and its behaviour. A connection that is open during a fault keeps it until it is closed.
+     * One service and its behaviour. A connection that is open when a fault begins keeps the fault until the
+     * connection is closed.
      */
     static final class Service {
         Behaviour behaviour = Behaviour.HEALTHY;
@@ -74,7 +75,11 @@
         tasks.computeIfAbsent(atMs, key -> new ArrayList<>()).add(task);
     }
 
-    /** Schedules a reload: the file is replaced, and the old service stops responding and closes later. */
+    /**
+     * Schedules a reload. The file is missing for up to 3 s and then has the address of a healthy service; if
+     * that is another one, the old service stops responding and closes its connections 1.5 s later. SIGHUP, if
+     * it is sent, comes at the given time or up to 200 ms earlier.
+     */
     void reload(double atMs, boolean signalled) {
         String target = randomAddress();
         double brokenMs = random.nextInt(3) == 0 ? random.nextDouble() * 3000 : 0;
@@ -102,7 +107,7 @@
         }
     }
 
-    /** Makes the service healthy if the file has its address; otherwise it was moved and stays faulty. */
+    /** Makes the service healthy if the file has its address; otherwise it has moved and stays faulty. */
     void heal(String name) {
         if (name.equals(file)) {
             services.get(name).behaviour = Behaviour.HEALTHY;
@@ -135,7 +140,10 @@
         }
     }
 
-    /** Updates the longest time without a poll at the healthy service, when no event can be received. */
+    /**
+     * Updates the longest time without a poll at the service in the file while it is healthy. No event can be
+     * received in that time.
+     */
     private void measure() {
         boolean available = file != null && services.get(file).behaviour == Behaviour.HEALTHY;
         boolean polled = available && connections.keySet().stream().anyMatch(this::isPollAtNamedService);
--- a/src/test/java/lineward/discovery/PollConnectionTest.java
+++ b/src/test/java/lineward/discovery/PollConnectionTest.java
@@ -46,7 +46,7 @@
         };
     }
 
-    /** Null as the state after the event means that the transition is invalid. */
+    /** If the state after the event is null, the transition is invalid. */
     @Test(dataProvider = "transitions")
     public void eachEventLeadsToTheStateOfTheTable(State before, Event event, State after) {
         PollConnection connection = in(before);
--- a/src/test/java/lineward/discovery/PollPolicyTest.java
+++ b/src/test/java/lineward/discovery/PollPolicyTest.java
@@ -9,8 +9,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests over seeded schedules of reloads, incomplete files and faulty services that an available service is
- * polled again within a limit after each fault.
+ * Tests in simulated time, over seeded schedules of reloads, missing files and faulty services, that an
+ * available service is polled again within a limit after each fault.
  */
 public class PollPolicyTest {
     private static final double MAX_UNPOLLED_MS = 2000;
@@ -55,7 +55,7 @@
         assertTrue(longestUnpolledMs > 500, "the schedules contain faults");
     }
 
-    /** Without SIGHUP, the file is read again because the old service has stopped responding. */
+    /** Without SIGHUP, the file is read again once the old service has stopped responding. */
     @Test
     public void aFileReplacedWithoutASignalIsReadOnceTheOldServiceIsSilent() {
         for (int seed = 0; seed < 20; seed++) {
--- a/src/test/java/lineward/engine/AttemptEndTest.java
+++ b/src/test/java/lineward/engine/AttemptEndTest.java
@@ -87,7 +87,7 @@
         return new Object[][] {{0, false}, {1, false}, {2, false}, {3, true}};
     }
 
-    /** A request is written in three parts; it counts as sent once the last was written to the socket. */
+    /** A request is written in three parts; it counts as sent once the last one was written to the socket. */
     @Test(dataProvider = "writes")
     public void requestCountsAsSentOnceTheSocketHasItsLastByte(int succeedingWrites, boolean sent) {
         RecordingListener listener = new RecordingListener();
@@ -145,7 +145,7 @@
             Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class);
             EnginePool pool = new EnginePool(bootstrap, closedPort, LIMITS, () -> true, () -> {});
             loop.execute(() -> action.accept(pool));
-            Program.await("an end", () -> !listener.outcomes.isEmpty());
+            Program.await("the attempt's end", () -> !listener.outcomes.isEmpty());
         } finally {
             loop.shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(FailureLog.TASK);
         }
--- a/src/test/java/lineward/engine/ConnectionAttemptsTest.java
+++ b/src/test/java/lineward/engine/ConnectionAttemptsTest.java
@@ -30,7 +30,11 @@
         return all.toString();
     }
 
-    /** A client may abort its request in the event loop run in which the connection is established. */
+    /**
+     * A client may abort its request, which releases the statement, in the event loop run in which the
+     * connection is established. If the attempt did not retain the statement, its memory would be reused and
+     * another statement would be sent.
+     */
     @Test
     public void attemptRetainsItsStatementWhenItsRequestEnds() {
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_LISTENER);
@@ -43,7 +47,7 @@
         EmbeddedChannel channel = connect(connection);
         assertEquals(written(channel).lines().skip(1).findFirst().orElse(""), "select 1");
         connection.cancel(attempt);
-        assertEquals(statement.refCnt(), 0, "released with its attempt");
+        assertEquals(statement.refCnt(), 0, "the statement is released when its attempt is cancelled");
         assertEquals(later.refCnt(), 1);
         later.release();
         channel.close().addListener(FailureLog.CHANNEL);
@@ -58,11 +62,11 @@
         connection.cancelWaiting();
         assertEquals(outcomes, List.of(AttemptOutcome.REJECTED));
         assertEquals(written(connect(connection)), "");
-        assertEquals(statement.refCnt(), 1, "the reference of the request");
+        assertEquals(statement.refCnt(), 1, "only the request's reference is left");
         statement.release();
     }
 
-    /** Engines drop idempotency keys after a time: a retry that is sent too late would run a second time. */
+    /** Engines drop idempotency keys after a time: a retry that is sent later could run a second time. */
     @Test
     public void attemptPastItsStartDeadlineIsNotSent() {
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_LISTENER);
--- a/src/test/java/lineward/engine/HealthCheckTest.java
+++ b/src/test/java/lineward/engine/HealthCheckTest.java
@@ -53,7 +53,7 @@
         };
     }
 
-    /** A duplicate answer and an answer with another tag are ignored. */
+    /** Each reply is sent twice; the duplicate, and replies of another tag or type, are ignored. */
     @Test(dataProvider = "answers")
     public void onlyTheFirstAnswerWithItsTagCounts(
             HealthCheck.Kind kind, String verb, String answer, List<String> expected) {
--- a/src/test/java/lineward/engine/ProgressReportsTest.java
+++ b/src/test/java/lineward/engine/ProgressReportsTest.java
@@ -51,7 +51,7 @@
         assertEquals(listener.events, expected == null ? List.of() : List.of(expected + " " + value));
     }
 
-    /** A report may arrive after its attempt was cancelled. */
+    /** A report that the engine sent before it received the cancel may arrive after the attempt has ended. */
     @Test
     public void reportAfterTheEndIsIgnored() {
         RecordingListener listener = new RecordingListener();
