--- a/src/test/java/lineward/discovery/DiscoveryClientTest.java
+++ b/src/test/java/lineward/discovery/DiscoveryClientTest.java
@@ -281,7 +281,7 @@
         awaitEvent(21);
         int answersBefore = last.answers.get();
         Service followed = last;
-        Program.await("more polls at the last address", () -> followed.answers.get() > answersBefore + 2);
+        Program.await("polls at the last address", () -> followed.answers.get() > answersBefore + 2);
         assertEquals(lastEventNumber(), 21);
     }
 }
--- a/src/test/java/lineward/discovery/DiscoverySimulation.java
+++ b/src/test/java/lineward/discovery/DiscoverySimulation.java
@@ -77,8 +77,8 @@
 
     /**
      * Schedules a reload. The file is missing for up to 3 s and then has the address of a healthy service; if
-     * that is another one, the old service stops responding and closes its connections 1.5 s later. SIGHUP, if
-     * it is sent, comes at the given time or up to 200 ms earlier.
+     * that is another one, the old service stops responding and closes its connections 1.5 s later. SIGHUP,
+     * if it is sent, comes at the given time or up to 200 ms earlier.
      */
     void reload(double atMs, boolean signalled) {
         String target = randomAddress();
