--- a/src/main/java/lineward/discovery/EndpointList.java
+++ b/src/main/java/lineward/discovery/EndpointList.java
@@ -34,7 +34,7 @@
     /**
      * Creates an empty list.
      *
-     * @param kinds names of the machine kinds, in the order of the settings
+     * @param kinds names of the engine kinds, in the order of the settings
      * @param zones names of the zones, in the order of the settings
      */
     public EndpointList(List<String> kinds, List<String> zones, Listener listener) {
--- a/src/main/java/lineward/discovery/JournalFormat.java
+++ b/src/main/java/lineward/discovery/JournalFormat.java
@@ -39,7 +39,7 @@
     private final List<String> kinds;
     private final List<String> zones;
 
-    /** Creates a format with the names of the machine kinds and zones, in the order of the settings. */
+    /** Creates a format with the names of the engine kinds and zones, in the order of the settings. */
     JournalFormat(List<String> kinds, List<String> zones) {
         this.kinds = kinds;
         this.zones = zones;
--- a/src/main/java/lineward/engine/Rows.java
+++ b/src/main/java/lineward/engine/Rows.java
@@ -9,7 +9,7 @@
  */
 final class Rows implements ByteProcessor {
     private static final int TABS_PER_ROW = 2;
-    // The bytes that never occur in UTF-8: two lead bytes of overlong encodings, and all from BEYOND_UNICODE.
+    // Bytes that never occur in UTF-8: two lead bytes of overlong encodings, and all from the third value on.
     private static final int OVERLONG = 0xc0;
     private static final int OVERLONG_ASCII = 0xc1;
     private static final int BEYOND_UNICODE = 0xf5;
