--- a/src/main/java/lineward/engine/Rows.java
+++ b/src/main/java/lineward/engine/Rows.java
@@ -19,7 +19,7 @@
 
     private Rows() {}
 
-    /** Returns whether the page consists of complete rows only. */
+    /** Returns whether the page consists only of complete rows without invalid bytes. */
     static boolean areComplete(ByteBuf page) {
         Rows rows = new Rows();
         return page.forEachByte(rows) < 0 && !rows.inRow;
