--- a/src/main/java/lineward/discovery/AddressFileReader.java
+++ b/src/main/java/lineward/discovery/AddressFileReader.java
@@ -32,8 +32,8 @@
     /**
      * Creates a reader.
      *
-     * @param file reads the file and returns the address; throws a runtime exception with a one-line message
-     *     on failure
+     * @param file reads the file and returns the address; throws a runtime exception with a
+     *     one-line message on failure
      */
     AddressFileReader(EventLoop loop, Supplier<String> file) {
         this.loop = loop;
--- a/src/test/java/lineward/engine/RequestWriterTest.java
+++ b/src/test/java/lineward/engine/RequestWriterTest.java
@@ -43,8 +43,8 @@
     public void queryCarriesItsFieldsAndItsStatement(double grantMb, String expectedField) {
         ByteBuf statement = Unpooled.copiedBuffer("select 1", StandardCharsets.US_ASCII);
         QueryAttempt.Timing timing = new QueryAttempt.Timing(60_000, 60_000);
-        QueryAttempt attempt =
-                new QueryAttempt("00aa", "report", statement, timing, grantMb, 2, (outcome, result) -> {});
+        QueryAttempt.Listener ignored = (outcome, result) -> {};
+        QueryAttempt attempt = new QueryAttempt("00aa", "report", statement, timing, grantMb, 2, ignored);
         String request = written(writer -> writer.startQuery(attempt, () -> {}));
         String head = "want 00aa sort=report,patience=[0-9]+" + expectedField + ",band=2 8";
         assertTrue(request.matches(head + "\r\nselect 1\r\n"), request);
