--- a/src/main/java/lineward/discovery/AddressFileReader.java
+++ b/src/main/java/lineward/discovery/AddressFileReader.java
@@ -21,7 +21,7 @@
         /** The file has been read and contains this address. */
         void addressRead(String address);
 
-        /** The file can't be read or has no valid content. */
+        /** The file can't be read or its content is invalid. */
         void readFailed(String reason);
     }
 
@@ -32,8 +32,8 @@
     /**
      * Creates a reader.
      *
-     * @param file reads the file and returns the address; throws a runtime exception with a one-line message
-     *     on failure
+     * @param file reads the file and returns the address; throws a runtime exception with a
+     *     one-line message on failure
      */
     AddressFileReader(EventLoop loop, Supplier<String> file) {
         this.loop = loop;
--- a/src/main/java/lineward/discovery/EndpointList.java
+++ b/src/main/java/lineward/discovery/EndpointList.java
@@ -21,7 +21,7 @@
          * An update was applied to the list.
          *
          * @param fullSnapshot whether engines without an entry are gone
-         * @param entries the entries of the update, with all fields even if the update is incremental
+         * @param entries the entries of the update, complete even if the update contains only changed fields
          */
         void changed(boolean fullSnapshot, List<EngineEndpoint> entries);
     }
@@ -34,7 +34,7 @@
     /**
      * Creates an empty list.
      *
-     * @param kinds names of the machine kinds, in the order of the settings
+     * @param kinds names of the engine kinds, in the order of the settings
      * @param zones names of the zones, in the order of the settings
      */
     public EndpointList(List<String> kinds, List<String> zones, Listener listener) {
--- a/src/main/java/lineward/engine/Rows.java
+++ b/src/main/java/lineward/engine/Rows.java
@@ -4,12 +4,12 @@
 import io.netty.util.ByteProcessor;
 
 /**
- * Checks that a page consists of complete rows of three tab-separated columns, without control characters and
- * bytes that are invalid in UTF-8, so that no corrupt data is sent to clients.
+ * Checks that a page consists of complete rows of three tab-separated columns, without other control
+ * characters and bytes that never occur in UTF-8, so that no corrupt data is sent to clients.
  */
 final class Rows implements ByteProcessor {
     private static final int TABS_PER_ROW = 2;
-    // Bytes that never occur in UTF-8: two lead bytes of overlong encodings, and BEYOND_UNICODE and above.
+    // Bytes that never occur in UTF-8: two lead bytes of overlong encodings, and all from the third value on.
     private static final int OVERLONG = 0xc0;
     private static final int OVERLONG_ASCII = 0xc1;
     private static final int BEYOND_UNICODE = 0xf5;
@@ -19,7 +19,7 @@
 
     private Rows() {}
 
-    /** Returns whether the page consists of complete rows only. */
+    /** Returns whether the page consists only of complete rows without invalid bytes. */
     static boolean areComplete(ByteBuf page) {
         Rows rows = new Rows();
         return page.forEachByte(rows) < 0 && !rows.inRow;
--- a/src/test/java/lineward/engine/ProgressReportsTest.java
+++ b/src/test/java/lineward/engine/ProgressReportsTest.java
@@ -51,12 +51,13 @@
         assertEquals(listener.events, expected == null ? List.of() : List.of(expected + " " + value));
     }
 
-    /** A report may arrive after its attempt was cancelled. */
+    /** A report that the engine sent before it received the cancel may arrive after the attempt has ended. */
     @Test
     public void reportAfterTheEndIsIgnored() {
         RecordingListener listener = new RecordingListener();
-        QueryAttempt attempt = new QueryAttempt(
-                "00aa", "report", Unpooled.EMPTY_BUFFER, new QueryAttempt.Timing(1000, 1000), 0, 1, listener);
+        QueryAttempt.Timing timing = new QueryAttempt.Timing(1000, 1000);
+        ByteBuf statement = Unpooled.EMPTY_BUFFER;
+        QueryAttempt attempt = new QueryAttempt("00aa", "report", statement, timing, 0, 1, listener);
         Map<String, String> fields = Map.of("n", "done", "datum", "0.5");
         Reply report = new Reply("00aa", ReplyType.PROGRESS, fields, Unpooled.EMPTY_BUFFER);
         attempt.progressed(report);
