--- a/Makefile
+++ b/Makefile
@@ -6,29 +6,29 @@
 test:
 	mvn -B --no-transfer-progress verify
 
-# Formatter, compiler with Error Prone, Checkstyle, and the style test alone.
+# Checks the format, compiles with Error Prone and runs Checkstyle, but of the tests only StyleTest.
 lint:
 	mvn -B --no-transfer-progress -Dtest=StyleTest -Dsurefire.failIfNoSpecifiedTests=false verify
 
 format:
 	mvn -B --no-transfer-progress spotless:apply
 
-# A front end of the platform: RELAY_CONFIG names its configuration.
+# Runs a front end for the platform; RELAY_CONFIG names its configuration file.
 run: build
 	java -jar target/lineward.jar serve
 
-# The MySQL front before a toy server; see example/README.md.
+# Runs a MySQL front end with a toy engine; see example/README.md.
 example: build
 	sh example/run.sh
 
-# Spooled results in figures; BEFORE=JAR names an earlier version's jar, to compare with.
+# Measures spooled results; BEFORE=JAR names the jar of an earlier version for comparison.
 measure-spool: build
 	mvn -q -B test-compile dependency:build-classpath -Dmdep.outputFile=target/classpath
 	java -cp target/test-classes:target/classes:$$(cat target/classpath) lineward.mysql.MeasureSpool \
 		target/lineward.jar $(BEFORE)
 
-# Days of a whole fleet in simulated time, a zone lost and one cut off: served by class. FLEET="fronts engines zones
-# seeds load".
+# Simulates fleets with a failed zone and a partitioned zone, and prints the fraction of answered requests by class.
+# FLEET holds the numbers of front ends, engines, zones and seeds, and the load.
 FLEET ?= 93 37 4 3 0.65
 measure-fleet: build
 	mvn -q -B test-compile
