--- a/example/ToyServer.java
+++ b/example/ToyServer.java
@@ -13,18 +13,17 @@
 import java.util.List;
 
 /**
- * A toy MySQL engine on loopback: it lets everyone in and answers each text, prepared or not, with one row
- * that
- * repeats it.
+ * A toy MySQL engine on the loopback interface. It accepts every login and answers each statement, prepared
+ * or not, with one row that holds the first 250 bytes of its text.
  */
 public final class ToyServer {
     private ToyServer() {}
 
-    /** @param args the port */
+    /** @param args the port to listen on */
     public static void main(String[] args) throws IOException {
         int port = Integer.parseInt(args[0]);
         try (ServerSocket server = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"))) {
-            System.out.println("toy engine on 127.0.0.1:" + port);
+            System.out.println("toy engine listening: address=127.0.0.1:" + port);
             while (true) {
                 Socket socket = server.accept();
                 Thread session = new Thread(() -> serve(socket));
@@ -37,8 +36,8 @@
     private static void serve(Socket socket) {
         try (socket) {
             DataInputStream in = new DataInputStream(socket.getInputStream());
-            // An answer of several packets is one write: else each waits for the peer's word on the one
-            // before.
+            // The packets of an answer are buffered and written together, without Nagle's algorithm.
+            // Otherwise each packet would wait for the peer's acknowledgement of the one before.
             socket.setTcpNoDelay(true);
             OutputStream out = new BufferedOutputStream(socket.getOutputStream());
             send(
@@ -87,7 +86,7 @@
                 }
             }
         } catch (IOException e) {
-            System.out.println("a connection has ended");
+            System.out.println("connection closed");
         }
     }
 
