--- a/src/main/java/lineward/thrift/CallForwarder.java
+++ b/src/main/java/lineward/thrift/CallForwarder.java
@@ -22,7 +22,7 @@
     private final OpenCalls calls;
     private final Consumer<byte[]> peers;
 
-    /** @param services of which only the sender of gossip datagrams is used */
+    /** @param services used only for their sender of gossip datagrams */
     CallForwarder(CoordinatorDriver<Call> driver, EngineCluster engines, OpenCalls calls, Services services) {
         this.driver = driver;
         this.engines = engines;
--- a/src/main/java/lineward/thrift/CallIds.java
+++ b/src/main/java/lineward/thrift/CallIds.java
@@ -8,7 +8,10 @@
 
 /** The ids of open and recently ended calls, to detect duplicates. Used on the event loop only. */
 final class CallIds {
-    /** Clients use an id once: a call with the id of one that ended within this time is a duplicate. */
+    /**
+     * Time after the end of a call for which its id stays in use. Clients use each id only once, so another
+     * call with that id is a duplicate.
+     */
     private static final long QUARANTINE_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private record EndedId(String id, long endedAtNanos) {}
--- a/src/main/java/lineward/thrift/ClientHandler.java
+++ b/src/main/java/lineward/thrift/ClientHandler.java
@@ -23,7 +23,7 @@
 final class ClientHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private static final Logger LOGGER = LoggerFactory.getLogger(ClientHandler.class);
     private static final RateLimitedLog LOG = new RateLimitedLog(LOGGER);
-    /** Maximum of open calls per connection, including those whose response is being written. */
+    /** Maximum number of open calls on a connection, including those whose response is being written. */
     private static final int MAX_OPEN_CALLS = 32;
     /** Retry-After of a call that is rejected at admission. */
     private static final long RETRY_AFTER_MS = 500;
@@ -61,12 +61,12 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-        // One read may deliver more frames after the one on which this handler closed the connection.
+        // One read may deliver several frames, and an earlier one may have closed the connection.
         if (!ctx.channel().isActive()) {
             return;
         }
         receivedMessage = true;
-        // Bounds the memory taken by responses of a client that sends but does not read.
+        // Limits the memory for responses to a client that sends but does not read.
         if (unsentResponses >= MAX_OPEN_CALLS) {
             throw new DecoderException("client does not read: " + unsentResponses + " responses not written");
         }
@@ -96,8 +96,8 @@
     }
 
     /**
-     * Cancels an open call. The abort of a completed call has no effect; that of a call that was never made
-     * violates the protocol.
+     * Cancels an open call. The abort of a completed call has no effect. The abort of a call that was never
+     * received violates the protocol.
      */
     private void abort(OptionalInt sequenceNumber) {
         if (sequenceNumber.isEmpty() || sequenceNumber.getAsInt() > lastSequenceNumber) {
@@ -131,7 +131,7 @@
     }
 
     private void requireWithinLimits(int sequenceNumber) {
-        // Sequence numbers must increase: a reused one would make the responses ambiguous.
+        // Sequence numbers must increase: if one were reused, its responses would be ambiguous.
         if (sequenceNumber <= lastSequenceNumber) {
             throw new DecoderException("sequence number " + sequenceNumber + " is not above the last one");
         }
@@ -166,7 +166,7 @@
         return frameDecoder.isStalled(nanos);
     }
 
-    /** Returns whether no call is open or partly received, and all responses have been written. */
+    /** Returns whether no call is open, no frame partly received and no response still being written. */
     boolean isIdle() {
         return openCalls.isEmpty() && unsentResponses == 0 && !frameDecoder.hasPartialFrame();
     }
@@ -209,7 +209,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        LOG.info("client connection closed", "client", ctx.channel().remoteAddress(), cause);
+        LOG.info("client connection failed", "client", ctx.channel().remoteAddress(), cause);
         ChannelFuture unused = ctx.close();
     }
 
--- a/src/main/java/lineward/thrift/FrameDecoder.java
+++ b/src/main/java/lineward/thrift/FrameDecoder.java
@@ -6,8 +6,8 @@
 import java.util.OptionalLong;
 
 /**
- * Splits the bytes of a client into frames, and records since when a frame is incomplete. Runs on the event
- * loop of its channel.
+ * Splits the bytes of a client into frames, and tracks how long a frame has been incomplete. Runs on the
+ * event loop of its channel.
  */
 final class FrameDecoder extends LengthFieldBasedFrameDecoder {
     /** Maximum size of a client's frame, which holds a statement and its fields. */
--- a/src/main/java/lineward/thrift/OpenCalls.java
+++ b/src/main/java/lineward/thrift/OpenCalls.java
@@ -7,8 +7,8 @@
 import lineward.thrift.ThriftServer.Names;
 
 /**
- * Admits calls to the coordinator, and holds their statements and ids until they are complete. Used on the
- * event loop only.
+ * Validates calls and admits them to the coordinator. Holds the statement of an admitted call until the call
+ * is complete, and its id for the quarantine of {@link CallIds} after that. Used on the event loop only.
  */
 final class OpenCalls {
     private final Names names;
@@ -33,7 +33,7 @@
         admission.enter(next);
     }
 
-    /** Returns whether this front end accepts clients that can use another one. */
+    /** Returns whether clients that can choose among front ends should use this one. */
     boolean acceptsClients() {
         return admission.welcomesClients();
     }
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Admits the call and retains its statement; returns false if there is no capacity and the caller must
-     * reject it.
+     * Admits the call and retains its statement. Returns false if requests are not admitted or there is no
+     * capacity; the caller must then reject the call.
      */
     boolean admit(Call call) {
         if (!admitWithinBounds(call)) {
@@ -92,8 +92,9 @@
     }
 
     /**
-     * Releases the call's statement at once and its id after the quarantine. A completed call is ignored: a
-     * client may disconnect between the decision that its request has failed and the response.
+     * Releases the call's statement now, and its id after the quarantine. Has no effect on a completed call:
+     * if a client disconnects after the coordinator has failed its request but before the response is sent,
+     * both events complete the call.
      */
     void complete(Call call) {
         if (call.complete()) {
--- a/src/main/java/lineward/thrift/ProtocolWarmup.java
+++ b/src/main/java/lineward/thrift/ProtocolWarmup.java
@@ -14,12 +14,12 @@
 import lineward.thrift.ThriftServer.Services;
 
 /**
- * Warms up the JVM before the program listens: runs requests through a server without sockets or engines, so
- * that their code is loaded and compiled. This would otherwise delay the first request by many milliseconds.
+ * Runs requests through a server without sockets or engines before the program listens, so that the JVM loads
+ * and compiles the code. This would otherwise delay the first request by many milliseconds.
  */
 public final class ProtocolWarmup {
     private static final int REQUESTS = 60;
-    /** Below the maximum of open calls on a connection, as queued requests stay open. */
+    /** Below the maximum number of open calls on a connection, because queued requests stay open. */
     private static final int REQUESTS_PER_CONNECTION = 25;
 
     private static final int TIME_LEFT_MS = 2_000;
@@ -28,11 +28,11 @@
     private ProtocolWarmup() {}
 
     /**
-     * Runs all requests and returns. Called on the event loop.
+     * Runs the requests. Called once, on the event loop.
      *
      * @param coordinator used for the warm-up only
      * @param engines a cluster without engines, in which attempts end at once
-     * @param clock the time in milliseconds, never going back
+     * @param clock monotonic time in milliseconds
      */
     public static void run(
             ThriftServer.Names names,
--- a/src/main/java/lineward/thrift/ResponseSender.java
+++ b/src/main/java/lineward/thrift/ResponseSender.java
@@ -6,23 +6,29 @@
 import lineward.core.ByteBudget;
 import lineward.frontend.ClientRegistry;
 
-/** Sends responses, and bounds the bytes that clients have not read. Used on the event loop only. */
+/**
+ * Sends responses, and limits the bytes of those that are not completely written because clients do not read
+ * them. Used on the event loop only.
+ */
 final class ResponseSender {
     private final ClientRegistry<ClientHandler> clients;
     private final ByteBudget unreadBytes;
 
-    /** @param maxUnreadBytes maximum for all clients; beyond it the client with most of them is closed */
+    /** @param maxUnreadBytes total maximum; beyond it the client with the most unread bytes is closed */
     ResponseSender(ClientRegistry<ClientHandler> clients, long maxUnreadBytes) {
         this.clients = clients;
         this.unreadBytes = new ByteBudget(maxUnreadBytes);
     }
 
-    /** Returns the bytes of responses that clients have not read. */
+    /** Returns the bytes of responses that are not completely written. */
     long unreadBytes() {
         return unreadBytes.used();
     }
 
-    /** Sends the frame and takes ownership of it. Closes the client if the frame exceeds the bound. */
+    /**
+     * Sends the frame and takes ownership of it. If the frame would exceed the maximum, the client with the
+     * most unread bytes is closed; if that does not free enough, the frame is dropped and this client closed.
+     */
     void send(ClientHandler client, ByteBuf frame) {
         int bytes = frame.readableBytes();
         if (!reserve(client.channel(), bytes)) {
--- a/src/main/java/lineward/thrift/ThriftProtocol.java
+++ b/src/main/java/lineward/thrift/ThriftProtocol.java
@@ -58,9 +58,9 @@
     static final int RESULT_FIELDS = 2;
     static final int RESULT_OK = 3;
 
-    /** Field id of the struct of a declared exception. */
+    /** Field id in the struct of a declared exception: a map of strings. */
     static final int DECLARED_FIELDS = 1;
-    /** Field of a declared exception: the time in milliseconds after which the client should retry. */
+    /** Key in that map for the time in milliseconds after which the client should retry. */
     static final String RETRY_AFTER_FIELD = "pushback";
 
     /** Field ids of an application exception. */
--- a/src/main/java/lineward/thrift/ThriftReader.java
+++ b/src/main/java/lineward/thrift/ThriftReader.java
@@ -41,7 +41,7 @@
 
     private ThriftReader() {}
 
-    /** Returns the header of the message; its arguments follow. */
+    /** Reads the header of a message; the reader index is then at the arguments. */
     static Header readHeader(ByteBuf in) {
         try {
             int versionAndKind = in.readInt();
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Returns the arguments of an invocation; other arguments and fields are skipped. */
+    /** Reads the arguments of an invocation, and skips unknown arguments and fields. */
     static Invocation readInvocation(ByteBuf in) {
         Map<CallField, String> fields = Map.of();
         ByteBuf statement = null;
@@ -81,7 +81,7 @@
         return new Invocation(fields, statement);
     }
 
-    /** Returns the sequence number of the call that an abort cancels; empty if it is absent. */
+    /** Reads the sequence number of the call that an abort cancels; empty if it is absent. */
     static OptionalInt readAbortedSequenceNumber(ByteBuf in) {
         OptionalInt found = OptionalInt.empty();
         try {
@@ -100,7 +100,7 @@
         return found;
     }
 
-    /** Rejects trailing bytes: they show a wrong length, although the arguments themselves are valid. */
+    /** Rejects trailing bytes: they show that a length is wrong, although the arguments were decoded. */
     private static void requireEnd(ByteBuf in) {
         if (in.isReadable()) {
             throw new CorruptedFrameException(in.readableBytes() + " bytes after the arguments");
@@ -114,7 +114,7 @@
         boolean ofStrings = keyType == ThriftProtocol.STRING && valueType == ThriftProtocol.STRING;
         boolean sizeInRange = size >= 0 && size <= MAX_CALL_FIELDS;
         if (!sizeInRange || (size > 0 && !ofStrings)) {
-            throw new CorruptedFrameException("fields are no map of up to " + MAX_CALL_FIELDS + " strings");
+            throw new CorruptedFrameException("not a map of at most " + MAX_CALL_FIELDS + " string fields");
         }
         Map<CallField, String> fields = new EnumMap<>(CallField.class);
         for (int i = 0; i < size; i++) {
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -28,18 +28,28 @@
  */
 public final class ThriftServer implements ProtocolServer {
     private static final int LISTEN_BACKLOG = 1024;
-    /** Sizes of a read, of which each connection gets one per event loop run, so that none starves others. */
+    /**
+     * Sizes of the buffer for one read from a client. Each connection is read once per event loop iteration,
+     * so that no client starves the others.
+     */
     private static final int MIN_READ_BYTES = 512;
 
     private static final int INITIAL_READ_BYTES = 2 * 1024;
     private static final int MAX_READ_BYTES = 16 * 1024;
-    /** A client that sends nothing for this time after connecting, or within a frame, is closed. */
+    /**
+     * A connection is closed if no request arrives within this time after it was opened, or if a frame stays
+     * incomplete for this time.
+     */
     private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
-    /** Time for writing the last responses at shutdown; it ends before the process is killed. */
+    /**
+     * Time for writing the last responses after {@link #failOpenRequests}, before all connections are closed.
+     * It ends before the process is killed.
+     */
     private static final long FLUSH_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
     /**
-     * Names and deadlines, in the order of the settings.
+     * The names and deadlines against which requests are validated. The lists are in the order of the
+     * settings, because the scheduler identifies classes and tenants by their index.
      *
      * @param classes names of the request classes
      * @param tenants names of the tenants
@@ -48,19 +58,19 @@
     public record Names(List<String> classes, List<String> tenants, List<Double> deadlines) {}
 
     /**
-     * Bounds of the resources that clients use.
+     * Limits on the resources that clients use.
      *
-     * @param clients maximum of client connections
+     * @param clients maximum number of client connections
      * @param statementBytes maximum bytes of the statements of open requests; further requests are rejected
-     * @param unreadBytes maximum bytes of responses that clients have not read; beyond it the client with
-     *     most unread bytes is closed
+     * @param unreadBytes maximum bytes of responses that are not completely written, because clients do not
+     *     read them; beyond it the client with the most such bytes is closed
      */
     public record Bounds(int clients, long statementBytes, long unreadBytes) {}
 
     /**
      * The services of the program that the server uses.
      *
-     * @param clock the time in milliseconds, never going back
+     * @param clock monotonic time in milliseconds
      * @param tick schedules a call of {@link ThriftServer#tick}
      * @param metrics counts the requests that end before the coordinator has admitted them
      * @param gossip sends a datagram to the other front ends
@@ -74,12 +84,12 @@
     private final OpenCalls calls;
     private final ResponseSender responses;
     private final CallForwarder forwarder;
-    /** Null until {@link #listen}. */
+    /** Null until {@link #listen} is called. */
     private Channel listeningChannel;
 
     private OptionalLong openRequestsFailedAtNanos = OptionalLong.empty();
 
-    /** Creates the server from the single services of the program. */
+    /** Creates the server from the components of {@link Services}. */
     public ThriftServer( // CHECKSTYLE:OFF ParameterNumber: the program's wiring calls it
             Names names,
             Bounds bounds,
--- a/src/main/java/lineward/thrift/ThriftValues.java
+++ b/src/main/java/lineward/thrift/ThriftValues.java
@@ -7,7 +7,7 @@
 final class ThriftValues {
     private static final int MAX_NESTING = 32;
     private static final int FIELD_ID_BYTES = 2;
-    /** Value type that marks a collection that is not a map. */
+    /** Stands for the value type of a collection that is not a map. */
     private static final byte NO_VALUES = ThriftProtocol.STOP;
 
     private ThriftValues() {}
--- a/src/main/java/lineward/thrift/ThriftWriter.java
+++ b/src/main/java/lineward/thrift/ThriftWriter.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import lineward.core.Command;
 
-/** Encodes the messages of the platform's service as frames, which the caller owns. */
+/** Encodes the messages of the platform's service as frames. The caller owns the returned buffers. */
 final class ThriftWriter {
     private static final int FRAME_LENGTH_BYTES = 4;
     /** Parts of the frame of a result: header, result and trailer. */
@@ -27,7 +27,7 @@
         return framed(frame);
     }
 
-    /** Returns a request as a client encodes it. */
+    /** Returns a request in the encoding of a client, for the warm-up. */
     static ByteBuf invocation(
             ByteBufAllocator alloc, int sequenceNumber, Map<CallField, String> fields, String statement) {
         Map<String, String> wireFields = new HashMap<>();
@@ -112,6 +112,7 @@
 
     private static ByteBuf begin(ByteBufAllocator alloc, int messageKind, String method, int sequenceNumber) {
         ByteBuf buffer = alloc.buffer();
+        // The first word is the length of the frame, which framed() sets.
         buffer.writeInt(0).writeInt(ThriftProtocol.VERSION | messageKind);
         writeString(buffer, method);
         return buffer.writeInt(sequenceNumber);
