--- a/src/test/java/lineward/testing/Answer.java
+++ b/src/test/java/lineward/testing/Answer.java
@@ -10,6 +10,7 @@
  * @param field id of the field that is set: 0 for a result, 1 if rejected, 2 if failed, -1 for an exception
  * @param body text of the result or of the application exception
  * @param fields fields of the result or of the declared exception
- * @param good flag of the result
+ * @param good flag of the result: whether the request was served or, of a ping, whether clients should use
+ *     this front end
  */
 public record Answer(int seqid, int kind, int field, String body, Map<String, String> fields, boolean good) {}
--- a/src/test/java/lineward/testing/EngineBehavior.java
+++ b/src/test/java/lineward/testing/EngineBehavior.java
@@ -3,6 +3,7 @@
 /** How a {@link TestingEngine} responds to requests. */
 public enum EngineBehavior {
     SERVE,
+    /** Responds to pings, but not to requests. */
     NO_RESPONSE,
     ERROR,
     REJECT,
@@ -20,7 +21,7 @@
     /** Sends a control character within a row. */
     CONTROL_CHARACTER,
     MISSING_PAGE_COUNT,
-    /** Sends less than the announced length of the reply. */
+    /** Sends less than the announced length of the reply, and responds to no later pings. */
     TRUNCATED_REPLY,
     /** Resets a limited number of connections, and serves all later requests. */
     RESET_LIMITED,
@@ -32,9 +33,9 @@
     /** Resets the connection before it has read the body of the request. */
     RESET_MID_REQUEST,
     CLOSE,
-    /** Rejects a request, and rejects it again when its next attempt arrives. */
+    /** Rejects a request, rejects it again when its next attempt arrives, and then serves that attempt. */
     REJECT_TWICE,
-    /** Sends a reply that exceeds its announced length and never ends. */
+    /** Sends a reply that exceeds its announced length, and responds to no later pings. */
     ENDLESS_REPLY,
     /** Sends the result after the request has been cancelled. */
     RESPOND_AFTER_CANCEL
--- a/src/test/java/lineward/testing/FullBacklogListener.java
+++ b/src/test/java/lineward/testing/FullBacklogListener.java
@@ -13,7 +13,9 @@
 
 /** An engine's listening socket whose backlog is full: no connection is established until {@link #open}. */
 public final class FullBacklogListener implements AutoCloseable {
+    /** Time after which a connect that has not succeeded shows that the backlog is full. */
     private static final int CONNECTS_MS = 200;
+
     private static final String SYN_SENT = "02";
 
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
--- a/src/test/java/lineward/testing/TestingClient.java
+++ b/src/test/java/lineward/testing/TestingClient.java
@@ -127,7 +127,7 @@
         out.write(bytes);
     }
 
-    /** Returns whether the server closes the connection before it responds and before the timeout. */
+    /** Returns whether the server closes the connection without a response, within the socket's timeout. */
     public boolean isClosed() throws IOException {
         try {
             return in.read() < 0;
--- a/src/test/java/lineward/testing/TestingEngine.java
+++ b/src/test/java/lineward/testing/TestingEngine.java
@@ -43,7 +43,7 @@
     private volatile EngineBehavior behavior = EngineBehavior.SERVE;
     /** Number of received requests that the behavior has not handled yet. */
     private final AtomicInteger unhandled = new AtomicInteger();
-    /** Number of connections to reset before the engine serves again. */
+    /** Number of connections that {@link EngineBehavior#RESET_LIMITED} still resets. */
     private final AtomicInteger resetsLeft = new AtomicInteger();
 
     /** Creates an engine on a free port. */
@@ -336,7 +336,7 @@
     public void close() throws IOException {
         server.close();
         try {
-            // The port stays in use until accept returns; a new engine could not bind it before.
+            // The port stays in use until accept returns; no other engine could bind it before.
             acceptor.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/test/java/lineward/testing/TestingLineProtocol.java
+++ b/src/test/java/lineward/testing/TestingLineProtocol.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The codec of {@link TestingEngine}: the only place in the tests with the names of the line protocol. */
+/** The codec of {@link TestingEngine}, with the tokens of the line protocol. */
 public final class TestingLineProtocol {
     static final String START_QUERY = "want";
     static final String CANCEL_QUERY = "never_mind";
--- a/src/test/java/lineward/testing/TestingPlatform.java
+++ b/src/test/java/lineward/testing/TestingPlatform.java
@@ -54,7 +54,11 @@
         this(environment, activator, fronts, engines, sockets, text -> text);
     }
 
-    /** @param engines number of endpoints: s-1, s-2 and so on, which lead to both engines by turns */
+    /**
+     * @param fronts number of front ends according to the settings
+     * @param engines number of endpoints: s-1, s-2 and so on, whose addresses alternate between two engines
+     * @param sockets maximum number of the program's file descriptors
+     */
     private TestingPlatform(
             Map<String, String> environment,
             SocketActivator activator,
@@ -155,7 +159,7 @@
         return new TestingClient(activator == null ? program.port() : activator.port());
     }
 
-    /** Sends requests that are served, and one that is rejected as its time left is too short. */
+    /** Sends requests that are served, and one that is rejected because its time left is too short. */
     public void exercise(int served) throws IOException {
         try (TestingClient client = client()) {
             for (int i = 0; i < served; i++) {
--- a/src/test/java/lineward/testing/package-info.java
+++ b/src/test/java/lineward/testing/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Fake servers and clients for tests with real sockets and processes: engines, a service discovery, the
- * program as a child process, and clients of its protocols. The names of the wire protocols are in
- * {@link lineward.testing.TestingLineProtocol} and {@link lineward.testing.RequestFields}.
+ * Fixtures for tests with real sockets and processes: fake engines, a fake service discovery, the program as
+ * a child process, and clients of its protocols. {@link lineward.testing.TestingLineProtocol} and {@link
+ * lineward.testing.RequestFields} contain the names of the wire protocols.
  */
 package lineward.testing;
--- a/src/test/java/lineward/thrift/ClientDisconnectTest.java
+++ b/src/test/java/lineward/thrift/ClientDisconnectTest.java
@@ -45,7 +45,7 @@
         return new Object[][] {{Disconnect.FIN}, {Disconnect.RESET}, {Disconnect.ABORT}};
     }
 
-    /** Disconnects, and pings from another client until the program must have processed the disconnect. */
+    /** Disconnects. Two pings from another client show that the program has processed the disconnect. */
     private void go(TestingClient client, int seqid, Disconnect how) throws IOException {
         Socket socket = client.socket();
         switch (how) {
@@ -62,7 +62,10 @@
         }
     }
 
-    /** Sends a request, which is served after all others that could be forwarded, and returns its id. */
+    /**
+     * Sends another request and returns its id once it is served. Every earlier request that can be forwarded
+     * has been forwarded by then.
+     */
     private String serveAnother() throws IOException {
         try (TestingClient other = platform.client()) {
             Map<String, String> fields = TestingClient.fields(9000);
@@ -121,8 +124,8 @@
         try (TestingClient client = platform.client()) {
             Map<String, String> fields = TestingClient.fields(9000);
             int seqid = client.send(fields, "select 1");
-            Program.await("the engine has received it", () -> drained.getCount() == 0);
-            Program.await("its attempt has ended", () -> open() == 1 && enginesAreIdle());
+            Program.await("an engine has received the request", () -> drained.getCount() == 0);
+            Program.await("the attempt has ended", () -> open() == 1 && enginesAreIdle());
             go(client, seqid, how);
             platform.setBehavior(EngineBehavior.SERVE);
             platform.first().onRequest(() -> {});
@@ -165,10 +168,10 @@
             }
             Map<String, String> last = TestingClient.fields(9000);
             int seqid = client.send(last, "select 1");
-            assertTrue(client.callMethod("ping").good(), "all are admitted");
+            assertTrue(client.callMethod("ping").good(), "all requests are admitted");
             go(client, seqid, how);
             int out = ProgramMetrics.read(platform.program()).get("edge_relay_relayed_total");
-            assertTrue(out > 0 && out < MAX_OPEN_CALLS, out + " are forwarded, the others queued");
+            assertTrue(out > 0 && out < MAX_OPEN_CALLS, out + " requests are forwarded, the others queued");
             Program.await("the engines have received them", () -> platform.requests() == out);
             platform.setBehavior(EngineBehavior.SERVE);
             String next = serveAnother();
@@ -190,12 +193,12 @@
                 assertTrue(i < 200, "the buffers must be full by now");
                 client.send(TestingClient.fields(9000), "select 1");
                 int asked = i;
-                Program.await("it is served", () -> platform.requests() >= asked && open() == 0);
+                Program.await("the request is served", () -> platform.requests() >= asked && open() == 0);
             }
             platform.publishBoth("draining");
             Map<String, String> last = TestingClient.fields(9000);
             int seqid = client.send(last, "select 1");
-            Program.await("it is admitted", () -> open() == 1);
+            Program.await("the request is admitted", () -> open() == 1);
             go(client, seqid, how);
             platform.setBehavior(EngineBehavior.SERVE);
             platform.publishBoth("ready");
--- a/src/test/java/lineward/thrift/EndpointListPollTest.java
+++ b/src/test/java/lineward/thrift/EndpointListPollTest.java
@@ -19,7 +19,7 @@
     /** The front end must apply an event within this time; the grace period of a drain is 1 s. */
     private static final long MAX_NOTIFICATION_MS = 7000;
 
-    /** The open poll gets neither a response nor a close. Then an engine starts to drain. */
+    /** An engine starts to drain while the open poll gets neither a response nor a close. */
     @Test
     public void receivesADrainInTimeAfterAnUnresponsivePoll() throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of())) {
@@ -97,7 +97,7 @@
                     other.publish(false, platform.engines(1, 1, "gone"));
                     other.setBroken(false);
                     other.setUnresponsive(false);
-                    Program.await("it has received the event", () -> other.lastDelivered() == 2);
+                    Program.await("the program has received the event", () -> other.lastDelivered() == 2);
                 }
             }
         }
--- a/src/test/java/lineward/thrift/EngineConnectionTest.java
+++ b/src/test/java/lineward/thrift/EngineConnectionTest.java
@@ -130,7 +130,10 @@
         return new Object[][] {{"draining"}, {"gone"}};
     }
 
-    /** A connection that comes up late must not carry the request to a draining engine or its successor. */
+    /**
+     * A connection that is established late must not carry the request to a draining engine, or to another
+     * engine at the same address.
+     */
     @Test(dataProvider = "leavingStates")
     public void migratesARequestThatAwaitsAConnectionOfALeavingEngine(String state) throws IOException {
         platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
@@ -150,7 +153,7 @@
             Map<String, String> fields = TestingClient.fields(9000);
             assertEquals(caller.call(fields, "select 2").body(), ROWS);
             String id = fields.get(RequestFields.REQUEST_ID);
-            assertEquals(engine.requestIds(), List.of(id), "it gets its own request only");
+            assertEquals(engine.requestIds(), List.of(id), "the new engine gets only its own request");
         }
     }
 
--- a/src/test/java/lineward/thrift/InvalidClientTest.java
+++ b/src/test/java/lineward/thrift/InvalidClientTest.java
@@ -89,7 +89,7 @@
         }
     }
 
-    /** What clients send that violate the protocol. The program must soon close their connections. */
+    /** Clients that violate the protocol; the program must close their connections. */
     @DataProvider
     public Object[][] invalidClients() {
         InvalidClient silent = caller -> {};
@@ -149,7 +149,7 @@
                 assertEquals(call(caller, 2000).field(), SERVED);
             }
             all.get(0).send(TestingClient.fields(2000), "select 1");
-            assertTrue(all.get(0).isClosed(), "it was idle longest");
+            assertTrue(all.get(0).isClosed(), "the connection that was idle longest is closed");
         } finally {
             for (TestingClient caller : all) {
                 caller.close();
--- a/src/test/java/lineward/thrift/LargeFleetTest.java
+++ b/src/test/java/lineward/thrift/LargeFleetTest.java
@@ -57,7 +57,7 @@
             platform.configure(next);
             program.hangUp();
             awaitEngines(program, engines);
-            assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "by the new list");
+            assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "after the reload");
         }
     }
 
--- a/src/test/java/lineward/thrift/MaintenanceTest.java
+++ b/src/test/java/lineward/thrift/MaintenanceTest.java
@@ -49,7 +49,7 @@
             for (String state : new String[] {"gone", "ready"}) {
                 platform.discovery().publish(false, id, "" + used.port(), state);
                 long polls = platform.discovery().polls();
-                Program.await("the event arrived", () -> platform.discovery().polls() > polls + 1);
+                Program.await("the event has been received", () -> platform.discovery().polls() > polls + 1);
                 serve(platform, 30);
             }
             assertEquals(used.requests(), before);
@@ -80,7 +80,7 @@
                         () -> platform.program().log().contains("engine maintenance started: engine=s-2")
                                 && platform.program().log().contains("engine maintenance ended: engine=s-1"));
                 platform.program().terminate();
-                Program.await("the old one exits", () -> !platform.program().isAlive());
+                Program.await("the old process exits", () -> !platform.program().isAlive());
                 serve(platform, 20);
                 assertEquals(platform.second().requests(), 0);
                 assertEquals(platform.first().requests(), 20);
--- a/src/test/java/lineward/thrift/OverloadTest.java
+++ b/src/test/java/lineward/thrift/OverloadTest.java
@@ -24,7 +24,7 @@
     private static final int FRAMES = 5000;
     private static final int MAX_OPEN_CALLS = 32;
     private static final int SOCKETS = 256;
-    /** Maximum of the descriptors for clients and engines; the rest is reserved for the program itself. */
+    /** Maximum percentage of the descriptors for clients and engines; the program itself uses the rest. */
     private static final int MAX_PERCENT = 85;
 
     private static final String LIMITS = "-Xmx64m -Xss512k -XX:MaxMetaspaceSize=48m";
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/PlatformRulesTest.java
@@ -130,7 +130,7 @@
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         caller.send(TestingClient.fields(2400), "select 1");
         caller.send(TestingClient.fields(2400), "select 1");
-        Program.await("each engine runs one", this::oneRunsAtEach);
+        Program.await("each engine runs one request", this::oneRunsAtEach);
     }
 
     private static void serveAtOnce(TestingClient caller, int many) throws IOException {
@@ -150,7 +150,7 @@
             platform.second().setBehavior(EngineBehavior.SERVE);
             platform.first().setBehavior(EngineBehavior.MALFORMED_REPLY_ONCE);
             serveAtOnce(caller, 6);
-            assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "one got the malformed reply");
+            assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "the malformed reply was sent");
             String first = platform.first().receivedLines().get(0).split(" ", -1)[1];
             assertEquals(platform.second().requests(first) + platform.first().cancels(), 0);
         }
@@ -332,7 +332,7 @@
         try (TestingClient open = platform.client()) {
             assertTrue(open.callMethod("ping").good());
             platform.program().terminate();
-            Program.await("it shuts down", () -> platform.program().log().contains("SIGTERM"));
+            Program.await("the shutdown has started", () -> platform.program().log().contains("SIGTERM"));
             try (TestingClient late = platform.client()) {
                 assertEquals(call(late, 2000).field(), SERVED);
                 assertFalse(late.callMethod("ping").good());
--- a/src/test/java/lineward/thrift/ShutdownSignalTest.java
+++ b/src/test/java/lineward/thrift/ShutdownSignalTest.java
@@ -27,7 +27,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Signals and shutdowns that coincide with requests. Tests wait at set points to force the order. */
+/** Signals and shutdowns that coincide with requests. The tests wait for conditions to force the order. */
 public class ShutdownSignalTest {
     private static final int SERVED = 0;
     private static final int FAILED = 2;
@@ -61,7 +61,7 @@
             byte[] frame = caller.encode(TestingClient.fields(2000), "select 1");
             caller.sendRaw(Arrays.copyOf(frame, frame.length / 2));
             platform.program().terminate();
-            Program.await("it accepts no connections", () -> !isListening());
+            Program.await("the program accepts no connections", () -> !isListening());
             caller.sendRaw(Arrays.copyOfRange(frame, frame.length / 2, frame.length));
             assertEquals(caller.read().field(), SERVED);
             assertEquals(platform.program().status(), 0);
@@ -77,11 +77,11 @@
             Program.await("the request runs", () -> platform.requests() == 1);
             platform.program().hangUp();
             platform.program().terminate();
-            Program.await("it shuts down", () -> platform.program().log().contains("SIGTERM"));
+            Program.await("the shutdown has started", () -> platform.program().log().contains("SIGTERM"));
             platform.program().terminate();
             platform.program().hangUp();
             assertEquals(caller.read().field(), FAILED, "the final response");
-            assertTrue(caller.isClosed(), "nothing follows");
+            assertTrue(caller.isClosed(), "closed without a second response");
             assertEquals(platform.program().status(), 0);
         }
     }
@@ -135,7 +135,7 @@
             assertThrows(EOFException.class, caller::read);
             caller.send(TestingClient.fields(2000), "select 1");
             assertEquals(operator.post("/ops/drain/stop", "").status(), 200);
-            assertEquals(other.isClosed(), true, "it was idle too");
+            assertEquals(other.isClosed(), true, "the other idle connection is closed");
             try (TestingClient next = platform.client()) {
                 assertEquals(next.call(TestingClient.fields(2000), "select 2").field(), SERVED);
             }
@@ -143,7 +143,7 @@
         }
     }
 
-    /** The start is held at the point where it reads its configuration. */
+    /** A named pipe holds the start at the point where the program reads its configuration. */
     @Test
     public void handlesSignalsDuringTheStart() throws Exception {
         Path folder = Files.createTempDirectory("start");
