--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -61,9 +61,9 @@
      * Limits on the resources that clients use.
      *
      * @param clients maximum number of client connections
-     * @param statementBytes maximum bytes of the statements of open requests; further requests are rejected
-     * @param unreadBytes maximum bytes of responses that are not completely written, because clients do not
-     *     read them; beyond it the client with the most such bytes is closed
+     * @param statementBytes maximum bytes of the statements of open requests; others are rejected
+     * @param unreadBytes maximum bytes of responses that are not completely written, because clients do
+     *     not read them; beyond it the client with the most such bytes is closed
      */
     public record Bounds(int clients, long statementBytes, long unreadBytes) {}
 
--- a/src/test/java/lineward/testing/Answer.java
+++ b/src/test/java/lineward/testing/Answer.java
@@ -7,7 +7,7 @@
  *
  * @param seqid sequence number of the request
  * @param kind type of the message: 2 for a reply, 3 for an application exception
- * @param field id of the field that is set: 0 for a result, 1 if rejected, 2 if failed, -1 for an exception
+ * @param field id of the field that is set: 0 if served, 1 if rejected, 2 if failed, otherwise -1
  * @param body text of the result or of the application exception
  * @param fields fields of the result or of the declared exception
  * @param good flag of the result: whether the request was served or, of a ping, whether clients should use
--- a/src/test/java/lineward/testing/TestingPlatform.java
+++ b/src/test/java/lineward/testing/TestingPlatform.java
@@ -56,7 +56,7 @@
 
     /**
      * @param fronts number of front ends according to the settings
-     * @param engines number of endpoints: s-1, s-2 and so on, whose addresses alternate between two engines
+     * @param engines number of endpoints: s-1, s-2 and so on, which alternate between the two engines
      * @param sockets maximum number of the program's file descriptors
      */
     private TestingPlatform(
--- a/src/test/java/lineward/thrift/ClientDisconnectTest.java
+++ b/src/test/java/lineward/thrift/ClientDisconnectTest.java
@@ -177,7 +177,7 @@
             String next = serveAnother();
             assertFalse(ids().contains(last.get(RequestFields.REQUEST_ID)));
             if (how != Disconnect.ABORT) {
-                assertEquals(ids().size(), out + 1, "no other queued request was forwarded");
+                assertEquals(ids().size(), out + 1, "no other request was forwarded");
             }
             assertTrue(ids().contains(next));
         }
@@ -193,7 +193,7 @@
                 assertTrue(i < 200, "the buffers must be full by now");
                 client.send(TestingClient.fields(9000), "select 1");
                 int asked = i;
-                Program.await("the request is served", () -> platform.requests() >= asked && open() == 0);
+                Program.await("request served", () -> platform.requests() >= asked && open() == 0);
             }
             platform.publishBoth("draining");
             Map<String, String> last = TestingClient.fields(9000);
--- a/src/test/java/lineward/thrift/LargeFleetTest.java
+++ b/src/test/java/lineward/thrift/LargeFleetTest.java
@@ -33,7 +33,7 @@
                 TestingServiceDiscovery next = new TestingServiceDiscovery()) {
             Program program = platform.program();
             for (int i = 1; i <= 2 * SOCKETS; i++) {
-                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "request " + i);
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "no. " + i);
             }
             // A few attempts are cancelled and relaunched.
             int attempts = ProgramMetrics.read(program).get("edge_relay_relayed_total");
@@ -57,7 +57,7 @@
             platform.configure(next);
             program.hangUp();
             awaitEngines(program, engines);
-            assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "after the reload");
+            assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "after reload");
         }
     }
 
--- a/src/test/java/lineward/thrift/MaintenanceTest.java
+++ b/src/test/java/lineward/thrift/MaintenanceTest.java
@@ -56,7 +56,7 @@
             assertEquals(operator.post(UP, id).status(), 200);
             long start = System.nanoTime();
             serve(platform, 1);
-            assertEquals(used.requests(), before + 1, "the first request goes to the engine");
+            assertEquals(used.requests(), before + 1, "the released engine serves it");
             assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(5));
             assertEquals((int) ProgramMetrics.read(platform.program()).get("edge_relay_out_of_rotation"), 0);
         }
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/PlatformRulesTest.java
@@ -198,7 +198,7 @@
             Answer answer = call(caller, 800);
             assertEquals(answer.field(), REJECTED);
             assertTrue(Integer.parseInt(answer.fields().get(RequestFields.RETRY_AFTER_MS)) > 0);
-            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(850), "rejected in time");
+            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(850), "rejected late");
         }
     }
 
--- a/src/test/java/lineward/thrift/ShutdownSignalTest.java
+++ b/src/test/java/lineward/thrift/ShutdownSignalTest.java
@@ -101,7 +101,7 @@
             long start = System.nanoTime();
             platform.program().terminate();
             assertEquals(platform.program().status(), 0);
-            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(3700), "before SIGKILL");
+            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(3700), "exits in time");
         }
     }
 
