--- a/src/main/java/lineward/mysql/MysqlConfig.java
+++ b/src/main/java/lineward/mysql/MysqlConfig.java
@@ -23,22 +23,22 @@
         Spooling spool) {
 
     /**
-     * Settings of the spool for results.
+     * Settings of the result spool.
      *
-     * @param folder null: results are spooled in memory only
+     * @param folder directory for the spool's files; null: results are spooled in memory only
      */
     public record Spooling(SpoolLimits limits, Path folder) {}
 
     /**
-     * Limits of connections, statements and packets.
+     * Limits and timeouts of connections and statements.
      *
-     * @param maxClients maximum of client connections; further ones are rejected with an error
-     * @param maxPacket largest payload of a client's packet, in bytes
-     * @param maxStatements maximum of prepared statements of one client
-     * @param connectionsPerEngine maximum of connections to one engine
-     * @param connectTimeoutMs timeout for opening a connection to an engine, and for the login on it
-     * @param idleMs time without use after which a connection to an engine is closed
-     * @param maxAttempts maximum of attempts for a statement that may be retried
+     * @param maxClients maximum number of client connections; further ones are rejected with an error
+     * @param maxPacket maximum payload of a packet from a client, in bytes
+     * @param maxStatements maximum number of prepared statements of one client
+     * @param connectionsPerEngine maximum number of connections to one engine for attempts
+     * @param connectTimeoutMs timeout for opening a connection to an engine and completing its login
+     * @param idleMs idle timeout of a connection to an engine
+     * @param maxAttempts maximum number of attempts for a statement that may be retried
      */
     public record Bounds(
             int maxClients,
@@ -52,11 +52,12 @@
     /**
      * A class of statements.
      *
-     * @param match pattern that is searched in a statement; a statement has the first class that matches
+     * @param match regular expression that is searched for in the text of a statement; a statement belongs to
+     *     the first class whose expression is found
      * @param latencyObjectiveMs latency objective of a statement
-     * @param deadlineMs time after which a statement is answered with an error
-     * @param priorityWeight priority weight relative to other classes
-     * @param threads threads of an engine that a statement uses
+     * @param deadlineMs time after which a statement that is not completed is answered with an error
+     * @param priorityWeight priority weight of a statement relative to those of other classes
+     * @param threads number of engine threads that a statement uses
      */
     public record QueryClass(
             String name,
@@ -66,7 +67,7 @@
             double priorityWeight,
             int threads) {}
 
-    /** Returns the index of a statement's class; the last class is the default, whatever its pattern. */
+    /** Returns the index of a statement's class. The last class is the default; its pattern is ignored. */
     int classIndexOf(String text) {
         for (int i = 0; i < classes.size() - 1; i++) {
             if (classes.get(i).match().matcher(text).find()) {
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -34,15 +34,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The MySQL front end: clients and engines use the MySQL protocol, and a separate coordinator schedules the
- * queries. Confined to the event loop, except for its construction.
+ * The server of the MySQL front end. It uses the MySQL protocol with clients and engines, and has its own
+ * coordinator, which schedules the queries. Confined to the event loop, except for its construction.
  */
 public final class MysqlServer implements Forwarder<Query>, ProtocolServer {
-    /** Longest duration of a cancellation: the time for the reply to a killed statement, with a margin. */
+    /** Maximum duration of a cancel: the timeout for the reply to a killed statement, plus a margin. */
     public static final double CANCEL_LIMIT_MS = 500;
 
     private static final Logger LOG = LoggerFactory.getLogger(MysqlServer.class);
-    /** Limit on the total size of the texts of all clients' prepared statements. */
+    /** Maximum total size of the texts of the prepared statements of all clients. */
     private static final long MAX_STATEMENT_TEXT_BYTES = 8L << 20;
 
     private final MysqlConfig config;
@@ -59,10 +59,10 @@
     /**
      * Creates a server that does not listen yet and has no engines.
      *
-     * @param clock the time in milliseconds
-     * @param tickRequest is called when the coordinator has events to decide on
-     * @param metrics counts queries that are rejected before they reach the coordinator
-     * @param spool stores results that are long, that have a key, or that a cursor reads
+     * @param clock monotonic time in milliseconds
+     * @param tickRequest schedules a call of {@link #tick}; called when the coordinator has new events
+     * @param metrics counts attempts sent to engines, and queries rejected before they reach the coordinator
+     * @param spool stores results that are long, have a key, or are read by a cursor
      */
     public MysqlServer(
             EventLoopGroup loop,
@@ -141,7 +141,10 @@
         pools.closeIdleSince(System.nanoTime() - idleNanos);
     }
 
-    /** Requests are rejected in phase REJECTING only; the protocol has no message that announces a drain. */
+    /**
+     * Requests are rejected in phase REJECTING only. In phase DRAINING clients are not asked to leave, because
+     * the MySQL protocol has no message for that.
+     */
     @Override
     public void setAdmission(ServerAdmissionPolicy.Phase next) {
         if (admission.welcomesClients() && next != ServerAdmissionPolicy.Phase.OPEN) {
--- a/src/main/java/lineward/mysql/session/ClientStatement.java
+++ b/src/main/java/lineward/mysql/session/ClientStatement.java
@@ -24,7 +24,7 @@
     /** Types of the parameters; null until the client sends them with an execution. */
     private byte[] types;
 
-    /** @param reservedBytes bytes of the text that count against the limit for all clients */
+    /** @param reservedBytes bytes that are reserved for the text in the budget of all clients */
     ClientStatement(String schema, SpoolHint hint, int parameterCount, int reservedBytes) {
         this.schema = schema;
         this.hint = hint;
@@ -92,9 +92,9 @@
     }
 
     /**
-     * Returns the execution with these arguments, and discards the long parameters. A client may send the
-     * types of the parameters only once; they are added to every execution, as it may be the first one on its
-     * engine.
+     * Returns the command that executes the statement with these arguments, and discards the long parameters.
+     * A client has to send the types of the parameters only with the first execution. They are added to every
+     * later one, because it may be the first on its engine.
      *
      * @param arguments the payload after the statement's id
      * @throws IllegalArgumentException if the arguments are malformed or request another kind of cursor
@@ -107,7 +107,7 @@
             if (flags > READ_ONLY_CURSOR) {
                 throw new IllegalArgumentException("only read-only cursors are supported");
             }
-            // The spool provides the cursor: the engine sends all rows at once and is then free.
+            // The engine sends all rows at once and is then free; the spool provides the client's cursor.
             forwarded.writeByte(NO_CURSOR).writeBytes(arguments, EXECUTION_HEAD_BYTES - 1);
             if (parameterCount > 0) {
                 copyParameters(arguments, forwarded);
--- a/src/main/java/lineward/mysql/session/PreparedStatements.java
+++ b/src/main/java/lineward/mysql/session/PreparedStatements.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The prepared statements of one client, by the ids that the client received. {@link StatementLimits} bounds
- * them.
+ * The prepared statements of one client, by the ids that the client received. Their number and the size of
+ * their texts are limited by {@link StatementLimits}.
  */
 public final class PreparedStatements {
     private final StatementLimits limits;
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Adds a statement that an engine has prepared and for which capacity was reserved.
+     * Adds a statement that an engine has prepared and for which capacity is reserved.
      *
-     * @return its id
+     * @return the statement's id for the client
      */
     public long add(Work.Prepare work, int parameterCount) {
         SpoolHint hint = SpoolHint.of(work.text());
--- a/src/main/java/lineward/mysql/session/SessionSettings.java
+++ b/src/main/java/lineward/mysql/session/SessionSettings.java
@@ -10,8 +10,8 @@
 import lineward.mysql.wire.LocalResult;
 
 /**
- * The session variables of one client. As its statements may run on any engine, the variables that affect an
- * engine are set on the connection before a statement, and queries of variables are answered here.
+ * The session variables of one client. Each statement may run on another engine, so the variables that affect
+ * engines are set on an engine's connection before the statement, and a SELECT of variables is answered here.
  */
 public final class SessionSettings {
     private static final int MAX_SETTINGS = 32;
@@ -27,7 +27,7 @@
     private final Map<String, String> values = new TreeMap<>();
     private Map<String, String> forwarded = Map.of();
 
-    /** Returns the variables that must be set on an engine's connection, as an immutable map. */
+    /** Returns the variables to set on an engine's connection, an immutable map from names to literals. */
     public Map<String, String> forEngines() {
         return forwarded;
     }
@@ -38,7 +38,7 @@
         forwarded = Map.of();
     }
 
-    /** Returns the SET statement that changes a connection's variables from one set of values to another. */
+    /** Returns the SET statement that changes a connection's variables from the first map to the second. */
     public static String change(Map<String, String> from, Map<String, String> to) {
         List<String> assignments = new ArrayList<>();
         from.keySet().stream()
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Rejects autocommit=0, as transactions of several statements are not supported. */
+    /** Rejects autocommit=0, because transactions of several statements are not supported. */
     private static void requireAutocommit(String value) throws UnsupportedSettingException {
         UnsupportedSettingException.require(AUTOCOMMIT_ON.contains(value), "autocommit=0");
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /** NULL, with which the engine does not convert results, is supported besides UTF-8. */
+    /** Supports UTF-8, and NULL, with which the engine does not convert results. */
     private static void applyResultCharset(Map<String, String> settings, String charset)
             throws UnsupportedSettingException {
         if (charset.equals("null")) {
@@ -125,12 +125,12 @@
         }
     }
 
-    /** Rejects other character sets, as texts are forwarded unchanged over connections that use utf8mb4. */
+    /** Rejects other character sets, because texts are forwarded unchanged on connections with utf8mb4. */
     private static void requireUtf8(String charset) throws UnsupportedSettingException {
         UnsupportedSettingException.require(UTF8_CHARSETS.contains(charset), "the character set " + charset);
     }
 
-    /** Returns the value of a variable for the client, or null if the front end has none. */
+    /** Returns the value of a variable as the client reads it, or null if it is not known here. */
     String valueOf(String name) {
         String value = values.get(name);
         if (value == null) {
@@ -140,7 +140,7 @@
     }
 
     /**
-     * Returns the result of a statement that selects known variables only; empty for any other statement.
+     * Returns the result of a SELECT of variables whose values are known here; empty for any other statement.
      */
     public Optional<LocalResult> read(String statement) {
         return new VariableQuery(statement, this::valueOf).answer();
--- a/src/main/java/lineward/mysql/session/SetReader.java
+++ b/src/main/java/lineward/mysql/session/SetReader.java
@@ -111,7 +111,7 @@
         return at("session") || at("local");
     }
 
-    /** Returns whether the scope is not the session, or the statement sets something else than variables. */
+    /** Returns whether the scope is not the session, or the statement sets something other than variables. */
     private boolean isOtherScope() {
         return tokens.is("global")
                 || tokens.is("persist")
@@ -130,7 +130,7 @@
         return new Assignment("transaction_isolation", "'" + level + "'");
     }
 
-    /** Evaluates CONCAT; drivers extend sql_mode by CONCAT(@@sql_mode, …). */
+    /** Evaluates CONCAT, because drivers extend sql_mode with CONCAT(@@sql_mode, …). */
     private String concat() throws UnsupportedSettingException {
         require(advance() && tokens.is("("), THIS_FORM);
         StringBuilder joined = new StringBuilder();
--- a/src/main/java/lineward/mysql/session/SpoolHint.java
+++ b/src/main/java/lineward/mysql/session/SpoolHint.java
@@ -5,13 +5,13 @@
 import java.util.regex.Pattern;
 
 /**
- * The key that a client gives to its result, and the page of it that the client requests, in a comment of
- * the statement: {@code /* lineward:key=K from=N rows=N *}{@code /}. Every driver forwards comments, whereas
- * query attributes need a capability that some drivers lack.
+ * A comment in a statement by which the client gives the result a key, and may request a page of the result:
+ * {@code /* lineward:key=K from=N rows=N *}{@code /}. A comment is used because every driver forwards it,
+ * whereas query attributes need a capability that some drivers lack.
  *
- * @param key empty if the result has no key
- * @param firstRow first row that the client requests, counted from 0
- * @param rowLimit maximum of rows that the client requests; empty: all. Ignored if a cursor is opened
+ * @param key the key under which the client can read the result again; empty if it has none
+ * @param firstRow index of the first requested row, from 0
+ * @param rowLimit maximum number of requested rows; empty: all. Ignored if a cursor is opened
  * @param statement the statement without the hint
  */
 public record SpoolHint(String key, long firstRow, OptionalLong rowLimit, String statement) {
@@ -22,7 +22,7 @@
     private static final int FROM_GROUP = 2;
     private static final int ROWS_GROUP = 3;
 
-    /** Returns the first hint of a statement, or a hint without a key. */
+    /** Returns the first hint in the text of a statement, or a hint without a key if there is none. */
     public static SpoolHint of(String text) {
         // Few statements have a hint, and this search is much cheaper than the regular expression.
         if (!text.contains(KEY_PREFIX)) {
@@ -41,7 +41,7 @@
                 text.substring(0, hint.start()) + text.substring(hint.end()));
     }
 
-    /** Returns the value for a statement without a hint. */
+    /** Returns a hint without a key, for a statement that contains no hint. */
     public static SpoolHint none(String statement) {
         return new SpoolHint("", 0, OptionalLong.empty(), statement);
     }
@@ -51,7 +51,7 @@
         return !key.isEmpty();
     }
 
-    /** Returns whether the client requests a page of a result that must exist already. */
+    /** Returns whether the client requests a page of a result, which must already be complete. */
     public boolean requestsPage() {
         return firstRow > 0 || rowLimit.isPresent();
     }
--- a/src/main/java/lineward/mysql/session/StatementClassifier.java
+++ b/src/main/java/lineward/mysql/session/StatementClassifier.java
@@ -10,7 +10,7 @@
     /** First words of statements that only read, unless a later word makes them a write. */
     private static final Set<String> READ_KEYWORDS =
             Set.of("select", "show", "desc", "describe", "explain", "table", "values", "with", "help", "(");
-    /** Words that make a statement a write at any position. */
+    /** Words that make a statement a write at any position, among them those of locking reads. */
     private static final Set<String> WRITE_KEYWORDS =
             Set.of("insert", "update", "delete", "replace", "into", "lock", "share");
     /** First words of statements that leave the engine's session unchanged. */
@@ -53,7 +53,7 @@
             "deallocate",
             "handler",
             "kill",
-            "declare", // like the following ones, a statement of stored programs
+            "declare", // this and the following ones are statements of stored programs
             "get",
             "signal",
             "resignal");
@@ -68,7 +68,10 @@
             "is_used_lock",
             "is_free_lock",
             "connection_id");
-    /** Variables that describe the previous statement (even another client's) or the user of a connection. */
+    /**
+     * System variables that belong to one connection to an engine. Some describe its previous statement,
+     * which may be another client's.
+     */
     private static final Set<String> SESSION_VARIABLES = Set.of(
             "last_insert_id",
             "identity",
@@ -124,7 +127,7 @@
         return tokens.text().toLowerCase(Locale.ROOT);
     }
 
-    /** ROLLBACK [WORK] TO names a savepoint; without one there is nothing to roll back. */
+    /** ROLLBACK [WORK] TO refers to a savepoint; a plain ROLLBACK has nothing to roll back. */
     private static StatementKind rollback(SqlTokens tokens) {
         boolean toSavepoint = tokens.is("to") || (tokens.is("work") && tokens.next() && tokens.is("to"));
         return toSavepoint ? noTransaction("ROLLBACK TO") : new StatementKind.NoOperation();
--- a/src/main/java/lineward/mysql/session/StatementKind.java
+++ b/src/main/java/lineward/mysql/session/StatementKind.java
@@ -4,7 +4,7 @@
 
 /** How the front end handles a statement. */
 public sealed interface StatementKind {
-    /** Returns whether a client may prepare the statement, unless it is rejected anyway. */
+    /** Returns whether a client may prepare the statement, provided that it is not {@link Rejected}. */
     default boolean canBePrepared() {
         return true;
     }
@@ -15,12 +15,12 @@
     /**
      * May change data, and is executed at most once.
      *
-     * @param changesSession whether it may change the engine's session, so that its connection must not
-     *     execute another client's statements
+     * @param changesSession whether it may change the engine's session, so that its connection must not be
+     *     reused
      */
     record Write(boolean changesSession) implements StatementKind {}
 
-    /** Requests the warnings or errors of the previous statement. */
+    /** SHOW WARNINGS or SHOW ERRORS; the front end answers that there are none. */
     record ShowWarnings() implements StatementKind {
         @Override
         public boolean canBePrepared() {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Is not supported, because it depends on the session of one engine. */
+    /** Not supported, because it needs state of one engine's session, such as a transaction. */
     record Rejected(Failure failure) implements StatementKind {}
 
     /** Returns the kind of a statement; a statement that is not known to be a read is a write. */
--- a/src/main/java/lineward/mysql/session/UnsupportedSettingException.java
+++ b/src/main/java/lineward/mysql/session/UnsupportedSettingException.java
@@ -1,8 +1,6 @@
 package lineward.mysql.session;
 
-/**
- * Thrown for a SET statement that is not supported; the message names the unsupported part.
- */
+/** A SET statement is not supported. The message names the unsupported part. */
 public final class UnsupportedSettingException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -10,7 +8,7 @@
         super(unsupported);
     }
 
-    /** Throws an exception with this name of the part unless the part is supported. */
+    /** Throws an exception that names the part of the statement unless the part is supported. */
     static void require(boolean supported, String otherwise) throws UnsupportedSettingException {
         if (!supported) {
             throw new UnsupportedSettingException(otherwise);
--- a/src/main/java/lineward/mysql/session/VariableQuery.java
+++ b/src/main/java/lineward/mysql/session/VariableQuery.java
@@ -8,7 +8,7 @@
 import lineward.core.SqlTokens;
 import lineward.mysql.wire.LocalResult;
 
-/** Answers a SELECT of nothing but system variables without an engine; drivers send it after the login. */
+/** Answers a SELECT of system variables only without an engine. Drivers send such statements after login. */
 final class VariableQuery {
     private final SqlTokens tokens;
     private final UnaryOperator<String> values;
--- a/src/main/java/lineward/mysql/session/Work.java
+++ b/src/main/java/lineward/mysql/session/Work.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import lineward.mysql.wire.Texts;
 
-/** The command that an attempt executes at an engine. Schemas and texts are in the form of {@link Texts}. */
+/** The command that an attempt executes at an engine. Schemas and texts are encoded as in {@link Texts}. */
 public sealed interface Work {
     /** Returns the schema of the session; empty if the client has selected none. */
     String schema();
@@ -31,7 +31,7 @@
             return Work.changesSession(text);
         }
 
-        /** Returns a digest of the schema and the text, by which a result with a key is recognized. */
+        /** Returns a digest of the schema and the text; a spooled result with a key stores it. */
         public String digest() {
             return Work.digest(List.of(bytes(schema), bytes(text)));
         }
@@ -41,11 +41,11 @@
     record Prepare(String schema, String text) implements Work {}
 
     /**
-     * Executes a prepared statement (COM_STMT_EXECUTE); if necessary, the engine's connection prepares it
-     * first.
+     * Executes a prepared statement (COM_STMT_EXECUTE). The engine's connection prepares it first if
+     * necessary.
      *
-     * @param parameterCount number of parameters in the reply that the client received
-     * @param arguments the payload after the statement's id, always with the parameters' types
+     * @param parameterCount number of parameters that the reply to the client's COM_STMT_PREPARE contained
+     * @param arguments the payload after the statement's id; includes the types of the parameters, if any
      */
     @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
     record Execute(String schema, String text, int parameterCount, byte[] arguments, List<LongData> longData)
@@ -91,7 +91,11 @@
         }
     }
 
-    /** A part of a long parameter, which is sent before the execution (COM_STMT_SEND_LONG_DATA). */
+    /**
+     * A part of the value of a long parameter, which is sent before the execution (COM_STMT_SEND_LONG_DATA).
+     *
+     * @param parameter index of the parameter, from 0
+     */
     @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
     record LongData(int parameter, byte[] bytes) {}
 }
