--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Requests are rejected in phase REJECTING only. In phase DRAINING clients are not asked to leave, because
-     * the MySQL protocol has no message for that.
+     * Requests are rejected in phase REJECTING only. In phase DRAINING clients are not asked to leave,
+     * because the MySQL protocol has no message for that.
      */
     @Override
     public void setAdmission(ServerAdmissionPolicy.Phase next) {
--- a/src/main/java/lineward/mysql/wire/Auth.java
+++ b/src/main/java/lineward/mysql/wire/Auth.java
@@ -11,7 +11,10 @@
 import java.util.Base64;
 import javax.crypto.Cipher;
 
-/** Computes the scrambles of a password and a server's nonce for the two supported authentication plugins. */
+/**
+ * Computes and verifies scrambles, the authentication responses that a client derives from its password and
+ * the server's nonce, for the two supported plugins.
+ */
 public final class Auth {
     public static final String NATIVE = "mysql_native_password";
     public static final String SHA2 = "caching_sha2_password";
@@ -36,7 +39,7 @@
         return plugin.equals(NATIVE) || plugin.equals(SHA2);
     }
 
-    /** Returns the plugin's scramble of the password and the nonce; empty for an empty password. */
+    /** Returns the plugin's scramble for the password and the nonce; empty for an empty password. */
     public static byte[] proof(String plugin, String password, byte[] nonce) {
         if (password.isEmpty()) {
             return new byte[0];
@@ -55,7 +58,12 @@
         return MessageDigest.isEqual(proof(plugin, password, nonce), given);
     }
 
-    /** Returns the password, encrypted with the server's RSA public key, for a server that asks for it. */
+    /**
+     * Returns the password, encrypted with the server's RSA public key. A server requests it with
+     * caching_sha2_password if it can't verify the scramble.
+     *
+     * @param pem the public key
+     */
     public static byte[] encrypt(String password, byte[] nonce, String pem) throws GeneralSecurityException {
         String base64 = pem.replaceAll("-----[A-Z ]+-----", "").replaceAll("\\s", "");
         PublicKey key = KeyFactory.getInstance("RSA")
--- a/src/main/java/lineward/mysql/wire/ChannelOperations.java
+++ b/src/main/java/lineward/mysql/wire/ChannelOperations.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes to channels and closes them. Callers need no completion listener: after a failed write Netty closes
- * the channel, and the channel's handler handles the close.
+ * Writes to channels and closes them. Failures are only logged: after a failed write Netty closes the
+ * channel, and the channel's handler handles the close.
  */
 public final class ChannelOperations {
     private static final Logger LOG = LoggerFactory.getLogger(ChannelOperations.class);
@@ -17,13 +17,13 @@
 
     /** Writes and flushes the frame, and takes over its reference. */
     public static void write(Channel channel, ByteBuf frame) {
-        channel.writeAndFlush(frame).addListener(done -> logFailure("write", channel, done.cause()));
+        channel.writeAndFlush(frame).addListener(done -> logFailure("channel write", channel, done.cause()));
     }
 
     /** Closes the channel; closing a closed channel has no effect. */
     public static void close(Channel channel) {
         ChannelFuture closing = channel.close();
-        closing.addListener(done -> logFailure("close", channel, done.cause()));
+        closing.addListener(done -> logFailure("channel close", channel, done.cause()));
     }
 
     private static void logFailure(String operation, Channel channel, Throwable cause) {
--- a/src/main/java/lineward/mysql/wire/Dialect.java
+++ b/src/main/java/lineward/mysql/wire/Dialect.java
@@ -22,12 +22,12 @@
     private static final int EOF_STATUS_OFFSET = Packets.HEADER_BYTES + 3;
     private static final int SEQUENCE_OFFSET = Packets.HEADER_BYTES - 1;
 
-    /** Returns the dialect of a client with these capabilities. */
+    /** Returns the format for a client with these capabilities. */
     public static Dialect of(int capabilities) {
         return (capabilities & Handshake.DEPRECATE_EOF) != 0 ? DEPRECATE_EOF : EOF_PACKETS;
     }
 
-    /** Returns the packet after the rows, or after the columns of a cursor. */
+    /** Returns the packet that follows the rows, or the columns in a reply that opens a cursor. */
     public ByteBuf end(ByteBufAllocator alloc, int sequence, int status) {
         return this == EOF_PACKETS
                 ? Packets.eof(alloc, sequence, status)
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Converts a complete reply of an engine to this dialect, and takes over the reply's reference.
+     * Converts a complete reply of an engine to this format, and takes over the reply's reference.
      *
      * @param prepared whether the reply is a successful one to COM_STMT_PREPARE
      */
@@ -87,13 +87,17 @@
         resultEnd(converted, sequence, warnings, status);
     }
 
-    /** Returns the columns of a spooled result for a reply that also has its rows. */
+    /**
+     * Returns the columns of a spooled result for a reply that also contains rows.
+     *
+     * @param head the packets that precede the rows, as the engine sent them
+     */
     public ByteBuf columns(byte[] head) {
         int length = this == EOF_PACKETS ? head.length : head.length - EOF_FRAME_BYTES;
         return Unpooled.wrappedBuffer(head, 0, length);
     }
 
-    /** Returns the columns of a spooled result for the reply that opens a cursor. */
+    /** Returns the columns of a spooled result for a reply that opens a cursor, see {@link #columns}. */
     public ByteBuf cursorColumns(ByteBufAllocator alloc, byte[] head) {
         int eofOffset = head.length - EOF_FRAME_BYTES;
         int sequence = head[eofOffset + SEQUENCE_OFFSET] & 0xff;
@@ -101,7 +105,7 @@
         return Unpooled.wrappedBuffer(columns, end(alloc, sequence, Packets.CURSOR_EXISTS));
     }
 
-    /** Returns rows of a spooled result. The array is not changed, because other readers share it. */
+    /** Converts rows of a spooled result. Does not change the array, because other readers share it. */
     public ByteBuf rows(byte[] rows) {
         if (this == EOF_PACKETS) {
             return Unpooled.wrappedBuffer(rows);
@@ -113,7 +117,7 @@
         return Unpooled.wrappedBuffer(renumbered);
     }
 
-    /** Returns the last packet of a spooled result. */
+    /** Converts the last packet of a spooled result. */
     public ByteBuf tail(ByteBufAllocator alloc, byte[] tail) {
         ByteBuf last = Unpooled.wrappedBuffer(tail);
         if (this == EOF_PACKETS || !Packets.isEof(last)) {
@@ -124,7 +128,7 @@
         return end;
     }
 
-    /** Returns the sequence number of the first packet after these columns of a spooled result. */
+    /** Returns the sequence number of the packet that follows these packets of a spooled result. */
     public int sequenceAfter(byte[] head) {
         return Packets.sequenceAfter(head) - (this == EOF_PACKETS ? 0 : 1);
     }
--- a/src/main/java/lineward/mysql/wire/Failure.java
+++ b/src/main/java/lineward/mysql/wire/Failure.java
@@ -8,7 +8,7 @@
  * @param message the text for the user
  */
 public record Failure(int code, String state, String message) {
-    /** Stands for a rejection that suggests no delay. */
+    /** Value of the delay before a retry if none is suggested. */
     public static final long NO_RETRY_AFTER_MS = 0;
 
     private Failure(ErrorCode error, String message) {
@@ -18,7 +18,7 @@
     /**
      * A statement was rejected and has changed nothing; a retry is safe.
      *
-     * @param retryAfterMs delay that is suggested for a retry, or {@link #NO_RETRY_AFTER_MS}
+     * @param retryAfterMs delay after which the client should retry, or {@link #NO_RETRY_AFTER_MS}
      */
     public static Failure rejected(long retryAfterMs) {
         return new Failure(
@@ -27,7 +27,7 @@
                         + (retryAfterMs > NO_RETRY_AFTER_MS ? "; come back in " + retryAfterMs + " ms" : ""));
     }
 
-    /** No complete reply came from the engine; the statement may have run, and its outcome is unknown. */
+    /** No engine sent a complete reply; the statement may have run, and its outcome is unknown. */
     public static Failure failed() {
         return new Failure(
                 ErrorCode.QUERY_INTERRUPTED, "failed: no whole answer came from the engine, it may have run");
@@ -38,7 +38,7 @@
         return new Failure(ErrorCode.QUERY_INTERRUPTED, "failed: the engine broke off amid the rows");
     }
 
-    /** The spool released the remaining rows because the client's lease expired. */
+    /** The client's lease on the result expired, and the spool released the rows that it had not read. */
     public static Failure leaseExpired() {
         String message = "the result was given back, as nobody read it for too long";
         return new Failure(ErrorCode.QUERY_INTERRUPTED, message);
@@ -49,7 +49,7 @@
         return new Failure(ErrorCode.NO_OPEN_CURSOR, "the statement " + id + " has no open cursor");
     }
 
-    /** No result has this key. The error is the same for an expired key and another user's key. */
+    /** No complete result has this key. The error is the same for an expired key and another user's key. */
     public static Failure noResult() {
         return new Failure(ErrorCode.WRONG_ARGUMENTS, "no result stands under that key");
     }
@@ -64,13 +64,13 @@
         return new Failure(ErrorCode.SERVER_SHUTDOWN, "the server is shutting down");
     }
 
-    /** The statement depends on session state at one engine. */
+    /** The statement needs session state that only one engine would have. */
     public static Failure unsupported(String what) {
         String message = what + " can't be kept: each statement may run on another engine";
         return new Failure(ErrorCode.NOT_SUPPORTED_YET, message);
     }
 
-    /** The front end answers this statement itself, so that it is never prepared at an engine. */
+    /** The front end executes this statement itself, and does not support its preparation. */
     public static Failure notPreparable() {
         String message = "USE, SET and SHOW WARNINGS can't be prepared";
         return new Failure(ErrorCode.UNSUPPORTED_PREPARED_STATEMENT, message);
@@ -103,7 +103,11 @@
         return new Failure(ErrorCode.PACKET_TOO_LARGE, message);
     }
 
-    /** The limit on the number or the total size of such objects is reached. */
+    /**
+     * A limit on the number or the total size of objects is reached.
+     *
+     * @param what the objects, in the plural
+     */
     public static Failure tooMany(String what) {
         return new Failure(ErrorCode.TOO_MANY_STATEMENTS, "too many " + what);
     }
--- a/src/main/java/lineward/mysql/wire/Handshake.java
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -18,7 +18,7 @@
     public static final int PLUGIN_DATA = 0x200000;
     /**
      * The capabilities used with engines: EOF packets, no session tracking, no query attributes, one
-     * statement and one result for each command. A result goes unchanged to a client with these capabilities.
+     * statement and one result for each command. A client with these capabilities gets the results unchanged.
      */
     public static final int CAPABILITIES = PROTOCOL_41
             | LONG_PASSWORD
@@ -45,11 +45,11 @@
 
     private static final int MAX_PACKET_BYTES = 1 << 24;
 
-    /** The content of a server's first packet. */
+    /** The content of a server's greeting, its first packet; the thread is the id of the connection. */
     @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
     public record Greeting(long thread, byte[] nonce, String plugin) {}
 
-    /** The content of a client's first packet; the schema is empty if the client selects none. */
+    /** The content of a client's login packet; the schema is empty if the client selects none. */
     @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
     public record Login(int capabilities, String user, byte[] proof, String schema, String plugin) {}
 
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Returns the packet that asks the client to authenticate with another plugin. */
+    /** Returns the packet that asks the client to authenticate with this plugin instead. */
     public static ByteBuf authSwitch(ByteBufAllocator alloc, int sequence, String plugin, byte[] nonce) {
         ByteBuf packet = Packets.begin(alloc, sequence).writeByte(Packets.EOF);
         writeZeroTerminated(packet, plugin);
--- a/src/main/java/lineward/mysql/wire/LocalResult.java
+++ b/src/main/java/lineward/mysql/wire/LocalResult.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * A result of at most one row of strings that the front end itself produces.
+ * A result that the front end itself produces, with at most one row. All values are strings.
  *
  * @param labels names of the columns
  * @param row one value for each column; empty if the result has no row
  */
 public record LocalResult(List<String> labels, List<String> row) {
     /**
-     * The answer to SHOW WARNINGS. It is always empty, because the connection to the engine may have executed
+     * The result of SHOW WARNINGS. It is always empty, because the connection to the engine may have executed
      * a statement of another client in the meantime.
      */
     public static final LocalResult NO_WARNINGS = withoutRows("Level", "Code", "Message");
--- a/src/main/java/lineward/mysql/wire/PacketDecoder.java
+++ b/src/main/java/lineward/mysql/wire/PacketDecoder.java
@@ -12,10 +12,10 @@
  */
 public final class PacketDecoder extends ByteToMessageDecoder {
     private final int maxPayloadBytes;
-    /** Set after a packet that was too long: all further bytes are dropped, as packet boundaries are lost. */
+    /** Set after a packet that is too long: its payload and all later bytes are discarded. */
     private boolean failed;
 
-    /** @param maxPayloadBytes maximum length of a payload; a longer one fails the connection */
+    /** @param maxPayloadBytes maximum length of a payload; nothing is decoded after a longer one */
     public PacketDecoder(int maxPayloadBytes) {
         this.maxPayloadBytes = maxPayloadBytes;
     }
--- a/src/main/java/lineward/mysql/wire/Packets.java
+++ b/src/main/java/lineward/mysql/wire/Packets.java
@@ -15,9 +15,9 @@
     public static final int AUTOCOMMIT = 0x0002;
     public static final int CURSOR_EXISTS = 0x0040;
     public static final int LAST_ROW_SENT = 0x0080;
-    /** Stands for the error number of an error packet that has none. */
+    /** Returned as the error number of an error packet that has none. */
     public static final int UNKNOWN_ERROR = 0;
-    /** Stands for the first byte of an empty payload. */
+    /** Returned as the first byte of an empty payload. */
     public static final int EMPTY = -1;
     /** Maximum length of a payload; a packet of this length is continued by the next one. */
     public static final int MAX_PAYLOAD_BYTES = 0xffffff;
@@ -31,7 +31,7 @@
     private static final int LENGTH_8 = 0xfe;
     /** Largest value of a length-encoded integer that takes a single byte. */
     private static final int MAX_LENGTH_IN_ONE_BYTE = 250;
-    /** Bytes of the type and the error number at the start of an error packet. */
+    /** Bytes of the type and the error number at the start of an error packet's payload. */
     private static final int ERROR_HEAD_BYTES = 3;
 
     private Packets() {}
@@ -76,7 +76,7 @@
         return done(packet);
     }
 
-    /** Returns the packet of a command with these arguments, which the caller still has to release. */
+    /** Returns the packet of a command, with a copy of the arguments; the caller must still release them. */
     public static ByteBuf command(ByteBufAllocator alloc, int command, ByteBuf arguments) {
         ByteBuf frame = begin(alloc, 0).writeByte(command);
         return done(frame.writeBytes(arguments, arguments.readerIndex(), arguments.readableBytes()));
--- a/src/main/java/lineward/mysql/wire/ReplyTracker.java
+++ b/src/main/java/lineward/mysql/wire/ReplyTracker.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.DecoderException;
 
-/** Parses the packets of one engine's reply in order, and returns the {@link PacketRole} of each. */
+/** Determines the {@link PacketRole} of each packet of one engine's reply; must be given all in order. */
 public final class ReplyTracker {
     private enum State {
         FIRST_PACKET,
@@ -25,7 +25,7 @@
 
     private final boolean prepare;
     private State state = State.FIRST_PACKET;
-    /** Lists of definitions that remain in a reply to COM_STMT_PREPARE; an EOF packet ends each of them. */
+    /** Number of definition lists left in a reply to COM_STMT_PREPARE; an EOF packet ends each of them. */
     private int definitionBlocks;
 
     private int status = STATUS_UNKNOWN;
--- a/src/main/java/lineward/mysql/wire/Texts.java
+++ b/src/main/java/lineward/mysql/wire/Texts.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Converts between ordinary strings and the strings in which texts are forwarded. Those have one Latin-1
+ * Converts between ordinary strings and the encoding in which texts are forwarded: strings with one Latin-1
  * character for each byte of the text, so that bytes which are not valid UTF-8 are forwarded unchanged.
  */
 public final class Texts {
