--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -160,6 +160,11 @@
         }
     }
 
+    /**
+     * Measures the peak memory of the program while 100 clients request 16 MB each and 50 of them read their
+     * results, the number of these results that were incomplete, and the time from the clients' disconnection
+     * until all files of the spool are deleted.
+     */
     private static void memory(String jar) throws Exception {
         try (Rig rig = new Rig(jar, 8, 64, """
                 [spool]
@@ -227,6 +232,7 @@
         }
     }
 
+    /** Measures the recovery of a spool folder, and counts the wrong blocks read from corrupt files. */
     private static void recovery() throws IOException {
         Path folder = Files.createTempDirectory("recover");
         int megabytes = 512;
@@ -245,6 +251,7 @@
         }
     }
 
+    /** Compares the CPU time for short results and the throughput of long ones with an earlier version. */
     private static void paths(String now, String before) throws Exception {
         double[] shorts = new double[PAIRS];
         double[] longs = new double[PAIRS];
--- a/src/test/java/lineward/mysql/ChildSockets.java
+++ b/src/test/java/lineward/mysql/ChildSockets.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Sockets of child processes, with which a test waits until a child has closed its connections. */
+/** The sockets connected to one port, by which a test sees that its child processes have closed them. */
 final class ChildSockets {
     private static final List<String> SOCKET_TABLES = List.of("/proc/net/tcp", "/proc/net/tcp6");
     private static final int REMOTE_ADDRESS_COLUMN = 2;
@@ -40,7 +40,7 @@
         return new ChildSockets(links);
     }
 
-    /** Returns whether no child process has any of the sockets open. */
+    /** Returns whether no child process of the test has any of the sockets open. */
     boolean areClosed() {
         Set<Long> children =
                 ProcessHandle.current().children().map(ProcessHandle::pid).collect(Collectors.toSet());
--- a/src/test/java/lineward/mysql/CustomersTest.java
+++ b/src/test/java/lineward/mysql/CustomersTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Clients that share the connections to one engine: the session state of one never reaches another. */
+/** Clients share the connections to an engine, but one client's session state must not affect another. */
 public class CustomersTest {
     private static final String PLAIN = "{}";
     private static final String NEW_CLIENT_QUERY = "select rows=1 of a new client";
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Whether the client resets its connection instead of closing it. */
+    /** Whether the client resets its connection (true) or closes it (false). */
     @DataProvider
     public Object[][] disconnects() {
         return new Object[][] {{true}, {false}};
@@ -82,6 +82,7 @@
         client.wire.socket.close();
     }
 
+    /** A connection to which the settings of a disconnected client are being applied must not be reused. */
     @Test(dataProvider = "disconnects")
     public void clientDisconnectsWhileSettingsAreApplied(boolean reset) throws Exception {
         CountDownLatch settingsReceived = new CountDownLatch(1);
@@ -108,6 +109,7 @@
                 engine.executed.toString());
     }
 
+    /** The engine has applied the first setting when it rejects the second, so its session has changed. */
     @Test
     public void secondOfTwoSettingsFails() throws IOException {
         try (StandInClient client = client()) {
@@ -116,7 +118,7 @@
                             .code(),
                     0);
             int code = client.query("select rows=1").code();
-            assertEquals(code, 1193, "the first setting is applied at the engine");
+            assertEquals(code, 1193, "the engine rejects the second setting");
             assertNewClientsAreUnaffected();
         }
     }
@@ -150,7 +152,7 @@
         }
     }
 
-    /** An engine parses a prepared statement with the settings that apply at its preparation. */
+    /** An engine parses a prepared statement with the settings that apply when it prepares the statement. */
     @Test
     public void statementsArePreparedForEachSetOfSettings() throws IOException {
         try (StandInClient first = client();
@@ -193,7 +195,7 @@
         }
     }
 
-    /** Statements that depend on the connection's previous statement, which may be another client's. */
+    /** Statements that depend on an earlier one of the connection, which may be another client's. */
     @DataProvider
     public Object[][] dependentStatements() {
         return new Object[][] {
--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -28,7 +28,10 @@
         };
     }
 
-    /** The engine fails between preparation and execution, during the execution, or between two rows. */
+    /**
+     * The engine fails between the preparation and the execution, during the execution or between two rows,
+     * sends a malformed reply, or rejects new connections. Every execution is answered; a write runs once.
+     */
     @Test(dataProvider = "faults")
     public void completesEveryExecution(Fault fault, String text, int code) throws IOException {
         try (StandInClient client = client()) {
@@ -56,8 +59,8 @@
     }
 
     /**
-     * The program sends the execution before it reads the connection's reset. It can't know whether the
-     * engine has executed the write, which therefore fails and is not retried.
+     * The program sends the execution before it notices that the engine has reset the connection. It can't
+     * know whether the engine has executed the write, so the write fails and is not retried.
      */
     @Test
     public void failsAWriteSentBeforeTheResetIsRead() throws IOException {
@@ -74,7 +77,7 @@
         }
     }
 
-    /** Sets the fault at both engines; the first one at which it occurs clears it at the other one. */
+    /** Sets the fault at both engines; when it occurs at one of them, it is cleared at the other. */
     private void setFaultOfNextEngine(Fault fault) {
         one.beforeFault = () -> two.fault = Fault.NONE;
         two.beforeFault = () -> one.fault = Fault.NONE;
--- a/src/test/java/lineward/mysql/MysqlFrontTest.java
+++ b/src/test/java/lineward/mysql/MysqlFrontTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The MySQL front end as a process, with test clients and engines. */
+/** The MySQL front end as a child process, with test clients and test engines. */
 public class MysqlFrontTest extends TwoEngineFixture {
     @DataProvider
     public Object[][] logins() {
@@ -46,7 +46,7 @@
             assertEquals(client.execute(statement, false, "x", "z").code(), 1243);
             assertEquals(client.command(0x0e).code(), 0);
         }
-        // The client sent no parameter types with the second execution; the program must add them.
+        // The client sent no parameter types with the second execution, so the program must add them.
         String last = one.received.stream()
                 .filter(command -> command.startsWith("execute"))
                 .reduce((a, b) -> b)
--- a/src/test/java/lineward/mysql/SpoolCursorTest.java
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -8,7 +8,7 @@
 import lineward.testing.Program;
 import org.testng.annotations.Test;
 
-/** Cursors, and pages of results with a key, with test clients and engines. */
+/** Cursors and pages of results with a key, with the program, test clients and test engines. */
 public class SpoolCursorTest extends SpoolProgramFixture {
     private static final int CURSOR_EXISTS = 0x40;
     private static final int LAST_ROW_SENT = 0x80;
--- a/src/test/java/lineward/mysql/SpoolFrontTest.java
+++ b/src/test/java/lineward/mysql/SpoolFrontTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Results that exceed an attempt's buffer, with test clients and engines. */
+/** Results that exceed an attempt's buffer, with the program, test clients and test engines. */
 public class SpoolFrontTest extends SpoolProgramFixture {
     /** Four connections to engines serve 500 clients, because a client that reads slowly occupies none. */
     @Test
@@ -75,7 +75,8 @@
         try (StandInClient client = client()) {
             client.send(3, "select rows=40000 size=1000");
             Program.await("an engine executed the statement", () -> executions() == 1);
-            // Reads nothing until the lease has expired; then the program ends the connection early.
+            // Reads nothing until the lease has expired. The program then closes the connection, although the
+            // result has not been sent completely.
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
             Program.await("the lease has expired", () -> System.nanoTime() > until);
             byte[] some = new byte[1 << 16];
--- a/src/test/java/lineward/mysql/SpoolProgramFixture.java
+++ b/src/test/java/lineward/mysql/SpoolProgramFixture.java
@@ -11,7 +11,10 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** The program with a file-backed spool, two engines, and up to two connections to each of them. */
+/**
+ * Starts the program before each test with a file-backed spool and two test engines, to each of which it may
+ * open two connections.
+ */
 public abstract class SpoolProgramFixture {
     StandInEngine one;
     StandInEngine two;
@@ -28,7 +31,7 @@
         program = program("memory-mb = 64\nfolder = \"" + folder + "\"\nlease-s = 2\n");
     }
 
-    /** Starts the program with these settings of its spool. */
+    /** Starts the program with these lines in the spool section of its configuration. */
     Program program(String spool) throws IOException {
         StringBuilder text = new StringBuilder("listen = \"127.0.0.1:0\"\n[limits]\nclients = 600\n"
                 + "connections-per-engine = 2\n[spool]\n" + spool
--- a/src/test/java/lineward/mysql/StandInEngine.java
+++ b/src/test/java/lineward/mysql/StandInEngine.java
@@ -17,14 +17,14 @@
 import java.util.regex.Pattern;
 
 /**
- * A minimal MySQL engine for tests: it answers a statement that contains {@code rows=N size=BYTES} with rows,
- * unless its {@link Fault} says otherwise.
+ * A minimal MySQL engine for tests. It answers a statement that contains {@code rows=N size=BYTES} with N
+ * rows of more than this size, unless it has a {@link Fault}.
  */
 final class StandInEngine implements AutoCloseable {
     /**
-     * How the engine fails: with a DIE fault it resets all connections at that point and stops listening,
-     * with SILENT it answers a statement only when that is killed, with FULL it rejects new connections, and
-     * with GARBAGE it answers a statement with an empty packet.
+     * How the engine fails. With a DIE fault it resets all connections at that point and stops listening,
+     * with SILENT it answers a statement only when the statement is killed, with FULL it rejects new
+     * connections, and with GARBAGE it answers a statement with an empty packet.
      */
     enum Fault {
         NONE,
@@ -39,7 +39,12 @@
         GARBAGE
     }
 
-    /** An executed statement, the settings that apply to it, and its session's other state before it. */
+    /**
+     * An executed statement, with the state of its session before the execution.
+     *
+     * @param settings the settings that apply to the statement: for a prepared one, those at its preparation
+     * @param sessionChanges earlier statements that changed the session, see {@link StandInSession}
+     */
     record Execution(String text, String settings, String schema, String sessionChanges) {}
 
     private static final Pattern ROWS = Pattern.compile("rows=(\\d+)(?: size=(\\d+))?");
@@ -57,7 +62,7 @@
     private final Map<Long, CountDownLatch> kills = new ConcurrentHashMap<>();
     private final AtomicInteger threads = new AtomicInteger();
     volatile Fault fault = Fault.NONE;
-    /** Called at the start of {@link #die} and before the packet of GARBAGE. */
+    /** Called at the start of {@link #die} and before the malformed reply of GARBAGE. */
     volatile Runnable beforeFault = () -> {};
 
     private volatile long lastByteAt;
@@ -83,7 +88,11 @@
         return server.isClosed();
     }
 
-    /** Returns the time from the last byte of the last long result to the next statement, or to a limit. */
+    /**
+     * Returns the time in milliseconds from the last byte of the last long result to the next statement.
+     *
+     * @param limit {@link System#nanoTime} that ends the time if there was no next statement
+     */
     double releasedAfterMs(long limit) {
         long next = nextCommandAt > lastByteAt ? nextCommandAt : limit;
         return (next - lastByteAt) / 1e6;
@@ -201,7 +210,7 @@
         return (command[1] & 0xff) | (command[2] & 0xff) << 8;
     }
 
-    /** @param preparationSettings settings at the preparation; empty if the statement is not prepared */
+    /** @param preparationSettings settings at the statement's preparation; empty if it is sent as text */
     private void run(Wire wire, String text, StandInSession session, String preparationSettings)
             throws IOException, InterruptedException {
         if (text.startsWith("KILL QUERY ")) {
--- a/src/test/java/lineward/mysql/StandInSession.java
+++ b/src/test/java/lineward/mysql/StandInSession.java
@@ -24,7 +24,7 @@
 
     final Map<String, String> settings = new TreeMap<>();
     String schema = "";
-    /** The statements that have changed the session. */
+    /** The texts of the statements that have changed the session. */
     String changes = "";
 
     StandInSession(long id, Wire wire) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Applies settings in their order; returns false at the first one that is unknown. */
+    /** Applies the settings of a SET statement in order; stops and returns false at an invalid one. */
     boolean set(String text) {
         Matcher setting = SETTING.matcher(text);
         while (setting.find()) {
--- a/src/test/java/lineward/mysql/TwoEngineFixture.java
+++ b/src/test/java/lineward/mysql/TwoEngineFixture.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** The program with two engines. */
+/** Starts the program with two test engines before each test. */
 public abstract class TwoEngineFixture {
     /** Error number of a rejected statement. */
     static final int REJECTED = 1637;
--- a/src/test/java/lineward/mysql/Wire.java
+++ b/src/test/java/lineward/mysql/Wire.java
@@ -10,8 +10,8 @@
 import java.util.Arrays;
 
 /**
- * Reads and writes MySQL packets on a blocking socket. It shares no code with the program, so that it does
- * not share the faults of the program's codec.
+ * Reads and writes MySQL packets on a blocking socket. It shares no code with the program, so that an error
+ * in the program's codec does not go unnoticed.
  */
 final class Wire {
     private static final int MAX_PAYLOAD_BYTES = 0xffffff;
--- a/src/test/java/lineward/mysql/session/SessionSettingsTest.java
+++ b/src/test/java/lineward/mysql/session/SessionSettingsTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Table-driven tests of SET statements and queries of variables. */
+/** SET statements and queries of variables. */
 public class SessionSettingsTest {
     private static final String DRIVER_QUERY =
             "/* driver */SELECT  @@session.auto_increment_increment AS a, @@wait_timeout AS w;";
--- a/src/test/java/lineward/mysql/session/StatementKindTest.java
+++ b/src/test/java/lineward/mysql/session/StatementKindTest.java
@@ -5,7 +5,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A table-driven test of the classification of statements. */
+/** The classification of statements. */
 public class StatementKindTest {
     @DataProvider
     public Object[][] statements() {
--- a/src/test/java/lineward/mysql/wire/PacketDecoderTest.java
+++ b/src/test/java/lineward/mysql/wire/PacketDecoderTest.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.TooLongFrameException;
 import org.testng.annotations.Test;
 
-/** The framing of packets whose bytes arrive in parts. */
+/** The decoding of packets whose bytes arrive in parts, and of packets that are too long. */
 public class PacketDecoderTest {
     private static final byte[] PACKETS = {2, 0, 0, 7, 'a', 'b', 0, 0, 0, 1, 1, 0, 0, 2, 'c'};
 
