--- a/src/test/java/lineward/mysql/StandInEngine.java
+++ b/src/test/java/lineward/mysql/StandInEngine.java
@@ -21,21 +21,21 @@
  * rows of more than this size, unless it has a {@link Fault}.
  */
 final class StandInEngine implements AutoCloseable {
-    /**
-     * How the engine fails. With a DIE fault it resets all connections at that point and stops listening,
-     * with SILENT it answers a statement only when the statement is killed, with FULL it rejects new
-     * connections, and with GARBAGE it answers a statement with an empty packet.
-     */
+    /** How the engine fails. */
     enum Fault {
         NONE,
+        // With these faults the engine resets all connections at some point and stops listening.
         DIE_AFTER_PREPARE,
         DIE_BEFORE_EXECUTE,
         DIE_IN_EXECUTE,
         DIE_IN_ROW_ONE,
         DIE_BETWEEN_ROWS,
         DIE_BEFORE_LAST,
+        /** The engine answers a statement only when the statement is killed. */
         SILENT,
+        /** The engine rejects new connections. */
         FULL,
+        /** The engine answers a statement with an empty packet. */
         GARBAGE
     }
 
@@ -62,7 +62,7 @@
     private final Map<Long, CountDownLatch> kills = new ConcurrentHashMap<>();
     private final AtomicInteger threads = new AtomicInteger();
     volatile Fault fault = Fault.NONE;
-    /** Called at the start of {@link #die} and before the malformed reply of GARBAGE. */
+    /** Called at the start of {@link #die} and before the reply with {@link Fault#GARBAGE}. */
     volatile Runnable beforeFault = () -> {};
 
     private volatile long lastByteAt;
