--- a/src/main/java/lineward/mysql/wire/Failure.java
+++ b/src/main/java/lineward/mysql/wire/Failure.java
@@ -56,7 +56,8 @@
 
     /** The key names the result of another statement. */
     public static Failure otherResult() {
-        return new Failure(ErrorCode.WRONG_ARGUMENTS, "the key stands for the result of another statement");
+        String message = "the key stands for the result of another statement";
+        return new Failure(ErrorCode.WRONG_ARGUMENTS, message);
     }
 
     /** The front end is shutting down. */
--- a/src/main/java/lineward/mysql/wire/Packets.java
+++ b/src/main/java/lineward/mysql/wire/Packets.java
@@ -89,7 +89,8 @@
 
     /** Returns the payload's first byte, which identifies the packet's type, or {@link #EMPTY}. */
     public static int first(ByteBuf frame) {
-        return size(frame) == 0 ? EMPTY : frame.getUnsignedByte(frame.readerIndex() + HEADER_BYTES);
+        int offset = frame.readerIndex() + HEADER_BYTES;
+        return size(frame) == 0 ? EMPTY : frame.getUnsignedByte(offset);
     }
 
     /** Returns the payload's length. */
