--- a/src/main/java/lineward/mysql/wire/Dialect.java
+++ b/src/main/java/lineward/mysql/wire/Dialect.java
@@ -29,11 +29,9 @@
 
     /** Returns the packet that follows the rows, or the columns in a reply that opens a cursor. */
     public ByteBuf end(ByteBufAllocator alloc, int sequence, int status) {
-        if (this == EOF_PACKETS) {
-            return Packets.eof(alloc, sequence, status);
-        }
-        ByteBuf target = alloc.buffer(RESULT_END_FRAME_BYTES);
-        return resultEnd(target, sequence, 0, Packets.AUTOCOMMIT | status);
+        return this == EOF_PACKETS
+                ? Packets.eof(alloc, sequence, status)
+                : resultEnd(alloc.buffer(RESULT_END_FRAME_BYTES), sequence, 0, Packets.AUTOCOMMIT | status);
     }
 
     /** Writes the OK packet that replaces the EOF packet after the rows. */
--- a/src/main/java/lineward/mysql/wire/Handshake.java
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -60,8 +60,7 @@
         ByteBuf packet = Packets.begin(alloc, 0).writeByte(PROTOCOL_VERSION);
         writeZeroTerminated(packet, SERVER_VERSION);
         packet.writeIntLE(thread).writeBytes(nonce, 0, NONCE_HEAD).writeByte(0);
-        packet.writeShortLE(OFFERED).writeByte(UTF8MB4);
-        packet.writeShortLE(Packets.AUTOCOMMIT);
+        packet.writeShortLE(OFFERED).writeByte(UTF8MB4).writeShortLE(Packets.AUTOCOMMIT);
         packet.writeShortLE(OFFERED >>> 16).writeByte(nonce.length + 1);
         packet.writeZero(GREETING_RESERVED_BYTES);
         packet.writeBytes(nonce, NONCE_HEAD, nonce.length - NONCE_HEAD).writeByte(0);
--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -69,7 +69,7 @@
             StandInClient.Statement statement = client.prepare(text);
             setFaultOfNextEngine(Fault.DIE_BEFORE_EXECUTE);
             StandInClient.Result result = client.execute(statement, false);
-            assertNotEquals(one.isDead(), two.isDead(), "an engine has reset the execution");
+            assertNotEquals(one.isDead(), two.isDead(), "one engine has received and reset the execution");
             assertEquals(result.code(), FAILED, result.message());
             assertEquals(result.state(), "70100");
             assertEquals(executionsOf(text), 0, "no engine has executed it");
