--- a/src/main/java/lineward/mysql/MysqlConfig.java
+++ b/src/main/java/lineward/mysql/MysqlConfig.java
@@ -52,8 +52,8 @@
     /**
      * A class of statements.
      *
-     * @param match regular expression that is searched for in the text of a statement; a statement belongs
-     *     to the first class whose expression is found
+     * @param match regular expression that is searched for in the text of a statement; a statement belongs to
+     *     the first class whose expression is found
      * @param latencyObjectiveMs latency objective of a statement
      * @param deadlineMs time after which a statement that is not completed is answered with an error
      * @param priorityWeight priority weight of a statement relative to those of other classes
--- a/src/main/java/lineward/mysql/session/Work.java
+++ b/src/main/java/lineward/mysql/session/Work.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import lineward.mysql.wire.Texts;
 
-/** A command that an attempt executes at an engine. Schemas and texts have the form of {@link Texts}. */
+/** A command that an attempt executes at an engine; schemas and texts are encoded as in {@link Texts}. */
 public sealed interface Work {
     /** Returns the schema of the session; empty if the client has selected none. */
     String schema();
--- a/src/main/java/lineward/mysql/wire/Dialect.java
+++ b/src/main/java/lineward/mysql/wire/Dialect.java
@@ -102,8 +102,7 @@
         int eofOffset = head.length - EOF_FRAME_BYTES;
         int sequence = head[eofOffset + SEQUENCE_OFFSET] & 0xff;
         ByteBuf columns = Unpooled.wrappedBuffer(head, 0, eofOffset);
-        ByteBuf end = end(alloc, sequence, Packets.CURSOR_EXISTS);
-        return Unpooled.wrappedBuffer(columns, end);
+        return Unpooled.wrappedBuffer(columns, end(alloc, sequence, Packets.CURSOR_EXISTS));
     }
 
     /** Converts rows of a spooled result. Does not change the array, because other readers share it. */
--- a/src/main/java/lineward/mysql/wire/Failure.java
+++ b/src/main/java/lineward/mysql/wire/Failure.java
@@ -56,8 +56,7 @@
 
     /** The key names the result of another statement. */
     public static Failure otherResult() {
-        String message = "the key stands for the result of another statement";
-        return new Failure(ErrorCode.WRONG_ARGUMENTS, message);
+        return new Failure(ErrorCode.WRONG_ARGUMENTS, "the key stands for the result of another statement");
     }
 
     /** The front end is shutting down. */
--- a/src/main/java/lineward/mysql/wire/Handshake.java
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -61,8 +61,7 @@
         writeZeroTerminated(packet, SERVER_VERSION);
         packet.writeIntLE(thread).writeBytes(nonce, 0, NONCE_HEAD).writeByte(0);
         packet.writeShortLE(OFFERED).writeByte(UTF8MB4).writeShortLE(Packets.AUTOCOMMIT);
-        packet.writeShortLE(OFFERED >>> 16).writeByte(nonce.length + 1);
-        packet.writeZero(GREETING_RESERVED_BYTES);
+        packet.writeShortLE(OFFERED >>> 16).writeByte(nonce.length + 1).writeZero(GREETING_RESERVED_BYTES);
         packet.writeBytes(nonce, NONCE_HEAD, nonce.length - NONCE_HEAD).writeByte(0);
         writeZeroTerminated(packet, Auth.SHA2);
         return Packets.done(packet);
--- a/src/main/java/lineward/mysql/wire/Packets.java
+++ b/src/main/java/lineward/mysql/wire/Packets.java
@@ -89,8 +89,7 @@
 
     /** Returns the payload's first byte, which identifies the packet's type, or {@link #EMPTY}. */
     public static int first(ByteBuf frame) {
-        int offset = frame.readerIndex() + HEADER_BYTES;
-        return size(frame) == 0 ? EMPTY : frame.getUnsignedByte(offset);
+        return size(frame) == 0 ? EMPTY : frame.getUnsignedByte(frame.readerIndex() + HEADER_BYTES);
     }
 
     /** Returns the payload's length. */
--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -140,8 +140,7 @@
                 readSlowly(slow);
             }
             Arrays.sort(releaseTimes);
-            double p99 = releaseTimes[(int) Math.ceil(readers * 0.99) - 1];
-            figure("engine-release-p99-ms" + suffix, p99, "ms");
+            figure("engine-release-p99-ms" + suffix, releaseTimes[(int) Math.ceil(readers * 0.99) - 1], "ms");
         } finally {
             for (StandInClient client : slow) {
                 client.close();
@@ -246,8 +245,7 @@
                     (System.nanoTime() - start) / MS,
                     "ms for " + recovered + " results, " + SpoolFixture.megabytes(folder) + " MB on file");
         }
-        int wrong = SpoolFixture.wrongBytes(folder, new Random(1), 1000);
-        figure("wrong-bytes", wrong, "in 1000 crash points");
+        figure("wrong-bytes", SpoolFixture.wrongBytes(folder, new Random(1), 1000), "in 1000 crash points");
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted((a, b) -> b.compareTo(a)).forEach(f -> f.toFile().delete());
         }
--- a/src/test/java/lineward/mysql/CustomersTest.java
+++ b/src/test/java/lineward/mysql/CustomersTest.java
@@ -10,7 +10,6 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lineward.mysql.StandInEngine.Execution;
 import lineward.mysql.StandInEngine.Fault;
 import lineward.testing.Program;
 import org.testng.annotations.AfterMethod;
@@ -53,20 +52,20 @@
     }
 
     /** Executes a statement for a new client, and returns the state of its session at the engine. */
-    private Execution executeForNewClient() throws IOException {
+    private StandInEngine.Execution executeForNewClient() throws IOException {
         try (StandInClient client = client()) {
             assertEquals(client.query(NEW_CLIENT_QUERY).rows().size(), 1);
             return engine.executions.get(engine.executions.size() - 1);
         }
     }
 
-    private Execution lastExecution() {
+    private StandInEngine.Execution lastExecution() {
         return engine.executions.get(engine.executions.size() - 1);
     }
 
     private void assertNewClientsAreUnaffected() throws IOException {
         for (int i = 0; i < 3; i++) {
-            assertEquals(executeForNewClient(), new Execution(NEW_CLIENT_QUERY, PLAIN, "", ""));
+            assertEquals(executeForNewClient(), new StandInEngine.Execution(NEW_CLIENT_QUERY, PLAIN, "", ""));
         }
     }
 
@@ -148,8 +147,8 @@
             assertEquals(client.query("select rows=1").code(), 0);
             assertNewClientsAreUnaffected();
             assertEquals(client.query("select rows=1").code(), 0);
-            Execution own = engine.executions.get(engine.executions.size() - 1);
-            assertEquals(own, new Execution("select rows=1", "{sql_mode='ANSI'}", "sales", ""));
+            StandInEngine.Execution own = engine.executions.get(engine.executions.size() - 1);
+            assertEquals(own, new StandInEngine.Execution("select rows=1", "{sql_mode='ANSI'}", "sales", ""));
         }
     }
 
@@ -192,7 +191,7 @@
             StandInClient.Statement statement = client.prepare(text);
             assertEquals(client.execute(statement, true).code(), 0);
             assertNewClientsAreUnaffected();
-            Program.await("changed sessions are closed", () -> engine.connections() == 1);
+            Program.await("connections with changed sessions are closed", () -> engine.connections() == 1);
         }
     }
 
--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -69,7 +69,7 @@
             StandInClient.Statement statement = client.prepare(text);
             setFaultOfNextEngine(Fault.DIE_BEFORE_EXECUTE);
             StandInClient.Result result = client.execute(statement, false);
-            assertNotEquals(one.isDead(), two.isDead(), "one engine has received and reset the execution");
+            assertNotEquals(one.isDead(), two.isDead(), "the execution reached an engine that reset it");
             assertEquals(result.code(), FAILED, result.message());
             assertEquals(result.state(), "70100");
             assertEquals(executionsOf(text), 0, "no engine has executed it");
--- a/src/test/java/lineward/mysql/SpoolCursorTest.java
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -78,8 +78,7 @@
             assertEquals(client.query("/* lineward:key=k1 */" + text).rows().size(), 1000);
         }
         try (StandInClient reconnected = client()) {
-            String pageQuery = "/* lineward:key=k1 from=200 rows=100 */" + text;
-            StandInClient.Result page = reconnected.query(pageQuery);
+            StandInClient.Result page = reconnected.query("/* lineward:key=k1 from=200 rows=100 */" + text);
             assertEquals(page.rows().size(), 100);
             assertTrue(new String(page.rows().get(0), StandardCharsets.UTF_8).contains("row 200 of"));
             assertEquals(
--- a/src/test/java/lineward/mysql/StandInClient.java
+++ b/src/test/java/lineward/mysql/StandInClient.java
@@ -63,8 +63,7 @@
             MessageDigest digest = MessageDigest.getInstance(sha2 ? "SHA-256" : "SHA-1");
             byte[] once = digest.digest(password.getBytes(StandardCharsets.UTF_8));
             byte[] twice = digest.digest(once);
-            byte[] salted = sha2 ? Wire.bytes(twice, nonce) : Wire.bytes(nonce, twice);
-            byte[] mask = digest.digest(salted);
+            byte[] mask = digest.digest(sha2 ? Wire.bytes(twice, nonce) : Wire.bytes(nonce, twice));
             for (int i = 0; i < mask.length; i++) {
                 mask[i] ^= once[i];
             }
--- a/src/test/java/lineward/mysql/wire/DialectTest.java
+++ b/src/test/java/lineward/mysql/wire/DialectTest.java
@@ -55,12 +55,11 @@
         UnpooledByteBufAllocator alloc = UnpooledByteBufAllocator.DEFAULT;
         byte[] rows = array(ROW + "0200000501bb");
         assertEquals(ByteBufUtil.hexDump(Dialect.DEPRECATE_EOF.columns(array(HEAD))), COLUMNS);
-        ByteBuf shortCursor = Dialect.DEPRECATE_EOF.cursorColumns(alloc, array(HEAD));
-        assertEquals(ByteBufUtil.hexDump(shortCursor), COLUMNS + "07000003fe000042000000");
-        ByteBuf plainCursor = Dialect.EOF_PACKETS.cursorColumns(alloc, array(HEAD));
-        assertEquals(ByteBufUtil.hexDump(plainCursor), COLUMNS + "05000003fe00004200");
-        ByteBuf converted = Dialect.DEPRECATE_EOF.rows(rows);
-        assertEquals(ByteBufUtil.hexDump(converted), "0200000301aa" + "0200000401bb");
+        String shortCursor = ByteBufUtil.hexDump(Dialect.DEPRECATE_EOF.cursorColumns(alloc, array(HEAD)));
+        assertEquals(shortCursor, COLUMNS + "07000003fe000042000000");
+        String plainCursor = ByteBufUtil.hexDump(Dialect.EOF_PACKETS.cursorColumns(alloc, array(HEAD)));
+        assertEquals(plainCursor, COLUMNS + "05000003fe00004200");
+        assertEquals(ByteBufUtil.hexDump(Dialect.DEPRECATE_EOF.rows(rows)), "0200000301aa" + "0200000401bb");
         assertEquals(ByteBufUtil.hexDump(rows), ROW + "0200000501bb");
         ByteBuf tail = Dialect.DEPRECATE_EOF.tail(alloc, array(EOF_5));
         assertEquals(ByteBufUtil.hexDump(tail), "07000004fe000002000100");
