--- a/src/main/java/lineward/mysql/client/AttemptReporter.java
+++ b/src/main/java/lineward/mysql/client/AttemptReporter.java
@@ -11,9 +11,9 @@
 /** Reports the progress and the end of one attempt to the coordinator and to its query. */
 public final class AttemptReporter implements AttemptListener {
     /**
-     * The components to which all attempts report.
+     * The components that all reporters share.
      *
-     * @param tick schedules a scheduler tick, which decides on the coordinator's new events
+     * @param tick schedules a tick, in which the coordinator processes its new events
      */
     public record Targets(Coordinator<Query> coordinator, Metrics metrics, Spool spool, Runnable tick) {}
 
@@ -21,7 +21,7 @@
     private final Query query;
     private final int attempt;
 
-    /** @param attempt the attempt's number, as the coordinator assigned it */
+    /** @param attempt the number that the coordinator has assigned to the attempt */
     public AttemptReporter(Targets targets, Query query, int attempt) {
         this.targets = targets;
         this.query = query;
--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -20,7 +20,9 @@
 
 /** Executes the commands of one authenticated client: answers them locally or forwards them to an engine. */
 final class ClientCommands {
+    /** Limit on the total size of the long parameters of one execution. */
     private static final int MAX_LONG_DATA_BYTES = 1 << 20;
+
     private static final int STATEMENT_ID_BYTES = 4;
     private static final int PARAMETER_NUMBER_BYTES = 2;
     /** Stands for the statement id of a packet that is too short for one; no statement has this id. */
@@ -174,8 +176,9 @@
     }
 
     /**
-     * Stores a part of a parameter until the next execution. COM_STMT_SEND_LONG_DATA has no reply, so that
-     * closing the connection is the only way to report too much data.
+     * Stores a part of a long parameter until the next execution. COM_STMT_SEND_LONG_DATA has no reply: a
+     * packet that is too short or names an unknown statement is ignored, and too much data closes the
+     * connection, which is the only way to report it.
      */
     private void addLongData(ByteBuf payload) {
         if (payload.readableBytes() < STATEMENT_ID_BYTES + PARAMETER_NUMBER_BYTES) {
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -25,7 +25,7 @@
  */
 final class ClientSession extends SimpleChannelInboundHandler<ByteBuf> {
     private static final Logger LOG = LoggerFactory.getLogger(ClientSession.class);
-    /** Limit of packets queued while a command is in progress; reading pauses when the queue is full. */
+    /** Limit on packets queued while a command is in progress; reading pauses when the queue is full. */
     private static final int MAX_PENDING_PACKETS = 8;
     /** The payload that confirms fast authentication with caching_sha2_password. */
     private static final byte[] FAST_AUTH_SUCCESS = {1, 3};
@@ -76,7 +76,7 @@
         return replies.channel();
     }
 
-    /** Returns whether there is no command in progress or queued, no unflushed reply and no open cursor. */
+    /** Returns whether no command is in progress or queued, all replies are flushed and no cursor is open. */
     boolean isIdle() {
         return isBetweenCommands() && !statements.hasOpenCursor();
     }
@@ -85,7 +85,7 @@
         return state.acceptsPackets() && pendingPackets.isEmpty() && replies.isFlushed();
     }
 
-    /** Disconnects the client if no command is in progress, even if it has open cursors. */
+    /** Disconnects the client with an error if it is idle apart from open cursors. */
     void closeForShutdown() {
         if (isBetweenCommands()) {
             replies.beginUnsolicited();
@@ -171,15 +171,15 @@
     }
 
     /**
-     * Records that the query or the stream of the current command has ended; once both have ended, queued
-     * packets are processed.
+     * Records that the query or the stream of the current command has ended. Processes the queued packets if
+     * neither is left.
      */
     void commandStepEnded(SessionState.Event event) {
         enter(event);
         channel().eventLoop().execute(this::processPending);
     }
 
-    /** Sends an error and closes the connection after it. */
+    /** Sends an error and closes the connection once it is written. */
     void closeWith(Failure failure) {
         enter(SessionState.Event.CLOSE_REQUESTED);
         replies.sendLast(failure);
--- a/src/main/java/lineward/mysql/client/ConnectedClients.java
+++ b/src/main/java/lineward/mysql/client/ConnectedClients.java
@@ -9,7 +9,10 @@
 import lineward.mysql.wire.ChannelOperations;
 import lineward.scheduling.decision.ServerAdmissionPolicy;
 
-/** The connected clients. Closes idle ones and ones that do not log in. Confined to the event loop. */
+/**
+ * The connected clients: limits their number, closes those that do not log in in time, and closes idle ones
+ * during a drain or shutdown. Confined to the event loop.
+ */
 public final class ConnectedClients {
     private static final long LOGIN_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
     /** Time that clients have to read their open cursors after the drain or shutdown has started. */
@@ -23,7 +26,7 @@
         this.maxClients = maxClients;
     }
 
-    /** Adds the client; returns false if the limit is exceeded, so that the caller must disconnect it. */
+    /** Adds the client; returns false if that exceeds the limit and the caller must disconnect the client. */
     boolean add(ClientSession client) {
         clients.add(client);
         return ServerAdmissionPolicy.mayConnect(clients.size(), maxClients);
--- a/src/main/java/lineward/mysql/client/CursorState.java
+++ b/src/main/java/lineward/mysql/client/CursorState.java
@@ -8,7 +8,7 @@
     READY,
     /** Requested rows are being sent. */
     FETCHING,
-    /** The last rows of the result have been requested and are being sent. */
+    /** All rows have been sent, but the reply to the current fetch has not ended. */
     FETCHING_LAST,
     /** No rows are left, and none are requested. */
     EXHAUSTED,
@@ -21,7 +21,7 @@
         COLUMNS_SENT,
         /** Rows are requested. */
         FETCH_REQUESTED,
-        /** The end of the rows has been found: the result has none that were not sent. */
+        /** The reader has reached the end of the rows: none remain to be sent. */
         NO_ROWS_LEFT,
         /** The requested rows have been sent. */
         FETCH_COMPLETED,
@@ -34,7 +34,7 @@
         return this == FETCHING || this == FETCHING_LAST;
     }
 
-    /** Returns whether no rows are left to fetch, or the cursor is closed. */
+    /** Returns whether no fetch can return further rows: none are left, or the cursor is closed. */
     boolean isDone() {
         return this == FETCHING_LAST || this == EXHAUSTED || this == CLOSED;
     }
--- a/src/main/java/lineward/mysql/client/OpenCursor.java
+++ b/src/main/java/lineward/mysql/client/OpenCursor.java
@@ -45,7 +45,7 @@
     private boolean sending;
 
     private long rowsWanted;
-    /** Number of rows in the first block that precede the range. */
+    /** Number of rows before the range that remain to be skipped in the current block. */
     private int rowsToSkip;
     /** Sequence number of the next packet. */
     private int sequence;
@@ -193,12 +193,12 @@
     private boolean nextBlock() {
         ResultChunk block = reader.poll();
         if (block != null && block.rows() > 0) {
-            // Other readers share the block, but its packets are renumbered for this reply.
+            // Copied because other readers share the block, and its packets are renumbered for this reply.
             rows = block.bytes().clone();
             offset = 0;
             return true;
         }
-        // The block after the rows has none; it holds the last packet of the reply.
+        // A block without rows follows the rows; it holds the last packet of the engine's reply.
         if (block != null || reader.readState() == ReadState.END) {
             transition(CursorState.Event.NO_ROWS_LEFT);
             return true;
--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -13,7 +13,7 @@
 /** A client's command that an engine must execute, with its current attempt. Confined to the event loop. */
 public final class Query {
     /**
-     * How the query's result is spooled.
+     * Whether and how the query's result is spooled.
      *
      * @param key the key by which the client can read the result again; empty if it has none
      * @param digest digest of the statement and its arguments if there is a key; else empty
@@ -86,7 +86,7 @@
         return statementClass.schedulerIndex();
     }
 
-    /** Records that the coordinator has admitted the query with this id. */
+    /** Records that the coordinator has admitted the query and assigned this id to it. */
     public void admitted(long id) {
         requestId = id;
     }
--- a/src/main/java/lineward/mysql/client/QueryDispatcher.java
+++ b/src/main/java/lineward/mysql/client/QueryDispatcher.java
@@ -7,7 +7,7 @@
     /** Returns the class of the statement with this text. */
     StatementClass classOf(String text, boolean writes);
 
-    /** Offers the query for admission; returns false if the caller must reject it. */
+    /** Admits the query if there is capacity for it; returns false if the caller must reject it. */
     boolean admit(Query query);
 
     /** Cancels an admitted query whose client has disconnected. */
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -68,7 +68,8 @@
     }
 
     /**
-     * Starts a query. It is rejected if the spool has no capacity for its result or if it is not admitted.
+     * Starts a query. It is rejected if it is not admitted or, unless it writes, if the spool has no capacity
+     * for its result.
      *
      * @param text the statement's text, which determines the query's class
      */
@@ -115,7 +116,10 @@
         }
     }
 
-    /** Sends the reply after replacing the engine's statement id and sequence number with this session's. */
+    /**
+     * Sends the reply. The id of a prepared statement is replaced by this session's. The reply to a change of
+     * the schema gets this session's sequence number, as it may answer a login packet instead of a command.
+     */
     private void relay(Query query, ByteBuf reply) {
         boolean succeeded = Packets.first(reply) != Packets.ERR;
         boolean prepared = succeeded && query.work() instanceof Work.Prepare;
@@ -138,7 +142,7 @@
         reply.setIntLE(reply.readerIndex() + PREPARED_ID_OFFSET, (int) id);
     }
 
-    /** Starts sending the spooled result of the query, which may be incomplete. */
+    /** Starts sending the spooled result of the query, which may be incomplete, if the client still waits. */
     void responseStarted(Query query) {
         if (isCurrent(query)) {
             stream.start(query);
@@ -148,8 +152,8 @@
     }
 
     /**
-     * Ends the query after the attempt whose spooled result is being sent; the stream reads what remains, or
-     * finds that the result is incomplete.
+     * Ends the query, as the attempt has ended whose spooled result is being sent. The stream goes on to send
+     * the rest of the result, or an error if the result is incomplete.
      */
     void streamedAttemptEnded(Query query) {
         if (running == query) {
--- a/src/main/java/lineward/mysql/client/ReplyPump.java
+++ b/src/main/java/lineward/mysql/client/ReplyPump.java
@@ -61,7 +61,11 @@
         }
     }
 
-    /** Returns whether no chunk is available, or the channel was not writable from the start. */
+    /**
+     * Sends the available chunks while the channel is writable.
+     *
+     * @return false if the channel stopped being writable after a chunk, so that more may be available
+     */
     private boolean sendWhileWritable() {
         ResultChunk chunk = null;
         while (channel.isWritable()) {
@@ -88,7 +92,7 @@
         return lastPackets == null ? FIRST_SEQUENCE : dialect.sequenceAfter(lastPackets);
     }
 
-    /** Returns whether the reply has ended. A broken result ends only when an error packet can be written. */
+    /** Returns whether the reply has ended; a broken one ends only once its error packet can be written. */
     private boolean isEnd(ReadState ahead, boolean noChunkLeft) {
         return switch (ahead) {
             case EXPIRED -> true;
--- a/src/main/java/lineward/mysql/client/ReplyWriter.java
+++ b/src/main/java/lineward/mysql/client/ReplyWriter.java
@@ -10,9 +10,9 @@
 import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.Packets;
 
-/** Writes replies to one client, takes over their references, and counts those that are not flushed. */
+/** Writes replies to one client, takes over their references, and counts those not flushed. */
 final class ReplyWriter {
-    /** Precedes sequence number 0, which an unsolicited packet has. */
+    /** Stands for the sequence number of a request if there is none: the reply then starts with number 0. */
     private static final int BEFORE_FIRST = -1;
 
     private final Channel channel;
--- a/src/main/java/lineward/mysql/client/SessionState.java
+++ b/src/main/java/lineward/mysql/client/SessionState.java
@@ -2,7 +2,7 @@
 
 /**
  * The state of a client's session, and the transitions between its states. An event that does not apply to a
- * state leaves it unchanged, because a query may end while the connection is closing, for example.
+ * state leaves it unchanged; for example, a query may end while the connection is closing.
  */
 enum SessionState {
     /** Connected; the login packet has not been received. */
@@ -28,7 +28,7 @@
     enum Event {
         /** The client's authentication plugin is not supported, so that the client is asked to switch. */
         AUTH_SWITCH_REQUESTED,
-        /** The client has proved its password. */
+        /** The client's password has been verified. */
         AUTHENTICATED,
         /** A command that an engine must execute has started. */
         QUERY_STARTED,
--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpoolStream.java
@@ -30,12 +30,13 @@
     }
 
     /**
-     * Answers a statement with a key from the spool if the key has a result. A request for a page is answered
-     * with an error if the key has no complete result, and any request if the result is another statement's.
+     * Answers a statement with a key from the spool. If the key has no result, the statement must be
+     * executed, unless it requests a page: pages are sent from complete results only, so that the answer is
+     * an error. It is also an error if the result belongs to another statement.
      *
      * @param digest digest of the statement and its arguments
      * @param cursor the statement for which a cursor is opened; null if all rows are sent in one reply
-     * @return false if the statement must be executed instead
+     * @return false if the statement must be executed; otherwise a reply or an error has been sent
      */
     boolean answer(SpoolHint hint, String digest, ClientStatement cursor) {
         SpooledResult result = spool.find(session.user(), hint.key());
@@ -104,6 +105,7 @@
 
     private void ended(ReadState state, OptionalInt errorSequence) {
         if (state == ReadState.EXPIRED && !replies.channel().isWritable()) {
+            // An error packet would wait behind rows that the client does not read.
             replies.close();
         } else if (state == ReadState.BROKEN) {
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.brokenOff()));
