--- a/src/main/java/lineward/mysql/engine/AttemptListener.java
+++ b/src/main/java/lineward/mysql/engine/AttemptListener.java
@@ -6,7 +6,7 @@
 
 /** Is notified of the progress and the end of one attempt. All methods are called on the event loop. */
 public interface AttemptListener {
-    /** A listener for attempts whose reply nobody needs: it ignores the progress and releases the reply. */
+    /** A listener for attempts whose reply is not needed: ignores the progress and releases the reply. */
     AttemptListener DISCARD_REPLY = new AttemptListener() {
         @Override
         public SpooledResult openSpool() {
@@ -29,7 +29,7 @@
     /** Called when the attempt's command has been written to the engine's socket. */
     default void commandWritten() {}
 
-    /** Creates the spooled result of a reply that must be spooled; returns null to discard the reply. */
+    /** Called when the reply must be spooled; returns a new spooled result, or null to discard the reply. */
     SpooledResult openSpool();
 
     /** Returns whether a reply with rows is spooled regardless of its length. */
@@ -40,7 +40,7 @@
     /**
      * Called when the client may start reading the spooled result, which is not complete yet.
      *
-     * @return whether the client still waits for the result
+     * @return whether the client still waits for the result; if not, the rest of the reply is discarded
      */
     boolean responseStarted();
 
--- a/src/main/java/lineward/mysql/engine/ConnectionState.java
+++ b/src/main/java/lineward/mysql/engine/ConnectionState.java
@@ -129,7 +129,7 @@
 
     /**
      * Returns the outcome of the attempt if the connection closes in this state. Before the attempt's command
-     * is sent, the engine has executed nothing of the client's.
+     * has been sent, the engine can't have executed it.
      */
     AttemptOutcome outcomeOfClose() {
         return switch (this) {
--- a/src/main/java/lineward/mysql/engine/EngineCommands.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommands.java
@@ -49,7 +49,7 @@
         write(Commands.CLOSE, statementArguments(statementId));
     }
 
-    /** Runs the callback when all earlier commands have been written to the socket; never if that fails. */
+    /** Runs the callback once all earlier commands have been written to the socket, but not if that fails. */
     void whenWritten(Runnable callback) {
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> {
             if (done.isSuccess()) {
--- a/src/main/java/lineward/mysql/engine/EngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnection.java
@@ -26,7 +26,7 @@
  */
 final class EngineConnection extends SimpleChannelInboundHandler<ByteBuf> {
     private static final Logger LOG = LoggerFactory.getLogger(EngineConnection.class);
-    /** Timeout between a kill and the reply to the killed statement, after which the connection is closed. */
+    /** Time limit for the reply to a statement after its kill; then the connection is closed. */
     private static final int KILL_TIMEOUT_MS = 300;
     /** The reply to an execution if the statement's parameter count differs from the one the client knows. */
     private static final Failure PARAMETERS_CHANGED =
@@ -38,11 +38,11 @@
     private EngineLogin login;
     private EngineCommands commands;
     private EngineSession session;
-    /** Null while the connection is idle. */
+    /** Null if no attempt is assigned. */
     private QueryAttempt attempt;
     /** Classifies the packets of the reply to the last command; null before the first command. */
     private ReplyTracker tracker;
-    /** {@link System#nanoTime} of the last command or the last end of an attempt; at first, of creation. */
+    /** {@link System#nanoTime} of the creation, the last command or the end of the last attempt. */
     private long lastUsedNanos = System.nanoTime();
 
     EngineConnection(EngineConnectionPool pool) {
@@ -93,7 +93,7 @@
 
     /**
      * Cancels the attempt: kills its statement if it is running, or closes the connection if the command has
-     * not been sent.
+     * not been sent. Has no effect if the statement is already being killed.
      */
     void cancel() {
         if (state == ConnectionState.EXECUTING) {
@@ -166,6 +166,7 @@
             } else if (attempt != null) {
                 ownedByAttempt = readReply(frame);
             } else if (Packets.first(frame) != Packets.ERR) {
+                // Without a command, an engine may only announce by an error that it closes the connection.
                 throw new DecoderException("engine sent a packet although no command is running");
             }
         } finally {
@@ -290,7 +291,7 @@
         closed();
     }
 
-    /** Handles that the connection has closed or could not be opened. */
+    /** Handles the close of the connection, or a failure to open it. */
     void closed() {
         if (state != ConnectionState.CLOSED) {
             AttemptOutcome outcome = state.outcomeOfClose();
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -23,7 +23,7 @@
  * more if no connection is idle. Confined to the event loop.
  */
 final class EngineConnectionPool {
-    /** A placeholder: only spooled replies use the timeout, and the reply to a kill is never spooled. */
+    /** Not used: the timeout applies to spooled replies only, and the reply to a kill is never spooled. */
     private static final long KILL_TIMEOUT_MS = 0;
 
     private final Bootstrap bootstrap;
@@ -50,7 +50,8 @@
     }
 
     /**
-     * Starts the attempt on an idle or a new connection, or rejects it if all permitted connections are busy.
+     * Starts the attempt on an idle connection that can run it, or else on a new one, which may replace an
+     * idle one. Rejects the attempt if a new connection would exceed the limit.
      */
     void start(QueryAttempt attempt) {
         Optional<EngineConnection> suited = findIdle(attempt);
@@ -154,13 +155,13 @@
         idle.remove(connection);
     }
 
-    /** Closes the idle connections now and each other connection once its attempt has ended. */
+    /** Closes the idle connections now, and the other ones when their attempts have ended. */
     void drain() {
         draining = true;
         closeAllIdle();
     }
 
-    /** Ends draining, so that connections are kept again. */
+    /** Ends the drain, so that idle connections are kept again. */
     void reopen() {
         draining = false;
     }
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
@@ -15,7 +15,7 @@
     private final ConnectionLimits limits;
     private final Map<String, EngineConnectionPool> byName = new HashMap<>();
 
-    /** @param bootstrap has the event loop and the options of all connections */
+    /** @param bootstrap the event loop and the options of all connections */
     public EngineConnectionPools(Bootstrap bootstrap, ConnectionLimits limits) {
         this.bootstrap = bootstrap;
         this.limits = limits;
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Closes connections that are idle since before this {@link System#nanoTime}; removes drained pools. */
+    /** Closes connections idle since before this {@link System#nanoTime}, and removes drained pools. */
     public void closeIdleSince(long nanoTime) {
         byName.values().forEach(pool -> pool.closeIdleSince(nanoTime));
         byName.values().removeIf(EngineConnectionPool::isDrained);
--- a/src/main/java/lineward/mysql/engine/EngineErrorKind.java
+++ b/src/main/java/lineward/mysql/engine/EngineErrorKind.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import lineward.scheduling.AttemptOutcome;
 
-/** Classifies an engine's errors by what they mean for the command. */
+/** The kinds of errors that an engine sends, by what they mean for the command. */
 enum EngineErrorKind {
     /** The engine has reached one of its limits and has not executed the command. */
     OVERLOADED,
--- a/src/main/java/lineward/mysql/engine/QueryAttempt.java
+++ b/src/main/java/lineward/mysql/engine/QueryAttempt.java
@@ -140,7 +140,7 @@
         packetsSpooled();
     }
 
-    /** Starts the response once the spool permits it, and stops reading from the engine if the spool must. */
+    /** Starts the response once the spool permits it, and pauses reading if the spool can't take more. */
     private void packetsSpooled() {
         double limitMs = timeoutMs;
         if (state == ReplyState.SPOOLING && spool.result().shouldStartResponse(elapsedMs(), limitMs)) {
--- a/src/main/java/lineward/mysql/engine/SpoolWriter.java
+++ b/src/main/java/lineward/mysql/engine/SpoolWriter.java
@@ -5,7 +5,7 @@
 import lineward.mysql.wire.Packets;
 import lineward.spool.SpooledResult;
 
-/** Writes the packets of a reply to the spool. Rows are never in the same block as packets around them. */
+/** Writes the packets of a reply to the spool. Rows never share a block with the packets around them. */
 final class SpoolWriter {
     private final SpooledResult result;
 
@@ -17,7 +17,12 @@
         return result;
     }
 
-    /** Writes the next bytes of the source, either one packet or all packets before the rows. */
+    /**
+     * Writes the next bytes of the source.
+     *
+     * @param length length of one packet, or of all packets before the rows
+     * @param role role of the packet; HEAD_END for all packets before the rows
+     */
     void write(ByteBuf source, int length, PacketRole role) {
         if (role.isLast()) {
             result.seal();
