--- a/src/main/java/lineward/mysql/engine/EngineCommands.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommands.java
@@ -22,7 +22,7 @@
         write(command, Unpooled.wrappedBuffer(latin1.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    /** Writes the command of any work except {@link Work.Execute}. */
+    /** Writes any command except a {@link Work.Execute}. */
     void send(Work work) {
         if (work instanceof Work.Query query) {
             text(Commands.QUERY, query.text());
--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -65,14 +65,14 @@
         schema = selected;
     }
 
-    /** Records that the engine has completed the work successfully. */
+    /** Records that the engine has completed the attempt's command successfully. */
     void completed(Work work) {
         if (work instanceof Work.UseSchema) {
             schema = work.schema();
         }
     }
 
-    /** Returns the statement that the work executes; null if it is not prepared on this connection. */
+    /** Returns the statement that the command executes; null if it is not prepared on this connection. */
     EngineStatementCache.Prepared preparedFor(Work.Execute work) {
         return prepared.find(key(work));
     }
--- a/src/main/java/lineward/mysql/engine/QueryAttempt.java
+++ b/src/main/java/lineward/mysql/engine/QueryAttempt.java
@@ -10,9 +10,9 @@
 import lineward.spool.SpooledResult;
 
 /**
- * One attempt on an engine: its work, the reply so far, and its listener. A short reply is buffered. A longer
- * one is spooled, so that the connection is free after the last packet, however slowly the client reads.
- * Confined to the event loop.
+ * One attempt on an engine: its command, the reply so far, and its listener. A short reply is buffered. A
+ * longer one is spooled, so that the connection is free after the last packet, however slowly the client
+ * reads. Confined to the event loop.
  */
 public final class QueryAttempt {
     private enum ReplyState {
@@ -51,7 +51,7 @@
     /**
      * Creates an attempt that has not started.
      *
-     * @param settings the session variables that the engine must have set when it executes the work
+     * @param settings the session variables that the engine must have set when it executes the command
      * @param timeoutMs the attempt's timeout, from which the spool determines when the response may start
      */
     public QueryAttempt(Work work, Map<String, String> settings, long timeoutMs, AttemptListener listener) {
