--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -17,7 +17,7 @@
      *
      * @param key the key by which the client can read the result again; empty if it has none
      * @param digest digest of the statement and its arguments if there is a key; else empty
-     * @param cursor the statement for which a cursor is opened; null if all rows are sent in one reply
+     * @param cursor the statement whose cursor is opened; null if all rows are sent in one reply
      */
     record Spooling(String key, String digest, ClientStatement cursor) {
         /** The result is spooled only if it exceeds the attempt's buffer. */
--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpoolStream.java
@@ -35,7 +35,7 @@
      * an error. It is also an error if the result belongs to another statement.
      *
      * @param digest digest of the statement and its arguments
-     * @param cursor the statement for which a cursor is opened; null if all rows are sent in one reply
+     * @param cursor the statement whose cursor is opened; null if all rows are sent in one reply
      * @return false if the statement must be executed; otherwise a reply or an error has been sent
      */
     boolean answer(SpoolHint hint, String digest, ClientStatement cursor) {
--- a/src/main/java/lineward/mysql/engine/package-info.java
+++ b/src/main/java/lineward/mysql/engine/package-info.java
@@ -2,9 +2,9 @@
  * Connections to MySQL engines, and the attempts that run on them.
  * {@link lineward.mysql.engine.EngineConnectionPools} has a connection pool for each engine.
  * {@code EngineConnection} logs in, prepares the engine's session for an attempt and executes it;
- * {@code ConnectionState} defines its states. {@link lineward.mysql.engine.QueryAttempt} buffers or spools
- * the reply and notifies an {@link lineward.mysql.engine.AttemptListener}. This package has no reference to
- * clients.
+ * {@code ConnectionState} defines its states.
+ * {@link lineward.mysql.engine.QueryAttempt} buffers or spools the reply and notifies an
+ * {@link lineward.mysql.engine.AttemptListener}. This package has no reference to clients.
  *
  * <p>This package may use {@code session} and {@code wire}. All code is confined to the event loop and never
  * blocks. These are limited: connections for each engine ({@link lineward.mysql.engine.ConnectionLimits}), 64
--- a/src/test/java/lineward/mysql/engine/ConnectionStateTest.java
+++ b/src/test/java/lineward/mysql/engine/ConnectionStateTest.java
@@ -1,5 +1,9 @@
 package lineward.mysql.engine;
 
+import static lineward.scheduling.AttemptOutcome.CANCELLED;
+import static lineward.scheduling.AttemptOutcome.CONNECT_FAILED;
+import static lineward.scheduling.AttemptOutcome.ERROR;
+import static lineward.scheduling.AttemptOutcome.RESET;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
 
@@ -57,13 +61,13 @@
     @DataProvider
     public Object[][] outcomes() {
         return new Object[][] {
-            {ConnectionState.CONNECTING, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.CONNECT_FAILED},
-            {ConnectionState.AUTHENTICATING, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.CONNECT_FAILED},
-            {ConnectionState.APPLYING_SETTINGS, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.CONNECT_FAILED},
-            {ConnectionState.SELECTING_SCHEMA, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.CONNECT_FAILED},
-            {ConnectionState.PREPARING, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.CONNECT_FAILED},
-            {ConnectionState.EXECUTING, AttemptOutcome.RESET, AttemptOutcome.ERROR},
-            {ConnectionState.KILLING, AttemptOutcome.CANCELLED, AttemptOutcome.ERROR}
+            {ConnectionState.CONNECTING, CONNECT_FAILED, CONNECT_FAILED},
+            {ConnectionState.AUTHENTICATING, CONNECT_FAILED, CONNECT_FAILED},
+            {ConnectionState.APPLYING_SETTINGS, CONNECT_FAILED, CONNECT_FAILED},
+            {ConnectionState.SELECTING_SCHEMA, CONNECT_FAILED, CONNECT_FAILED},
+            {ConnectionState.PREPARING, CONNECT_FAILED, CONNECT_FAILED},
+            {ConnectionState.EXECUTING, RESET, ERROR},
+            {ConnectionState.KILLING, CANCELLED, ERROR}
         };
     }
 
