--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpoolStream.java
@@ -63,22 +63,20 @@
 
     private void start(SpooledResult result, SpoolHint hint, ClientStatement cursor) {
         if (cursor != null) {
-            OpenCursor opened = open(result, hint.firstRow(), OptionalLong.empty());
+            OpenCursor opened = open(result, new OpenCursor.Range(hint.firstRow(), OptionalLong.empty()));
             cursor.replaceCursor(opened);
             active = opened;
         } else if (hint.requestsPage()) {
             long rowCount = hint.rowLimit().orElse(Long.MAX_VALUE);
-            active = open(result, hint.firstRow(), OptionalLong.of(rowCount));
+            active = open(result, new OpenCursor.Range(hint.firstRow(), OptionalLong.of(rowCount)));
         } else {
-            Dialect dialect = replies.dialect();
-            active = new ReplyPump(replies.channel(), result, dialect, replies::send, this::ended);
+            active = new ReplyPump(replies.channel(), result, replies.dialect(), replies::send, this::ended);
         }
         session.enter(SessionState.Event.STREAM_STARTED);
         active.resume();
     }
 
-    private OpenCursor open(SpooledResult result, long firstRow, OptionalLong rowCount) {
-        OpenCursor.Range range = new OpenCursor.Range(firstRow, rowCount);
+    private OpenCursor open(SpooledResult result, OpenCursor.Range range) {
         Dialect dialect = replies.dialect();
         return new OpenCursor(replies.channel(), result, dialect, range, replies::send, this::ended);
     }
