--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -13,11 +13,11 @@
 /** A client's command that an engine must execute, with its current attempt. Confined to the event loop. */
 public final class Query {
     /**
-     * How the query's result is spooled.
+     * Whether and how the query's result is spooled.
      *
      * @param key the key by which the client can read the result again; empty if it has none
      * @param digest digest of the statement and its arguments if there is a key; else empty
-     * @param cursor the statement for which a cursor is opened; null if all rows are sent in one reply
+     * @param cursor the statement whose cursor is opened; null if all rows are sent in one reply
      */
     record Spooling(String key, String digest, ClientStatement cursor) {
         /** The result is spooled only if it exceeds the attempt's buffer. */
@@ -86,7 +86,7 @@
         return statementClass.schedulerIndex();
     }
 
-    /** Records that the coordinator has admitted the query with this id. */
+    /** Records that the coordinator has admitted the query and assigned this id to it. */
     public void admitted(long id) {
         requestId = id;
     }
--- a/src/main/java/lineward/mysql/engine/EngineCommands.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommands.java
@@ -22,7 +22,7 @@
         write(command, Unpooled.wrappedBuffer(latin1.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    /** Writes the command of any work except {@link Work.Execute}. */
+    /** Writes any command except a {@link Work.Execute}. */
     void send(Work work) {
         if (work instanceof Work.Query query) {
             text(Commands.QUERY, query.text());
@@ -49,7 +49,7 @@
         write(Commands.CLOSE, statementArguments(statementId));
     }
 
-    /** Runs the callback when all earlier commands have been written to the socket; never if that fails. */
+    /** Runs the callback once all earlier commands have been written to the socket, but not if that fails. */
     void whenWritten(Runnable callback) {
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> {
             if (done.isSuccess()) {
