--- a/src/test/java/lineward/telemetry/TelemetryTest.java
+++ b/src/test/java/lineward/telemetry/TelemetryTest.java
@@ -97,7 +97,8 @@
             assertEquals(outcome(attempt), "ok");
             assertEquals(outcome(request), "served");
             Program.await(
-                    "the rejection", () -> spans.stream().anyMatch(s -> outcome(s).equals("refused")));
+                    "the rejection",
+                    () -> spans.stream().anyMatch(s -> outcome(s).equals("refused")));
             List<String> expected = List.of("lineward.requests", "look", "refused");
             Predicate<String> isExpected = metric -> expected.stream().allMatch(metric::contains);
             Program.await("counts by class and outcome", () -> metrics.stream().anyMatch(isExpected));
--- a/src/test/java/lineward/thrift/MaintenanceTest.java
+++ b/src/test/java/lineward/thrift/MaintenanceTest.java
@@ -49,7 +49,9 @@
             for (String state : new String[] {"gone", "ready"}) {
                 platform.discovery().publish(false, id, "" + used.port(), state);
                 long polls = platform.discovery().polls();
-                Program.await("the event has been received", () -> platform.discovery().polls() > polls + 1);
+                Program.await(
+                        "the event has been received",
+                        () -> platform.discovery().polls() > polls + 1);
                 serve(platform, 30);
             }
             assertEquals(used.requests(), before);
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/PlatformRulesTest.java
@@ -332,7 +332,8 @@
         try (TestingClient open = platform.client()) {
             assertTrue(open.callMethod("ping").good());
             platform.program().terminate();
-            Program.await("the shutdown has started", () -> platform.program().log().contains("SIGTERM"));
+            Program.await(
+                    "the shutdown has started", () -> platform.program().log().contains("SIGTERM"));
             try (TestingClient late = platform.client()) {
                 assertEquals(call(late, 2000).field(), SERVED);
                 assertFalse(late.callMethod("ping").good());
--- a/src/test/java/lineward/thrift/ShutdownSignalTest.java
+++ b/src/test/java/lineward/thrift/ShutdownSignalTest.java
@@ -77,7 +77,8 @@
             Program.await("the request runs", () -> platform.requests() == 1);
             platform.program().hangUp();
             platform.program().terminate();
-            Program.await("the shutdown has started", () -> platform.program().log().contains("SIGTERM"));
+            Program.await(
+                    "the shutdown has started", () -> platform.program().log().contains("SIGTERM"));
             platform.program().terminate();
             platform.program().hangUp();
             assertEquals(caller.read().field(), FAILED, "the final response");
