--- a/src/main/java/lineward/mysql/engine/EngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnection.java
@@ -20,9 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A connection to a MySQL engine, which executes at most one attempt at a time. Before it sends the attempt's
- * command, it applies the session settings, selects the schema and prepares the statement that the command
- * needs. Confined to the event loop.
+ * A connection to a MySQL engine for at most one attempt at a time. Preparatory commands apply the settings,
+ * select the schema and prepare the statement that the attempt's command needs. Confined to the event loop.
  */
 final class EngineConnection extends SimpleChannelInboundHandler<ByteBuf> {
     private static final Logger LOG = LoggerFactory.getLogger(EngineConnection.class);
@@ -91,10 +90,7 @@
         }
     }
 
-    /**
-     * Cancels the attempt: kills its statement if it is running, or closes the connection if the command has
-     * not been sent. Has no effect if the statement is already being killed.
-     */
+    /** Kills the attempt's running statement at most once. Closes the connection if the command is unsent. */
     void cancel() {
         if (state == ConnectionState.EXECUTING) {
             transition(Transition.KILL);
@@ -218,7 +214,6 @@
         };
     }
 
-    /** Processes a packet of the reply to a command that prepares the session for the attempt's command. */
     private void readPreparatoryReply(ByteBuf frame, boolean last) {
         if (state == ConnectionState.PREPARING) {
             session.readPrepared(frame, last, attempt.work());
