--- a/src/main/java/lineward/core/TrackedRequest.java
+++ b/src/main/java/lineward/core/TrackedRequest.java
@@ -18,7 +18,7 @@
     private final double deadlineMs;
     private final List<TrackedAttempt> attempts = new ArrayList<>(2);
     private final List<TrackedAttempt> attemptsView = Collections.unmodifiableList(attempts);
-    private RequestState state = RequestState.OPEN;
+    private TrackedRequestState state = TrackedRequestState.OPEN;
     private long id = GenerationalTable.FULL;
     private int attemptsInFlight;
     /** The attempt that was the last to start sending its response; null if there is none. */
--- a/src/main/java/lineward/core/RequestState.java
+++ b/src/main/java/lineward/core/TrackedRequestState.java
@@ -1,7 +1,7 @@
 package lineward.core;
 
 /** States of an admitted request. A transition that does not apply to a state leaves it unchanged. */
-enum RequestState {
+enum TrackedRequestState {
     /** No attempt has started to send its response to the client. */
     OPEN,
     /** An attempt has started to send its response to the client. */
@@ -10,12 +10,12 @@
     COMPLETED;
 
     /** Returns the state after an attempt starts to send its response to the client. */
-    RequestState responseStarted() {
+    TrackedRequestState responseStarted() {
         return this == OPEN ? RESPONDING : this;
     }
 
     /** Returns the state after the final answer is decided or the request is cancelled. */
-    RequestState completed() {
+    TrackedRequestState completed() {
         return COMPLETED;
     }
 
--- a/src/test/java/lineward/core/TrackedRequestTest.java
+++ b/src/test/java/lineward/core/TrackedRequestTest.java
@@ -11,9 +11,9 @@
 
 /** Tests the state transitions of requests and attempts, and the bookkeeping that uses them. */
 public class TrackedRequestTest {
-    private static final RequestState OPEN = RequestState.OPEN;
-    private static final RequestState RESPONDING = RequestState.RESPONDING;
-    private static final RequestState COMPLETED = RequestState.COMPLETED;
+    private static final TrackedRequestState OPEN = TrackedRequestState.OPEN;
+    private static final TrackedRequestState RESPONDING = TrackedRequestState.RESPONDING;
+    private static final TrackedRequestState COMPLETED = TrackedRequestState.COMPLETED;
 
     private static final AttemptState RUNNING = AttemptState.RUNNING;
     private static final AttemptState CANCELLING = AttemptState.CANCELLING;
@@ -31,7 +31,10 @@
 
     @Test(dataProvider = "requestTransitions")
     public void requestTransitionsLeadToTheirTargets(
-            RequestState state, RequestState responding, RequestState completed, boolean isCompleted) {
+            TrackedRequestState state,
+            TrackedRequestState responding,
+            TrackedRequestState completed,
+            boolean isCompleted) {
         assertEquals(state.responseStarted(), responding);
         assertEquals(state.completed(), completed);
         assertEquals(state.isCompleted(), isCompleted);
