--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -26,7 +26,7 @@
     private final Tracer<X> tracer;
     private final GenerationalTable<TrackedRequest<X>> requests;
     private final DeadlineQueue deadlines = new DeadlineQueue();
-    private final EngineNumbers engines = new EngineNumbers();
+    private final EngineRegistry engines = new EngineRegistry();
     private final HealthChecks healthChecks = new HealthChecks(deadlines, this::addEvent);
     private final ActionExecutor<X> executor;
     private List<SchedulerEvent> events = new ArrayList<>();
@@ -255,7 +255,7 @@
         return requests.get(requestId);
     }
 
-    EngineNumbers engines() {
+    EngineRegistry engines() {
         return engines;
     }
 
--- a/src/main/java/lineward/core/EngineNumbers.java
+++ b/src/main/java/lineward/core/EngineRegistry.java
@@ -15,7 +15,7 @@
  * longer known are removed: a restarted engine gets a new id, so the maps would otherwise grow without limit.
  * Called by the coordinator, on the event loop.
  */
-final class EngineNumbers {
+final class EngineRegistry {
     // Parameters of the 64-bit FNV-1a hash, which is computed over the characters of the id.
     private static final long FNV_SEED = 0xcbf29ce484222325L;
 
