--- a/src/main/java/lineward/core/TableGroups.java
+++ b/src/main/java/lineward/core/TableGroups.java
@@ -21,7 +21,7 @@
      *
      * @return the number, or {@link RequestAttributes#NO_TABLE_GROUP} if there is none
      */
-    public static int of(CharSequence statement) {
+    public static int groupOf(CharSequence statement) {
         SqlTokens tokens = new SqlTokens(statement);
         int fallback = RequestAttributes.NO_TABLE_GROUP;
         String name = null;
--- a/src/main/java/lineward/thrift/CallFields.java
+++ b/src/main/java/lineward/thrift/CallFields.java
@@ -47,7 +47,7 @@
         double maxWorkMs = deadlineMs * MAX_WORK_PER_DEADLINE;
         double workMs = estimate(fields, CallField.ESTIMATED_WORK_MS, maxWorkMs);
         double memoryMb = estimate(fields, CallField.ESTIMATED_MEMORY_MB, MAX_ESTIMATED_MEMORY_MB);
-        int tableGroup = TableGroups.of(invocation.statement().toString(StandardCharsets.UTF_8));
+        int tableGroup = TableGroups.groupOf(invocation.statement().toString(StandardCharsets.UTF_8));
         RequestAttributes attributes =
                 new RequestAttributes(classIndex, tenant, timeLeftMs, workMs, memoryMb, tableGroup, retry);
         return new CallFields(id, requestClass, attributes);
--- a/src/test/java/lineward/core/TableGroupsTest.java
+++ b/src/test/java/lineward/core/TableGroupsTest.java
@@ -30,6 +30,6 @@
 
     @Test(dataProvider = "statements")
     public void groupIsTheNumberOfTheSchema(String statement, int group) {
-        assertEquals(TableGroups.of(statement), group);
+        assertEquals(TableGroups.groupOf(statement), group);
     }
 }
