--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -76,7 +76,7 @@
         Ticker ticker = context.ticker();
         context.runOnEventLoop(lifecycle::joinHotRestart);
         ticker.every(Ticker.TICK_MS, () -> servers.forEach(ProtocolServer::tick));
-        ticker.every(UNRESPONSIVE_INTERVAL_MS, () -> servers.forEach(ProtocolServer::closeUnresponsive));
+        ticker.every(UNRESPONSIVE_INTERVAL_MS, () -> servers.forEach(ProtocolServer::runPeriodicTasks));
         ticker.every(IDLE_INTERVAL_MS, () -> servers.forEach(ProtocolServer::closeIdleEngineConnections));
         AdminWiring.start(context, lifecycle, adminAddress);
         context.startActions().forEach(Runnable::run);
--- a/src/main/java/lineward/frontend/ProtocolServer.java
+++ b/src/main/java/lineward/frontend/ProtocolServer.java
@@ -45,7 +45,7 @@
      * Closes connections of clients that do not send a complete message or do not log in within the timeout,
      * and does the server's other periodic work, such as engine heartbeats. Called ten times a second.
      */
-    void closeUnresponsive();
+    void runPeriodicTasks();
 
     /** Closes connections to engines that have exceeded the idle timeout. */
     void closeIdleEngineConnections();
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public void closeUnresponsive() {
+    public void runPeriodicTasks() {
         clients.closeNotLoggedIn();
         spool.tick();
     }
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -202,7 +202,7 @@
     }
 
     @Override
-    public void closeUnresponsive() {
+    public void runPeriodicTasks() {
         engines.keepAlive();
         clients.closeSilent(SILENCE_TIMEOUT_NANOS);
         clients.all().stream()
