--- a/src/main/java/lineward/frontend/ProtocolServer.java
+++ b/src/main/java/lineward/frontend/ProtocolServer.java
@@ -14,7 +14,7 @@
     void tick();
 
     /** Sets the phase, which determines the clients and requests that are admitted from now on. */
-    void setAdmission(ServerAdmissionPolicy.Phase phase);
+    void setAdmissionPhase(ServerAdmissionPolicy.Phase phase);
 
     /**
      * Limits the deadline of requests that arrive from now on, even if their clients set a later one. Ignored
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -139,7 +139,7 @@
     }
 
     private void setAdmission(ServerAdmissionPolicy.Phase admission) {
-        servers.forEach(server -> server.setAdmission(admission));
+        servers.forEach(server -> server.setAdmissionPhase(admission));
     }
 
     private void closeDrainedConnections() {
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -146,7 +146,7 @@
      * because the MySQL protocol has no message for that.
      */
     @Override
-    public void setAdmission(ServerAdmissionPolicy.Phase next) {
+    public void setAdmissionPhase(ServerAdmissionPolicy.Phase next) {
         if (admission.welcomesClients() && next != ServerAdmissionPolicy.Phase.OPEN) {
             shutdownStartedNanos = System.nanoTime();
         }
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void setAdmission(ServerAdmissionPolicy.Phase phase) {
+    public void setAdmissionPhase(ServerAdmissionPolicy.Phase phase) {
         calls.setAdmission(phase);
     }
 
