--- a/src/main/java/lineward/frontend/ClientRegistry.java
+++ b/src/main/java/lineward/frontend/ClientRegistry.java
@@ -62,12 +62,12 @@
     }
 
     /** Records that the connection has sent a request and awaits the response. */
-    public void becameWaiting(C client) {
+    public void markAwaitingResponse(C client) {
         changeState(client, awaitingResponse);
     }
 
     /** Records that the connection, which has sent a request before, awaits no response. */
-    public void becameIdle(C client) {
+    public void markIdle(C client) {
         changeState(client, idle);
     }
 
--- a/src/main/java/lineward/thrift/ClientHandler.java
+++ b/src/main/java/lineward/thrift/ClientHandler.java
@@ -127,7 +127,7 @@
             return;
         }
         openCalls.put(sequenceNumber, call);
-        clients.becameWaiting(this);
+        clients.markAwaitingResponse(this);
     }
 
     private void requireWithinLimits(int sequenceNumber) {
@@ -143,7 +143,7 @@
 
     private void becomeIdleIfNoCallIsOpen() {
         if (openCalls.isEmpty()) {
-            clients.becameIdle(this);
+            clients.markIdle(this);
         }
     }
 
--- a/src/test/java/lineward/frontend/ClientRegistryTest.java
+++ b/src/test/java/lineward/frontend/ClientRegistryTest.java
@@ -29,7 +29,7 @@
         List<String> closing = new ArrayList<>();
         ClientRegistry<String> registry = new ClientRegistry<>(3, () -> 0, closed::add, closing::add);
         registry.connected("awaiting");
-        registry.becameWaiting("awaiting");
+        registry.markAwaitingResponse("awaiting");
         registry.connected("first");
         registry.connected("second");
         registry.connected("third");
@@ -40,7 +40,7 @@
         assertEquals(registry.all(), List.of("awaiting"));
         assertEquals(registry.size(), 3, "closing connections count until they are disconnected");
         registry.disconnected("second");
-        registry.becameWaiting("third");
+        registry.markAwaitingResponse("third");
         assertEquals(registry.all(), List.of("awaiting", "third"), "a request reopens a closing connection");
     }
 
@@ -52,7 +52,7 @@
         ClientRegistry<Integer> registry = new ClientRegistry<>(64, () -> 0, closed::add, closing::add);
         for (int i = 0; i < 64 + 6; i++) {
             registry.connected(i);
-            registry.becameIdle(i);
+            registry.markIdle(i);
         }
         assertEquals(closing, List.of(0, 1, 2, 3));
         assertEquals(closed, List.of(4, 5));
