--- a/src/main/java/lineward/frontend/ClientRegistry.java
+++ b/src/main/java/lineward/frontend/ClientRegistry.java
@@ -104,7 +104,7 @@
      *
      * @param probability between 0 and 1; 1 closes all connections
      */
-    public static <C> void closeSome(List<C> clients, double probability, Consumer<C> closer) {
+    public static <C> void closeRandomly(List<C> clients, double probability, Consumer<C> closer) {
         clients.stream()
                 .filter(client -> ThreadLocalRandom.current().nextDouble() < probability)
                 .forEach(closer);
--- a/src/main/java/lineward/mysql/client/ConnectedClients.java
+++ b/src/main/java/lineward/mysql/client/ConnectedClients.java
@@ -55,7 +55,7 @@
         }
         List<ClientSession> idle =
                 clients.stream().filter(ClientSession::isIdle).toList();
-        ClientRegistry.closeSome(idle, probability, ConnectedClients::closeWhenRead);
+        ClientRegistry.closeRandomly(idle, probability, ConnectedClients::closeWhenRead);
     }
 
     private static void closeWhenRead(ClientSession client) {
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -190,7 +190,7 @@
     public void closeIdleClients(double probability) {
         List<ClientHandler> idle =
                 clients.all().stream().filter(ClientHandler::isIdle).toList();
-        ClientRegistry.closeSome(idle, probability, clients::closeGracefully);
+        ClientRegistry.closeRandomly(idle, probability, clients::closeGracefully);
         if (isFlushDeadlineExceeded()) {
             clients.all().forEach(ClientHandler::close);
         }
