--- a/src/main/java/lineward/frontend/LingeringClose.java
+++ b/src/main/java/lineward/frontend/LingeringClose.java
@@ -35,7 +35,7 @@
     }
 
     /** Like {@link #begin}, but closes without lingering. For a peer that has not sent anything yet. */
-    public static void closeSilent(Channel channel, BooleanSupplier idle, Runnable staysOpen) {
+    public static void closeWithoutLingering(Channel channel, BooleanSupplier idle, Runnable staysOpen) {
         afterRead(channel, idle, staysOpen, () -> Channels.close(channel));
     }
 
--- a/src/main/java/lineward/thrift/ClientHandler.java
+++ b/src/main/java/lineward/thrift/ClientHandler.java
@@ -176,7 +176,7 @@
         if (receivedMessage) {
             LingeringClose.begin(channel, this::isIdle, this::becomeIdleIfNoCallIsOpen);
         } else {
-            LingeringClose.closeSilent(channel, this::isIdle, this::becomeIdleIfNoCallIsOpen);
+            LingeringClose.closeWithoutLingering(channel, this::isIdle, this::becomeIdleIfNoCallIsOpen);
         }
     }
 
