--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -31,7 +31,7 @@
     private final ActionExecutor<X> executor;
     private List<SchedulerEvent> events = new ArrayList<>();
     private List<Command<X>> commands = new ArrayList<>();
-    private int openRequests;
+    private int openRequestCount;
     private OptionalDouble shutdownDeadlineMs = OptionalDouble.empty();
 
     /**
@@ -62,7 +62,7 @@
         long id = requests.add(request);
         if (id != GenerationalTable.FULL) {
             request.setId(id);
-            openRequests++;
+            openRequestCount++;
             tracer.requestAdmitted(exchange);
             addEvent(attributes.toEvent(id, timeLeftMs));
         }
@@ -225,8 +225,8 @@
     }
 
     /** Returns the number of admitted requests that are not completed. */
-    public int openRequests() {
-        return openRequests;
+    public int openRequestCount() {
+        return openRequestCount;
     }
 
     /** Returns whether events are waiting for the next tick. */
@@ -284,7 +284,7 @@
         if (!request.complete()) {
             return false;
         }
-        openRequests--;
+        openRequestCount--;
         tracer.requestEnded(request.exchange(), ending);
         return true;
     }
--- a/src/main/java/lineward/frontend/CoordinatorDriver.java
+++ b/src/main/java/lineward/frontend/CoordinatorDriver.java
@@ -107,7 +107,7 @@
     }
 
     /** Returns the number of admitted requests that are not completed. */
-    public int openRequests() {
-        return coordinator.openRequests();
+    public int openRequestCount() {
+        return coordinator.openRequestCount();
     }
 }
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -206,7 +206,7 @@
     /** Fails the open requests; servers whose requests end at the deadline of their class ignore it. */
     private void failOpenRequests() {
         int openRequests = servers.stream()
-                .mapToInt(server -> server.coordinator().openRequests())
+                .mapToInt(server -> server.coordinator().openRequestCount())
                 .sum();
         LOG.info("shutdown deadline passed: openRequests={}", openRequests);
         setAdmission(ServerAdmissionPolicy.Phase.REJECTING);
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -108,7 +108,7 @@
     }
 
     private String statistics() {
-        int open = driver.openRequests();
+        int open = driver.openRequestCount();
         return "Clients: " + clients.size() + "  Open: " + open + "  Engines: " + pools.size();
     }
 
@@ -192,7 +192,7 @@
 
     @Override
     public boolean isDrained() {
-        return driver.openRequests() == 0 && clients.size() == 0;
+        return driver.openRequestCount() == 0 && clients.size() == 0;
     }
 
     @Override
--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -130,7 +130,7 @@
             text.sample(REQUESTS, labels, count);
         }));
         text.counter("relayed_total", "Attempts written whole to query engines.", forwardedAttempts);
-        long openRequests = sum(servers, Coordinator::openRequests);
+        long openRequests = sum(servers, Coordinator::openRequestCount);
         text.gauge("open_requests", "Requests taken and not yet ended.", openRequests);
     }
 
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -226,6 +226,6 @@
 
     @Override
     public boolean isDrained() {
-        return driver.openRequests() == 0 && clients.size() == 0;
+        return driver.openRequestCount() == 0 && clients.size() == 0;
     }
 }
--- a/src/test/java/lineward/core/CoordinatorTest.java
+++ b/src/test/java/lineward/core/CoordinatorTest.java
@@ -91,10 +91,10 @@
     @Test
     public void requestIsServedOnceAndThenReleasesItsSlot() {
         long id = admitAndStart(1000, 500);
-        assertEquals(coordinator.openRequests(), 1);
+        assertEquals(coordinator.openRequestCount(), 1);
         assertTrue(coordinator.attemptEnded(id, 0, OK));
         assertFalse(coordinator.attemptEnded(id, 0, OK));
-        assertEquals(coordinator.openRequests(), 0);
+        assertEquals(coordinator.openRequestCount(), 0);
         coordinator.cancelRequest(id);
         coordinator.tick(1001);
         assertTrue(scheduler.last(SchedulerEvent.AttemptEnded.class).requestCompleted());
@@ -121,7 +121,7 @@
         assertEquals(coordinator.tick(2299), List.of(), "no timeout once the response has started");
         assertFalse(coordinator.attemptEnded(id, 0, ERROR));
         assertFalse(coordinator.responseStarted(id, 0));
-        assertEquals(coordinator.openRequests(), 0);
+        assertEquals(coordinator.openRequestCount(), 0);
         coordinator.tick(2300);
         assertTrue(last(ERROR).requestCompleted());
     }
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -98,7 +98,7 @@
                 coordinator.tick(now).forEach(this::execute);
                 digest.add(
                         'N',
-                        coordinator.openRequests(),
+                        coordinator.openRequestCount(),
                         coordinator.listedEngines(),
                         coordinator.excludedEngines(),
                         coordinator.hasPendingEvents() ? 1 : 0);
