--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -215,7 +215,7 @@
     }
 
     /** Returns the number of listed engines. */
-    public int listedEngines() {
+    public int listedEngineCount() {
         return engines.listedCount();
     }
 
--- a/src/test/java/lineward/core/CoordinatorTest.java
+++ b/src/test/java/lineward/core/CoordinatorTest.java
@@ -196,10 +196,10 @@
             coordinator.endpointsChanged(false, List.of(engine("a" + i, READY)));
             coordinator.endpointsChanged(false, List.of(engine("a" + i, GONE)));
         }
-        assertEquals(coordinator.listedEngines(), 0);
+        assertEquals(coordinator.listedEngineCount(), 0);
         coordinator.endpointsChanged(false, List.of(engine("b", READY)));
         coordinator.endpointsChanged(true, List.of(engine("c", DRAINING)));
-        assertEquals(coordinator.listedEngines(), 1);
+        assertEquals(coordinator.listedEngineCount(), 1);
     }
 
     private static EngineEndpoint engine(String id, EndpointState state) {
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -99,7 +99,7 @@
                 digest.add(
                         'N',
                         coordinator.openRequestCount(),
-                        coordinator.listedEngines(),
+                        coordinator.listedEngineCount(),
                         coordinator.excludedEngines(),
                         coordinator.hasPendingEvents() ? 1 : 0);
             }
