--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -220,7 +220,7 @@
     }
 
     /** Returns the number of listed engines that are ejected or under maintenance. */
-    public int excludedEngines() {
+    public int excludedEngineCount() {
         return scheduler.excludedEngines();
     }
 
--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -137,7 +137,7 @@
     private void writeEngines(PrometheusText text, Collection<ProtocolServer> servers) {
         long listed = sum(servers, Coordinator::listedEngineCount);
         text.gauge("registry_entries", "Query engines on the list.", listed);
-        long excluded = sum(servers, Coordinator::excludedEngines);
+        long excluded = sum(servers, Coordinator::excludedEngineCount);
         text.gauge("out_of_rotation", "Query engines on the list that get nothing now.", excluded);
         if (listAgeMs != null) {
             String help = "Milliseconds since the journal's last usable answer.";
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -100,7 +100,7 @@
                         'N',
                         coordinator.openRequestCount(),
                         coordinator.listedEngineCount(),
-                        coordinator.excludedEngines(),
+                        coordinator.excludedEngineCount(),
                         coordinator.hasPendingEvents() ? 1 : 0);
             }
             return digest.toHex();
