--- a/src/main/java/lineward/core/ActionExecutor.java
+++ b/src/main/java/lineward/core/ActionExecutor.java
@@ -17,12 +17,12 @@
     private static final double ANSWER_MARGIN_MS = 10;
 
     private final Coordinator<X> coordinator;
-    private final double cancelDurationMs;
+    private final double cancelTimeoutMs;
     private double nowMs;
 
-    ActionExecutor(Coordinator<X> coordinator, double cancelDurationMs) {
+    ActionExecutor(Coordinator<X> coordinator, double cancelTimeoutMs) {
         this.coordinator = coordinator;
-        this.cancelDurationMs = cancelDurationMs;
+        this.cancelTimeoutMs = cancelTimeoutMs;
     }
 
     /** Executes the actions in order; {@code now} is the current time for all of them. */
@@ -86,7 +86,7 @@
         }
         coordinator.addCommand(cancelCommand(request, attempt));
         coordinator.deadlines().cancel(attempt.deadline());
-        double endsAtMs = nowMs + cancelDurationMs;
+        double endsAtMs = nowMs + cancelTimeoutMs;
         attempt.setDeadline(coordinator.deadlines().add(endsAtMs, atMs -> endCancelled(request, attempt)));
     }
 
--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -39,15 +39,15 @@
      *
      * @param scheduler scheduler used by this coordinator only
      * @param capacity maximum number of requests in the request table; further requests are rejected
-     * @param cancelDurationMs time after which a cancelled attempt counts as ended if the forwarder has not
+     * @param cancelTimeoutMs time after which a cancelled attempt counts as ended if the forwarder has not
      *     reported its end; a relaunch of the request waits until then
      * @param tracer receives the progress and end of requests and attempts
      */
-    public Coordinator(Scheduler scheduler, int capacity, double cancelDurationMs, Tracer<X> tracer) {
+    public Coordinator(Scheduler scheduler, int capacity, double cancelTimeoutMs, Tracer<X> tracer) {
         this.scheduler = scheduler;
         this.requests = new GenerationalTable<>(capacity);
         this.tracer = tracer;
-        this.executor = new ActionExecutor<>(this, cancelDurationMs);
+        this.executor = new ActionExecutor<>(this, cancelTimeoutMs);
     }
 
     /**
