--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -184,7 +184,7 @@
      */
     public void endpointsChanged(boolean fullSnapshot, List<EngineEndpoint> endpoints) {
         List<Endpoint> numbered = endpoints.stream()
-                .map(endpoint -> endpoint.toEndpoint(engines.numberOf(endpoint.id())))
+                .map(endpoint -> endpoint.toEndpoint(engines.findOrAssignNumber(endpoint.id())))
                 .toList();
         addEvent(new SchedulerEvent.EndpointsChanged(fullSnapshot, numbered));
         engines.update(fullSnapshot, endpoints);
@@ -201,7 +201,7 @@
      * @param sinceMs when the operator requested the change, in Unix milliseconds
      */
     public void setMaintenance(String engine, boolean underMaintenance, double sinceMs) {
-        long number = engines.numberOf(engine);
+        long number = engines.findOrAssignNumber(engine);
         addEvent(new SchedulerEvent.MaintenanceChanged(number, underMaintenance, sinceMs));
         engines.setMaintenance(engine, underMaintenance);
     }
--- a/src/main/java/lineward/core/EngineRegistry.java
+++ b/src/main/java/lineward/core/EngineRegistry.java
@@ -29,7 +29,7 @@
     private final Set<String> underMaintenance = new HashSet<>();
 
     /** Returns the number of an engine; assigns one if the engine has none. */
-    long numberOf(String id) {
+    long findOrAssignNumber(String id) {
         return numbers.computeIfAbsent(id, this::freeNumber);
     }
 
