--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -166,7 +166,7 @@
 
     /** Records the result of a health check. Late and unsolicited results are ignored. */
     public void healthCheckCompleted(double nowMs, String engine, AttemptOutcome outcome, double[] report) {
-        OptionalLong number = engines.existingNumber(engine);
+        OptionalLong number = engines.findNumber(engine);
         if (number.isPresent()) {
             healthChecks.complete(nowMs, number.getAsLong(), outcome, report);
         }
--- a/src/main/java/lineward/core/EngineRegistry.java
+++ b/src/main/java/lineward/core/EngineRegistry.java
@@ -46,7 +46,7 @@
     }
 
     /** Returns the number of an engine; empty if none is assigned. */
-    OptionalLong existingNumber(String id) {
+    OptionalLong findNumber(String id) {
         Long number = numbers.get(id);
         return number == null ? OptionalLong.empty() : OptionalLong.of(number);
     }
