--- a/src/main/java/lineward/core/EngineRegistry.java
+++ b/src/main/java/lineward/core/EngineRegistry.java
@@ -30,10 +30,10 @@
 
     /** Returns the number of an engine; assigns one if the engine has none. */
     long findOrAssignNumber(String id) {
-        return numbers.computeIfAbsent(id, this::freeNumber);
+        return numbers.computeIfAbsent(id, this::assignNumber);
     }
 
-    private long freeNumber(String id) {
+    private long assignNumber(String id) {
         long hash = FNV_SEED;
         for (int i = 0; i < id.length(); i++) {
             hash = (hash ^ id.charAt(i)) * FNV_PRIME;
