--- a/src/main/java/lineward/core/EngineRegistry.java
+++ b/src/main/java/lineward/core/EngineRegistry.java
@@ -23,14 +23,14 @@
     /** Low bits of the hash that are dropped, as the simulator's protocol encodes a number in six bytes. */
     private static final int UNUSED_BITS = 16;
 
-    private final Map<String, Long> numbers = new HashMap<>();
-    private final Map<Long, String> ids = new HashMap<>();
-    private final Set<String> listed = new HashSet<>();
-    private final Set<String> underMaintenance = new HashSet<>();
+    private final Map<String, Long> numbersById = new HashMap<>();
+    private final Map<Long, String> idsByNumber = new HashMap<>();
+    private final Set<String> listedIds = new HashSet<>();
+    private final Set<String> idsUnderMaintenance = new HashSet<>();
 
     /** Returns the number of an engine; assigns one if the engine has none. */
     long findOrAssignNumber(String id) {
-        return numbers.computeIfAbsent(id, this::assignNumber);
+        return numbersById.computeIfAbsent(id, this::assignNumber);
     }
 
     private long assignNumber(String id) {
@@ -39,7 +39,7 @@
             hash = (hash ^ id.charAt(i)) * FNV_PRIME;
         }
         long number = hash >>> UNUSED_BITS;
-        while (ids.putIfAbsent(number, id) != null) {
+        while (idsByNumber.putIfAbsent(number, id) != null) {
             number++;
         }
         return number;
@@ -47,25 +47,25 @@
 
     /** Returns the number of an engine; empty if none is assigned. */
     OptionalLong findNumber(String id) {
-        Long number = numbers.get(id);
+        Long number = numbersById.get(id);
         return number == null ? OptionalLong.empty() : OptionalLong.of(number);
     }
 
     /** Returns the id of the engine with this number; null if there is none. */
     String idOf(long number) {
-        return ids.get(number);
+        return idsByNumber.get(number);
     }
 
     /** Applies a full snapshot of the endpoint list, or an incremental update. */
     void update(boolean fullSnapshot, List<EngineEndpoint> endpoints) {
         if (fullSnapshot) {
-            listed.clear();
+            listedIds.clear();
         }
         for (EngineEndpoint endpoint : endpoints) {
             if (endpoint.state() == EndpointState.GONE) {
-                listed.remove(endpoint.id());
+                listedIds.remove(endpoint.id());
             } else {
-                listed.add(endpoint.id());
+                listedIds.add(endpoint.id());
             }
         }
         removeUnknown();
@@ -73,24 +73,24 @@
 
     void setMaintenance(String id, boolean isUnderMaintenance) {
         if (isUnderMaintenance) {
-            underMaintenance.add(id);
+            idsUnderMaintenance.add(id);
         } else {
-            underMaintenance.remove(id);
+            idsUnderMaintenance.remove(id);
             removeUnknown();
         }
     }
 
     /** Returns whether the engine is listed or under maintenance. */
     boolean hasEngine(String id) {
-        return listed.contains(id) || underMaintenance.contains(id);
+        return listedIds.contains(id) || idsUnderMaintenance.contains(id);
     }
 
     int listedCount() {
-        return listed.size();
+        return listedIds.size();
     }
 
     private void removeUnknown() {
-        numbers.keySet().removeIf(id -> !hasEngine(id));
-        ids.values().removeIf(id -> !hasEngine(id));
+        numbersById.keySet().removeIf(id -> !hasEngine(id));
+        idsByNumber.values().removeIf(id -> !hasEngine(id));
     }
 }
