--- a/src/main/java/lineward/core/EngineRegistry.java
+++ b/src/main/java/lineward/core/EngineRegistry.java
@@ -17,11 +17,11 @@
  */
 final class EngineRegistry {
     // Parameters of the 64-bit FNV-1a hash, which is computed over the characters of the id.
-    private static final long FNV_SEED = 0xcbf29ce484222325L;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
 
     private static final long FNV_PRIME = 0x100000001b3L;
     /** Low bits of the hash that are dropped, as the simulator's protocol encodes a number in six bytes. */
-    private static final int UNUSED_BITS = 16;
+    private static final int DISCARDED_HASH_BITS = 16;
 
     private final Map<String, Long> numbersById = new HashMap<>();
     private final Map<Long, String> idsByNumber = new HashMap<>();
@@ -34,11 +34,11 @@
     }
 
     private long assignNumber(String id) {
-        long hash = FNV_SEED;
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < id.length(); i++) {
             hash = (hash ^ id.charAt(i)) * FNV_PRIME;
         }
-        long number = hash >>> UNUSED_BITS;
+        long number = hash >>> DISCARDED_HASH_BITS;
         while (idsByNumber.putIfAbsent(number, id) != null) {
             number++;
         }
