--- a/src/main/java/lineward/core/TrackedRequest.java
+++ b/src/main/java/lineward/core/TrackedRequest.java
@@ -12,7 +12,7 @@
  */
 final class TrackedRequest<X> {
     private static final int DEFAULT_PRIORITY = 1;
-    private static final double ENGINE_DECIDES_MEMORY = 0;
+    private static final double NO_MEMORY_GRANT = 0;
 
     private final X exchange;
     private final double deadlineMs;
@@ -24,7 +24,7 @@
     /** The attempt that was the last to start sending its response; null if there is none. */
     private TrackedAttempt responding;
 
-    private double grantMb = ENGINE_DECIDES_MEMORY;
+    private double grantMb = NO_MEMORY_GRANT;
     private int priority = DEFAULT_PRIORITY;
 
     /** @param deadlineMs time of the client's deadline, or of the shutdown deadline if that is earlier */
