--- a/src/main/java/lineward/core/TrackedRequest.java
+++ b/src/main/java/lineward/core/TrackedRequest.java
@@ -22,7 +22,7 @@
     private long id = GenerationalTable.FULL;
     private int attemptsInFlight;
     /** The attempt that was the last to start sending its response; null if there is none. */
-    private TrackedAttempt responding;
+    private TrackedAttempt respondingAttempt;
 
     private double grantMb = NO_MEMORY_GRANT;
     private int priority = DEFAULT_PRIORITY;
@@ -83,12 +83,12 @@
     /** Records that this attempt starts to send its response to the client. */
     void startResponse(TrackedAttempt attempt) {
         state = state.responseStarted();
-        responding = attempt;
+        respondingAttempt = attempt;
     }
 
     /** Returns whether this attempt was the last to start sending its response. */
     boolean isResponding(TrackedAttempt attempt) {
-        return responding == attempt;
+        return respondingAttempt == attempt;
     }
 
     /** Completes the request; returns false if it was already completed. */
