--- a/src/main/java/lineward/core/TrackedRequest.java
+++ b/src/main/java/lineward/core/TrackedRequest.java
@@ -20,7 +20,7 @@
     private final List<TrackedAttempt> attemptsView = Collections.unmodifiableList(attempts);
     private TrackedRequestState state = TrackedRequestState.OPEN;
     private long id = GenerationalTable.FULL;
-    private int attemptsInFlight;
+    private int inFlightCount;
     /** The attempt that was the last to start sending its response; null if there is none. */
     private TrackedAttempt respondingAttempt;
 
@@ -62,7 +62,7 @@
     TrackedAttempt addAttempt(String engine) {
         TrackedAttempt attempt = new TrackedAttempt(attempts.size(), engine);
         attempts.add(attempt);
-        attemptsInFlight++;
+        inFlightCount++;
         return attempt;
     }
 
@@ -77,7 +77,7 @@
     /** Records the end of an attempt in flight. */
     void endAttempt(TrackedAttempt attempt) {
         attempt.end();
-        attemptsInFlight--;
+        inFlightCount--;
     }
 
     /** Records that this attempt starts to send its response to the client. */
@@ -105,7 +105,7 @@
 
     /** Returns whether the request is completed and has no attempt in flight, so its id can be released. */
     boolean isReleasable() {
-        return isCompleted() && attemptsInFlight == 0;
+        return isCompleted() && inFlightCount == 0;
     }
 
     /** Returns the memory granted to further attempts, in megabytes; 0 lets the engine decide. */
