--- a/src/main/java/lineward/core/GenerationalTable.java
+++ b/src/main/java/lineward/core/GenerationalTable.java
@@ -22,7 +22,7 @@
     /** The value of a free slot is null. */
     private final List<Slot<T>> slots = new ArrayList<>();
 
-    private final Deque<Integer> free = new ArrayDeque<>();
+    private final Deque<Integer> freeSlotNumbers = new ArrayDeque<>();
 
     /** @param capacity maximum number of slots in use at the same time */
     public GenerationalTable(int capacity) {
@@ -34,23 +34,23 @@
         if (size() >= capacity) {
             return FULL;
         }
-        if (free.isEmpty()) {
-            free.push(slots.size());
+        if (freeSlotNumbers.isEmpty()) {
+            freeSlotNumbers.push(slots.size());
             slots.add(new Slot<>(0, null));
         }
-        int number = free.pop();
-        int generation = slots.get(number).generation() + 1 & Integer.MAX_VALUE;
-        slots.set(number, new Slot<>(generation, value));
-        return (long) generation << 32 | number;
+        int slotNumber = freeSlotNumbers.pop();
+        int generation = slots.get(slotNumber).generation() + 1 & Integer.MAX_VALUE;
+        slots.set(slotNumber, new Slot<>(generation, value));
+        return (long) generation << 32 | slotNumber;
     }
 
     /** Returns the value with this id; null if the id was released or never assigned. */
     public T get(long id) {
-        int number = (int) id;
-        if (id < 0 || number < 0 || number >= slots.size()) {
+        int slotNumber = (int) id;
+        if (id < 0 || slotNumber < 0 || slotNumber >= slots.size()) {
             return null;
         }
-        Slot<T> slot = slots.get(number);
+        Slot<T> slot = slots.get(slotNumber);
         return slot.generation() == (int) (id >>> 32) ? slot.value() : null;
     }
 
@@ -58,13 +58,13 @@
     public void release(long id) {
         if (get(id) != null) {
             slots.set((int) id, new Slot<>((int) (id >>> 32), null));
-            free.push((int) id);
+            freeSlotNumbers.push((int) id);
         }
     }
 
     /** Returns the number of slots in use. */
     public int size() {
-        return slots.size() - free.size();
+        return slots.size() - freeSlotNumbers.size();
     }
 
     /** Passes every value to the visitor, in slot order. The visitor may release slots. */
