--- a/src/main/java/lineward/gossip/GossipSocket.java
+++ b/src/main/java/lineward/gossip/GossipSocket.java
@@ -92,12 +92,12 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
         Integer senderNumber = peerNumbers.get(packet.sender());
-        if (senderNumber != null && isMessage(packet.content())) {
+        if (senderNumber != null && hasValidSize(packet.content())) {
             listener.received(senderNumber, ByteBufUtil.getBytes(packet.content()));
         }
     }
 
-    private static boolean isMessage(ByteBuf content) {
+    private static boolean hasValidSize(ByteBuf content) {
         return content.isReadable() && content.readableBytes() <= MAX_MESSAGE_BYTES;
     }
 
