--- a/src/test/java/lineward/core/CoordinatorTest.java
+++ b/src/test/java/lineward/core/CoordinatorTest.java
@@ -61,7 +61,7 @@
     @BeforeMethod
     public void begin() {
         scheduler = new ScriptedScheduler();
-        coordinator = new Coordinator<>(scheduler, 2, 6, new SilentTracer<>());
+        coordinator = new Coordinator<>(scheduler, 2, 6, new NoOpTracer<>());
     }
 
     private long admitAndStart(double nowMs, double timeLeftMs) {
--- a/src/test/java/lineward/core/SilentTracer.java
+++ b/src/test/java/lineward/core/NoOpTracer.java
@@ -7,7 +7,7 @@
  *
  * @param <X> the test's representation of a request
  */
-final class SilentTracer<X> implements Tracer<X> {
+final class NoOpTracer<X> implements Tracer<X> {
     @Override
     public void requestAdmitted(X exchange) {}
 
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -85,7 +85,7 @@
         Day(int fronts, long seed) {
             random = new Random(seed);
             SpeculativeScheduler scheduler = new SpeculativeScheduler(settings(fronts), seed);
-            coordinator = new Coordinator<>(scheduler, 64, CANCEL_DURATION_MS, new SilentTracer<>());
+            coordinator = new Coordinator<>(scheduler, 64, CANCEL_DURATION_MS, new NoOpTracer<>());
         }
 
         String play() {
