--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -44,15 +44,15 @@
     private static final int DAY_MS = 12_000;
     private static final int ENGINES = 6;
 
-    private static final class Exchange {
+    private static final class TestRequest {
         final int number;
 
-        Exchange(int number) {
+        TestRequest(int number) {
             this.number = number;
         }
     }
 
-    private record Due(double at, long order, Runnable step) {}
+    private record ScheduledStep(double at, long order, Runnable step) {}
 
     @DataProvider
     public Object[][] days() {
@@ -65,24 +65,24 @@
 
     @Test(dataProvider = "days")
     public void commandsOfADayMatchTheRecordedDigest(int fronts, long seed, String recorded) {
-        Day day = new Day(fronts, seed);
+        RandomWorkload day = new RandomWorkload(fronts, seed);
         String digest = day.play();
         assertTrue(day.commands > 500, "only " + day.commands + " commands");
         assertEquals(digest, recorded);
     }
 
-    private static final class Day implements Forwarder<Exchange> {
+    private static final class RandomWorkload implements Forwarder<TestRequest> {
         private final Random random;
-        private final Coordinator<Exchange> coordinator;
+        private final Coordinator<TestRequest> coordinator;
         private final ActionDigest digest = new ActionDigest();
-        private final PriorityQueue<Due> queue =
-                new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+        private final PriorityQueue<ScheduledStep> queue = new PriorityQueue<>(
+                Comparator.comparingDouble(ScheduledStep::at).thenComparingLong(ScheduledStep::order));
         private final List<Long> admittedIds = new ArrayList<>();
         private long order;
         private double now = 1_000;
         private int commands;
 
-        Day(int fronts, long seed) {
+        RandomWorkload(int fronts, long seed) {
             random = new Random(seed);
             SpeculativeScheduler scheduler = new SpeculativeScheduler(settings(fronts), seed);
             coordinator = new Coordinator<>(scheduler, 64, CANCEL_DURATION_MS, new NoOpTracer<>());
@@ -107,7 +107,7 @@
         }
 
         private void schedule(double at, Runnable step) {
-            queue.add(new Due(at, order++, step));
+            queue.add(new ScheduledStep(at, order++, step));
         }
 
         private void scheduleDay() {
@@ -146,7 +146,7 @@
                     random.nextInt(900),
                     random.nextInt(5),
                     random.nextInt(8) == 0);
-            long id = coordinator.admit(now, attributes, new Exchange(number));
+            long id = coordinator.admit(now, attributes, new TestRequest(number));
             digest.add('I', (double) id);
             if (id != GenerationalTable.FULL) {
                 admittedIds.add(id);
@@ -159,13 +159,13 @@
             }
         }
 
-        private void execute(Command<Exchange> command) {
+        private void execute(Command<TestRequest> command) {
             commands++;
             command.executeBy(this);
         }
 
         @Override
-        public void startAttempt(Command.StartAttempt<Exchange> command) {
+        public void startAttempt(Command.StartAttempt<TestRequest> command) {
             digest.add(
                     'S',
                     command.exchange().number,
@@ -199,7 +199,7 @@
         }
 
         @Override
-        public void cancelAttempt(Command.CancelAttempt<Exchange> command) {
+        public void cancelAttempt(Command.CancelAttempt<TestRequest> command) {
             double request = command.request();
             int engine = engineNumber(command.engine());
             digest.add('C', command.exchange().number, request, command.attempt(), engine);
@@ -207,23 +207,23 @@
         }
 
         @Override
-        public void reject(Command.Reject<Exchange> command) {
+        public void reject(Command.Reject<TestRequest> command) {
             digest.add('R', command.exchange().number, (double) command.retryAfterMs());
         }
 
         @Override
-        public void fail(Command.Fail<Exchange> command) {
+        public void fail(Command.Fail<TestRequest> command) {
             digest.add('F', command.exchange().number);
         }
 
         @Override
-        public void changePriority(Command.ChangePriority<Exchange> command) {
+        public void changePriority(Command.ChangePriority<TestRequest> command) {
             double request = command.request();
             digest.add('Q', command.exchange().number, request, command.attempt(), command.priority());
         }
 
         @Override
-        public void checkHealth(Command.CheckHealth<Exchange> command) {
+        public void checkHealth(Command.CheckHealth<TestRequest> command) {
             String engine = command.engine();
             digest.add('P', engineNumber(engine));
             double[] report = {random.nextInt(6), random.nextDouble()};
@@ -235,7 +235,7 @@
         }
 
         @Override
-        public void broadcastGossip(Command.BroadcastGossip<Exchange> command) {
+        public void broadcastGossip(Command.BroadcastGossip<TestRequest> command) {
             digest.add('A', command.payload());
         }
 
