--- a/src/test/java/lineward/frontend/ClientRegistryTest.java
+++ b/src/test/java/lineward/frontend/ClientRegistryTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test(dataProvider = "probabilities")
-    public void closeSomeClosesThatFraction(double probability, int minimum, int maximum) {
+    public void closeRandomlyClosesAboutThatFraction(double probability, int minimum, int maximum) {
         List<Integer> closed = new ArrayList<>();
         ClientRegistry.closeRandomly(IntStream.range(0, 1000).boxed().toList(), probability, closed::add);
         assertTrue(closed.size() >= minimum && closed.size() <= maximum, closed.size() + " closed");
