--- a/src/test/java/lineward/frontend/LingeringCloseTest.java
+++ b/src/test/java/lineward/frontend/LingeringCloseTest.java
@@ -40,17 +40,17 @@
 
     private static final int SMALL_BUFFER_BYTES = 64 * 1024;
 
-    private final BlockingQueue<Channel> accepted = new LinkedBlockingQueue<>();
-    private final List<String> read = new CopyOnWriteArrayList<>();
+    private final BlockingQueue<Channel> acceptedChannels = new LinkedBlockingQueue<>();
+    private final List<String> receivedTexts = new CopyOnWriteArrayList<>();
     private EventLoopGroup loop;
-    private Channel listener;
+    private Channel serverChannel;
 
     @BeforeMethod
     public void start() {
-        accepted.clear();
-        read.clear();
+        acceptedChannels.clear();
+        receivedTexts.clear();
         loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        listener = new ServerBootstrap()
+        serverChannel = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -59,12 +59,12 @@
                         channel.pipeline().addLast(new SimpleChannelInboundHandler<ByteBuf>() {
                             @Override
                             public void channelActive(ChannelHandlerContext ctx) {
-                                accepted.add(ctx.channel());
+                                acceptedChannels.add(ctx.channel());
                             }
 
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
-                                read.add(bytes.toString(StandardCharsets.US_ASCII));
+                                receivedTexts.add(bytes.toString(StandardCharsets.US_ASCII));
                             }
 
                             @Override
@@ -88,7 +88,7 @@
         Socket peer = new Socket();
         peer.setReceiveBufferSize(SMALL_BUFFER_BYTES);
         peer.setSoTimeout(10_000);
-        peer.connect(listener.localAddress());
+        peer.connect(serverChannel.localAddress());
         return peer;
     }
 
@@ -101,22 +101,22 @@
     }
 
     @Test
-    public void aRequestUnreadAtTheDecisionIsReadAndKeepsTheConnection() throws Exception {
-        CountDownLatch deciding = new CountDownLatch(1);
+    public void anUnreadRequestKeepsTheConnectionOpen() throws Exception {
+        CountDownLatch eventLoopBlocked = new CountDownLatch(1);
         CountDownLatch requestWritten = new CountDownLatch(1);
-        CountDownLatch stays = new CountDownLatch(1);
+        CountDownLatch staysOpen = new CountDownLatch(1);
         try (Socket peer = connect()) {
-            Channel channel = accepted.take();
+            Channel channel = acceptedChannels.take();
             channel.eventLoop().execute(() -> {
-                deciding.countDown();
+                eventLoopBlocked.countDown();
                 await(requestWritten);
-                LingeringClose.begin(channel, read::isEmpty, stays::countDown);
+                LingeringClose.begin(channel, receivedTexts::isEmpty, staysOpen::countDown);
             });
-            await(deciding);
+            await(eventLoopBlocked);
             peer.getOutputStream().write("request".getBytes(StandardCharsets.US_ASCII));
             requestWritten.countDown();
-            await(stays);
-            assertEquals(read, List.of("request"));
+            await(staysOpen);
+            assertEquals(receivedTexts, List.of("request"));
             byte[] response = "response".getBytes(StandardCharsets.US_ASCII);
             channel.writeAndFlush(Unpooled.wrappedBuffer(response)).syncUninterruptibly();
             assertEquals(peer.getInputStream().readNBytes(response.length), response);
@@ -125,10 +125,10 @@
 
     /** Bytes that arrive after the shutdown are discarded, and the response in flight arrives complete. */
     @Test
-    public void bytesAfterTheShutdownAreDroppedAndHarmNoResponse() throws Exception {
+    public void bytesAfterTheShutdownAreDiscardedAndTheResponseIsComplete() throws Exception {
         SocketChannel channel;
         try (Socket peer = connect()) {
-            channel = (SocketChannel) accepted.take();
+            channel = (SocketChannel) acceptedChannels.take();
             channel.writeAndFlush(Unpooled.wrappedBuffer(new byte[LONG_RESPONSE_BYTES]))
                     .addListener(written -> LingeringClose.begin(channel, () -> true, () -> {}));
             // Reads until the rest of the response fits into the socket buffers and the output is shut down.
@@ -144,7 +144,7 @@
             peer.getOutputStream().write("late request".getBytes(StandardCharsets.US_ASCII));
             received += peer.getInputStream().readAllBytes().length;
             assertEquals(received, LONG_RESPONSE_BYTES);
-            assertEquals(read, List.of());
+            assertEquals(receivedTexts, List.of());
         }
         Program.await("the server closes the connection after the peer", () -> !channel.isOpen());
     }
@@ -152,7 +152,7 @@
     @Test
     public void aPeerThatNeverClosesIsDisconnectedSoon() throws Exception {
         try (Socket peer = connect()) {
-            Channel channel = accepted.take();
+            Channel channel = acceptedChannels.take();
             LingeringClose.begin(channel, () -> true, () -> {});
             long startNanos = System.nanoTime();
             Program.await("the connection is closed", () -> !channel.isOpen());
