--- a/src/test/java/lineward/gossip/GossipSocketTest.java
+++ b/src/test/java/lineward/gossip/GossipSocketTest.java
@@ -25,8 +25,8 @@
 public class GossipSocketTest {
     private final List<String> received = new CopyOnWriteArrayList<>();
     private EventLoopGroup loop;
-    private DatagramSocket member;
-    private DatagramSocket nonMember;
+    private DatagramSocket peer;
+    private DatagramSocket nonPeer;
     private GossipSocket socket;
     private InetSocketAddress socketAddress;
 
@@ -34,10 +34,10 @@
     public void start() throws IOException {
         received.clear();
         loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        member = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        nonMember = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        InetSocketAddress memberAddress = (InetSocketAddress) member.getLocalSocketAddress();
-        socket = new GossipSocket(Map.of(memberAddress, 3), memberAddress, this::record);
+        peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
+        nonPeer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
+        InetSocketAddress peerAddress = (InetSocketAddress) peer.getLocalSocketAddress();
+        socket = new GossipSocket(Map.of(peerAddress, 3), peerAddress, this::record);
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         socketAddress = (InetSocketAddress)
                 socket.open(loop, anyPort).syncUninterruptibly().channel().localAddress();
@@ -45,8 +45,8 @@
 
     @AfterMethod(alwaysRun = true)
     public void stop() {
-        member.close();
-        nonMember.close();
+        peer.close();
+        nonPeer.close();
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
@@ -54,20 +54,20 @@
         received.add(senderNumber + ":" + message.length + ":" + message[0]);
     }
 
-    private void send(DatagramSocket from, int length, int first) throws IOException {
+    private void send(DatagramSocket from, int length, int firstByte) throws IOException {
         byte[] message = new byte[length];
-        message[0] = (byte) first;
+        message[0] = (byte) firstByte;
         from.send(new DatagramPacket(message, length, socketAddress));
     }
 
     @Test
-    public void onlyShortMessagesOfMembersAreReceived() throws IOException {
-        send(nonMember, 4, 1);
-        send(member, GossipSocket.MAX_MESSAGE_BYTES + 1, 2);
-        send(member, 4000, 3);
-        send(member, GossipSocket.MAX_MESSAGE_BYTES, 4);
-        send(member, 1, 5);
-        send(member, 1, 5);
+    public void onlyMessagesOfValidSizeFromPeersAreReceived() throws IOException {
+        send(nonPeer, 4, 1);
+        send(peer, GossipSocket.MAX_MESSAGE_BYTES + 1, 2);
+        send(peer, 4000, 3);
+        send(peer, GossipSocket.MAX_MESSAGE_BYTES, 4);
+        send(peer, 1, 5);
+        send(peer, 1, 5);
         Program.await("three messages", () -> received.size() >= 3);
         assertEquals(received, List.of("3:256:4", "3:1:5", "3:1:5"));
     }
@@ -79,8 +79,8 @@
             socket.broadcast(new byte[GossipSocket.MAX_MESSAGE_BYTES]);
         });
         DatagramPacket packet = new DatagramPacket(new byte[1024], 1024);
-        member.setSoTimeout(10_000);
-        member.receive(packet);
+        peer.setSoTimeout(10_000);
+        peer.receive(packet);
         assertEquals(packet.getLength(), GossipSocket.MAX_MESSAGE_BYTES);
         assertEquals(packet.getSocketAddress(), socketAddress);
         byte[] message = Arrays.copyOf(packet.getData(), packet.getLength());
@@ -89,7 +89,7 @@
 
     /** During a hot restart two processes of one front end are bound to the same address. */
     @Test
-    public void aSecondProcessOpensTheSameAddress() {
+    public void aSecondSocketBindsToTheSameAddress() {
         GossipSocket second = new GossipSocket(Map.of(), socketAddress, (senderNumber, message) -> {});
         Channel channel = second.open(loop, socketAddress).syncUninterruptibly().channel();
         assertEquals(channel.localAddress(), socketAddress);
@@ -97,8 +97,8 @@
 
     @Test
     public void anEmptyDatagramIsIgnored() throws IOException {
-        member.send(new DatagramPacket(new byte[0], 0, socketAddress));
-        send(member, 2, 9);
+        peer.send(new DatagramPacket(new byte[0], 0, socketAddress));
+        send(peer, 2, 9);
         Program.await("a message", () -> !received.isEmpty());
         assertEquals(received, List.of("3:2:9"));
     }
