--- a/src/main/java/lineward/frontend/LingeringClose.java
+++ b/src/main/java/lineward/frontend/LingeringClose.java
@@ -18,9 +18,9 @@
 public final class LingeringClose extends ChannelInboundHandlerAdapter {
     private static final String HANDLER_NAME = "lingering-close";
     /** Delay before the shutdown, during which the event loop reads the bytes that have arrived. */
-    private static final int READ_AHEAD_MS = 1;
+    private static final int READ_DELAY_MS = 1;
     /** Time that the peer has to close the connection, which most peers do within a round trip. */
-    private static final int LINGER_MS = 500;
+    private static final int LINGER_TIMEOUT_MS = 500;
 
     private LingeringClose() {}
 
@@ -39,12 +39,12 @@
         afterRead(channel, idle, staysOpen, () -> Channels.close(channel));
     }
 
-    private static void afterRead(Channel channel, BooleanSupplier idle, Runnable staysOpen, Runnable end) {
-        schedule(channel, READ_AHEAD_MS, () -> {
+    private static void afterRead(Channel channel, BooleanSupplier idle, Runnable staysOpen, Runnable close) {
+        schedule(channel, READ_DELAY_MS, () -> {
             if (!channel.isActive() || isClosing(channel)) {
                 return;
             }
-            Runnable next = idle.getAsBoolean() ? end : staysOpen;
+            Runnable next = idle.getAsBoolean() ? close : staysOpen;
             next.run();
         });
     }
@@ -57,7 +57,7 @@
         if (channel instanceof DuplexChannel duplex) {
             channel.pipeline().addFirst(HANDLER_NAME, new LingeringClose());
             Channels.shutdownOutput(duplex);
-            schedule(channel, LINGER_MS, () -> Channels.close(channel));
+            schedule(channel, LINGER_TIMEOUT_MS, () -> Channels.close(channel));
         } else {
             Channels.close(channel);
         }
