--- a/src/test/java/lineward/core/CoordinatorTest.java
+++ b/src/test/java/lineward/core/CoordinatorTest.java
@@ -31,7 +31,7 @@
     /** Records all events and returns the actions that the test has prepared. */
     private static final class ScriptedScheduler implements Scheduler {
         final List<SchedulerEvent> events = new ArrayList<>();
-        List<SchedulerAction> next = List.of();
+        List<SchedulerAction> nextActions = List.of();
 
         @Override
         public int excludedEngines() {
@@ -41,15 +41,15 @@
         @Override
         public List<SchedulerAction> decide(double nowMs, List<? extends SchedulerEvent> batch) {
             events.addAll(batch);
-            List<SchedulerAction> actions = next;
-            next = List.of();
+            List<SchedulerAction> actions = nextActions;
+            nextActions = List.of();
             return actions;
         }
 
-        <E> E last(Class<E> kind) {
+        <E> E last(Class<E> type) {
             return events.stream()
-                    .filter(kind::isInstance)
-                    .map(kind::cast)
+                    .filter(type::isInstance)
+                    .map(type::cast)
                     .reduce((earlier, later) -> later)
                     .orElse(null);
         }
@@ -59,16 +59,16 @@
     private Coordinator<String> coordinator;
 
     @BeforeMethod
-    public void begin() {
+    public void createCoordinator() {
         scheduler = new ScriptedScheduler();
         coordinator = new Coordinator<>(scheduler, 2, 6, new NoOpTracer<>());
     }
 
     private long admitAndStart(double nowMs, double timeLeftMs) {
-        coordinator.endpointsChanged(true, List.of(engine("s-1", READY)));
+        coordinator.endpointsChanged(true, List.of(endpoint("s-1", READY)));
         long id = coordinator.admit(nowMs, new RequestAttributes(0, 0, timeLeftMs, 0, 0, 0, false), "r");
         coordinator.tick(nowMs);
-        scheduler.next = List.of(
+        scheduler.nextActions = List.of(
                 new SchedulerAction.SetResourceLimits(id, 64, 2),
                 new SchedulerAction.StartAttempt(
                         id,
@@ -102,20 +102,20 @@
     }
 
     @Test
-    public void attemptTimesOutAheadOfItsClient() {
+    public void attemptTimesOutBeforeTheDeadlineOfItsRequest() {
         long id = admitAndStart(2000, 300);
         coordinator.tick(2289);
-        assertNull(last(TIMEOUT));
+        assertNull(lastAttemptEnded(TIMEOUT));
         List<Command<String>> commands = coordinator.tick(2290);
         assertEquals(commands, List.of(new Command.CancelAttempt<>("r", id, 0, "s-1")));
-        assertEquals(last(TIMEOUT).request(), id);
-        scheduler.next = List.of(new SchedulerAction.Reject(id, 125));
+        assertEquals(lastAttemptEnded(TIMEOUT).request(), id);
+        scheduler.nextActions = List.of(new SchedulerAction.Reject(id, 125));
         coordinator.endpointsChanged(false, List.of());
         assertEquals(coordinator.tick(2291), List.of(new Command.Reject<>("r", 125)));
     }
 
     @Test
-    public void requestFailsWithTheAttemptThatResponds() {
+    public void requestFailsIfItsRespondingAttemptFails() {
         long id = admitAndStart(2000, 300);
         assertTrue(coordinator.responseStarted(id, 0));
         assertEquals(coordinator.tick(2299), List.of(), "no timeout once the response has started");
@@ -123,20 +123,20 @@
         assertFalse(coordinator.responseStarted(id, 0));
         assertEquals(coordinator.openRequestCount(), 0);
         coordinator.tick(2300);
-        assertTrue(last(ERROR).requestCompleted());
+        assertTrue(lastAttemptEnded(ERROR).requestCompleted());
     }
 
     /** The end is recorded after the cancel timeout only, so that a relaunch can't overtake the cancel. */
     @Test
-    public void cancelledAttemptEndsOnceTheCancelHasReachedItsEngine() {
+    public void cancelledAttemptEndsAfterTheCancelTimeout() {
         long id = admitAndStart(3000, 5000);
-        scheduler.next = Collections.nCopies(2, new SchedulerAction.CancelAttempt(id, 0));
+        scheduler.nextActions = Collections.nCopies(2, new SchedulerAction.CancelAttempt(id, 0));
         coordinator.endpointsChanged(false, List.of());
         assertEquals(coordinator.tick(3100), List.of(new Command.CancelAttempt<>("r", id, 0, "s-1")));
         coordinator.tick(3105);
-        assertNull(last(CANCELLED));
+        assertNull(lastAttemptEnded(CANCELLED));
         coordinator.tick(3106);
-        assertEquals(last(CANCELLED).request(), id);
+        assertEquals(lastAttemptEnded(CANCELLED).request(), id);
     }
 
     @Test
@@ -148,7 +148,7 @@
         assertEquals(
                 scheduler.last(SchedulerEvent.AttemptProgress.class),
                 new SchedulerEvent.AttemptProgress(id, 0, RATIO_DONE, 0.5));
-        scheduler.next = List.of(new SchedulerAction.CancelAttempt(id, 0));
+        scheduler.nextActions = List.of(new SchedulerAction.CancelAttempt(id, 0));
         coordinator.endpointsChanged(false, List.of());
         coordinator.tick(4002);
         coordinator.attemptProgressed(id, 0, RATIO_DONE, 0.7);
@@ -159,15 +159,15 @@
 
     /** At most one check per engine is in flight. It ends with the first result or with the timeout. */
     @Test
-    public void healthCheckEndsOnceByItsAnswerOrItsTimeout() {
-        coordinator.endpointsChanged(true, List.of(engine("s-1", READY)));
+    public void healthCheckEndsOnceWithItsResultOrTimeout() {
+        coordinator.endpointsChanged(true, List.of(endpoint("s-1", READY)));
         coordinator.tick(1000);
-        long number = scheduler
+        long engineNumber = scheduler
                 .last(SchedulerEvent.EndpointsChanged.class)
                 .endpoints()
                 .get(0)
                 .engine();
-        List<Command<String>> commands = startHealthChecks(1000, number, number);
+        List<Command<String>> commands = startHealthChecks(1000, engineNumber, engineNumber);
         assertEquals(commands, List.of(new Command.CheckHealth<>("s-1")));
         coordinator.healthCheckCompleted(1040, "s-1", OK, new double[] {3});
         coordinator.healthCheckCompleted(1050, "s-1", ERROR, new double[0]);
@@ -175,15 +175,15 @@
         coordinator.tick(2000);
         SchedulerEvent.HealthCheckCompleted first = scheduler.last(SchedulerEvent.HealthCheckCompleted.class);
         assertEquals(first.outcome() + " " + first.latencyMs() + " " + first.loadReport()[0], "OK 40.0 3.0");
-        startHealthChecks(3000, number);
+        startHealthChecks(3000, engineNumber);
         coordinator.tick(3249);
         assertEquals(scheduler.last(SchedulerEvent.HealthCheckCompleted.class), first);
         coordinator.tick(3250);
         assertEquals(scheduler.last(SchedulerEvent.HealthCheckCompleted.class).outcome(), TIMEOUT);
     }
 
-    private List<Command<String>> startHealthChecks(double nowMs, long... engines) {
-        scheduler.next = LongStream.of(engines)
+    private List<Command<String>> startHealthChecks(double nowMs, long... engineNumbers) {
+        scheduler.nextActions = LongStream.of(engineNumbers)
                 .<SchedulerAction>mapToObj(SchedulerAction.StartHealthCheck::new)
                 .toList();
         coordinator.endpointsChanged(false, List.of());
@@ -193,30 +193,30 @@
     @Test
     public void goneEnginesAreNoLongerListed() {
         for (int i = 0; i < 100; i++) {
-            coordinator.endpointsChanged(false, List.of(engine("a" + i, READY)));
-            coordinator.endpointsChanged(false, List.of(engine("a" + i, GONE)));
+            coordinator.endpointsChanged(false, List.of(endpoint("a" + i, READY)));
+            coordinator.endpointsChanged(false, List.of(endpoint("a" + i, GONE)));
         }
         assertEquals(coordinator.listedEngineCount(), 0);
-        coordinator.endpointsChanged(false, List.of(engine("b", READY)));
-        coordinator.endpointsChanged(true, List.of(engine("c", DRAINING)));
+        coordinator.endpointsChanged(false, List.of(endpoint("b", READY)));
+        coordinator.endpointsChanged(true, List.of(endpoint("c", DRAINING)));
         assertEquals(coordinator.listedEngineCount(), 1);
     }
 
-    private static EngineEndpoint engine(String id, EndpointState state) {
+    private static EngineEndpoint endpoint(String id, EndpointState state) {
         return new EngineEndpoint(id, "127.0.0.1:1", 0, 1, 0, state, 0, 0);
     }
 
     @Test
     public void fullTableAdmitsNoRequestUntilOneIsReleased() {
         RequestAttributes attributes = new RequestAttributes(0, 0, 100, 0, 0, 0, false);
-        long first = coordinator.admit(0, attributes, "a");
+        long firstId = coordinator.admit(0, attributes, "a");
         coordinator.admit(0, attributes, "b");
         assertEquals(coordinator.admit(0, attributes, "c"), GenerationalTable.FULL);
-        coordinator.cancelRequest(first);
+        coordinator.cancelRequest(firstId);
         assertNotEquals(coordinator.admit(0, attributes, "d"), GenerationalTable.FULL);
     }
 
-    private SchedulerEvent.AttemptEnded last(AttemptOutcome outcome) {
+    private SchedulerEvent.AttemptEnded lastAttemptEnded(AttemptOutcome outcome) {
         return scheduler.events.stream()
                 .filter(SchedulerEvent.AttemptEnded.class::isInstance)
                 .map(SchedulerEvent.AttemptEnded.class::cast)
