--- a/src/main/java/lineward/frontend/ClientRegistry.java
+++ b/src/main/java/lineward/frontend/ClientRegistry.java
@@ -91,11 +91,11 @@
     }
 
     /** Returns all connections except closing ones. */
-    public List<C> all() {
-        List<C> all = new ArrayList<>(silent.keySet());
-        all.addAll(awaitingResponse.keySet());
-        all.addAll(idle.keySet());
-        return all;
+    public List<C> openClientConnections() {
+        List<C> connections = new ArrayList<>(silent.keySet());
+        connections.addAll(awaitingResponse.keySet());
+        connections.addAll(idle.keySet());
+        return connections;
     }
 
     /**
--- a/src/main/java/lineward/thrift/ResponseSender.java
+++ b/src/main/java/lineward/thrift/ResponseSender.java
@@ -52,7 +52,7 @@
     }
 
     private void closeSlowestReader() {
-        clients.all().stream()
+        clients.openClientConnections().stream()
                 .max(Comparator.comparingLong(ClientHandler::unreadBytes))
                 .ifPresent(ClientHandler::close);
     }
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -188,11 +188,12 @@
 
     @Override
     public void closeIdleClients(double probability) {
-        List<ClientHandler> idle =
-                clients.all().stream().filter(ClientHandler::isIdle).toList();
+        List<ClientHandler> idle = clients.openClientConnections().stream()
+                .filter(ClientHandler::isIdle)
+                .toList();
         ClientRegistry.closeRandomly(idle, probability, clients::closeGracefully);
         if (isFlushDeadlineExceeded()) {
-            clients.all().forEach(ClientHandler::close);
+            clients.openClientConnections().forEach(ClientHandler::close);
         }
     }
 
@@ -205,7 +206,7 @@
     public void runPeriodicTasks() {
         engines.keepAlive();
         clients.closeSilent(SILENCE_TIMEOUT_NANOS);
-        clients.all().stream()
+        clients.openClientConnections().stream()
                 .filter(client -> client.isStalled(SILENCE_TIMEOUT_NANOS))
                 .forEach(ClientHandler::close);
         calls.expireIds();
--- a/src/test/java/lineward/frontend/ClientRegistryTest.java
+++ b/src/test/java/lineward/frontend/ClientRegistryTest.java
@@ -37,11 +37,14 @@
         registry.closeSilent(0);
         assertEquals(closed, List.of("first"), "silent connections are closed gracefully");
         assertEquals(closing, List.of("second", "third"));
-        assertEquals(registry.all(), List.of("awaiting"));
+        assertEquals(registry.openClientConnections(), List.of("awaiting"));
         assertEquals(registry.size(), 3, "closing connections count until they are disconnected");
         registry.disconnected("second");
         registry.markAwaitingResponse("third");
-        assertEquals(registry.all(), List.of("awaiting", "third"), "a request reopens a closing connection");
+        assertEquals(
+                registry.openClientConnections(),
+                List.of("awaiting", "third"),
+                "a request reopens a closing connection");
     }
 
     /** Closing connections use file descriptors beyond the capacity, so only a few may close gracefully. */
