--- a/src/main/java/lineward/core/TableGroups.java
+++ b/src/main/java/lineward/core/TableGroups.java
@@ -9,7 +9,8 @@
      * Tokens after which a qualified name is taken for a table. A qualified column after a comma is taken for
      * one, too.
      */
-    private static final Set<String> BEFORE_TABLES = Set.of("from", "join", "into", "update", "table", ",");
+    private static final Set<String> TOKENS_BEFORE_TABLE_REFERENCE =
+            Set.of("from", "join", "into", "update", "table", ",");
 
     private static final int MAX_DIGITS = 6;
 
@@ -23,36 +24,36 @@
      */
     public static int groupOf(CharSequence statement) {
         SqlTokens tokens = new SqlTokens(statement);
-        int fallback = RequestAttributes.NO_TABLE_GROUP;
+        int fallbackGroup = RequestAttributes.NO_TABLE_GROUP;
         String name = null;
-        boolean tablesNext = false;
-        boolean isTable = false;
+        boolean expectsTable = false;
+        boolean isTableName = false;
         while (tokens.next()) {
             boolean named = isName(tokens);
             if (tokens.is(".") && name != null) {
-                int group = number(name);
-                if (group > 0 && isTable) {
+                int group = parseGroup(name);
+                if (group > 0 && isTableName) {
                     return group;
                 }
-                fallback = fallback > 0 ? fallback : group;
+                fallbackGroup = fallbackGroup > 0 ? fallbackGroup : group;
             }
-            isTable = named && tablesNext;
+            isTableName = named && expectsTable;
             name = named ? tokens.text() : null;
-            tablesNext = isBeforeTables(tokens);
+            expectsTable = precedesTableReference(tokens);
         }
-        return fallback;
+        return fallbackGroup;
     }
 
     private static boolean isName(SqlTokens tokens) {
         return tokens.kind() == SqlTokens.Kind.WORD || tokens.kind() == SqlTokens.Kind.NAME;
     }
 
-    private static boolean isBeforeTables(SqlTokens tokens) {
+    private static boolean precedesTableReference(SqlTokens tokens) {
         return tokens.kind() != SqlTokens.Kind.NAME
-                && BEFORE_TABLES.contains(tokens.text().toLowerCase(Locale.ROOT));
+                && TOKENS_BEFORE_TABLE_REFERENCE.contains(tokens.text().toLowerCase(Locale.ROOT));
     }
 
-    private static int number(String schema) {
+    private static int parseGroup(String schema) {
         String digits = schema.substring(schema.lastIndexOf('_') + 1);
         boolean numbered = digits.length() < schema.length()
                 && !digits.isEmpty()
