--- a/src/main/java/lineward/core/SqlTokens.java
+++ b/src/main/java/lineward/core/SqlTokens.java
@@ -25,11 +25,11 @@
     private int position;
     private int tokenStart;
     private Kind kind;
-    private String token = "";
+    private String tokenText = "";
 
-    /** @param text an SQL statement */
-    public SqlTokens(CharSequence text) {
-        this.text = text.toString();
+    /** @param statement an SQL statement */
+    public SqlTokens(CharSequence statement) {
+        this.text = statement.toString();
     }
 
     /** Advances to the next token; returns false at the end of the statement. */
@@ -41,13 +41,14 @@
             } else if (character == '#' || isDashComment(character)) {
                 skipTo("\n");
             } else if (character == '/' && peek(1) == '*') {
-                boolean runs = peek(2) == '!' || (Character.toUpperCase(peek(2)) == 'M' && peek(3) == '!');
+                boolean isExecutableComment =
+                        peek(2) == '!' || (Character.toUpperCase(peek(2)) == 'M' && peek(3) == '!');
                 skipTo("*/");
-                if (runs) {
-                    return found(Kind.EXECUTABLE_COMMENT, "");
+                if (isExecutableComment) {
+                    return emit(Kind.EXECUTABLE_COMMENT, "");
                 }
             } else {
-                return read(character);
+                return readToken(character);
             }
         }
         return false;
@@ -60,7 +61,7 @@
 
     /** Returns the token's text without quotes; empty for string literals and executable comments. */
     public String text() {
-        return token;
+        return tokenText;
     }
 
     /** Returns the offset of the first character of the current token; not set for executable comments. */
@@ -75,33 +76,33 @@
 
     /** Returns whether the current token is this keyword or symbol, ignoring case, and is not quoted. */
     public boolean is(String keyword) {
-        return kind != Kind.NAME && token.equalsIgnoreCase(keyword);
+        return kind != Kind.NAME && tokenText.equalsIgnoreCase(keyword);
     }
 
-    private boolean read(char character) {
+    private boolean readToken(char character) {
         int from = position;
         tokenStart = position;
         if (character == '\'') {
             skipQuoted(character);
-            return found(Kind.STRING, "");
+            return emit(Kind.STRING, "");
         }
         if (character == '"' || character == '`') {
             skipQuoted(character);
-            return found(Kind.NAME, text.substring(from + 1, Math.max(from + 1, position - 1)));
+            return emit(Kind.NAME, text.substring(from + 1, Math.max(from + 1, position - 1)));
         }
         if (!isIdentifierCharacter(character)) {
             position++;
-            return found(Kind.SYMBOL, String.valueOf(character));
+            return emit(Kind.SYMBOL, String.valueOf(character));
         }
         while (position < text.length() && isIdentifierCharacter(text.charAt(position))) {
             position++;
         }
-        return found(Character.isDigit(character) ? Kind.NUMBER : Kind.WORD, text.substring(from, position));
+        return emit(Character.isDigit(character) ? Kind.NUMBER : Kind.WORD, text.substring(from, position));
     }
 
-    private boolean found(Kind foundKind, String foundText) {
-        kind = foundKind;
-        token = foundText;
+    private boolean emit(Kind newKind, String newText) {
+        kind = newKind;
+        tokenText = newText;
         return true;
     }
 
@@ -114,8 +115,8 @@
     }
 
     private void skipTo(String end) {
-        int found = text.indexOf(end, position + end.length());
-        position = found < 0 ? text.length() : found + end.length();
+        int endOffset = text.indexOf(end, position + end.length());
+        position = endOffset < 0 ? text.length() : endOffset + end.length();
     }
 
     private void skipQuoted(char quote) {
