--- a/src/main/java/lineward/core/SqlTokens.java
+++ b/src/main/java/lineward/core/SqlScanner.java
@@ -4,13 +4,13 @@
  * A tokenizer for SQL statements. It skips comments and distinguishes string literals from quoted
  * identifiers. Not thread-safe.
  */
-public final class SqlTokens {
+public final class SqlScanner {
     /** Token types. */
     public enum Kind {
         /** A keyword or an unquoted identifier. */
         WORD,
         /** An identifier in double quotes or backticks. */
-        NAME,
+        QUOTED_IDENTIFIER,
         /** A string literal in single quotes. */
         STRING,
         /** A sequence of identifier characters that begins with a digit. */
@@ -28,7 +28,7 @@
     private String tokenText = "";
 
     /** @param statement an SQL statement */
-    public SqlTokens(CharSequence statement) {
+    public SqlScanner(CharSequence statement) {
         this.text = statement.toString();
     }
 
@@ -76,7 +76,7 @@
 
     /** Returns whether the current token is this keyword or symbol, ignoring case, and is not quoted. */
     public boolean is(String keyword) {
-        return kind != Kind.NAME && tokenText.equalsIgnoreCase(keyword);
+        return kind != Kind.QUOTED_IDENTIFIER && tokenText.equalsIgnoreCase(keyword);
     }
 
     private boolean readToken(char character) {
@@ -88,7 +88,7 @@
         }
         if (character == '"' || character == '`') {
             skipQuoted(character);
-            return emit(Kind.NAME, text.substring(from + 1, Math.max(from + 1, position - 1)));
+            return emit(Kind.QUOTED_IDENTIFIER, text.substring(from + 1, Math.max(from + 1, position - 1)));
         }
         if (!isIdentifierCharacter(character)) {
             position++;
--- a/src/main/java/lineward/core/TableGroups.java
+++ b/src/main/java/lineward/core/TableGroups.java
@@ -23,7 +23,7 @@
      * @return the number, or {@link RequestAttributes#NO_TABLE_GROUP} if there is none
      */
     public static int groupOf(CharSequence statement) {
-        SqlTokens tokens = new SqlTokens(statement);
+        SqlScanner tokens = new SqlScanner(statement);
         int fallbackGroup = RequestAttributes.NO_TABLE_GROUP;
         String name = null;
         boolean expectsTable = false;
@@ -44,12 +44,12 @@
         return fallbackGroup;
     }
 
-    private static boolean isName(SqlTokens tokens) {
-        return tokens.kind() == SqlTokens.Kind.WORD || tokens.kind() == SqlTokens.Kind.NAME;
+    private static boolean isName(SqlScanner tokens) {
+        return tokens.kind() == SqlScanner.Kind.WORD || tokens.kind() == SqlScanner.Kind.QUOTED_IDENTIFIER;
     }
 
-    private static boolean precedesTableReference(SqlTokens tokens) {
-        return tokens.kind() != SqlTokens.Kind.NAME
+    private static boolean precedesTableReference(SqlScanner tokens) {
+        return tokens.kind() != SqlScanner.Kind.QUOTED_IDENTIFIER
                 && TOKENS_BEFORE_TABLE_REFERENCE.contains(tokens.text().toLowerCase(Locale.ROOT));
     }
 
--- a/src/main/java/lineward/mysql/session/SetReader.java
+++ b/src/main/java/lineward/mysql/session/SetReader.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.function.UnaryOperator;
-import lineward.core.SqlTokens;
+import lineward.core.SqlScanner;
 
 /** Parses a SET statement into assignments of session variables. */
 final class SetReader {
@@ -15,7 +15,7 @@
     private static final Set<String> ISOLATION_LEVELS =
             Set.of("REPEATABLE-READ", "READ-COMMITTED", "READ-UNCOMMITTED", "SERIALIZABLE");
 
-    private final SqlTokens tokens;
+    private final SqlScanner tokens;
     private final String text;
     private final UnaryOperator<String> currentValues;
     /** Whether there is a current token. */
@@ -26,7 +26,7 @@
      */
     SetReader(String text, UnaryOperator<String> currentValues) {
         this.text = text;
-        this.tokens = new SqlTokens(text);
+        this.tokens = new SqlScanner(text);
         this.currentValues = currentValues;
     }
 
@@ -123,7 +123,7 @@
     private Assignment transaction() throws UnsupportedSettingException {
         require(advance() && tokens.is("isolation") && advance() && tokens.is("level"), THIS_FORM);
         StringBuilder level = new StringBuilder();
-        while (advance() && tokens.kind() == SqlTokens.Kind.WORD) {
+        while (advance() && tokens.kind() == SqlScanner.Kind.WORD) {
             level.append(level.isEmpty() ? "" : "-").append(tokens.text().toUpperCase(Locale.ROOT));
         }
         require(ISOLATION_LEVELS.contains(level.toString()), "this isolation level");
@@ -177,7 +177,7 @@
         // The tokenizer splits a number with a decimal point into three tokens.
         if (at(".")) {
             advance();
-            require(more && tokens.kind() == SqlTokens.Kind.NUMBER, THIS_VALUE);
+            require(more && tokens.kind() == SqlScanner.Kind.NUMBER, THIS_VALUE);
             value.append('.').append(tokens.text());
             advance();
         }
@@ -185,8 +185,8 @@
     }
 
     private boolean isLiteral() {
-        boolean isSymbol = tokens.kind() == SqlTokens.Kind.SYMBOL;
-        boolean isExecutableComment = tokens.kind() == SqlTokens.Kind.EXECUTABLE_COMMENT;
+        boolean isSymbol = tokens.kind() == SqlScanner.Kind.SYMBOL;
+        boolean isExecutableComment = tokens.kind() == SqlScanner.Kind.EXECUTABLE_COMMENT;
         return more && !isSymbol && !isExecutableComment;
     }
 
--- a/src/main/java/lineward/mysql/session/StatementClassifier.java
+++ b/src/main/java/lineward/mysql/session/StatementClassifier.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 import java.util.Set;
-import lineward.core.SqlTokens;
+import lineward.core.SqlScanner;
 import lineward.mysql.wire.Failure;
 
 /** Classifies a statement by its tokens. Words in strings, quoted names and comments are ignored. */
@@ -88,21 +88,21 @@
     private static final String USER_VARIABLE_SIGN = "@";
     private static final String SYSTEM_VARIABLE_SIGN = "@@";
 
-    private final SqlTokens tokens;
+    private final SqlScanner tokens;
     private boolean onlyReads;
     private boolean changesSession;
     /** The previous token if it was a word, @ or @@; else empty. */
     private String previousToken = "";
 
     private StatementClassifier(String text, String firstKeyword) {
-        tokens = new SqlTokens(text);
+        tokens = new SqlScanner(text);
         onlyReads = READ_KEYWORDS.contains(firstKeyword);
         changesSession = !SESSION_PRESERVING_KEYWORDS.contains(firstKeyword);
     }
 
     /** Returns the kind of the statement; a statement that is not known to be a read is a write. */
     static StatementKind classify(String text) {
-        SqlTokens tokens = new SqlTokens(text);
+        SqlScanner tokens = new SqlScanner(text);
         if (!tokens.next() || isNameOrExecutableComment(tokens)) {
             return new StatementKind.Write(true);
         }
@@ -119,16 +119,17 @@
         };
     }
 
-    private static boolean isNameOrExecutableComment(SqlTokens tokens) {
-        return tokens.kind() == SqlTokens.Kind.NAME || tokens.kind() == SqlTokens.Kind.EXECUTABLE_COMMENT;
+    private static boolean isNameOrExecutableComment(SqlScanner tokens) {
+        return tokens.kind() == SqlScanner.Kind.QUOTED_IDENTIFIER
+                || tokens.kind() == SqlScanner.Kind.EXECUTABLE_COMMENT;
     }
 
-    private static String lowerCase(SqlTokens tokens) {
+    private static String lowerCase(SqlScanner tokens) {
         return tokens.text().toLowerCase(Locale.ROOT);
     }
 
     /** ROLLBACK [WORK] TO refers to a savepoint; a plain ROLLBACK has nothing to roll back. */
-    private static StatementKind rollback(SqlTokens tokens) {
+    private static StatementKind rollback(SqlScanner tokens) {
         boolean toSavepoint = tokens.is("to") || (tokens.is("work") && tokens.next() && tokens.is("to"));
         return toSavepoint ? noTransaction("ROLLBACK TO") : new StatementKind.NoOperation();
     }
@@ -168,12 +169,12 @@
 
     private StatementKind classifyTokens() {
         while (tokens.next()) {
-            String keyword = tokens.kind() == SqlTokens.Kind.WORD ? lowerCase(tokens) : "";
+            String keyword = tokens.kind() == SqlScanner.Kind.WORD ? lowerCase(tokens) : "";
             StatementKind rejection = rejectSessionState(keyword);
             if (rejection != null) {
                 return rejection;
             }
-            boolean executable = tokens.kind() == SqlTokens.Kind.EXECUTABLE_COMMENT;
+            boolean executable = tokens.kind() == SqlScanner.Kind.EXECUTABLE_COMMENT;
             onlyReads &= !executable && !isAfterWriteKeyword();
             changesSession |= executable || keyword.equals("temporary");
             advance(keyword);
--- a/src/main/java/lineward/mysql/session/VariableQuery.java
+++ b/src/main/java/lineward/mysql/session/VariableQuery.java
@@ -5,12 +5,12 @@
 import java.util.Locale;
 import java.util.Optional;
 import java.util.function.UnaryOperator;
-import lineward.core.SqlTokens;
+import lineward.core.SqlScanner;
 import lineward.mysql.wire.LocalResult;
 
 /** Answers a SELECT of system variables only without an engine. Drivers send such statements after login. */
 final class VariableQuery {
-    private final SqlTokens tokens;
+    private final SqlScanner tokens;
     private final UnaryOperator<String> values;
     private final List<String> labels = new ArrayList<>();
     private final List<String> row = new ArrayList<>();
@@ -19,7 +19,7 @@
 
     /** @param values returns the value of a variable, or null if the variable is unknown */
     VariableQuery(String statement, UnaryOperator<String> values) {
-        this.tokens = new SqlTokens(statement);
+        this.tokens = new SqlScanner(statement);
         this.values = values;
     }
 
@@ -67,7 +67,7 @@
                 return false;
             }
             label = readAlias();
-        } else if (more && tokens.kind() == SqlTokens.Kind.WORD && !tokens.is("limit")) {
+        } else if (more && tokens.kind() == SqlScanner.Kind.WORD && !tokens.is("limit")) {
             label = readAlias();
         }
         labels.add(label);
