--- a/src/main/java/lineward/core/ActionExecutor.java
+++ b/src/main/java/lineward/core/ActionExecutor.java
@@ -37,15 +37,15 @@
         if (request == null) {
             return;
         }
-        String engine = coordinator.engines().idOf(start.engine());
-        TrackedAttempt attempt = request.addAttempt(engine);
+        String engineId = coordinator.engines().idOf(start.engine());
+        TrackedAttempt attempt = request.addAttempt(engineId);
         double timeoutAtMs = timeoutAtMs(request, start);
         if (request.isCompleted() || timeoutAtMs <= nowMs) {
             coordinator.attemptEnded(request.id(), attempt.number(), AttemptOutcome.NOT_STARTED);
             return;
         }
         attempt.setDeadline(coordinator.deadlines().add(timeoutAtMs, atMs -> expire(request, attempt)));
-        coordinator.tracer().attemptStarted(request.exchange(), attempt.number(), engine);
+        coordinator.tracer().attemptStarted(request.protocolRequest(), attempt.number(), engineId);
         coordinator.addCommand(startCommand(request, attempt, timeoutAtMs - nowMs, start.startWithinMs()));
     }
 
@@ -57,10 +57,10 @@
     private Command<X> startCommand(
             TrackedRequest<X> request, TrackedAttempt attempt, double timeoutMs, double startWithinMs) {
         return new Command.StartAttempt<>(
-                request.exchange(),
+                request.protocolRequest(),
                 request.id(),
                 attempt.number(),
-                attempt.engine(),
+                attempt.engineId(),
                 Math.max(1, Math.round(timeoutMs)),
                 (long) Math.min(timeoutMs, startWithinMs),
                 request.grantMb(),
@@ -73,8 +73,9 @@
     }
 
     private Command<X> cancelCommand(TrackedRequest<X> request, TrackedAttempt attempt) {
-        int number = attempt.number();
-        return new Command.CancelAttempt<>(request.exchange(), request.id(), number, attempt.engine());
+        int numberInRequest = attempt.number();
+        return new Command.CancelAttempt<>(
+                request.protocolRequest(), request.id(), numberInRequest, attempt.engineId());
     }
 
     @Override
@@ -111,10 +112,11 @@
     }
 
     private Command<X> priorityCommand(TrackedRequest<X> request, TrackedAttempt attempt) {
-        int number = attempt.number();
-        String engine = attempt.engine();
+        int numberInRequest = attempt.number();
+        String engineId = attempt.engineId();
         int priority = request.priority();
-        return new Command.ChangePriority<>(request.exchange(), request.id(), number, engine, priority);
+        return new Command.ChangePriority<>(
+                request.protocolRequest(), request.id(), numberInRequest, engineId, priority);
     }
 
     @Override
@@ -122,7 +124,7 @@
         TrackedRequest<X> request = coordinator.request(reject.request());
         if (request != null && coordinator.complete(request, Tracer.Ending.REJECTED)) {
             long retryAfterMs = Math.round(reject.retryAfterMs());
-            coordinator.addCommand(new Command.Reject<>(request.exchange(), retryAfterMs));
+            coordinator.addCommand(new Command.Reject<>(request.protocolRequest(), retryAfterMs));
             coordinator.releaseIfDone(request);
         }
     }
@@ -131,16 +133,16 @@
     public void fail(SchedulerAction.Fail fail) {
         TrackedRequest<X> request = coordinator.request(fail.request());
         if (request != null && coordinator.complete(request, Tracer.Ending.FAILED)) {
-            coordinator.addCommand(new Command.Fail<>(request.exchange()));
+            coordinator.addCommand(new Command.Fail<>(request.protocolRequest()));
             coordinator.releaseIfDone(request);
         }
     }
 
     @Override
     public void startHealthCheck(SchedulerAction.StartHealthCheck check) {
-        String engine = coordinator.engines().idOf(check.engine());
-        if (engine != null && coordinator.healthChecks().start(check.engine(), nowMs)) {
-            coordinator.addCommand(new Command.CheckHealth<>(engine));
+        String engineId = coordinator.engines().idOf(check.engine());
+        if (engineId != null && coordinator.healthChecks().start(check.engine(), nowMs)) {
+            coordinator.addCommand(new Command.CheckHealth<>(engineId));
         }
     }
 
--- a/src/main/java/lineward/core/Command.java
+++ b/src/main/java/lineward/core/Command.java
@@ -12,7 +12,7 @@
     /**
      * Starts an attempt. The forwarder reports its end to {@link Coordinator#attemptEnded}.
      *
-     * @param engine id of the engine; null if the engine is no longer known
+     * @param engineId id of the engine; null if the engine is no longer known
      * @param timeoutMs maximum duration of the attempt
      * @param startWithinMs time after which the attempt must no longer be sent to the engine, because the
      *     request might then run twice; an attempt that was not sent by then is reported as one that never
@@ -21,10 +21,10 @@
      * @param priority from 0 (lowest) to 3 (highest)
      */
     record StartAttempt<X>(
-            X exchange,
-            long request,
+            X protocolRequest,
+            long requestId,
             int attempt,
-            String engine,
+            String engineId,
             long timeoutMs,
             long startWithinMs,
             double grantMb,
@@ -40,7 +40,8 @@
      * Cancels an attempt. The forwarder need not report its end, because the coordinator records it after the
      * cancel timeout at the latest.
      */
-    record CancelAttempt<X>(X exchange, long request, int attempt, String engine) implements Command<X> {
+    record CancelAttempt<X>(X protocolRequest, long requestId, int attemptNumber, String engineId)
+            implements Command<X> {
         @Override
         public void executeBy(Forwarder<X> forwarder) {
             forwarder.cancelAttempt(this);
@@ -48,7 +49,8 @@
     }
 
     /** Changes the priority of a running attempt. */
-    record ChangePriority<X>(X exchange, long request, int attempt, String engine, int priority /* 0 to 3 */)
+    record ChangePriority<X>(
+            X protocolRequest, long requestId, int attemptNumber, String engineId, int priority /* 0 to 3 */)
             implements Command<X> {
         @Override
         public void executeBy(Forwarder<X> forwarder) {
@@ -57,7 +59,7 @@
     }
 
     /** Checks an engine's health. The result goes to {@link Coordinator#healthCheckCompleted}. */
-    record CheckHealth<X>(String engine) implements Command<X> {
+    record CheckHealth<X>(String engineId) implements Command<X> {
         @Override
         public void executeBy(Forwarder<X> forwarder) {
             forwarder.checkHealth(this);
@@ -79,7 +81,7 @@
      *
      * @param retryAfterMs delay after which the client should retry, or {@link #NO_RETRY_AFTER}
      */
-    record Reject<X>(X exchange, long retryAfterMs) implements Command<X> {
+    record Reject<X>(X protocolRequest, long retryAfterMs) implements Command<X> {
         /** Value of {@link #retryAfterMs} if the answer suggests no delay. */
         public static final long NO_RETRY_AFTER = 0;
 
@@ -90,7 +92,7 @@
     }
 
     /** Tells the client that its request failed. The request may have run. */
-    record Fail<X>(X exchange) implements Command<X> {
+    record Fail<X>(X protocolRequest) implements Command<X> {
         @Override
         public void executeBy(Forwarder<X> forwarder) {
             forwarder.fail(this);
--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -20,7 +20,7 @@
  * @param <X> the protocol's representation of a request
  */
 public final class Coordinator<X> {
-    private static final double[] NO_REPORT = new double[0];
+    private static final double[] MISSING_LOAD_REPORT = new double[0];
 
     private final Scheduler scheduler;
     private final Tracer<X> tracer;
@@ -56,14 +56,14 @@
      * @return the request's id, or {@link GenerationalTable#FULL} if the request table is full; the caller
      *     must then reject the request
      */
-    public long admit(double nowMs, RequestAttributes attributes, X exchange) {
+    public long admit(double nowMs, RequestAttributes attributes, X protocolRequest) {
         double timeLeftMs = boundedTimeLeftMs(attributes, nowMs);
-        TrackedRequest<X> request = new TrackedRequest<>(exchange, nowMs + timeLeftMs);
+        TrackedRequest<X> request = new TrackedRequest<>(protocolRequest, nowMs + timeLeftMs);
         long id = requests.add(request);
         if (id != GenerationalTable.FULL) {
             request.setId(id);
             openRequestCount++;
-            tracer.requestAdmitted(exchange);
+            tracer.requestAdmitted(protocolRequest);
             addEvent(attributes.toEvent(id, timeLeftMs));
         }
         return id;
@@ -106,7 +106,7 @@
     public void failOpenRequests() {
         requests.forEach(request -> {
             if (cancel(request, Tracer.Ending.FAILED)) {
-                commands.add(new Command.Fail<>(request.exchange()));
+                commands.add(new Command.Fail<>(request.protocolRequest()));
             }
         });
     }
@@ -117,21 +117,22 @@
      * @return whether the caller must now send the attempt's result to the client; true at most once per
      *     request
      */
-    public boolean attemptEnded(long requestId, int attempt, AttemptOutcome outcome) {
+    public boolean attemptEnded(long requestId, int attemptNumber, AttemptOutcome outcome) {
         TrackedRequest<X> request = requests.get(requestId);
-        TrackedAttempt ended = request == null ? null : request.attemptInFlight(attempt);
+        TrackedAttempt ended = request == null ? null : request.attemptInFlight(attemptNumber);
         if (ended == null) {
             return false;
         }
         request.endAttempt(ended);
         deadlines.cancel(ended.deadline());
-        tracer.attemptEnded(request.exchange(), attempt, outcome);
+        tracer.attemptEnded(request.protocolRequest(), attemptNumber, outcome);
         boolean served = outcome == AttemptOutcome.OK && complete(request, Tracer.Ending.SERVED);
         if (!served && request.isResponding(ended)) {
             complete(request, Tracer.Ending.FAILED);
         }
         boolean completed = request.isCompleted();
-        addEvent(new SchedulerEvent.AttemptEnded(requestId, attempt, outcome, completed, 0, 0, NO_REPORT));
+        addEvent(new SchedulerEvent.AttemptEnded(
+                requestId, attemptNumber, outcome, completed, 0, 0, MISSING_LOAD_REPORT));
         releaseIfDone(request);
         return served;
     }
@@ -143,32 +144,32 @@
      * @return false if the response must not be sent, because the request is completed, or the attempt has
      *     ended or is being cancelled
      */
-    public boolean responseStarted(long requestId, int attempt) {
+    public boolean responseStarted(long requestId, int attemptNumber) {
         TrackedRequest<X> request = requests.get(requestId);
-        TrackedAttempt started = request == null ? null : request.attemptInFlight(attempt);
+        TrackedAttempt started = request == null ? null : request.attemptInFlight(attemptNumber);
         if (started == null || !started.isRunning() || request.isCompleted()) {
             return false;
         }
         request.startResponse(started);
         deadlines.cancel(started.deadline());
-        addEvent(new SchedulerEvent.ResponseStarted(requestId, attempt));
+        addEvent(new SchedulerEvent.ResponseStarted(requestId, attemptNumber));
         return true;
     }
 
     /** Records an engine's progress report. Does nothing if the attempt has ended or was cancelled. */
-    public void attemptProgressed(long requestId, int attempt, ProgressKind kind, double amount) {
+    public void attemptProgressed(long requestId, int attemptNumber, ProgressKind kind, double amount) {
         TrackedRequest<X> request = requests.get(requestId);
-        TrackedAttempt reported = request == null ? null : request.attemptInFlight(attempt);
+        TrackedAttempt reported = request == null ? null : request.attemptInFlight(attemptNumber);
         if (reported != null && reported.isRunning()) {
-            addEvent(new SchedulerEvent.AttemptProgress(requestId, attempt, kind, amount));
+            addEvent(new SchedulerEvent.AttemptProgress(requestId, attemptNumber, kind, amount));
         }
     }
 
     /** Records the result of a health check. Late and unsolicited results are ignored. */
-    public void healthCheckCompleted(double nowMs, String engine, AttemptOutcome outcome, double[] report) {
-        OptionalLong number = engines.findNumber(engine);
-        if (number.isPresent()) {
-            healthChecks.complete(nowMs, number.getAsLong(), outcome, report);
+    public void healthCheckCompleted(double nowMs, String engineId, AttemptOutcome outcome, double[] report) {
+        OptionalLong engineNumber = engines.findNumber(engineId);
+        if (engineNumber.isPresent()) {
+            healthChecks.complete(nowMs, engineNumber.getAsLong(), outcome, report);
         }
     }
 
@@ -191,8 +192,8 @@
     }
 
     /** Returns whether the engine is listed or under maintenance. */
-    public boolean hasEngine(String engine) {
-        return engines.hasEngine(engine);
+    public boolean hasEngine(String engineId) {
+        return engines.hasEngine(engineId);
     }
 
     /**
@@ -200,10 +201,10 @@
      *
      * @param sinceMs when the operator requested the change, in Unix milliseconds
      */
-    public void setMaintenance(String engine, boolean underMaintenance, double sinceMs) {
-        long number = engines.findOrAssignNumber(engine);
-        addEvent(new SchedulerEvent.MaintenanceChanged(number, underMaintenance, sinceMs));
-        engines.setMaintenance(engine, underMaintenance);
+    public void setMaintenance(String engineId, boolean underMaintenance, double sinceMs) {
+        long engineNumber = engines.findOrAssignNumber(engineId);
+        addEvent(new SchedulerEvent.MaintenanceChanged(engineNumber, underMaintenance, sinceMs));
+        engines.setMaintenance(engineId, underMaintenance);
     }
 
     /**
@@ -285,7 +286,7 @@
             return false;
         }
         openRequestCount--;
-        tracer.requestEnded(request.exchange(), ending);
+        tracer.requestEnded(request.protocolRequest(), ending);
         return true;
     }
 
--- a/src/main/java/lineward/core/HealthChecks.java
+++ b/src/main/java/lineward/core/HealthChecks.java
@@ -12,45 +12,46 @@
  */
 final class HealthChecks {
     private static final double TIMEOUT_MS = 250;
-    private static final double[] NO_REPORT = new double[0];
+    private static final double[] MISSING_LOAD_REPORT = new double[0];
 
     private record Check(double startedAtMs, DeadlineQueue.Entry timeout) {}
 
     private final Map<Long, Check> inFlight = new HashMap<>();
     private final DeadlineQueue deadlines;
-    private final Consumer<SchedulerEvent> events;
+    private final Consumer<SchedulerEvent> resultConsumer;
 
     /**
      * Creates a tracker without checks in flight.
      *
-     * @param events receives an event at the end of each check
+     * @param resultConsumer receives an event at the end of each check
      */
-    HealthChecks(DeadlineQueue deadlines, Consumer<SchedulerEvent> events) {
+    HealthChecks(DeadlineQueue deadlines, Consumer<SchedulerEvent> resultConsumer) {
         this.deadlines = deadlines;
-        this.events = events;
+        this.resultConsumer = resultConsumer;
     }
 
     /** Records the start of a check; returns false if a check of the engine is already in flight. */
-    boolean start(long engine, double nowMs) {
-        if (inFlight.containsKey(engine)) {
+    boolean start(long engineNumber, double nowMs) {
+        if (inFlight.containsKey(engineNumber)) {
             return false;
         }
-        DeadlineQueue.Entry timeout = deadlines.add(nowMs + TIMEOUT_MS, atMs -> expire(atMs, engine));
-        inFlight.put(engine, new Check(nowMs, timeout));
+        DeadlineQueue.Entry timeout = deadlines.add(nowMs + TIMEOUT_MS, atMs -> expire(atMs, engineNumber));
+        inFlight.put(engineNumber, new Check(nowMs, timeout));
         return true;
     }
 
-    private void expire(double nowMs, long engine) {
-        complete(nowMs, engine, AttemptOutcome.TIMEOUT, NO_REPORT);
+    private void expire(double nowMs, long engineNumber) {
+        complete(nowMs, engineNumber, AttemptOutcome.TIMEOUT, MISSING_LOAD_REPORT);
     }
 
     /** Records the end of a check. Does nothing if no check of the engine is in flight. */
-    void complete(double nowMs, long engine, AttemptOutcome outcome, double[] loadReport) {
-        Check check = inFlight.remove(engine);
+    void complete(double nowMs, long engineNumber, AttemptOutcome outcome, double[] loadReport) {
+        Check check = inFlight.remove(engineNumber);
         if (check != null) {
             deadlines.cancel(check.timeout());
             double latencyMs = nowMs - check.startedAtMs();
-            events.accept(new SchedulerEvent.HealthCheckCompleted(engine, outcome, latencyMs, loadReport));
+            resultConsumer.accept(
+                    new SchedulerEvent.HealthCheckCompleted(engineNumber, outcome, latencyMs, loadReport));
         }
     }
 }
--- a/src/main/java/lineward/core/Tracer.java
+++ b/src/main/java/lineward/core/Tracer.java
@@ -22,20 +22,20 @@
     }
 
     /** Called when a request is admitted. */
-    void requestAdmitted(X exchange);
+    void requestAdmitted(X protocolRequest);
 
     /**
      * Called when an attempt is started at an engine.
      *
-     * @param engine id of the engine; null if the engine is no longer known
+     * @param engineId id of the engine; null if the engine is no longer known
      */
-    void attemptStarted(X exchange, int attempt, String engine);
+    void attemptStarted(X protocolRequest, int attemptNumber, String engineId);
 
     /** Called when an attempt ends. */
-    void attemptEnded(X exchange, int attempt, AttemptOutcome outcome);
+    void attemptEnded(X protocolRequest, int attemptNumber, AttemptOutcome outcome);
 
     /** Called when a request is completed. */
-    void requestEnded(X exchange, Ending ending);
+    void requestEnded(X protocolRequest, Ending ending);
 
     /** Logs a message of the scheduler for the operator. */
     void log(String text);
--- a/src/main/java/lineward/core/TrackedAttempt.java
+++ b/src/main/java/lineward/core/TrackedAttempt.java
@@ -3,14 +3,14 @@
 /** The coordinator's bookkeeping for one attempt of a request. Used on the event loop only. */
 final class TrackedAttempt {
     private final int number;
-    private final String engine;
+    private final String engineId;
     private AttemptState state = AttemptState.RUNNING;
     /** The timeout of the attempt or, after a cancel, of the cancellation; null if none is set. */
     private DeadlineQueue.Entry deadline;
 
-    TrackedAttempt(int number, String engine) {
+    TrackedAttempt(int number, String engineId) {
         this.number = number;
-        this.engine = engine;
+        this.engineId = engineId;
     }
 
     /** Returns the number of the attempt within its request, starting at 0. */
@@ -19,8 +19,8 @@
     }
 
     /** Returns the engine's id; null if the engine is no longer known. */
-    String engine() {
-        return engine;
+    String engineId() {
+        return engineId;
     }
 
     /** Returns the timeout of the attempt or of its cancellation; null if none is set. */
--- a/src/main/java/lineward/core/TrackedRequest.java
+++ b/src/main/java/lineward/core/TrackedRequest.java
@@ -14,7 +14,7 @@
     private static final int DEFAULT_PRIORITY = 1;
     private static final double NO_MEMORY_GRANT = 0;
 
-    private final X exchange;
+    private final X protocolRequest;
     private final double deadlineMs;
     private final List<TrackedAttempt> attempts = new ArrayList<>(2);
     private final List<TrackedAttempt> attemptsView = Collections.unmodifiableList(attempts);
@@ -28,14 +28,14 @@
     private int priority = DEFAULT_PRIORITY;
 
     /** @param deadlineMs time of the client's deadline, or of the shutdown deadline if that is earlier */
-    TrackedRequest(X exchange, double deadlineMs) {
-        this.exchange = exchange;
+    TrackedRequest(X protocolRequest, double deadlineMs) {
+        this.protocolRequest = protocolRequest;
         this.deadlineMs = deadlineMs;
     }
 
     /** Returns the protocol's representation of the request. */
-    X exchange() {
-        return exchange;
+    X protocolRequest() {
+        return protocolRequest;
     }
 
     /** Returns the time of the request's deadline. */
@@ -59,8 +59,8 @@
     }
 
     /** Adds an attempt, which is in flight until {@link #endAttempt}. */
-    TrackedAttempt addAttempt(String engine) {
-        TrackedAttempt attempt = new TrackedAttempt(attempts.size(), engine);
+    TrackedAttempt addAttempt(String engineId) {
+        TrackedAttempt attempt = new TrackedAttempt(attempts.size(), engineId);
         attempts.add(attempt);
         inFlightCount++;
         return attempt;
--- a/src/main/java/lineward/frontend/CoordinatorDriver.java
+++ b/src/main/java/lineward/frontend/CoordinatorDriver.java
@@ -47,8 +47,8 @@
      *
      * @return the request's id; empty if the request table is full and the caller must reject the request
      */
-    public OptionalLong admit(RequestAttributes attributes, X exchange) {
-        long id = coordinator.admit(clock.getAsDouble(), attributes, exchange);
+    public OptionalLong admit(RequestAttributes attributes, X protocolRequest) {
+        long id = coordinator.admit(clock.getAsDouble(), attributes, protocolRequest);
         if (id == GenerationalTable.FULL) {
             return OptionalLong.empty();
         }
@@ -57,27 +57,27 @@
     }
 
     /** Cancels a request whose client no longer needs the answer. */
-    public void cancel(long request) {
-        coordinator.cancelRequest(request);
+    public void cancel(long requestId) {
+        coordinator.cancelRequest(requestId);
         tickRequest.run();
     }
 
     /** Records the end of an attempt; returns whether the caller must send its result to the client. */
-    public boolean attemptEnded(long request, int attempt, AttemptOutcome outcome) {
-        boolean served = coordinator.attemptEnded(request, attempt, outcome);
+    public boolean attemptEnded(long requestId, int attemptNumber, AttemptOutcome outcome) {
+        boolean served = coordinator.attemptEnded(requestId, attemptNumber, outcome);
         tickRequest.run();
         return served;
     }
 
     /** Records an engine's progress report on an attempt. */
-    public void attemptProgressed(long request, int attempt, ProgressKind kind, double amount) {
-        coordinator.attemptProgressed(request, attempt, kind, amount);
+    public void attemptProgressed(long requestId, int attemptNumber, ProgressKind kind, double amount) {
+        coordinator.attemptProgressed(requestId, attemptNumber, kind, amount);
         tickRequest.run();
     }
 
     /** Records the result of a health check. */
-    public void healthCheckCompleted(String engine, AttemptOutcome outcome, double[] loadReport) {
-        coordinator.healthCheckCompleted(clock.getAsDouble(), engine, outcome, loadReport);
+    public void healthCheckCompleted(String engineId, AttemptOutcome outcome, double[] loadReport) {
+        coordinator.healthCheckCompleted(clock.getAsDouble(), engineId, outcome, loadReport);
         tickRequest.run();
     }
 
@@ -86,8 +86,8 @@
      *
      * @param sinceMs when the operator requested the change, in Unix milliseconds
      */
-    public void setMaintenance(String engine, boolean underMaintenance, double sinceMs) {
-        coordinator.setMaintenance(engine, underMaintenance, sinceMs);
+    public void setMaintenance(String engineId, boolean underMaintenance, double sinceMs) {
+        coordinator.setMaintenance(engineId, underMaintenance, sinceMs);
         tickRequest.run();
     }
 
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -202,14 +202,14 @@
 
     @Override
     public void startAttempt(Command.StartAttempt<Query> command) {
-        Query query = command.exchange();
+        Query query = command.protocolRequest();
         AttemptListener reporter = new AttemptReporter(reportTargets, query, command.attempt());
-        pools.start(command.engine(), query.nextAttempt(command.attempt(), command.timeoutMs(), reporter));
+        pools.start(command.engineId(), query.nextAttempt(command.attempt(), command.timeoutMs(), reporter));
     }
 
     @Override
     public void cancelAttempt(Command.CancelAttempt<Query> command) {
-        command.exchange().cancelAttempt(command.attempt());
+        command.protocolRequest().cancelAttempt(command.attemptNumber());
     }
 
     /** Ignored: the MySQL protocol has no priorities. */
@@ -226,11 +226,11 @@
 
     @Override
     public void reject(Command.Reject<Query> command) {
-        command.exchange().reject(command.retryAfterMs());
+        command.protocolRequest().reject(command.retryAfterMs());
     }
 
     @Override
     public void fail(Command.Fail<Query> command) {
-        command.exchange().fail();
+        command.protocolRequest().fail();
     }
 }
--- a/src/main/java/lineward/thrift/CallForwarder.java
+++ b/src/main/java/lineward/thrift/CallForwarder.java
@@ -32,7 +32,7 @@
 
     @Override
     public void startAttempt(Command.StartAttempt<Call> command) {
-        Call call = command.exchange();
+        Call call = command.protocolRequest();
         QueryAttempt attempt = new QueryAttempt(
                 call.id(),
                 call.requestClass(),
@@ -42,28 +42,28 @@
                 command.priority(),
                 new AttemptListener(call, command.attempt()));
         call.attemptStarted(command.attempt(), attempt);
-        engines.start(command.engine(), attempt);
+        engines.start(command.engineId(), attempt);
     }
 
     @Override
     public void cancelAttempt(Command.CancelAttempt<Call> command) {
-        QueryAttempt attempt = command.exchange().attempt(command.attempt());
+        QueryAttempt attempt = command.protocolRequest().attempt(command.attemptNumber());
         if (attempt != null) {
-            engines.cancel(command.engine(), attempt);
+            engines.cancel(command.engineId(), attempt);
         }
     }
 
     @Override
     public void changePriority(Command.ChangePriority<Call> command) {
-        QueryAttempt attempt = command.exchange().attempt(command.attempt());
+        QueryAttempt attempt = command.protocolRequest().attempt(command.attemptNumber());
         if (attempt != null) {
-            engines.changePriority(command.engine(), attempt, command.priority());
+            engines.changePriority(command.engineId(), attempt, command.priority());
         }
     }
 
     @Override
     public void checkHealth(Command.CheckHealth<Call> command) {
-        String engine = command.engine();
+        String engine = command.engineId();
         EngineCluster.HealthCheckListener listener =
                 (outcome, loadReport) -> driver.healthCheckCompleted(engine, outcome, loadReport);
         engines.checkHealth(engine, listener);
@@ -76,14 +76,14 @@
 
     @Override
     public void reject(Command.Reject<Call> command) {
-        Call call = command.exchange();
+        Call call = command.protocolRequest();
         long retryAfterMs = command.retryAfterMs();
         respond(call, ThriftWriter.overloaded(allocator(call), call.sequenceNumber(), retryAfterMs));
     }
 
     @Override
     public void fail(Command.Fail<Call> command) {
-        Call call = command.exchange();
+        Call call = command.protocolRequest();
         respond(call, ThriftWriter.internalError(allocator(call), call.sequenceNumber()));
     }
 
--- a/src/test/java/lineward/core/NoOpTracer.java
+++ b/src/test/java/lineward/core/NoOpTracer.java
@@ -9,16 +9,16 @@
  */
 final class NoOpTracer<X> implements Tracer<X> {
     @Override
-    public void requestAdmitted(X exchange) {}
+    public void requestAdmitted(X protocolRequest) {}
 
     @Override
-    public void attemptStarted(X exchange, int attempt, String engine) {}
+    public void attemptStarted(X protocolRequest, int attemptNumber, String engineId) {}
 
     @Override
-    public void attemptEnded(X exchange, int attempt, AttemptOutcome outcome) {}
+    public void attemptEnded(X protocolRequest, int attemptNumber, AttemptOutcome outcome) {}
 
     @Override
-    public void requestEnded(X exchange, Ending ending) {}
+    public void requestEnded(X protocolRequest, Ending ending) {}
 
     @Override
     public void log(String text) {}
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -39,10 +39,10 @@
  * any change to a scheduling decision or to the order of the commands.
  */
 public class PlannerDigestTest {
-    private static final double CANCEL_DURATION_MS = 6;
+    private static final double CANCEL_TIMEOUT_MS = 6;
     private static final double TICK_MS = 5;
-    private static final int DAY_MS = 12_000;
-    private static final int ENGINES = 6;
+    private static final int WORKLOAD_MS = 12_000;
+    private static final int ENGINE_COUNT = 6;
 
     private static final class TestRequest {
         final int number;
@@ -52,10 +52,10 @@
         }
     }
 
-    private record ScheduledStep(double at, long order, Runnable step) {}
+    private record ScheduledStep(double atMs, long sequence, Runnable step) {}
 
     @DataProvider
-    public Object[][] days() {
+    public Object[][] workloads() {
         return new Object[][] {
             {2, 1, "8c8552ff22ec6468"},
             {14, 2, "2a99af876d5391f2"},
@@ -63,39 +63,39 @@
         };
     }
 
-    @Test(dataProvider = "days")
-    public void commandsOfADayMatchTheRecordedDigest(int fronts, long seed, String recorded) {
-        RandomWorkload day = new RandomWorkload(fronts, seed);
-        String digest = day.play();
-        assertTrue(day.commands > 500, "only " + day.commands + " commands");
-        assertEquals(digest, recorded);
+    @Test(dataProvider = "workloads")
+    public void commandsMatchTheRecordedDigest(int frontEnds, long seed, String recordedDigest) {
+        RandomWorkload workload = new RandomWorkload(frontEnds, seed);
+        String digest = workload.run();
+        assertTrue(workload.commandCount > 500, "only " + workload.commandCount + " commands");
+        assertEquals(digest, recordedDigest);
     }
 
     private static final class RandomWorkload implements Forwarder<TestRequest> {
         private final Random random;
         private final Coordinator<TestRequest> coordinator;
         private final ActionDigest digest = new ActionDigest();
-        private final PriorityQueue<ScheduledStep> queue = new PriorityQueue<>(
-                Comparator.comparingDouble(ScheduledStep::at).thenComparingLong(ScheduledStep::order));
+        private final PriorityQueue<ScheduledStep> scheduledSteps = new PriorityQueue<>(
+                Comparator.comparingDouble(ScheduledStep::atMs).thenComparingLong(ScheduledStep::sequence));
         private final List<Long> admittedIds = new ArrayList<>();
-        private long order;
-        private double now = 1_000;
-        private int commands;
+        private long nextSequence;
+        private double nowMs = 1_000;
+        private int commandCount;
 
-        RandomWorkload(int fronts, long seed) {
+        RandomWorkload(int frontEnds, long seed) {
             random = new Random(seed);
-            SpeculativeScheduler scheduler = new SpeculativeScheduler(settings(fronts), seed);
-            coordinator = new Coordinator<>(scheduler, 64, CANCEL_DURATION_MS, new NoOpTracer<>());
+            SpeculativeScheduler scheduler = new SpeculativeScheduler(settings(frontEnds), seed);
+            coordinator = new Coordinator<>(scheduler, 64, CANCEL_TIMEOUT_MS, new NoOpTracer<>());
         }
 
-        String play() {
-            coordinator.endpointsChanged(true, engines(READY));
-            scheduleDay();
-            for (double end = now + DAY_MS + 8_000; now < end; now += TICK_MS) {
-                while (!queue.isEmpty() && queue.peek().at() <= now) {
-                    queue.poll().step().run();
+        String run() {
+            coordinator.endpointsChanged(true, endpoints(READY));
+            scheduleSteps();
+            for (double endMs = nowMs + WORKLOAD_MS + 8_000; nowMs < endMs; nowMs += TICK_MS) {
+                while (!scheduledSteps.isEmpty() && scheduledSteps.peek().atMs() <= nowMs) {
+                    scheduledSteps.poll().step().run();
                 }
-                coordinator.tick(now).forEach(this::execute);
+                coordinator.tick(nowMs).forEach(this::execute);
                 digest.add(
                         'N',
                         coordinator.openRequestCount(),
@@ -106,61 +106,61 @@
             return digest.toHex();
         }
 
-        private void schedule(double at, Runnable step) {
-            queue.add(new ScheduledStep(at, order++, step));
+        private void schedule(double atMs, Runnable step) {
+            scheduledSteps.add(new ScheduledStep(atMs, nextSequence++, step));
         }
 
-        private void scheduleDay() {
+        private void scheduleSteps() {
             for (int i = 0; i < 600; i++) {
                 int number = i;
-                schedule(now + random.nextInt(DAY_MS), () -> admit(number));
+                schedule(nowMs + random.nextInt(WORKLOAD_MS), () -> admit(number));
             }
             for (int i = 0; i < 40; i++) {
-                schedule(now + random.nextInt(DAY_MS), this::abortOne);
+                schedule(nowMs + random.nextInt(WORKLOAD_MS), this::cancelRandomRequest);
                 schedule(
-                        now + random.nextInt(DAY_MS),
+                        nowMs + random.nextInt(WORKLOAD_MS),
                         () -> coordinator.gossipReceived(1, new byte[] {1, 2, 3, 4, 5, 6, 7, 8}));
             }
             for (int i = 0; i < 10; i++) {
                 EndpointState state = List.of(EndpointState.values()).get(random.nextInt(3));
-                EngineEndpoint entry = engines(state).get(random.nextInt(ENGINES));
-                double at = now + random.nextInt(DAY_MS);
-                schedule(at, () -> coordinator.endpointsChanged(false, List.of(entry)));
-                schedule(at + 800, () -> coordinator.endpointsChanged(true, engines(READY)));
+                EngineEndpoint endpoint = endpoints(state).get(random.nextInt(ENGINE_COUNT));
+                double atMs = nowMs + random.nextInt(WORKLOAD_MS);
+                schedule(atMs, () -> coordinator.endpointsChanged(false, List.of(endpoint)));
+                schedule(atMs + 800, () -> coordinator.endpointsChanged(true, endpoints(READY)));
             }
-            schedule(now + 4_000, () -> coordinator.setMaintenance("engine-1", true, now));
-            schedule(now + 5_000, () -> coordinator.setMaintenance("engine-1", false, now));
-            schedule(now + 6_000, () -> coordinator.setQuota(0.5));
-            schedule(now + 9_000, () -> coordinator.setShutdownDeadline(now + 1_500));
-            schedule(now + 10_000, coordinator::failOpenRequests);
+            schedule(nowMs + 4_000, () -> coordinator.setMaintenance("engine-1", true, nowMs));
+            schedule(nowMs + 5_000, () -> coordinator.setMaintenance("engine-1", false, nowMs));
+            schedule(nowMs + 6_000, () -> coordinator.setQuota(0.5));
+            schedule(nowMs + 9_000, () -> coordinator.setShutdownDeadline(nowMs + 1_500));
+            schedule(nowMs + 10_000, coordinator::failOpenRequests);
         }
 
         private void admit(int number) {
-            double timeLeft = random.nextInt(20) == 0 ? 3 : 500 + random.nextInt(3_000);
-            double cost = random.nextInt(3) == 0 ? 0 : 50 + random.nextInt(400);
+            double timeLeftMs = random.nextInt(20) == 0 ? 3 : 500 + random.nextInt(3_000);
+            double estimatedWorkMs = random.nextInt(3) == 0 ? 0 : 50 + random.nextInt(400);
             RequestAttributes attributes = new RequestAttributes(
                     random.nextInt(3),
                     random.nextInt(2),
-                    timeLeft,
-                    cost,
+                    timeLeftMs,
+                    estimatedWorkMs,
                     random.nextInt(900),
                     random.nextInt(5),
                     random.nextInt(8) == 0);
-            long id = coordinator.admit(now, attributes, new TestRequest(number));
+            long id = coordinator.admit(nowMs, attributes, new TestRequest(number));
             digest.add('I', (double) id);
             if (id != GenerationalTable.FULL) {
                 admittedIds.add(id);
             }
         }
 
-        private void abortOne() {
+        private void cancelRandomRequest() {
             if (!admittedIds.isEmpty()) {
                 coordinator.cancelRequest(admittedIds.get(random.nextInt(admittedIds.size())));
             }
         }
 
         private void execute(Command<TestRequest> command) {
-            commands++;
+            commandCount++;
             command.executeBy(this);
         }
 
@@ -168,10 +168,10 @@
         public void startAttempt(Command.StartAttempt<TestRequest> command) {
             digest.add(
                     'S',
-                    command.exchange().number,
-                    (double) command.request(),
+                    command.protocolRequest().number,
+                    (double) command.requestId(),
                     command.attempt(),
-                    engineNumber(command.engine()),
+                    engineNumber(command.engineId()),
                     (double) command.timeoutMs(),
                     (double) command.startWithinMs(),
                     command.grantMb(),
@@ -179,59 +179,66 @@
             double serviceMs = 20 + random.nextInt(random.nextInt(10) == 0 ? 4_000 : 300);
             AttemptOutcome[] outcomes = {OK, OK, OK, OK, ERROR, REJECTED, CONNECT_FAILED, RESET};
             AttemptOutcome outcome = outcomes[random.nextInt(outcomes.length)];
-            long request = command.request();
-            int attempt = command.attempt();
+            long requestId = command.requestId();
+            int attemptNumber = command.attempt();
             if (random.nextInt(4) == 0) {
-                schedule(now + serviceMs / 2, () -> reportProgress(request, attempt));
+                schedule(nowMs + serviceMs / 2, () -> reportProgress(requestId, attemptNumber));
             }
             if (random.nextInt(10) == 0) {
-                schedule(now + serviceMs - 1, () -> startResponse(request, attempt));
+                schedule(nowMs + serviceMs - 1, () -> startResponse(requestId, attemptNumber));
             }
-            schedule(now + serviceMs, () -> end(request, attempt, outcome));
+            schedule(nowMs + serviceMs, () -> endAttempt(requestId, attemptNumber, outcome));
         }
 
-        private void reportProgress(long request, int attempt) {
-            coordinator.attemptProgressed(request, attempt, RATIO_DONE, 0.5);
+        private void reportProgress(long requestId, int attemptNumber) {
+            coordinator.attemptProgressed(requestId, attemptNumber, RATIO_DONE, 0.5);
         }
 
-        private void startResponse(long request, int attempt) {
-            digest.add('O', coordinator.responseStarted(request, attempt) ? 1 : 0);
+        private void startResponse(long requestId, int attemptNumber) {
+            digest.add('O', coordinator.responseStarted(requestId, attemptNumber) ? 1 : 0);
         }
 
         @Override
         public void cancelAttempt(Command.CancelAttempt<TestRequest> command) {
-            double request = command.request();
-            int engine = engineNumber(command.engine());
-            digest.add('C', command.exchange().number, request, command.attempt(), engine);
-            schedule(now + random.nextInt(12), () -> end(command.request(), command.attempt(), CANCELLED));
+            double requestId = command.requestId();
+            int engine = engineNumber(command.engineId());
+            digest.add('C', command.protocolRequest().number, requestId, command.attemptNumber(), engine);
+            schedule(
+                    nowMs + random.nextInt(12),
+                    () -> endAttempt(command.requestId(), command.attemptNumber(), CANCELLED));
         }
 
         @Override
         public void reject(Command.Reject<TestRequest> command) {
-            digest.add('R', command.exchange().number, (double) command.retryAfterMs());
+            digest.add('R', command.protocolRequest().number, (double) command.retryAfterMs());
         }
 
         @Override
         public void fail(Command.Fail<TestRequest> command) {
-            digest.add('F', command.exchange().number);
+            digest.add('F', command.protocolRequest().number);
         }
 
         @Override
         public void changePriority(Command.ChangePriority<TestRequest> command) {
-            double request = command.request();
-            digest.add('Q', command.exchange().number, request, command.attempt(), command.priority());
+            double requestIdAsDouble = command.requestId();
+            digest.add(
+                    'Q',
+                    command.protocolRequest().number,
+                    requestIdAsDouble,
+                    command.attemptNumber(),
+                    command.priority());
         }
 
         @Override
         public void checkHealth(Command.CheckHealth<TestRequest> command) {
-            String engine = command.engine();
-            digest.add('P', engineNumber(engine));
-            double[] report = {random.nextInt(6), random.nextDouble()};
-            schedule(now + random.nextInt(400), () -> completeHealthCheck(engine, report));
+            String engineId = command.engineId();
+            digest.add('P', engineNumber(engineId));
+            double[] loadReport = {random.nextInt(6), random.nextDouble()};
+            schedule(nowMs + random.nextInt(400), () -> completeHealthCheck(engineId, loadReport));
         }
 
-        private void completeHealthCheck(String engine, double[] report) {
-            coordinator.healthCheckCompleted(now, engine, OK, report);
+        private void completeHealthCheck(String engineId, double[] loadReport) {
+            coordinator.healthCheckCompleted(nowMs, engineId, OK, loadReport);
         }
 
         @Override
@@ -239,23 +246,23 @@
             digest.add('A', command.payload());
         }
 
-        private void end(long request, int attempt, AttemptOutcome outcome) {
-            digest.add('E', coordinator.attemptEnded(request, attempt, outcome) ? 1 : 0);
+        private void endAttempt(long requestId, int attemptNumber, AttemptOutcome outcome) {
+            digest.add('E', coordinator.attemptEnded(requestId, attemptNumber, outcome) ? 1 : 0);
         }
 
-        private static int engineNumber(String engine) {
-            return Integer.parseInt(engine.substring("engine-".length()));
+        private static int engineNumber(String engineId) {
+            return Integer.parseInt(engineId.substring("engine-".length()));
         }
 
-        private static List<EngineEndpoint> engines(EndpointState state) {
-            List<EngineEndpoint> entries = new ArrayList<>();
-            for (int i = 0; i < ENGINES; i++) {
-                entries.add(new EngineEndpoint("engine-" + i, "", i % 2, 1, 0, state, i % 2, 0));
+        private static List<EngineEndpoint> endpoints(EndpointState state) {
+            List<EngineEndpoint> endpoints = new ArrayList<>();
+            for (int i = 0; i < ENGINE_COUNT; i++) {
+                endpoints.add(new EngineEndpoint("engine-" + i, "", i % 2, 1, 0, state, i % 2, 0));
             }
-            return entries;
+            return endpoints;
         }
 
-        private static SchedulerSettings settings(int fronts) {
+        private static SchedulerSettings settings(int frontEnds) {
             RequestClass interactive = new RequestClass(
                     new RequestClass.Objective(800, 1, 4_000, 1, 0),
                     new RequestClass.Repeatability(IDEMPOTENT, ALL, 0, false),
@@ -283,7 +290,7 @@
             return new SchedulerSettings(
                     List.of(interactive, loading, keyed),
                     List.of(new EngineKind(8, 16_000), new EngineKind(4, 8_000)),
-                    new SchedulerSettings.FleetPosition(2, 0, fronts, 0),
+                    new SchedulerSettings.FleetPosition(2, 0, frontEnds, 0),
                     limits,
                     rules,
                     new SchedulerSettings.Reporting(List.of(IN_FLIGHT, MEMORY), false),
--- a/src/test/java/lineward/core/TrackedRequestTest.java
+++ b/src/test/java/lineward/core/TrackedRequestTest.java
@@ -69,7 +69,7 @@
         request.endAttempt(first);
         assertNull(request.attemptInFlight(0));
         assertEquals(second.number(), 1);
-        assertEquals(second.engine(), "s-2");
+        assertEquals(second.engineId(), "s-2");
     }
 
     @Test
