--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -119,15 +119,15 @@
      */
     public boolean attemptEnded(long requestId, int attemptNumber, AttemptOutcome outcome) {
         TrackedRequest<X> request = requests.get(requestId);
-        TrackedAttempt ended = request == null ? null : request.attemptInFlight(attemptNumber);
-        if (ended == null) {
+        TrackedAttempt attempt = request == null ? null : request.attemptInFlight(attemptNumber);
+        if (attempt == null) {
             return false;
         }
-        request.endAttempt(ended);
-        deadlines.cancel(ended.deadline());
+        request.endAttempt(attempt);
+        deadlines.cancel(attempt.deadline());
         tracer.attemptEnded(request.protocolRequest(), attemptNumber, outcome);
         boolean served = outcome == AttemptOutcome.OK && complete(request, Tracer.Ending.SERVED);
-        if (!served && request.isResponding(ended)) {
+        if (!served && request.isResponding(attempt)) {
             complete(request, Tracer.Ending.FAILED);
         }
         boolean completed = request.isCompleted();
@@ -146,12 +146,12 @@
      */
     public boolean responseStarted(long requestId, int attemptNumber) {
         TrackedRequest<X> request = requests.get(requestId);
-        TrackedAttempt started = request == null ? null : request.attemptInFlight(attemptNumber);
-        if (started == null || !started.isRunning() || request.isCompleted()) {
+        TrackedAttempt attempt = request == null ? null : request.attemptInFlight(attemptNumber);
+        if (attempt == null || !attempt.isRunning() || request.isCompleted()) {
             return false;
         }
-        request.startResponse(started);
-        deadlines.cancel(started.deadline());
+        request.startResponse(attempt);
+        deadlines.cancel(attempt.deadline());
         addEvent(new SchedulerEvent.ResponseStarted(requestId, attemptNumber));
         return true;
     }
@@ -159,8 +159,8 @@
     /** Records an engine's progress report. Does nothing if the attempt has ended or was cancelled. */
     public void attemptProgressed(long requestId, int attemptNumber, ProgressKind kind, double amount) {
         TrackedRequest<X> request = requests.get(requestId);
-        TrackedAttempt reported = request == null ? null : request.attemptInFlight(attemptNumber);
-        if (reported != null && reported.isRunning()) {
+        TrackedAttempt attempt = request == null ? null : request.attemptInFlight(attemptNumber);
+        if (attempt != null && attempt.isRunning()) {
             addEvent(new SchedulerEvent.AttemptProgress(requestId, attemptNumber, kind, amount));
         }
     }
@@ -184,10 +184,10 @@
      * @param fullSnapshot whether the list is complete, so that engines missing from it are removed
      */
     public void endpointsChanged(boolean fullSnapshot, List<EngineEndpoint> endpoints) {
-        List<Endpoint> numbered = endpoints.stream()
+        List<Endpoint> schedulerEndpoints = endpoints.stream()
                 .map(endpoint -> endpoint.toEndpoint(engines.findOrAssignNumber(endpoint.id())))
                 .toList();
-        addEvent(new SchedulerEvent.EndpointsChanged(fullSnapshot, numbered));
+        addEvent(new SchedulerEvent.EndpointsChanged(fullSnapshot, schedulerEndpoints));
         engines.update(fullSnapshot, endpoints);
     }
 
@@ -247,9 +247,9 @@
             List<SchedulerAction> actions = scheduler.decide(nowMs, batch);
             executor.execute(actions, nowMs);
         }
-        List<Command<X>> due = commands;
+        List<Command<X>> issuedCommands = commands;
         commands = new ArrayList<>();
-        return due;
+        return issuedCommands;
     }
 
     TrackedRequest<X> request(long requestId) {
