--- a/src/test/java/lineward/core/CoordinatorTest.java
+++ b/src/test/java/lineward/core/CoordinatorTest.java
@@ -46,7 +46,7 @@
             return actions;
         }
 
-        <E> E last(Class<E> type) {
+        <E> E lastEventOfType(Class<E> type) {
             return events.stream()
                     .filter(type::isInstance)
                     .map(type::cast)
@@ -73,7 +73,7 @@
                 new SchedulerAction.StartAttempt(
                         id,
                         scheduler
-                                .last(SchedulerEvent.EndpointsChanged.class)
+                                .lastEventOfType(SchedulerEvent.EndpointsChanged.class)
                                 .endpoints()
                                 .get(0)
                                 .engine(),
@@ -97,8 +97,8 @@
         assertEquals(coordinator.openRequestCount(), 0);
         coordinator.cancelRequest(id);
         coordinator.tick(1001);
-        assertTrue(scheduler.last(SchedulerEvent.AttemptEnded.class).requestCompleted());
-        assertNull(scheduler.last(SchedulerEvent.RequestCancelled.class));
+        assertTrue(scheduler.lastEventOfType(SchedulerEvent.AttemptEnded.class).requestCompleted());
+        assertNull(scheduler.lastEventOfType(SchedulerEvent.RequestCancelled.class));
     }
 
     @Test
@@ -146,14 +146,15 @@
         coordinator.attemptProgressed(id, 1, RATIO_DONE, 0.6);
         coordinator.tick(4001);
         assertEquals(
-                scheduler.last(SchedulerEvent.AttemptProgress.class),
+                scheduler.lastEventOfType(SchedulerEvent.AttemptProgress.class),
                 new SchedulerEvent.AttemptProgress(id, 0, RATIO_DONE, 0.5));
         scheduler.nextActions = List.of(new SchedulerAction.CancelAttempt(id, 0));
         coordinator.endpointsChanged(false, List.of());
         coordinator.tick(4002);
         coordinator.attemptProgressed(id, 0, RATIO_DONE, 0.7);
         coordinator.tick(4003);
-        double lastAmount = scheduler.last(SchedulerEvent.AttemptProgress.class).amount();
+        double lastAmount =
+                scheduler.lastEventOfType(SchedulerEvent.AttemptProgress.class).amount();
         assertEquals(lastAmount, 0.5, "progress after the cancel is ignored");
     }
 
@@ -163,7 +164,7 @@
         coordinator.endpointsChanged(true, List.of(endpoint("s-1", READY)));
         coordinator.tick(1000);
         long engineNumber = scheduler
-                .last(SchedulerEvent.EndpointsChanged.class)
+                .lastEventOfType(SchedulerEvent.EndpointsChanged.class)
                 .endpoints()
                 .get(0)
                 .engine();
@@ -173,13 +174,18 @@
         coordinator.healthCheckCompleted(1050, "s-1", ERROR, new double[0]);
         coordinator.healthCheckCompleted(1050, "s-2", ERROR, new double[0]);
         coordinator.tick(2000);
-        SchedulerEvent.HealthCheckCompleted first = scheduler.last(SchedulerEvent.HealthCheckCompleted.class);
+        SchedulerEvent.HealthCheckCompleted first =
+                scheduler.lastEventOfType(SchedulerEvent.HealthCheckCompleted.class);
         assertEquals(first.outcome() + " " + first.latencyMs() + " " + first.loadReport()[0], "OK 40.0 3.0");
         startHealthChecks(3000, engineNumber);
         coordinator.tick(3249);
-        assertEquals(scheduler.last(SchedulerEvent.HealthCheckCompleted.class), first);
+        assertEquals(scheduler.lastEventOfType(SchedulerEvent.HealthCheckCompleted.class), first);
         coordinator.tick(3250);
-        assertEquals(scheduler.last(SchedulerEvent.HealthCheckCompleted.class).outcome(), TIMEOUT);
+        assertEquals(
+                scheduler
+                        .lastEventOfType(SchedulerEvent.HealthCheckCompleted.class)
+                        .outcome(),
+                TIMEOUT);
     }
 
     private List<Command<String>> startHealthChecks(double nowMs, long... engineNumbers) {
