--- a/src/main/java/lineward/frontend/ClientRegistry.java
+++ b/src/main/java/lineward/frontend/ClientRegistry.java
@@ -34,13 +34,14 @@
      * Creates an empty registry.
      *
      * @param capacity maximum number of connections that are not closing
-     * @param clock time in nanoseconds, like {@link System#nanoTime}
+     * @param monotonicNanoClock time in nanoseconds, like {@link System#nanoTime}
      * @param closer closes a connection immediately
      * @param gracefulCloser closes a connection unless it sends a request first
      */
-    public ClientRegistry(int capacity, LongSupplier clock, Consumer<C> closer, Consumer<C> gracefulCloser) {
+    public ClientRegistry(
+            int capacity, LongSupplier monotonicNanoClock, Consumer<C> closer, Consumer<C> gracefulCloser) {
         this.capacity = capacity;
-        this.nanoClock = clock;
+        this.nanoClock = monotonicNanoClock;
         this.closer = closer;
         this.gracefulCloser = gracefulCloser;
     }
