--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -20,18 +20,18 @@
  * @param <X> the protocol's representation of a request
  */
 public final class Coordinator<X> {
-    private static final double[] NO_REPORT = new double[0];
+    private static final double[] MISSING_LOAD_REPORT = new double[0];
 
     private final Scheduler scheduler;
     private final Tracer<X> tracer;
     private final GenerationalTable<TrackedRequest<X>> requests;
     private final DeadlineQueue deadlines = new DeadlineQueue();
-    private final EngineNumbers engines = new EngineNumbers();
+    private final EngineRegistry engines = new EngineRegistry();
     private final HealthChecks healthChecks = new HealthChecks(deadlines, this::addEvent);
     private final ActionExecutor<X> executor;
     private List<SchedulerEvent> events = new ArrayList<>();
     private List<Command<X>> commands = new ArrayList<>();
-    private int openRequests;
+    private int openRequestCount;
     private OptionalDouble shutdownDeadlineMs = OptionalDouble.empty();
 
     /**
@@ -39,15 +39,15 @@
      *
      * @param scheduler scheduler used by this coordinator only
      * @param capacity maximum number of requests in the request table; further requests are rejected
-     * @param cancelDurationMs time after which a cancelled attempt counts as ended if the forwarder has not
+     * @param cancelTimeoutMs time after which a cancelled attempt counts as ended if the forwarder has not
      *     reported its end; a relaunch of the request waits until then
      * @param tracer receives the progress and end of requests and attempts
      */
-    public Coordinator(Scheduler scheduler, int capacity, double cancelDurationMs, Tracer<X> tracer) {
+    public Coordinator(Scheduler scheduler, int capacity, double cancelTimeoutMs, Tracer<X> tracer) {
         this.scheduler = scheduler;
         this.requests = new GenerationalTable<>(capacity);
         this.tracer = tracer;
-        this.executor = new ActionExecutor<>(this, cancelDurationMs);
+        this.executor = new ActionExecutor<>(this, cancelTimeoutMs);
     }
 
     /**
@@ -56,14 +56,14 @@
      * @return the request's id, or {@link GenerationalTable#FULL} if the request table is full; the caller
      *     must then reject the request
      */
-    public long admit(double nowMs, RequestAttributes attributes, X exchange) {
+    public long admit(double nowMs, RequestAttributes attributes, X protocolRequest) {
         double timeLeftMs = boundedTimeLeftMs(attributes, nowMs);
-        TrackedRequest<X> request = new TrackedRequest<>(exchange, nowMs + timeLeftMs);
+        TrackedRequest<X> request = new TrackedRequest<>(protocolRequest, nowMs + timeLeftMs);
         long id = requests.add(request);
         if (id != GenerationalTable.FULL) {
             request.setId(id);
-            openRequests++;
-            tracer.requestAdmitted(exchange);
+            openRequestCount++;
+            tracer.requestAdmitted(protocolRequest);
             addEvent(attributes.toEvent(id, timeLeftMs));
         }
         return id;
@@ -106,7 +106,7 @@
     public void failOpenRequests() {
         requests.forEach(request -> {
             if (cancel(request, Tracer.Ending.FAILED)) {
-                commands.add(new Command.Fail<>(request.exchange()));
+                commands.add(new Command.Fail<>(request.protocolRequest()));
             }
         });
     }
@@ -117,21 +117,22 @@
      * @return whether the caller must now send the attempt's result to the client; true at most once per
      *     request
      */
-    public boolean attemptEnded(long requestId, int attempt, AttemptOutcome outcome) {
+    public boolean attemptEnded(long requestId, int attemptNumber, AttemptOutcome outcome) {
         TrackedRequest<X> request = requests.get(requestId);
-        TrackedAttempt ended = request == null ? null : request.attemptInFlight(attempt);
-        if (ended == null) {
+        TrackedAttempt attempt = request == null ? null : request.attemptInFlight(attemptNumber);
+        if (attempt == null) {
             return false;
         }
-        request.endAttempt(ended);
-        deadlines.cancel(ended.deadline());
-        tracer.attemptEnded(request.exchange(), attempt, outcome);
+        request.endAttempt(attempt);
+        deadlines.cancel(attempt.deadline());
+        tracer.attemptEnded(request.protocolRequest(), attemptNumber, outcome);
         boolean served = outcome == AttemptOutcome.OK && complete(request, Tracer.Ending.SERVED);
-        if (!served && request.isResponding(ended)) {
+        if (!served && request.isResponding(attempt)) {
             complete(request, Tracer.Ending.FAILED);
         }
         boolean completed = request.isCompleted();
-        addEvent(new SchedulerEvent.AttemptEnded(requestId, attempt, outcome, completed, 0, 0, NO_REPORT));
+        addEvent(new SchedulerEvent.AttemptEnded(
+                requestId, attemptNumber, outcome, completed, 0, 0, MISSING_LOAD_REPORT));
         releaseIfDone(request);
         return served;
     }
@@ -143,32 +144,32 @@
      * @return false if the response must not be sent, because the request is completed, or the attempt has
      *     ended or is being cancelled
      */
-    public boolean responseStarted(long requestId, int attempt) {
+    public boolean responseStarted(long requestId, int attemptNumber) {
         TrackedRequest<X> request = requests.get(requestId);
-        TrackedAttempt started = request == null ? null : request.attemptInFlight(attempt);
-        if (started == null || !started.isRunning() || request.isCompleted()) {
+        TrackedAttempt attempt = request == null ? null : request.attemptInFlight(attemptNumber);
+        if (attempt == null || !attempt.isRunning() || request.isCompleted()) {
             return false;
         }
-        request.startResponse(started);
-        deadlines.cancel(started.deadline());
-        addEvent(new SchedulerEvent.ResponseStarted(requestId, attempt));
+        request.startResponse(attempt);
+        deadlines.cancel(attempt.deadline());
+        addEvent(new SchedulerEvent.ResponseStarted(requestId, attemptNumber));
         return true;
     }
 
     /** Records an engine's progress report. Does nothing if the attempt has ended or was cancelled. */
-    public void attemptProgressed(long requestId, int attempt, ProgressKind kind, double amount) {
+    public void attemptProgressed(long requestId, int attemptNumber, ProgressKind kind, double amount) {
         TrackedRequest<X> request = requests.get(requestId);
-        TrackedAttempt reported = request == null ? null : request.attemptInFlight(attempt);
-        if (reported != null && reported.isRunning()) {
-            addEvent(new SchedulerEvent.AttemptProgress(requestId, attempt, kind, amount));
+        TrackedAttempt attempt = request == null ? null : request.attemptInFlight(attemptNumber);
+        if (attempt != null && attempt.isRunning()) {
+            addEvent(new SchedulerEvent.AttemptProgress(requestId, attemptNumber, kind, amount));
         }
     }
 
     /** Records the result of a health check. Late and unsolicited results are ignored. */
-    public void healthCheckCompleted(double nowMs, String engine, AttemptOutcome outcome, double[] report) {
-        OptionalLong number = engines.existingNumber(engine);
-        if (number.isPresent()) {
-            healthChecks.complete(nowMs, number.getAsLong(), outcome, report);
+    public void healthCheckCompleted(double nowMs, String engineId, AttemptOutcome outcome, double[] report) {
+        OptionalLong engineNumber = engines.findNumber(engineId);
+        if (engineNumber.isPresent()) {
+            healthChecks.complete(nowMs, engineNumber.getAsLong(), outcome, report);
         }
     }
 
@@ -183,16 +184,16 @@
      * @param fullSnapshot whether the list is complete, so that engines missing from it are removed
      */
     public void endpointsChanged(boolean fullSnapshot, List<EngineEndpoint> endpoints) {
-        List<Endpoint> numbered = endpoints.stream()
-                .map(endpoint -> endpoint.toEndpoint(engines.numberOf(endpoint.id())))
+        List<Endpoint> schedulerEndpoints = endpoints.stream()
+                .map(endpoint -> endpoint.toEndpoint(engines.findOrAssignNumber(endpoint.id())))
                 .toList();
-        addEvent(new SchedulerEvent.EndpointsChanged(fullSnapshot, numbered));
+        addEvent(new SchedulerEvent.EndpointsChanged(fullSnapshot, schedulerEndpoints));
         engines.update(fullSnapshot, endpoints);
     }
 
     /** Returns whether the engine is listed or under maintenance. */
-    public boolean hasEngine(String engine) {
-        return engines.hasEngine(engine);
+    public boolean hasEngine(String engineId) {
+        return engines.hasEngine(engineId);
     }
 
     /**
@@ -200,10 +201,10 @@
      *
      * @param sinceMs when the operator requested the change, in Unix milliseconds
      */
-    public void setMaintenance(String engine, boolean underMaintenance, double sinceMs) {
-        long number = engines.numberOf(engine);
-        addEvent(new SchedulerEvent.MaintenanceChanged(number, underMaintenance, sinceMs));
-        engines.setMaintenance(engine, underMaintenance);
+    public void setMaintenance(String engineId, boolean underMaintenance, double sinceMs) {
+        long engineNumber = engines.findOrAssignNumber(engineId);
+        addEvent(new SchedulerEvent.MaintenanceChanged(engineNumber, underMaintenance, sinceMs));
+        engines.setMaintenance(engineId, underMaintenance);
     }
 
     /**
@@ -215,18 +216,18 @@
     }
 
     /** Returns the number of listed engines. */
-    public int listedEngines() {
+    public int listedEngineCount() {
         return engines.listedCount();
     }
 
     /** Returns the number of listed engines that are ejected or under maintenance. */
-    public int excludedEngines() {
+    public int excludedEngineCount() {
         return scheduler.excludedEngines();
     }
 
     /** Returns the number of admitted requests that are not completed. */
-    public int openRequests() {
-        return openRequests;
+    public int openRequestCount() {
+        return openRequestCount;
     }
 
     /** Returns whether events are waiting for the next tick. */
@@ -246,16 +247,16 @@
             List<SchedulerAction> actions = scheduler.decide(nowMs, batch);
             executor.execute(actions, nowMs);
         }
-        List<Command<X>> due = commands;
+        List<Command<X>> issuedCommands = commands;
         commands = new ArrayList<>();
-        return due;
+        return issuedCommands;
     }
 
     TrackedRequest<X> request(long requestId) {
         return requests.get(requestId);
     }
 
-    EngineNumbers engines() {
+    EngineRegistry engines() {
         return engines;
     }
 
@@ -284,8 +285,8 @@
         if (!request.complete()) {
             return false;
         }
-        openRequests--;
-        tracer.requestEnded(request.exchange(), ending);
+        openRequestCount--;
+        tracer.requestEnded(request.protocolRequest(), ending);
         return true;
     }
 
--- a/src/main/java/lineward/core/EngineNumbers.java
+++ b/src/main/java/lineward/core/EngineRegistry.java
@@ -15,57 +15,57 @@
  * longer known are removed: a restarted engine gets a new id, so the maps would otherwise grow without limit.
  * Called by the coordinator, on the event loop.
  */
-final class EngineNumbers {
+final class EngineRegistry {
     // Parameters of the 64-bit FNV-1a hash, which is computed over the characters of the id.
-    private static final long FNV_SEED = 0xcbf29ce484222325L;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
 
     private static final long FNV_PRIME = 0x100000001b3L;
     /** Low bits of the hash that are dropped, as the simulator's protocol encodes a number in six bytes. */
-    private static final int UNUSED_BITS = 16;
+    private static final int DISCARDED_HASH_BITS = 16;
 
-    private final Map<String, Long> numbers = new HashMap<>();
-    private final Map<Long, String> ids = new HashMap<>();
-    private final Set<String> listed = new HashSet<>();
-    private final Set<String> underMaintenance = new HashSet<>();
+    private final Map<String, Long> numbersById = new HashMap<>();
+    private final Map<Long, String> idsByNumber = new HashMap<>();
+    private final Set<String> listedIds = new HashSet<>();
+    private final Set<String> idsUnderMaintenance = new HashSet<>();
 
     /** Returns the number of an engine; assigns one if the engine has none. */
-    long numberOf(String id) {
-        return numbers.computeIfAbsent(id, this::freeNumber);
+    long findOrAssignNumber(String id) {
+        return numbersById.computeIfAbsent(id, this::assignNumber);
     }
 
-    private long freeNumber(String id) {
-        long hash = FNV_SEED;
+    private long assignNumber(String id) {
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < id.length(); i++) {
             hash = (hash ^ id.charAt(i)) * FNV_PRIME;
         }
-        long number = hash >>> UNUSED_BITS;
-        while (ids.putIfAbsent(number, id) != null) {
+        long number = hash >>> DISCARDED_HASH_BITS;
+        while (idsByNumber.putIfAbsent(number, id) != null) {
             number++;
         }
         return number;
     }
 
     /** Returns the number of an engine; empty if none is assigned. */
-    OptionalLong existingNumber(String id) {
-        Long number = numbers.get(id);
+    OptionalLong findNumber(String id) {
+        Long number = numbersById.get(id);
         return number == null ? OptionalLong.empty() : OptionalLong.of(number);
     }
 
     /** Returns the id of the engine with this number; null if there is none. */
     String idOf(long number) {
-        return ids.get(number);
+        return idsByNumber.get(number);
     }
 
     /** Applies a full snapshot of the endpoint list, or an incremental update. */
     void update(boolean fullSnapshot, List<EngineEndpoint> endpoints) {
         if (fullSnapshot) {
-            listed.clear();
+            listedIds.clear();
         }
         for (EngineEndpoint endpoint : endpoints) {
             if (endpoint.state() == EndpointState.GONE) {
-                listed.remove(endpoint.id());
+                listedIds.remove(endpoint.id());
             } else {
-                listed.add(endpoint.id());
+                listedIds.add(endpoint.id());
             }
         }
         removeUnknown();
@@ -73,24 +73,24 @@
 
     void setMaintenance(String id, boolean isUnderMaintenance) {
         if (isUnderMaintenance) {
-            underMaintenance.add(id);
+            idsUnderMaintenance.add(id);
         } else {
-            underMaintenance.remove(id);
+            idsUnderMaintenance.remove(id);
             removeUnknown();
         }
     }
 
     /** Returns whether the engine is listed or under maintenance. */
     boolean hasEngine(String id) {
-        return listed.contains(id) || underMaintenance.contains(id);
+        return listedIds.contains(id) || idsUnderMaintenance.contains(id);
     }
 
     int listedCount() {
-        return listed.size();
+        return listedIds.size();
     }
 
     private void removeUnknown() {
-        numbers.keySet().removeIf(id -> !hasEngine(id));
-        ids.values().removeIf(id -> !hasEngine(id));
+        numbersById.keySet().removeIf(id -> !hasEngine(id));
+        idsByNumber.values().removeIf(id -> !hasEngine(id));
     }
 }
--- a/src/main/java/lineward/core/TrackedRequest.java
+++ b/src/main/java/lineward/core/TrackedRequest.java
@@ -12,30 +12,30 @@
  */
 final class TrackedRequest<X> {
     private static final int DEFAULT_PRIORITY = 1;
-    private static final double ENGINE_DECIDES_MEMORY = 0;
+    private static final double NO_MEMORY_GRANT = 0;
 
-    private final X exchange;
+    private final X protocolRequest;
     private final double deadlineMs;
     private final List<TrackedAttempt> attempts = new ArrayList<>(2);
     private final List<TrackedAttempt> attemptsView = Collections.unmodifiableList(attempts);
-    private RequestState state = RequestState.OPEN;
+    private TrackedRequestState state = TrackedRequestState.OPEN;
     private long id = GenerationalTable.FULL;
-    private int attemptsInFlight;
+    private int inFlightCount;
     /** The attempt that was the last to start sending its response; null if there is none. */
-    private TrackedAttempt responding;
+    private TrackedAttempt respondingAttempt;
 
-    private double grantMb = ENGINE_DECIDES_MEMORY;
+    private double grantMb = NO_MEMORY_GRANT;
     private int priority = DEFAULT_PRIORITY;
 
     /** @param deadlineMs time of the client's deadline, or of the shutdown deadline if that is earlier */
-    TrackedRequest(X exchange, double deadlineMs) {
-        this.exchange = exchange;
+    TrackedRequest(X protocolRequest, double deadlineMs) {
+        this.protocolRequest = protocolRequest;
         this.deadlineMs = deadlineMs;
     }
 
     /** Returns the protocol's representation of the request. */
-    X exchange() {
-        return exchange;
+    X protocolRequest() {
+        return protocolRequest;
     }
 
     /** Returns the time of the request's deadline. */
@@ -59,10 +59,10 @@
     }
 
     /** Adds an attempt, which is in flight until {@link #endAttempt}. */
-    TrackedAttempt addAttempt(String engine) {
-        TrackedAttempt attempt = new TrackedAttempt(attempts.size(), engine);
+    TrackedAttempt addAttempt(String engineId) {
+        TrackedAttempt attempt = new TrackedAttempt(attempts.size(), engineId);
         attempts.add(attempt);
-        attemptsInFlight++;
+        inFlightCount++;
         return attempt;
     }
 
@@ -77,18 +77,18 @@
     /** Records the end of an attempt in flight. */
     void endAttempt(TrackedAttempt attempt) {
         attempt.end();
-        attemptsInFlight--;
+        inFlightCount--;
     }
 
     /** Records that this attempt starts to send its response to the client. */
     void startResponse(TrackedAttempt attempt) {
         state = state.responseStarted();
-        responding = attempt;
+        respondingAttempt = attempt;
     }
 
     /** Returns whether this attempt was the last to start sending its response. */
     boolean isResponding(TrackedAttempt attempt) {
-        return responding == attempt;
+        return respondingAttempt == attempt;
     }
 
     /** Completes the request; returns false if it was already completed. */
@@ -105,7 +105,7 @@
 
     /** Returns whether the request is completed and has no attempt in flight, so its id can be released. */
     boolean isReleasable() {
-        return isCompleted() && attemptsInFlight == 0;
+        return isCompleted() && inFlightCount == 0;
     }
 
     /** Returns the memory granted to further attempts, in megabytes; 0 lets the engine decide. */
--- a/src/main/java/lineward/frontend/ClientRegistry.java
+++ b/src/main/java/lineward/frontend/ClientRegistry.java
@@ -34,13 +34,14 @@
      * Creates an empty registry.
      *
      * @param capacity maximum number of connections that are not closing
-     * @param clock time in nanoseconds, like {@link System#nanoTime}
+     * @param monotonicNanoClock time in nanoseconds, like {@link System#nanoTime}
      * @param closer closes a connection immediately
      * @param gracefulCloser closes a connection unless it sends a request first
      */
-    public ClientRegistry(int capacity, LongSupplier clock, Consumer<C> closer, Consumer<C> gracefulCloser) {
+    public ClientRegistry(
+            int capacity, LongSupplier monotonicNanoClock, Consumer<C> closer, Consumer<C> gracefulCloser) {
         this.capacity = capacity;
-        this.nanoClock = clock;
+        this.nanoClock = monotonicNanoClock;
         this.closer = closer;
         this.gracefulCloser = gracefulCloser;
     }
@@ -62,12 +63,12 @@
     }
 
     /** Records that the connection has sent a request and awaits the response. */
-    public void becameWaiting(C client) {
+    public void markAwaitingResponse(C client) {
         changeState(client, awaitingResponse);
     }
 
     /** Records that the connection, which has sent a request before, awaits no response. */
-    public void becameIdle(C client) {
+    public void markIdle(C client) {
         changeState(client, idle);
     }
 
@@ -91,11 +92,11 @@
     }
 
     /** Returns all connections except closing ones. */
-    public List<C> all() {
-        List<C> all = new ArrayList<>(silent.keySet());
-        all.addAll(awaitingResponse.keySet());
-        all.addAll(idle.keySet());
-        return all;
+    public List<C> openClientConnections() {
+        List<C> connections = new ArrayList<>(silent.keySet());
+        connections.addAll(awaitingResponse.keySet());
+        connections.addAll(idle.keySet());
+        return connections;
     }
 
     /**
@@ -104,7 +105,7 @@
      *
      * @param probability between 0 and 1; 1 closes all connections
      */
-    public static <C> void closeSome(List<C> clients, double probability, Consumer<C> closer) {
+    public static <C> void closeRandomly(List<C> clients, double probability, Consumer<C> closer) {
         clients.stream()
                 .filter(client -> ThreadLocalRandom.current().nextDouble() < probability)
                 .forEach(closer);
--- a/src/main/java/lineward/frontend/ProtocolServer.java
+++ b/src/main/java/lineward/frontend/ProtocolServer.java
@@ -14,7 +14,7 @@
     void tick();
 
     /** Sets the phase, which determines the clients and requests that are admitted from now on. */
-    void setAdmission(ServerAdmissionPolicy.Phase phase);
+    void setAdmissionPhase(ServerAdmissionPolicy.Phase phase);
 
     /**
      * Limits the deadline of requests that arrive from now on, even if their clients set a later one. Ignored
@@ -45,7 +45,7 @@
      * Closes connections of clients that do not send a complete message or do not log in within the timeout,
      * and does the server's other periodic work, such as engine heartbeats. Called ten times a second.
      */
-    void closeUnresponsive();
+    void runPeriodicTasks();
 
     /** Closes connections to engines that have exceeded the idle timeout. */
     void closeIdleEngineConnections();
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -139,7 +139,7 @@
     }
 
     private void setAdmission(ServerAdmissionPolicy.Phase admission) {
-        servers.forEach(server -> server.setAdmission(admission));
+        servers.forEach(server -> server.setAdmissionPhase(admission));
     }
 
     private void closeDrainedConnections() {
@@ -206,7 +206,7 @@
     /** Fails the open requests; servers whose requests end at the deadline of their class ignore it. */
     private void failOpenRequests() {
         int openRequests = servers.stream()
-                .mapToInt(server -> server.coordinator().openRequests())
+                .mapToInt(server -> server.coordinator().openRequestCount())
                 .sum();
         LOG.info("shutdown deadline passed: openRequests={}", openRequests);
         setAdmission(ServerAdmissionPolicy.Phase.REJECTING);
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -108,7 +108,7 @@
     }
 
     private String statistics() {
-        int open = driver.openRequests();
+        int open = driver.openRequestCount();
         return "Clients: " + clients.size() + "  Open: " + open + "  Engines: " + pools.size();
     }
 
@@ -146,7 +146,7 @@
      * because the MySQL protocol has no message for that.
      */
     @Override
-    public void setAdmission(ServerAdmissionPolicy.Phase next) {
+    public void setAdmissionPhase(ServerAdmissionPolicy.Phase next) {
         if (admission.welcomesClients() && next != ServerAdmissionPolicy.Phase.OPEN) {
             shutdownStartedNanos = System.nanoTime();
         }
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public void closeUnresponsive() {
+    public void runPeriodicTasks() {
         clients.closeNotLoggedIn();
         spool.tick();
     }
@@ -192,7 +192,7 @@
 
     @Override
     public boolean isDrained() {
-        return driver.openRequests() == 0 && clients.size() == 0;
+        return driver.openRequestCount() == 0 && clients.size() == 0;
     }
 
     @Override
@@ -202,14 +202,14 @@
 
     @Override
     public void startAttempt(Command.StartAttempt<Query> command) {
-        Query query = command.exchange();
+        Query query = command.protocolRequest();
         AttemptListener reporter = new AttemptReporter(reportTargets, query, command.attempt());
-        pools.start(command.engine(), query.nextAttempt(command.attempt(), command.timeoutMs(), reporter));
+        pools.start(command.engineId(), query.nextAttempt(command.attempt(), command.timeoutMs(), reporter));
     }
 
     @Override
     public void cancelAttempt(Command.CancelAttempt<Query> command) {
-        command.exchange().cancelAttempt(command.attempt());
+        command.protocolRequest().cancelAttempt(command.attemptNumber());
     }
 
     /** Ignored: the MySQL protocol has no priorities. */
@@ -226,11 +226,11 @@
 
     @Override
     public void reject(Command.Reject<Query> command) {
-        command.exchange().reject(command.retryAfterMs());
+        command.protocolRequest().reject(command.retryAfterMs());
     }
 
     @Override
     public void fail(Command.Fail<Query> command) {
-        command.exchange().fail();
+        command.protocolRequest().fail();
     }
 }
--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -130,14 +130,14 @@
             text.sample(REQUESTS, labels, count);
         }));
         text.counter("relayed_total", "Attempts written whole to query engines.", forwardedAttempts);
-        long openRequests = sum(servers, Coordinator::openRequests);
+        long openRequests = sum(servers, Coordinator::openRequestCount);
         text.gauge("open_requests", "Requests taken and not yet ended.", openRequests);
     }
 
     private void writeEngines(PrometheusText text, Collection<ProtocolServer> servers) {
-        long listed = sum(servers, Coordinator::listedEngines);
+        long listed = sum(servers, Coordinator::listedEngineCount);
         text.gauge("registry_entries", "Query engines on the list.", listed);
-        long excluded = sum(servers, Coordinator::excludedEngines);
+        long excluded = sum(servers, Coordinator::excludedEngineCount);
         text.gauge("out_of_rotation", "Query engines on the list that get nothing now.", excluded);
         if (listAgeMs != null) {
             String help = "Milliseconds since the journal's last usable answer.";
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void setAdmission(ServerAdmissionPolicy.Phase phase) {
+    public void setAdmissionPhase(ServerAdmissionPolicy.Phase phase) {
         calls.setAdmission(phase);
     }
 
@@ -188,11 +188,12 @@
 
     @Override
     public void closeIdleClients(double probability) {
-        List<ClientHandler> idle =
-                clients.all().stream().filter(ClientHandler::isIdle).toList();
-        ClientRegistry.closeSome(idle, probability, clients::closeGracefully);
+        List<ClientHandler> idle = clients.openClientConnections().stream()
+                .filter(ClientHandler::isIdle)
+                .toList();
+        ClientRegistry.closeRandomly(idle, probability, clients::closeGracefully);
         if (isFlushDeadlineExceeded()) {
-            clients.all().forEach(ClientHandler::close);
+            clients.openClientConnections().forEach(ClientHandler::close);
         }
     }
 
@@ -202,10 +203,10 @@
     }
 
     @Override
-    public void closeUnresponsive() {
+    public void runPeriodicTasks() {
         engines.keepAlive();
         clients.closeSilent(SILENCE_TIMEOUT_NANOS);
-        clients.all().stream()
+        clients.openClientConnections().stream()
                 .filter(client -> client.isStalled(SILENCE_TIMEOUT_NANOS))
                 .forEach(ClientHandler::close);
         calls.expireIds();
@@ -226,6 +227,6 @@
 
     @Override
     public boolean isDrained() {
-        return driver.openRequests() == 0 && clients.size() == 0;
+        return driver.openRequestCount() == 0 && clients.size() == 0;
     }
 }
--- a/src/test/java/lineward/frontend/ClientRegistryTest.java
+++ b/src/test/java/lineward/frontend/ClientRegistryTest.java
@@ -17,9 +17,9 @@
     }
 
     @Test(dataProvider = "probabilities")
-    public void closeSomeClosesThatFraction(double probability, int minimum, int maximum) {
+    public void closeRandomlyClosesAboutThatFraction(double probability, int minimum, int maximum) {
         List<Integer> closed = new ArrayList<>();
-        ClientRegistry.closeSome(IntStream.range(0, 1000).boxed().toList(), probability, closed::add);
+        ClientRegistry.closeRandomly(IntStream.range(0, 1000).boxed().toList(), probability, closed::add);
         assertTrue(closed.size() >= minimum && closed.size() <= maximum, closed.size() + " closed");
     }
 
@@ -29,7 +29,7 @@
         List<String> closing = new ArrayList<>();
         ClientRegistry<String> registry = new ClientRegistry<>(3, () -> 0, closed::add, closing::add);
         registry.connected("awaiting");
-        registry.becameWaiting("awaiting");
+        registry.markAwaitingResponse("awaiting");
         registry.connected("first");
         registry.connected("second");
         registry.connected("third");
@@ -37,11 +37,14 @@
         registry.closeSilent(0);
         assertEquals(closed, List.of("first"), "silent connections are closed gracefully");
         assertEquals(closing, List.of("second", "third"));
-        assertEquals(registry.all(), List.of("awaiting"));
+        assertEquals(registry.openClientConnections(), List.of("awaiting"));
         assertEquals(registry.size(), 3, "closing connections count until they are disconnected");
         registry.disconnected("second");
-        registry.becameWaiting("third");
-        assertEquals(registry.all(), List.of("awaiting", "third"), "a request reopens a closing connection");
+        registry.markAwaitingResponse("third");
+        assertEquals(
+                registry.openClientConnections(),
+                List.of("awaiting", "third"),
+                "a request reopens a closing connection");
     }
 
     /** Closing connections use file descriptors beyond the capacity, so only a few may close gracefully. */
@@ -52,7 +55,7 @@
         ClientRegistry<Integer> registry = new ClientRegistry<>(64, () -> 0, closed::add, closing::add);
         for (int i = 0; i < 64 + 6; i++) {
             registry.connected(i);
-            registry.becameIdle(i);
+            registry.markIdle(i);
         }
         assertEquals(closing, List.of(0, 1, 2, 3));
         assertEquals(closed, List.of(4, 5));
