--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSettings.java
@@ -66,7 +66,7 @@
                         OVERDUE_VALUE_RATIO),
                 new RequestClass.Repeatability(idempotence, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, false, queryClass.threads()));
+                new RequestClass.ExecutionProfile(false, false, queryClass.threads()));
     }
 
     private static SchedulerSettings.Limits limits(int maxAttempts) {
--- a/src/main/java/lineward/scheduling/RequestClass.java
+++ b/src/main/java/lineward/scheduling/RequestClass.java
@@ -11,7 +11,7 @@
         Objective objective,
         Repeatability repeatability,
         Placement placement,
-        Workload workload /* how it runs there */) {
+        ExecutionProfile executionProfile /* how it runs there */) {
 
     /**
      * The latency objective of requests, their deadline, and the value of an answer.
@@ -88,14 +88,14 @@
      * @param waitsForLoads whether the request waits while its table group is being loaded
      * @param threads number of threads that the request runs on
      */
-    public record Workload(boolean load, boolean waitsForLoads, int threads) {
+    public record ExecutionProfile(boolean load, boolean waitsForLoads, int threads) {
         /** Validates the ranges. */
-        public Workload {
+        public ExecutionProfile {
             require(threads >= 1, "classes: threads", threads, "1 or more");
         }
 
         /** Returns whether one delays the other on an engine if both use the same table group. */
-        public boolean conflictsWith(Workload other) {
+        public boolean conflictsWith(ExecutionProfile other) {
             return (load && (other.waitsForLoads || other.load)) || (other.load && waitsForLoads);
         }
     }
--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -182,6 +182,6 @@
         long attempts = engine.attempts().stream()
                 .filter(attempt -> attempt.request().type() == type)
                 .count();
-        return attempts * (double) type.settings().workload().threads();
+        return attempts * (double) type.settings().executionProfile().threads();
     }
 }
--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -142,10 +142,10 @@
     }
 
     private static boolean hasGroupConflict(TrackedRequest request, Engine engine) {
-        RequestClass.Workload workload = request.type().settings().workload();
+        RequestClass.ExecutionProfile workload = request.type().settings().executionProfile();
         return engine.attempts().stream()
                 .map(attempt -> attempt.request())
                 .filter(other -> other.tableGroup() == request.tableGroup())
-                .anyMatch(other -> other.type().settings().workload().conflictsWith(workload));
+                .anyMatch(other -> other.type().settings().executionProfile().conflictsWith(workload));
     }
 }
--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -84,7 +84,8 @@
     /** Returns the mean work of a request, including one prior value derived from the deadline. */
     public double usualWorkMs(double nowMs) {
         double guess = settings.objective().deadlineMs() * FIRST_GUESS_RATIO;
-        return work.mean(nowMs, FIRST_GUESS_WEIGHT, guess * settings.workload().threads());
+        return work.mean(
+                nowMs, FIRST_GUESS_WEIGHT, guess * settings.executionProfile().threads());
     }
 
     /** Returns the mean work of the requests so far, without a prior; 0 before the first one. */
--- a/src/main/java/lineward/scheduling/simulator/SettingsReader.java
+++ b/src/main/java/lineward/scheduling/simulator/SettingsReader.java
@@ -79,8 +79,8 @@
     private List<RequestClass> classes() {
         List<RequestClass> classes = new ArrayList<>();
         for (JsonNode node : root.path("classes")) {
-            RequestClass.Workload workload = workload(classes.size());
-            classes.add(new RequestClass(objective(node), repeatability(node), placement(node), workload));
+            RequestClass.ExecutionProfile profile = executionProfile(classes.size());
+            classes.add(new RequestClass(objective(node), repeatability(node), placement(node), profile));
         }
         return classes;
     }
@@ -115,12 +115,12 @@
         return new RequestClass.Placement(kinds, indices(node.get("zones-only"), zoneNames));
     }
 
-    private RequestClass.Workload workload(int requestClass) {
+    private RequestClass.ExecutionProfile executionProfile(int requestClass) {
         boolean load = engineSettings.path("writes-tables").path(requestClass).asBoolean(false);
         boolean waitsForLoads =
                 engineSettings.path("yields-to-loads").path(requestClass).asBoolean(false);
         int threads = engineSettings.path("threads-by-class").path(requestClass).asInt(1);
-        return new RequestClass.Workload(load, waitsForLoads, threads);
+        return new RequestClass.ExecutionProfile(load, waitsForLoads, threads);
     }
 
     private SchedulerSettings.FleetPosition position() {
--- a/src/main/java/lineward/scheduling/state/FleetDemand.java
+++ b/src/main/java/lineward/scheduling/state/FleetDemand.java
@@ -47,7 +47,7 @@
     }
 
     private static double workPerThreadMs(ClassState type) {
-        return type.demand().workMs() / type.settings().workload().threads();
+        return type.demand().workMs() / type.settings().executionProfile().threads();
     }
 
     private static double reachableCores(ClassState type, Collection<Engine> engines) {
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -150,7 +150,7 @@
 
     /** Returns the number of threads that an attempt runs on. */
     public int threads() {
-        return type.settings().workload().threads();
+        return type.settings().executionProfile().threads();
     }
 
     /** Returns whether the request may run any number of times. */
--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -26,17 +26,17 @@
                     new RequestClass.Objective(500, 2, 2500, 1, 0.1),
                     new RequestClass.Repeatability(IDEMPOTENT, ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(false, false, 1)),
+                    new RequestClass.ExecutionProfile(false, false, 1)),
             new RequestClass(
                     new RequestClass.Objective(3000, 2.5, 15_000, 12, 0.4),
                     new RequestClass.Repeatability(IDEMPOTENT, ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(false, false, 3)),
+                    new RequestClass.ExecutionProfile(false, false, 3)),
             new RequestClass(
                     new RequestClass.Objective(4000, 2.5, 25_000, 15, 0.5),
                     new RequestClass.Repeatability(NON_IDEMPOTENT, ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(true, false, 2)));
+                    new RequestClass.ExecutionProfile(true, false, 2)));
 
     private static final double[] MEAN_WORK = {100, 3000, 4000};
     private static final double[] WORK_LOG_DEVIATION = {0.85, 1.0, 0.6};
@@ -203,7 +203,7 @@
          */
         void shareCores() {
             double threads = runs.stream()
-                    .mapToInt(run -> CLASSES.get(run.type).workload().threads())
+                    .mapToInt(run -> CLASSES.get(run.type).executionProfile().threads())
                     .sum();
             double capacityRatio = startedAtMs == 0 ? 1 : Math.min(1, warmedUpRatio());
             double crowd = Math.max(0, threads / (SATURATION_THREADS_PER_CORE * CORES) - 1);
@@ -212,12 +212,12 @@
             for (int round = 0; round < 3 && cores > 1e-9; round++) {
                 double weights = 0;
                 for (Run run : runs) {
-                    int maxRate = CLASSES.get(run.type).workload().threads();
+                    int maxRate = CLASSES.get(run.type).executionProfile().threads();
                     weights += run.rate < maxRate ? WEIGHTS[run.priority] * maxRate : 0;
                 }
                 double before = cores;
                 for (Run run : runs) {
-                    int maxRate = CLASSES.get(run.type).workload().threads();
+                    int maxRate = CLASSES.get(run.type).executionProfile().threads();
                     if (run.rate < maxRate) {
                         double quota = before * WEIGHTS[run.priority] * maxRate / weights;
                         double more = Math.min(maxRate - run.rate, quota);
@@ -457,7 +457,7 @@
                     double objectiveMs = requestClass.objective().latencyMs()
                             + requestClass.objective().latencyPerWork()
                                     * request.work
-                                    / requestClass.workload().threads();
+                                    / requestClass.executionProfile().threads();
                     row(request)[now - request.at <= objectiveMs ? 1 : 2]++;
                 }
                 request.completed = completed;
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -260,17 +260,17 @@
                     new RequestClass.Objective(800, 1, 4_000, 1, 0),
                     new RequestClass.Repeatability(IDEMPOTENT, ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(false, true, 1));
+                    new RequestClass.ExecutionProfile(false, true, 1));
             RequestClass loading = new RequestClass(
                     new RequestClass.Objective(2_000, 2, 6_000, 3, 0.5),
                     new RequestClass.Repeatability(NON_IDEMPOTENT, ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(true, false, 2));
+                    new RequestClass.ExecutionProfile(true, false, 2));
             RequestClass keyed = new RequestClass(
                     new RequestClass.Objective(900, 1, 4_000, 2, 0),
                     new RequestClass.Repeatability(BY_KEY, ALL, 900, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(false, true, 1));
+                    new RequestClass.ExecutionProfile(false, true, 1));
             SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                     new SchedulerSettings.Capabilities(true, true, false, true, true, true, true),
                     new SchedulerSettings.AttemptLimits(4, 500, 400),
--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -94,7 +94,7 @@
                 new RequestClass.Objective(900, 1.5, 5_000, threads, load ? 0.4 : 0),
                 new RequestClass.Repeatability(idempotence, scope, keyTtlMs, inOrder),
                 new RequestClass.Placement(kinds, zones),
-                new RequestClass.Workload(load, waitsForLoads, threads));
+                new RequestClass.ExecutionProfile(load, waitsForLoads, threads));
     }
 
     private static SchedulerSettings.Limits limits(Site site) {
--- a/src/test/java/lineward/scheduling/FleetQuotaTest.java
+++ b/src/test/java/lineward/scheduling/FleetQuotaTest.java
@@ -28,7 +28,7 @@
                 new RequestClass.Objective(3000, 2.5, 15000, 12, 0.4),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, false, THREADS));
+                new RequestClass.ExecutionProfile(false, false, THREADS));
     }
 
     static TestingScheduler frontEnd(int frontEnds, int ordinal, int engines) {
--- a/src/test/java/lineward/scheduling/FleetSlowStartTest.java
+++ b/src/test/java/lineward/scheduling/FleetSlowStartTest.java
@@ -29,12 +29,12 @@
                     new RequestClass.Objective(500, 2, 2500, 1, 0.1),
                     new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(false, false, 1)),
+                    new RequestClass.ExecutionProfile(false, false, 1)),
             new RequestClass(
                     new RequestClass.Objective(3000, 2.5, 15_000, 12, 0.4),
                     new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(false, false, 3)));
+                    new RequestClass.ExecutionProfile(false, false, 3)));
     private static final double[] WORK_MS = {100, 3000};
     private static final double REPORT_RATIO = 0.15;
     private static final double MEAN_WORK_MS = (1 - REPORT_RATIO) * WORK_MS[0] + REPORT_RATIO * WORK_MS[1];
--- a/src/test/java/lineward/scheduling/LearnedStateTest.java
+++ b/src/test/java/lineward/scheduling/LearnedStateTest.java
@@ -118,7 +118,7 @@
                 new RequestClass.Objective(400, 2, 20_000, 1, 0),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, false, 1));
+                new RequestClass.ExecutionProfile(false, false, 1));
         for (double reportedMs : new double[] {1150, 0}) {
             SchedulerSettings settings = settings(limits(4), rules(), stretched);
             TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3);
--- a/src/test/java/lineward/scheduling/RandomDaysTest.java
+++ b/src/test/java/lineward/scheduling/RandomDaysTest.java
@@ -55,7 +55,7 @@
                         1000 /* ms */,
                         false /* in order */),
                 new RequestClass.Placement(null, random.nextBoolean() ? List.of(1) : null),
-                new RequestClass.Workload(false, true, 2));
+                new RequestClass.ExecutionProfile(false, true, 2));
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(
                         random.nextBoolean(),
--- a/src/test/java/lineward/scheduling/RulesTest.java
+++ b/src/test/java/lineward/scheduling/RulesTest.java
@@ -221,7 +221,7 @@
                 new RequestClass.Objective(300, 2.5, 15_000, 3, 0.4),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, false, 2));
+                new RequestClass.ExecutionProfile(false, false, 2));
         int started = 0;
         for (int i = 0; i < 300; i++) {
             SchedulerSettings defaults = settings(report);
--- a/src/test/java/lineward/scheduling/SpeculationTest.java
+++ b/src/test/java/lineward/scheduling/SpeculationTest.java
@@ -198,7 +198,7 @@
                 new RequestClass.Objective(30_000, 1, 60_000, 1, 0.5),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, false, 1));
+                new RequestClass.ExecutionProfile(false, false, 1));
         for (boolean progresses : new boolean[] {true, false}) {
             SchedulerSettings settings = settings(limits, rules(), longObjective);
             TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3, 4);
--- a/src/test/java/lineward/scheduling/TestingScheduler.java
+++ b/src/test/java/lineward/scheduling/TestingScheduler.java
@@ -33,7 +33,7 @@
                 new RequestClass.Objective(1000, 1, 5000, 1, 0),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, true, 1));
+                new RequestClass.ExecutionProfile(false, true, 1));
     }
 
     /** Loads of tables, which are not idempotent; those with the same key run in order of arrival. */
@@ -42,7 +42,7 @@
                 new RequestClass.Objective(3000, 2, 20000, 3, 0.5),
                 new RequestClass.Repeatability(Idempotence.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, true),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(true, false, 2));
+                new RequestClass.ExecutionProfile(true, false, 2));
     }
 
     /** Requests with an idempotency key. */
@@ -51,7 +51,7 @@
                 new RequestClass.Objective(3000, 2, 20000, 3, 0.5),
                 new RequestClass.Repeatability(Idempotence.BY_KEY, scope, keyTtlMs, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, false, 1));
+                new RequestClass.ExecutionProfile(false, false, 1));
     }
 
     /** Requests that may run on one kind of engine only. */
@@ -60,7 +60,7 @@
                 new RequestClass.Objective(2000, 1, 5000, 1, 0),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(List.of(kind), null),
-                new RequestClass.Workload(false, false, 1));
+                new RequestClass.ExecutionProfile(false, false, 1));
     }
 
     static SchedulerSettings.Limits limits(int maxAttempts) {
--- a/src/test/java/lineward/scheduling/WaitingAttemptsTest.java
+++ b/src/test/java/lineward/scheduling/WaitingAttemptsTest.java
@@ -82,7 +82,7 @@
                 new RequestClass.Objective(3000, 2, 20000, 6, 0.3),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, false, 2));
+                new RequestClass.ExecutionProfile(false, false, 2));
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, false),
                 new SchedulerSettings.AttemptLimits(5, 500, 1000),
--- a/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -76,9 +76,9 @@
     @Test(dataProvider = "conflicts")
     public void addsLoadForAConflictOfTableGroups(boolean waitsForLoads, boolean sameGroup, double added) {
         TestingSettings settings = new TestingSettings();
-        settings.workload = new RequestClass.Workload(true, false, 1);
+        settings.workload = new RequestClass.ExecutionProfile(true, false, 1);
         RequestClass loads = settings.requestClass();
-        settings.workload = new RequestClass.Workload(false, waitsForLoads, 1);
+        settings.workload = new RequestClass.ExecutionProfile(false, waitsForLoads, 1);
         settings.otherClasses.add(loads);
         TestingPolicies policies = new TestingPolicies(settings);
         Engine engine = policies.listEngine(1);
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -103,7 +103,7 @@
     public void ranksShortWorkFirstAndOverdueWorkLast(
             double meanWorkMs, double ageMs, boolean relaunched, boolean load, int priority) {
         TestingSettings settings = new TestingSettings();
-        settings.workload = new RequestClass.Workload(load, false, 1);
+        settings.workload = new RequestClass.ExecutionProfile(load, false, 1);
         TestingPolicies policies = new TestingPolicies(settings);
         if (meanWorkMs > NO_WORK) {
             policies.context.requestClass(0).model().addWork(meanWorkMs, TestingPolicies.START_MS);
--- a/src/test/java/lineward/scheduling/decision/TestingSettings.java
+++ b/src/test/java/lineward/scheduling/decision/TestingSettings.java
@@ -23,7 +23,7 @@
     double keyTtlMs = 2_000;
     boolean inOrder;
     RequestClass.Placement placement = RequestClass.Placement.ANYWHERE;
-    RequestClass.Workload workload = new RequestClass.Workload(false, false, 1);
+    RequestClass.ExecutionProfile workload = new RequestClass.ExecutionProfile(false, false, 1);
     /** Additional classes; the class that the fields above describe comes first. */
     final List<RequestClass> otherClasses = new ArrayList<>();
 
