--- a/src/main/java/lineward/scheduling/RequestClass.java
+++ b/src/main/java/lineward/scheduling/RequestClass.java
@@ -84,11 +84,11 @@
     /**
      * How a request runs on an engine.
      *
-     * @param load whether the request loads a table group, which it locks while it runs
+     * @param loadsTableGroup whether the request loads a table group, which it locks while it runs
      * @param waitsForLoads whether the request waits while its table group is being loaded
      * @param threads number of threads that the request runs on
      */
-    public record ExecutionProfile(boolean load, boolean waitsForLoads, int threads) {
+    public record ExecutionProfile(boolean loadsTableGroup, boolean waitsForLoads, int threads) {
         /** Validates the ranges. */
         public ExecutionProfile {
             require(threads >= 1, "classes: threads", threads, "1 or more");
@@ -96,7 +96,8 @@
 
         /** Returns whether one delays the other on an engine if both use the same table group. */
         public boolean conflictsWith(ExecutionProfile other) {
-            return (load && (other.waitsForLoads || other.load)) || (other.load && waitsForLoads);
+            return (loadsTableGroup && (other.waitsForLoads || other.loadsTableGroup))
+                    || (other.loadsTableGroup && waitsForLoads);
         }
     }
 }
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -89,7 +89,7 @@
         if (request.expectedWorkMs() < largestMs * SHORT_WORK_RATIO) {
             return SHORT_PRIORITY;
         }
-        boolean load = request.type().settings().executionProfile().load();
+        boolean load = request.type().settings().executionProfile().loadsTableGroup();
         return load || request.isRelaunched() ? LOAD_PRIORITY : LONG_PRIORITY;
     }
 
--- a/src/main/java/lineward/scheduling/simulator/SettingsReader.java
+++ b/src/main/java/lineward/scheduling/simulator/SettingsReader.java
@@ -116,11 +116,12 @@
     }
 
     private RequestClass.ExecutionProfile executionProfile(int requestClass) {
-        boolean load = engineSettings.path("writes-tables").path(requestClass).asBoolean(false);
+        boolean loadsTableGroup =
+                engineSettings.path("writes-tables").path(requestClass).asBoolean(false);
         boolean waitsForLoads =
                 engineSettings.path("yields-to-loads").path(requestClass).asBoolean(false);
         int threads = engineSettings.path("threads-by-class").path(requestClass).asInt(1);
-        return new RequestClass.ExecutionProfile(load, waitsForLoads, threads);
+        return new RequestClass.ExecutionProfile(loadsTableGroup, waitsForLoads, threads);
     }
 
     private SchedulerSettings.FleetPosition position() {
--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -87,14 +87,14 @@
             boolean inOrder,
             List<Integer> kinds,
             List<Integer> zones,
-            boolean load,
+            boolean loadsTableGroup,
             boolean waitsForLoads,
             int threads) {
         return new RequestClass(
-                new RequestClass.Objective(900, 1.5, 5_000, threads, load ? 0.4 : 0),
+                new RequestClass.Objective(900, 1.5, 5_000, threads, loadsTableGroup ? 0.4 : 0),
                 new RequestClass.Repeatability(idempotence, scope, keyTtlMs, inOrder),
                 new RequestClass.Placement(kinds, zones),
-                new RequestClass.ExecutionProfile(load, waitsForLoads, threads));
+                new RequestClass.ExecutionProfile(loadsTableGroup, waitsForLoads, threads));
     }
 
     private static SchedulerSettings.Limits limits(Site site) {
