--- a/src/main/java/lineward/scheduling/RequestClass.java
+++ b/src/main/java/lineward/scheduling/RequestClass.java
@@ -17,21 +17,21 @@
      * The latency objective of requests, their deadline, and the value of an answer.
      *
      * @param latencyMs constant part of the objective
-     * @param latencyPerWork part of the objective for each millisecond of the request's run time
+     * @param latencyPerRunTime part of the objective for each millisecond of the request's run time
      * @param deadlineMs how long a client waits for the answer
      * @param priorityWeight value of an answer within the objective
      * @param overdueValueRatio fraction of that value that a late answer still has
      */
     public record Objective(
             double latencyMs,
-            double latencyPerWork,
+            double latencyPerRunTime,
             double deadlineMs,
             double priorityWeight,
             double overdueValueRatio /* 0 to 1 */) {
         /** Validates the ranges. */
         public Objective {
             requireNotNegative("classes: aim", latencyMs);
-            requireNotNegative("classes: aim stretch", latencyPerWork);
+            requireNotNegative("classes: aim stretch", latencyPerRunTime);
             require(deadlineMs > 0, "classes: deadline", deadlineMs, "more than 0");
             requireNotNegative("classes: worth", priorityWeight);
             requireRatio("classes: late share", overdueValueRatio);
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -68,7 +68,7 @@
         this.workUnitMs = Math.max(1, estimateMs);
         double runMs =
                 hasWorkEstimate() ? workUnitMs : workUnitMs * type.model().typicalRatio();
-        double objectiveMs = nowMs + objective.latencyMs() + objective.latencyPerWork() * runMs;
+        double objectiveMs = nowMs + objective.latencyMs() + objective.latencyPerRunTime() * runMs;
         this.objectiveAtMs = Math.min(deadlineMs, objectiveMs);
     }
 
--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -455,7 +455,7 @@
                 if (outcome == AttemptOutcome.OK && !request.completed) {
                     RequestClass requestClass = CLASSES.get(request.type);
                     double objectiveMs = requestClass.objective().latencyMs()
-                            + requestClass.objective().latencyPerWork()
+                            + requestClass.objective().latencyPerRunTime()
                                     * request.work
                                     / requestClass.executionProfile().threads();
                     row(request)[now - request.at <= objectiveMs ? 1 : 2]++;
