--- a/src/main/java/lineward/scheduling/SchedulerSettings.java
+++ b/src/main/java/lineward/scheduling/SchedulerSettings.java
@@ -42,12 +42,12 @@
     }
 
     /** Returns the limits on attempts. */
-    public AttemptLimits attempts() {
+    public AttemptLimits attemptLimits() {
         return limits.attempts();
     }
 
     /** Returns the limits on memory grants. */
-    public MemoryLimits memory() {
+    public MemoryLimits memoryLimits() {
         return limits.memory();
     }
 
--- a/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
@@ -41,6 +41,6 @@
             return NO_RETRY_AFTER;
         }
         double advisedMs = request.type().settings().objective().latencyMs() * RETRY_AFTER_RATIO;
-        return Math.min(settings.attempts().maxRetryAfterMs(), advisedMs);
+        return Math.min(settings.attemptLimits().maxRetryAfterMs(), advisedMs);
     }
 }
--- a/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
@@ -49,7 +49,7 @@
 
     private boolean hasMigrationsLeft(TrackedRequest request) {
         int attempts = request.attempts().size();
-        int maxAttempts = context.settings().attempts().maxPerRequest();
+        int maxAttempts = context.settings().attemptLimits().maxPerRequest();
         return attempts <= MAX_MIGRATIONS && attempts < maxAttempts - 1;
     }
 }
--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -122,7 +122,7 @@
      * and one of them is overdue.
      */
     private boolean hasOverdueWork(Engine engine, double silentMs) {
-        double intervalMs = context.settings().attempts().progressIntervalMs();
+        double intervalMs = context.settings().attemptLimits().progressIntervalMs();
         boolean reportsProgress = intervalMs > 0;
         boolean progressIsDue = !reportsProgress || silentMs > intervalMs;
         boolean overdue = false;
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -52,7 +52,7 @@
      * at most the need of the request, so the maximum grant costs nothing there.
      */
     private double requestedGrantMb(TrackedRequest request, Engine engine) {
-        SchedulerSettings.MemoryLimits memory = context.settings().memory();
+        SchedulerSettings.MemoryLimits memory = context.settings().memoryLimits();
         return memory.shortage() == MemoryShortage.PAGE
                 ? engine.memoryMb() * memory.maxGrantRatio()
                 : grantMb(request, engine);
@@ -69,7 +69,7 @@
         double factor = learned ? request.type().grantFactor() : ClassState.INITIAL_GRANT_FACTOR;
         double needMb = request.estimatedMemoryMb() * correction * factor;
         return engine.memoryMb() > 0
-                ? Math.min(needMb, engine.memoryMb() * settings.memory().maxGrantRatio())
+                ? Math.min(needMb, engine.memoryMb() * settings.memoryLimits().maxGrantRatio())
                 : needMb;
     }
 
--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -54,7 +54,7 @@
 
     /** Returns whether the request has had fewer attempts than the settings allow. */
     public boolean hasAttemptsLeft(TrackedRequest request) {
-        return request.attempts().size() < context.settings().attempts().maxPerRequest();
+        return request.attempts().size() < context.settings().attemptLimits().maxPerRequest();
     }
 
     /** Returns whether a second run of the request is harmless on any engine, at least for some time. */
--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -137,7 +137,7 @@
     }
 
     private boolean hasFreshProgress(Attempt attempt) {
-        double intervalMs = context.settings().attempts().progressIntervalMs();
+        double intervalMs = context.settings().attemptLimits().progressIntervalMs();
         return attempt.hasProgressWithin(PROGRESS_FRESH_INTERVALS * intervalMs, context.nowMs());
     }
 }
--- a/src/measure/java/lineward/scheduling/RuleChecker.java
+++ b/src/measure/java/lineward/scheduling/RuleChecker.java
@@ -64,7 +64,7 @@
         require(!request.inFlight, "two attempts of one request in flight");
         boolean mayRun = !isNonIdempotent(request) || !request.mayHaveRun;
         require(mayRun, "retried a request that must not run twice");
-        int maxAttempts = settings.attempts().maxPerRequest();
+        int maxAttempts = settings.attemptLimits().maxPerRequest();
         require(request.attempts < maxAttempts, "more attempts than allowed");
         if (request.attempts++ > 0 && settings.rules().retryBudget().windowMs() > 0) {
             retriesMs.add(nowMs);
