--- a/src/main/java/lineward/scheduling/SchedulerSettings.java
+++ b/src/main/java/lineward/scheduling/SchedulerSettings.java
@@ -25,7 +25,7 @@
         for (RequestClass requestClass : classes) {
             RequestClass.Placement placement = requestClass.placement();
             requireWithin("classes: bound to an unknown kind", placement.kinds(), kinds.size());
-            requireWithin("classes: bound to an unknown zone", placement.zones(), position.zones());
+            requireWithin("classes: bound to an unknown zone", placement.zones(), position.zoneCount());
         }
         classes = List.copyOf(classes);
         kinds = List.copyOf(kinds);
@@ -59,15 +59,15 @@
     /**
      * The position of this front end in the fleet.
      *
-     * @param zones number of zones
+     * @param zoneCount number of zones
      * @param zone index of its own zone
-     * @param frontEnds number of front ends, at least 1
+     * @param frontEndCount number of front ends, at least 1
      * @param ordinal number of this front end among them, from 0
      */
-    public record FleetPosition(int zones, int zone, int frontEnds, int ordinal) {
+    public record FleetPosition(int zoneCount, int zone, int frontEndCount, int ordinal) {
         /** Validates the ranges. */
         public FleetPosition {
-            require(frontEnds >= 1, "fronts", frontEnds, "1 or more");
+            require(frontEndCount >= 1, "fronts", frontEndCount, "1 or more");
         }
     }
 
--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -56,7 +56,7 @@
         this.capacity = capacity;
         this.reports = reports;
         this.grants = grants;
-        this.frontEnds = context.settings().position().frontEnds();
+        this.frontEnds = context.settings().position().frontEndCount();
         this.quota = evenQuota();
     }
 
--- a/src/main/java/lineward/scheduling/decision/SlowStart.java
+++ b/src/main/java/lineward/scheduling/decision/SlowStart.java
@@ -53,7 +53,7 @@
 
     /** Returns whether the fleet is so large that front ends use a warming engine in turn, in time slots. */
     public boolean usesSlots() {
-        return position.frontEnds() > FRONT_ENDS_PER_SLOT;
+        return position.frontEndCount() > FRONT_ENDS_PER_SLOT;
     }
 
     /**
@@ -70,7 +70,7 @@
         double nowMs = context.nowMs();
         double workMs = engine.sentWorkMs(nowMs) + request.type().slowStartWorkMs(request, nowMs);
         if (!usesSlots()) {
-            return workMs <= budgetMs(engine) / position.frontEnds();
+            return workMs <= budgetMs(engine) / position.frontEndCount();
         }
         return hasSlot(engine) && workMs <= budgetMs(engine) / OVERLAPPING_SLOTS / FRONT_ENDS_PER_SLOT;
     }
@@ -101,7 +101,7 @@
         double ageMs = context.nowMs() - engine.warmupStartMs().getAsDouble();
         long slot = (long) (ageMs / rule.windowMs());
         long distance = position.ordinal() - engine.id() - slot * FRONT_ENDS_PER_SLOT;
-        return Math.floorMod(distance, (long) position.frontEnds()) < FRONT_ENDS_PER_SLOT;
+        return Math.floorMod(distance, (long) position.frontEndCount()) < FRONT_ENDS_PER_SLOT;
     }
 
     /**
--- a/src/test/java/lineward/scheduling/SeededDay.java
+++ b/src/test/java/lineward/scheduling/SeededDay.java
@@ -107,7 +107,7 @@
 
     private Endpoint listed(long engine, EndpointState state, double startedAtMs) {
         int kind = (int) (engine % settings.kinds().size());
-        int zone = (int) (engine % Math.max(1, settings.position().zones()));
+        int zone = (int) (engine % Math.max(1, settings.position().zoneCount()));
         return new Endpoint(engine, kind, 1, startedAtMs, state, zone, (int) (engine / 2 % 3));
     }
 
