--- a/src/main/java/lineward/core/Coordinator.java
+++ b/src/main/java/lineward/core/Coordinator.java
@@ -221,7 +221,7 @@
 
     /** Returns the number of listed engines that are ejected or under maintenance. */
     public int excludedEngines() {
-        return scheduler.excludedEngines();
+        return scheduler.excludedEngineCount();
     }
 
     /** Returns the number of admitted requests that are not completed. */
--- a/src/main/java/lineward/scheduling/Scheduler.java
+++ b/src/main/java/lineward/scheduling/Scheduler.java
@@ -20,5 +20,5 @@
     List<SchedulerAction> decide(double nowMs, List<? extends SchedulerEvent> events);
 
     /** Returns the number of listed engines that are ejected or under maintenance. */
-    int excludedEngines();
+    int excludedEngineCount();
 }
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public int excludedEngines() {
+    public int excludedEngineCount() {
         return (int) context.engines().stream()
                 .filter(engine -> engine.state().isExcluded())
                 .count();
--- a/src/test/java/lineward/core/CoordinatorTest.java
+++ b/src/test/java/lineward/core/CoordinatorTest.java
@@ -34,7 +34,7 @@
         List<SchedulerAction> next = List.of();
 
         @Override
-        public int excludedEngines() {
+        public int excludedEngineCount() {
             return 0;
         }
 
--- a/src/test/java/lineward/scheduling/LearnedStateTest.java
+++ b/src/test/java/lineward/scheduling/LearnedStateTest.java
@@ -164,7 +164,7 @@
                 scheduler.requestArrives(2, 0);
             }
             scheduler.advance(2500).requestArrives(3, 0).advance(100);
-            assertThat(scheduler.excludedEngines()).isEqualTo(twoOverdue ? 1 : 0);
+            assertThat(scheduler.excludedEngineCount()).isEqualTo(twoOverdue ? 1 : 0);
         }
     }
 
--- a/src/test/java/lineward/scheduling/MaintenanceTest.java
+++ b/src/test/java/lineward/scheduling/MaintenanceTest.java
@@ -59,13 +59,13 @@
     public void maintenanceAppliesToEnginesListedLater() {
         TestingScheduler scheduler = new TestingScheduler(settings(lookupClass()));
         scheduler.receive(new MaintenanceChanged(1, true, scheduler.nowMs)).advance(100);
-        assertEquals(scheduler.excludedEngines(), 0);
+        assertEquals(scheduler.excludedEngineCount(), 0);
         scheduler.listEngines(1).requestArrives(5, 0).advance(1000);
         assertEquals(scheduler.allStarts().size(), 0);
-        assertEquals(scheduler.excludedEngines(), 1);
+        assertEquals(scheduler.excludedEngineCount(), 1);
         scheduler.receive(new MaintenanceChanged(1, false, scheduler.nowMs));
         assertEquals(scheduler.lastStartedEngine(), 1, "engine of the queued request after the release");
-        assertEquals(scheduler.excludedEngines(), 0);
+        assertEquals(scheduler.excludedEngineCount(), 0);
     }
 
     @Test
--- a/src/test/java/lineward/scheduling/SeededDay.java
+++ b/src/test/java/lineward/scheduling/SeededDay.java
@@ -88,7 +88,7 @@
                 digest.add(action);
                 perform(action, nowMs);
             }
-            digest.add('N', nowMs, scheduler.excludedEngines());
+            digest.add('N', nowMs, scheduler.excludedEngineCount());
         }
         return this;
     }
--- a/src/test/java/lineward/scheduling/TestingScheduler.java
+++ b/src/test/java/lineward/scheduling/TestingScheduler.java
@@ -176,8 +176,8 @@
         return allActions(SchedulerAction.CancelAttempt.class);
     }
 
-    int excludedEngines() {
-        return scheduler.excludedEngines();
+    int excludedEngineCount() {
+        return scheduler.excludedEngineCount();
     }
 
     /** Returns the engine of the last attempt that the last actions start; -1 if they start none. */
