--- a/src/main/java/lineward/scheduling/SchedulerSettings.java
+++ b/src/main/java/lineward/scheduling/SchedulerSettings.java
@@ -77,7 +77,7 @@
     /**
      * What the deployment permits.
      *
-     * @param cancel attempts in flight may be cancelled
+     * @param cancellation attempts in flight may be cancelled
      * @param healthChecks engines may be asked for their health
      * @param hedging two attempts of one request may be in flight at once; not used
      * @param retryAfter a rejection may advise when to retry
@@ -86,7 +86,7 @@
      * @param gossip front ends may send messages to each other
      */
     public record Capabilities(
-            boolean cancel,
+            boolean cancellation,
             boolean healthChecks,
             boolean hedging,
             boolean retryAfter,
--- a/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
@@ -25,7 +25,7 @@
      * Returns whether the settings permit cancellation and the attempt has neither ended nor been cancelled.
      */
     public boolean mayCancel(Attempt attempt) {
-        return context.settings().capabilities().cancel() && attempt.isRunning();
+        return context.settings().capabilities().cancellation() && attempt.isRunning();
     }
 
     /** Returns whether no final answer exists and no part of a response has reached the client. */
@@ -42,7 +42,7 @@
      */
     public boolean hasNoValue(Attempt attempt) {
         TrackedRequest request = attempt.request();
-        boolean mayCancel = context.settings().capabilities().cancel();
+        boolean mayCancel = context.settings().capabilities().cancellation();
         if (!mayCancel || !isUnanswered(request) || !request.isIdempotent()) {
             return false;
         }
--- a/src/test/java/lineward/scheduling/RandomDaysTest.java
+++ b/src/test/java/lineward/scheduling/RandomDaysTest.java
@@ -206,7 +206,7 @@
                             .isTrue();
                     request.completed = true;
                 } else if (action instanceof SchedulerAction.CancelAttempt) {
-                    assertThat(settings.limits().capabilities().cancel()).isTrue();
+                    assertThat(settings.limits().capabilities().cancellation()).isTrue();
                 } else if (action instanceof SchedulerAction.Fail a) {
                     assertThat(requests.get(a.request()).completed).isFalse();
                     requests.get(a.request()).completed = true;
