--- a/src/main/java/lineward/scheduling/SchedulerSettings.java
+++ b/src/main/java/lineward/scheduling/SchedulerSettings.java
@@ -207,11 +207,11 @@
     /**
      * How front ends learn of endpoints.
      *
-     * @param subscribe whether service discovery sends the list to subscribers only
-     * @param pollWithinMs longest time between polls; 0: not specified; not used
-     * @param weightsAreMeaningful whether the weights in the list carry information; not used
+     * @param requiresSubscription whether service discovery sends the list to subscribers only
+     * @param maxPollIntervalMs longest time between polls; 0: not specified; not used
+     * @param hasWeights whether the weights in the list carry information; not used
      */
-    public record Discovery(boolean subscribe, double pollWithinMs, boolean weightsAreMeaningful) {}
+    public record Discovery(boolean requiresSubscription, double maxPollIntervalMs, boolean hasWeights) {}
 
     /**
      * Costs of messages: the points by which the evaluation score falls at a rate of one message per request.
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -40,7 +40,7 @@
     public SpeculativeScheduler(SchedulerSettings settings, long seed) {
         context = new SchedulerContext(settings, seed);
         mechanisms = new Mechanisms(context);
-        subscribePending = settings.discovery().subscribe();
+        subscribePending = settings.discovery().requiresSubscription();
     }
 
     @Override
@@ -177,7 +177,7 @@
 
     @Override
     public void discoveryFailed(SchedulerEvent.DiscoveryFailed failure) {
-        subscribePending = context.settings().discovery().subscribe();
+        subscribePending = context.settings().discovery().requiresSubscription();
     }
 
     @Override
--- a/src/main/java/lineward/scheduling/simulator/SettingsReader.java
+++ b/src/main/java/lineward/scheduling/simulator/SettingsReader.java
@@ -197,10 +197,10 @@
     }
 
     private SchedulerSettings.Discovery discovery() {
-        boolean subscribe = "subscribe".equals(root.path("discovery").asText());
-        double pollWithinMs = rules.path("ask-within").asDouble(0);
-        boolean weightsAreMeaningful = !"silent".equals(root.path("weights").asText("silent"));
-        return new SchedulerSettings.Discovery(subscribe, pollWithinMs, weightsAreMeaningful);
+        boolean requiresSubscription = "subscribe".equals(root.path("discovery").asText());
+        double maxPollIntervalMs = rules.path("ask-within").asDouble(0);
+        boolean hasWeights = !"silent".equals(root.path("weights").asText("silent"));
+        return new SchedulerSettings.Discovery(requiresSubscription, maxPollIntervalMs, hasWeights);
     }
 
     private SchedulerSettings.Costs costs() {
