--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSettings.java
@@ -41,7 +41,7 @@
                 new SchedulerSettings.FleetPosition(1, 0, 1, 0),
                 limits(config.bounds().maxAttempts()),
                 rules(),
-                new SchedulerSettings.Reporting(List.of(), false),
+                new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(false, 0, false),
                 new SchedulerSettings.Costs(0, 0),
                 new SchedulerSettings.Quotas(List.of(), 1));
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -98,7 +98,7 @@
                 connections.idleMs(),
                 connections.streams(),
                 (int) (config.resources().descriptors() * ENGINE_DESCRIPTOR_RATIO),
-                !config.settings().reporting().fields().isEmpty());
+                !config.settings().loadReporting().fields().isEmpty());
         return new EngineCluster(context.eventLoopGroup(), limits, context.metrics()::countForwarded);
     }
 
--- a/src/main/java/lineward/scheduling/SchedulerSettings.java
+++ b/src/main/java/lineward/scheduling/SchedulerSettings.java
@@ -13,7 +13,7 @@
         FleetPosition position,
         Limits limits,
         Rules rules,
-        Reporting reporting,
+        LoadReporting loadReporting,
         Discovery discovery,
         Costs costs,
         Quotas quotas) {
@@ -197,9 +197,9 @@
      * @param fields the meaning of each value of a report, in order; empty: engines report nothing
      * @param inResponses whether responses contain a report; not used
      */
-    public record Reporting(List<LoadReportField> fields, boolean inResponses) {
+    public record LoadReporting(List<LoadReportField> fields, boolean inResponses) {
         /** Copies the list. */
-        public Reporting {
+        public LoadReporting {
             fields = List.copyOf(fields);
         }
     }
--- a/src/main/java/lineward/scheduling/simulator/SettingsReader.java
+++ b/src/main/java/lineward/scheduling/simulator/SettingsReader.java
@@ -60,7 +60,7 @@
                 position(),
                 new SchedulerSettings.Limits(capabilities(), attemptLimits(), memoryLimits()),
                 rules(),
-                reporting(),
+                loadReporting(),
                 discovery(),
                 costs(),
                 quotas());
@@ -175,11 +175,11 @@
         return new SchedulerSettings.Rules(drainGraceMs, slowStart, settleMs, retryBudget);
     }
 
-    private SchedulerSettings.Reporting reporting() {
+    private SchedulerSettings.LoadReporting loadReporting() {
         List<LoadReportField> fields = new ArrayList<>();
         root.path("report").path("fields").forEach(field -> fields.add(reportField(field.asText())));
         boolean inResponses = "piggyback".equals(root.path("report").path("how").asText());
-        return new SchedulerSettings.Reporting(fields, inResponses);
+        return new SchedulerSettings.LoadReporting(fields, inResponses);
     }
 
     private static LoadReportField reportField(String text) {
--- a/src/main/java/lineward/scheduling/state/LoadReports.java
+++ b/src/main/java/lineward/scheduling/state/LoadReports.java
@@ -32,7 +32,7 @@
     /** Creates a store without reports. */
     public LoadReports(SchedulerContext context) {
         this.context = context;
-        List<LoadReportField> fields = context.settings().reporting().fields();
+        List<LoadReportField> fields = context.settings().loadReporting().fields();
         this.gossip = new GossipCodec(fields);
         this.fieldCount = fields.size();
         this.inFlightField = fields.indexOf(LoadReportField.IN_FLIGHT);
--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -330,7 +330,7 @@
                     new SchedulerSettings.FleetPosition(plan.zones, zone, plan.frontEnds, ordinal),
                     limits,
                     rules,
-                    new SchedulerSettings.Reporting(List.of(), false),
+                    new SchedulerSettings.LoadReporting(List.of(), false),
                     new SchedulerSettings.Discovery(false, 0, false),
                     new SchedulerSettings.Costs(0, 0),
                     new SchedulerSettings.Quotas(List.of(800 * perMs(1)), 1));
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -286,7 +286,7 @@
                     new SchedulerSettings.FleetPosition(2, 0, fronts, 0),
                     limits,
                     rules,
-                    new SchedulerSettings.Reporting(List.of(IN_FLIGHT, MEMORY), false),
+                    new SchedulerSettings.LoadReporting(List.of(IN_FLIGHT, MEMORY), false),
                     new SchedulerSettings.Discovery(false, 0, false),
                     new SchedulerSettings.Costs(0.001, 0.0001),
                     new SchedulerSettings.Quotas(List.of(), 1));
--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -64,7 +64,7 @@
                 new SchedulerSettings.FleetPosition(3, 1, frontEnds, frontEnds / 2),
                 limits(site),
                 rules(site),
-                new SchedulerSettings.Reporting(report, false),
+                new SchedulerSettings.LoadReporting(report, false),
                 new SchedulerSettings.Discovery(site == Site.STRICT, 5_000, false),
                 new SchedulerSettings.Costs(0.001, 0.0001),
                 new SchedulerSettings.Quotas(List.of(), 0.2));
--- a/src/test/java/lineward/scheduling/FleetQuotaTest.java
+++ b/src/test/java/lineward/scheduling/FleetQuotaTest.java
@@ -42,7 +42,7 @@
                         new SchedulerSettings.FleetPosition(1, 0, frontEnds, ordinal),
                         limits(6),
                         rules(),
-                        new SchedulerSettings.Reporting(List.of(), false),
+                        new SchedulerSettings.LoadReporting(List.of(), false),
                         new SchedulerSettings.Discovery(false, 0, false),
                         NO_COSTS,
                         new SchedulerSettings.Quotas(List.of(), 1)))
--- a/src/test/java/lineward/scheduling/FleetSlowStartTest.java
+++ b/src/test/java/lineward/scheduling/FleetSlowStartTest.java
@@ -195,7 +195,7 @@
                                 new SchedulerSettings.FleetPosition(1, 0, frontEnds, ordinal),
                                 limits,
                                 rules,
-                                new SchedulerSettings.Reporting(List.of(), false),
+                                new SchedulerSettings.LoadReporting(List.of(), false),
                                 new SchedulerSettings.Discovery(false, 0, false),
                                 NO_COSTS,
                                 new SchedulerSettings.Quotas(List.of(), 1)),
--- a/src/test/java/lineward/scheduling/LearnedStateTest.java
+++ b/src/test/java/lineward/scheduling/LearnedStateTest.java
@@ -32,7 +32,7 @@
                         new SchedulerSettings.FleetPosition(1, 0, frontEnds, 0),
                         limits,
                         rules(),
-                        new SchedulerSettings.Reporting(
+                        new SchedulerSettings.LoadReporting(
                                 List.of(LoadReportField.IN_FLIGHT, LoadReportField.MEMORY), false),
                         new SchedulerSettings.Discovery(false, 0, false),
                         new SchedulerSettings.Costs(0.01, 0.01),
@@ -196,7 +196,7 @@
                 withReports.position(),
                 withReports.limits(),
                 withReports.rules(),
-                new SchedulerSettings.Reporting(List.of(), false),
+                new SchedulerSettings.LoadReporting(List.of(), false),
                 withReports.discovery(),
                 withReports.costs(),
                 withReports.quotas());
--- a/src/test/java/lineward/scheduling/RandomDaysTest.java
+++ b/src/test/java/lineward/scheduling/RandomDaysTest.java
@@ -80,7 +80,7 @@
                 new SchedulerSettings.FleetPosition(2, 0, 1 + random.nextInt(4), 0),
                 limits,
                 rules,
-                new SchedulerSettings.Reporting(List.of(), false),
+                new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(random.nextBoolean(), 5000, true),
                 NO_COSTS,
                 new SchedulerSettings.Quotas(List.of(), 1));
--- a/src/test/java/lineward/scheduling/RulesTest.java
+++ b/src/test/java/lineward/scheduling/RulesTest.java
@@ -124,7 +124,7 @@
                 new SchedulerSettings.FleetPosition(2, 0, frontEnds, 0),
                 defaults.limits(),
                 defaults.rules(),
-                new SchedulerSettings.Reporting(List.of(), false),
+                new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(false, 0, false),
                 NO_COSTS,
                 new SchedulerSettings.Quotas(List.of(), 1)));
@@ -231,7 +231,7 @@
                     new SchedulerSettings.FleetPosition(2, 0, 300, i),
                     defaults.limits(),
                     defaults.rules(),
-                    new SchedulerSettings.Reporting(List.of(), false),
+                    new SchedulerSettings.LoadReporting(List.of(), false),
                     new SchedulerSettings.Discovery(false, 0, false),
                     NO_COSTS,
                     new SchedulerSettings.Quotas(List.of(), 1)));
--- a/src/test/java/lineward/scheduling/TestingScheduler.java
+++ b/src/test/java/lineward/scheduling/TestingScheduler.java
@@ -89,7 +89,7 @@
                 new SchedulerSettings.FleetPosition(2, 0, fleet, 0),
                 limits,
                 rules,
-                new SchedulerSettings.Reporting(List.of(), false),
+                new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(false, 0, false),
                 NO_COSTS,
                 new SchedulerSettings.Quotas(List.of(), 1));
--- a/src/test/java/lineward/scheduling/decision/TestingSettings.java
+++ b/src/test/java/lineward/scheduling/decision/TestingSettings.java
@@ -61,7 +61,7 @@
                 new SchedulerSettings.FleetPosition(2, 0, frontEnds, ordinal),
                 limits(),
                 rules(),
-                new SchedulerSettings.Reporting(reportFields, false),
+                new SchedulerSettings.LoadReporting(reportFields, false),
                 new SchedulerSettings.Discovery(false, 0, false),
                 new SchedulerSettings.Costs(healthCheckCost, NO_COST),
                 new SchedulerSettings.Quotas(List.of(), 1));
