--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSettings.java
@@ -43,7 +43,7 @@
                 rules(),
                 new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(false, 0, false),
-                new SchedulerSettings.Costs(0, 0),
+                new SchedulerSettings.MessageCosts(0, 0),
                 new SchedulerSettings.Quotas(List.of(), 1));
     }
 
--- a/src/main/java/lineward/scheduling/SchedulerSettings.java
+++ b/src/main/java/lineward/scheduling/SchedulerSettings.java
@@ -15,7 +15,7 @@
         Rules rules,
         LoadReporting loadReporting,
         Discovery discovery,
-        Costs costs,
+        MessageCosts messageCosts,
         Quotas quotas) {
 
     /** Validates the ranges and the references between the parts. */
@@ -219,9 +219,9 @@
      * @param healthCheck cost of a health check
      * @param gossip cost of a gossip message of the largest size, for each front end that receives it
      */
-    public record Costs(double healthCheck, double gossip) {
+    public record MessageCosts(double healthCheck, double gossip) {
         /** Validates the ranges. */
-        public Costs {
+        public MessageCosts {
             requireNotNegative("prices: probe", healthCheck);
             requireNotNegative("prices: peer", gossip);
         }
--- a/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
+++ b/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
@@ -21,7 +21,7 @@
     public static final int TIMER = 1;
     /**
      * Maximum cost of polling per admitted request, in points of the evaluation score like
-     * {@link SchedulerSettings.Costs}. It is far below the cost of overload.
+     * {@link SchedulerSettings.MessageCosts}. It is far below the cost of overload.
      */
     private static final double COST_BUDGET = 0.01;
 
@@ -89,7 +89,7 @@
      * ms at most.
      */
     private double intervalMs(int engines) {
-        SchedulerSettings.Costs costs = context.settings().costs();
+        SchedulerSettings.MessageCosts costs = context.settings().messageCosts();
         int frontEnds = context.settings().position().frontEndCount();
         double gossipCost = costs.gossip() * reports.gossipMessageRatio() * (frontEnds - 1);
         double seenForMs = Math.max(MIN_TRAFFIC_PERIOD_MS, context.nowMs() - context.startedMs());
--- a/src/main/java/lineward/scheduling/simulator/SettingsReader.java
+++ b/src/main/java/lineward/scheduling/simulator/SettingsReader.java
@@ -62,7 +62,7 @@
                 rules(),
                 loadReporting(),
                 discovery(),
-                costs(),
+                messageCosts(),
                 quotas());
     }
 
@@ -203,9 +203,9 @@
         return new SchedulerSettings.Discovery(requiresSubscription, maxPollIntervalMs, hasWeights);
     }
 
-    private SchedulerSettings.Costs costs() {
+    private SchedulerSettings.MessageCosts messageCosts() {
         JsonNode prices = root.path("prices");
-        return new SchedulerSettings.Costs(
+        return new SchedulerSettings.MessageCosts(
                 prices.path("probe").asDouble(0), prices.path("peer").asDouble(0));
     }
 
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -288,7 +288,7 @@
                     rules,
                     new SchedulerSettings.LoadReporting(List.of(IN_FLIGHT, MEMORY), false),
                     new SchedulerSettings.Discovery(false, 0, false),
-                    new SchedulerSettings.Costs(0.001, 0.0001),
+                    new SchedulerSettings.MessageCosts(0.001, 0.0001),
                     new SchedulerSettings.Quotas(List.of(), 1));
         }
     }
--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -66,7 +66,7 @@
                 rules(site),
                 new SchedulerSettings.LoadReporting(report, false),
                 new SchedulerSettings.Discovery(site == Site.STRICT, 5_000, false),
-                new SchedulerSettings.Costs(0.001, 0.0001),
+                new SchedulerSettings.MessageCosts(0.001, 0.0001),
                 new SchedulerSettings.Quotas(List.of(), 0.2));
     }
 
--- a/src/test/java/lineward/scheduling/LearnedStateTest.java
+++ b/src/test/java/lineward/scheduling/LearnedStateTest.java
@@ -35,7 +35,7 @@
                         new SchedulerSettings.LoadReporting(
                                 List.of(LoadReportField.IN_FLIGHT, LoadReportField.MEMORY), false),
                         new SchedulerSettings.Discovery(false, 0, false),
-                        new SchedulerSettings.Costs(0.01, 0.01),
+                        new SchedulerSettings.MessageCosts(0.01, 0.01),
                         new SchedulerSettings.Quotas(List.of(), 1)))
                 .listEngines(1, 2, 3, 4);
     }
@@ -198,7 +198,7 @@
                 withReports.rules(),
                 new SchedulerSettings.LoadReporting(List.of(), false),
                 withReports.discovery(),
-                withReports.costs(),
+                withReports.messageCosts(),
                 withReports.quotas());
         TestingScheduler scheduler = new TestingScheduler(withoutReports).listEngines(1, 2);
         scheduler.receive(new GossipReceived(1, new byte[] {0, 1, 0, 2}));
--- a/src/test/java/lineward/scheduling/TestingScheduler.java
+++ b/src/test/java/lineward/scheduling/TestingScheduler.java
@@ -8,7 +8,7 @@
 
 /** A scheduler with a simulated clock, which records the scheduler's actions. */
 final class TestingScheduler {
-    static final SchedulerSettings.Costs NO_COSTS = new SchedulerSettings.Costs(0, 0);
+    static final SchedulerSettings.MessageCosts NO_COSTS = new SchedulerSettings.MessageCosts(0, 0);
 
     private static final double TICK_MS = 25;
     private static final long SEED = 7;
--- a/src/test/java/lineward/scheduling/decision/TestingSettings.java
+++ b/src/test/java/lineward/scheduling/decision/TestingSettings.java
@@ -63,7 +63,7 @@
                 rules(),
                 new SchedulerSettings.LoadReporting(reportFields, false),
                 new SchedulerSettings.Discovery(false, 0, false),
-                new SchedulerSettings.Costs(healthCheckCost, NO_COST),
+                new SchedulerSettings.MessageCosts(healthCheckCost, NO_COST),
                 new SchedulerSettings.Quotas(List.of(), 1));
     }
 
