--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSettings.java
@@ -44,7 +44,7 @@
                 new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(false, 0, false),
                 new SchedulerSettings.MessageCosts(0, 0),
-                new SchedulerSettings.Quotas(List.of(), 1));
+                new SchedulerSettings.TenantQuotas(List.of(), 1));
     }
 
     private static List<RequestClass> classes(List<MysqlConfig.QueryClass> queryClasses) {
--- a/src/main/java/lineward/scheduling/SchedulerSettings.java
+++ b/src/main/java/lineward/scheduling/SchedulerSettings.java
@@ -16,7 +16,7 @@
         LoadReporting loadReporting,
         Discovery discovery,
         MessageCosts messageCosts,
-        Quotas quotas) {
+        TenantQuotas tenantQuotas) {
 
     /** Validates the ranges and the references between the parts. */
     public SchedulerSettings {
@@ -233,9 +233,9 @@
      * @param perTenant quota of each tenant in requests per second, over all front ends
      * @param overQuotaValueRatio fraction of its value that a request beyond its tenant's quota keeps
      */
-    public record Quotas(List<Double> perTenant, double overQuotaValueRatio) {
+    public record TenantQuotas(List<Double> perTenant, double overQuotaValueRatio) {
         /** Validates the ranges. */
-        public Quotas {
+        public TenantQuotas {
             perTenant = List.copyOf(perTenant);
             perTenant.forEach(quota -> requireNotNegative("tenants: quota", quota));
             requireRatio("over-share worth", overQuotaValueRatio);
--- a/src/main/java/lineward/scheduling/simulator/SettingsReader.java
+++ b/src/main/java/lineward/scheduling/simulator/SettingsReader.java
@@ -63,7 +63,7 @@
                 loadReporting(),
                 discovery(),
                 messageCosts(),
-                quotas());
+                tenantQuotas());
     }
 
     private List<EngineKind> kinds() {
@@ -209,11 +209,11 @@
                 prices.path("probe").asDouble(0), prices.path("peer").asDouble(0));
     }
 
-    private SchedulerSettings.Quotas quotas() {
+    private SchedulerSettings.TenantQuotas tenantQuotas() {
         List<Double> perTenant = new ArrayList<>();
         root.path("tenants")
                 .forEach(tenant -> perTenant.add(tenant.path("quota-rps").asDouble(0)));
-        return new SchedulerSettings.Quotas(
+        return new SchedulerSettings.TenantQuotas(
                 perTenant, root.path("over-share-worth").asDouble(1));
     }
 
--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -333,7 +333,7 @@
                     new SchedulerSettings.LoadReporting(List.of(), false),
                     new SchedulerSettings.Discovery(false, 0, false),
                     new SchedulerSettings.MessageCosts(0, 0),
-                    new SchedulerSettings.Quotas(List.of(800 * perMs(1)), 1));
+                    new SchedulerSettings.TenantQuotas(List.of(800 * perMs(1)), 1));
             scheduler = new SpeculativeScheduler(settings, plan.seed * 1000 + ordinal);
             checker = new RuleChecker(settings);
         }
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -289,7 +289,7 @@
                     new SchedulerSettings.LoadReporting(List.of(IN_FLIGHT, MEMORY), false),
                     new SchedulerSettings.Discovery(false, 0, false),
                     new SchedulerSettings.MessageCosts(0.001, 0.0001),
-                    new SchedulerSettings.Quotas(List.of(), 1));
+                    new SchedulerSettings.TenantQuotas(List.of(), 1));
         }
     }
 }
--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -67,7 +67,7 @@
                 new SchedulerSettings.LoadReporting(report, false),
                 new SchedulerSettings.Discovery(site == Site.STRICT, 5_000, false),
                 new SchedulerSettings.MessageCosts(0.001, 0.0001),
-                new SchedulerSettings.Quotas(List.of(), 0.2));
+                new SchedulerSettings.TenantQuotas(List.of(), 0.2));
     }
 
     private static List<RequestClass> classes() {
--- a/src/test/java/lineward/scheduling/FleetQuotaTest.java
+++ b/src/test/java/lineward/scheduling/FleetQuotaTest.java
@@ -45,7 +45,7 @@
                         new SchedulerSettings.LoadReporting(List.of(), false),
                         new SchedulerSettings.Discovery(false, 0, false),
                         NO_COSTS,
-                        new SchedulerSettings.Quotas(List.of(), 1)))
+                        new SchedulerSettings.TenantQuotas(List.of(), 1)))
                 .receive(new SchedulerEvent.EndpointsChanged(true, list));
     }
 
--- a/src/test/java/lineward/scheduling/FleetSlowStartTest.java
+++ b/src/test/java/lineward/scheduling/FleetSlowStartTest.java
@@ -198,7 +198,7 @@
                                 new SchedulerSettings.LoadReporting(List.of(), false),
                                 new SchedulerSettings.Discovery(false, 0, false),
                                 NO_COSTS,
-                                new SchedulerSettings.Quotas(List.of(), 1)),
+                                new SchedulerSettings.TenantQuotas(List.of(), 1)),
                         random.nextLong());
                 receive(new SchedulerEvent.EndpointsChanged(true, list(started)));
             }
--- a/src/test/java/lineward/scheduling/LargeFleetTest.java
+++ b/src/test/java/lineward/scheduling/LargeFleetTest.java
@@ -91,7 +91,7 @@
                             new SchedulerSettings.LoadReporting(List.of(), false),
                             new SchedulerSettings.Discovery(false, 0, false),
                             NO_COSTS,
-                            new SchedulerSettings.Quotas(List.of(), 1)),
+                            new SchedulerSettings.TenantQuotas(List.of(), 1)),
                     i));
             schedulers.get(i).decide(start, List.of(new EndpointsChanged(true, list)));
         }
@@ -175,7 +175,7 @@
                             new SchedulerSettings.LoadReporting(List.of(), false),
                             new SchedulerSettings.Discovery(false, 0, false),
                             NO_COSTS,
-                            new SchedulerSettings.Quotas(List.of(), 1)),
+                            new SchedulerSettings.TenantQuotas(List.of(), 1)),
                     i);
             scheduler.decide(0, List.of(new EndpointsChanged(true, list)));
             for (int request = 1; request <= 10; request++) {
@@ -215,7 +215,7 @@
                 new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(false, 0, false),
                 NO_COSTS,
-                new SchedulerSettings.Quotas(List.of(), 1)));
+                new SchedulerSettings.TenantQuotas(List.of(), 1)));
         scheduler.receive(new EndpointsChanged(true, list));
         for (int i = 0; i < 40; i++) {
             scheduler.requestArrives(i, 0).advance(200).attemptEnds(i, 0, OK).advance(100);
@@ -258,7 +258,7 @@
                     new SchedulerSettings.LoadReporting(List.of(), false),
                     new SchedulerSettings.Discovery(false, 0, false),
                     NO_COSTS,
-                    new SchedulerSettings.Quotas(List.of(), 1)));
+                    new SchedulerSettings.TenantQuotas(List.of(), 1)));
             scheduler.listEngines(1, 2, 3, 4, 5, 6, 7, 8);
             for (int id = 1; id <= 60; id++) {
                 scheduler.requestArrives(id, 0);
--- a/src/test/java/lineward/scheduling/LearnedStateTest.java
+++ b/src/test/java/lineward/scheduling/LearnedStateTest.java
@@ -36,7 +36,7 @@
                                 List.of(LoadReportField.IN_FLIGHT, LoadReportField.MEMORY), false),
                         new SchedulerSettings.Discovery(false, 0, false),
                         new SchedulerSettings.MessageCosts(0.01, 0.01),
-                        new SchedulerSettings.Quotas(List.of(), 1)))
+                        new SchedulerSettings.TenantQuotas(List.of(), 1)))
                 .listEngines(1, 2, 3, 4);
     }
 
@@ -199,7 +199,7 @@
                 new SchedulerSettings.LoadReporting(List.of(), false),
                 withReports.discovery(),
                 withReports.messageCosts(),
-                withReports.quotas());
+                withReports.tenantQuotas());
         TestingScheduler scheduler = new TestingScheduler(withoutReports).listEngines(1, 2);
         scheduler.receive(new GossipReceived(1, new byte[] {0, 1, 0, 2}));
         assertThat(scheduler.requestArrives(1, 0).lastStartedEngine()).isPositive();
--- a/src/test/java/lineward/scheduling/RandomDaysTest.java
+++ b/src/test/java/lineward/scheduling/RandomDaysTest.java
@@ -83,7 +83,7 @@
                 new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(random.nextBoolean(), 5000, true),
                 NO_COSTS,
-                new SchedulerSettings.Quotas(List.of(), 1));
+                new SchedulerSettings.TenantQuotas(List.of(), 1));
     }
 
     private static Endpoint engine(long id, EndpointState state, double since) {
--- a/src/test/java/lineward/scheduling/RulesTest.java
+++ b/src/test/java/lineward/scheduling/RulesTest.java
@@ -127,7 +127,7 @@
                 new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(false, 0, false),
                 NO_COSTS,
-                new SchedulerSettings.Quotas(List.of(), 1)));
+                new SchedulerSettings.TenantQuotas(List.of(), 1)));
         scheduler.receive(new SchedulerEvent.EndpointsChanged(
                 true, List.of(new Endpoint(1, 0, 1, scheduler.nowMs - 10, EndpointState.READY, 0, 0))));
         int started = 0;
@@ -234,7 +234,7 @@
                     new SchedulerSettings.LoadReporting(List.of(), false),
                     new SchedulerSettings.Discovery(false, 0, false),
                     NO_COSTS,
-                    new SchedulerSettings.Quotas(List.of(), 1)));
+                    new SchedulerSettings.TenantQuotas(List.of(), 1)));
             scheduler.receive(new SchedulerEvent.EndpointsChanged(
                     true, List.of(new Endpoint(1, 0, 1, scheduler.nowMs + 2000, EndpointState.READY, 0, 0))));
             scheduler.nowMs += 2010;
--- a/src/test/java/lineward/scheduling/TestingScheduler.java
+++ b/src/test/java/lineward/scheduling/TestingScheduler.java
@@ -92,7 +92,7 @@
                 new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(false, 0, false),
                 NO_COSTS,
-                new SchedulerSettings.Quotas(List.of(), 1));
+                new SchedulerSettings.TenantQuotas(List.of(), 1));
     }
 
     static SchedulerSettings settings(int frontEnds, RequestClass... classes) {
--- a/src/test/java/lineward/scheduling/decision/TestingSettings.java
+++ b/src/test/java/lineward/scheduling/decision/TestingSettings.java
@@ -64,7 +64,7 @@
                 new SchedulerSettings.LoadReporting(reportFields, false),
                 new SchedulerSettings.Discovery(false, 0, false),
                 new SchedulerSettings.MessageCosts(healthCheckCost, NO_COST),
-                new SchedulerSettings.Quotas(List.of(), 1));
+                new SchedulerSettings.TenantQuotas(List.of(), 1));
     }
 
     private SchedulerSettings.Limits limits() {
