--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSettings.java
@@ -7,7 +7,7 @@
 import lineward.scheduling.DeduplicationScope;
 import lineward.scheduling.EngineKind;
 import lineward.scheduling.Idempotence;
-import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerSettings;
 
@@ -73,7 +73,7 @@
         return new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, false, false, true, false, false, false),
                 new SchedulerSettings.AttemptLimits(maxAttempts, MAX_RETRY_AFTER_MS, 0),
-                new SchedulerSettings.MemoryLimits(1, MemoryShortage.WAIT));
+                new SchedulerSettings.MemoryLimits(1, MemoryShortageHandling.WAIT));
     }
 
     private static SchedulerSettings.Rules rules() {
--- a/src/main/java/lineward/scheduling/MemoryShortage.java
+++ b/src/main/java/lineward/scheduling/MemoryShortageHandling.java
@@ -1,7 +1,7 @@
 package lineward.scheduling;
 
 /** What an engine does with a request whose memory grant exceeds the engine's free memory. */
-public enum MemoryShortage {
+public enum MemoryShortageHandling {
     /** The request waits for memory. */
     WAIT,
     /** The request runs, and its grant is reduced to the free memory. */
--- a/src/main/java/lineward/scheduling/SchedulerSettings.java
+++ b/src/main/java/lineward/scheduling/SchedulerSettings.java
@@ -114,9 +114,9 @@
      * Limits on memory grants.
      *
      * @param maxGrantRatio largest fraction of an engine's memory for one request, more than 0 and up to 1
-     * @param shortage what an engine does with a request whose grant does not fit
+     * @param shortageHandling what an engine does with a request whose grant does not fit
      */
-    public record MemoryLimits(double maxGrantRatio, MemoryShortage shortage) {
+    public record MemoryLimits(double maxGrantRatio, MemoryShortageHandling shortageHandling) {
         /** Validates the ranges. */
         public MemoryLimits {
             boolean inRange = maxGrantRatio > 0 && maxGrantRatio <= 1;
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -1,7 +1,7 @@
 package lineward.scheduling.decision;
 
 import java.util.Optional;
-import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.SchedulerAction;
 import lineward.scheduling.SchedulerSettings;
 import lineward.scheduling.state.ClassState;
@@ -53,7 +53,7 @@
      */
     private double requestedGrantMb(TrackedRequest request, Engine engine) {
         SchedulerSettings.MemoryLimits memory = context.settings().memoryLimits();
-        return memory.shortage() == MemoryShortage.PAGE
+        return memory.shortageHandling() == MemoryShortageHandling.PAGE
                 ? engine.memoryMb() * memory.maxGrantRatio()
                 : grantMb(request, engine);
     }
--- a/src/main/java/lineward/scheduling/simulator/SettingsReader.java
+++ b/src/main/java/lineward/scheduling/simulator/SettingsReader.java
@@ -9,7 +9,7 @@
 import lineward.scheduling.EngineKind;
 import lineward.scheduling.Idempotence;
 import lineward.scheduling.LoadReportField;
-import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerSettings;
 
@@ -151,13 +151,14 @@
     }
 
     private SchedulerSettings.MemoryLimits memoryLimits() {
-        MemoryShortage shortage = switch (engineSettings.path("when-short").asText("wait")) {
-            case "shrink" -> MemoryShortage.SHRINK;
-            case "page" -> MemoryShortage.PAGE;
-            default -> MemoryShortage.WAIT;
-        };
+        MemoryShortageHandling shortageHandling =
+                switch (engineSettings.path("when-short").asText("wait")) {
+                    case "shrink" -> MemoryShortageHandling.SHRINK;
+                    case "page" -> MemoryShortageHandling.PAGE;
+                    default -> MemoryShortageHandling.WAIT;
+                };
         return new SchedulerSettings.MemoryLimits(
-                engineSettings.path("most-grant").asDouble(1), shortage);
+                engineSettings.path("most-grant").asDouble(1), shortageHandling);
     }
 
     private SchedulerSettings.Rules rules() {
--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -316,7 +316,7 @@
             SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                     new SchedulerSettings.Capabilities(true, false, false, true, true, true, false),
                     new SchedulerSettings.AttemptLimits(6, 2000, 0),
-                    new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.PAGE));
+                    new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.PAGE));
             double budgetWindowMs = plan.retryBudget > 0 ? 10_000 : 0;
             SchedulerSettings.Rules rules = new SchedulerSettings.Rules(
                     1000,
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -26,7 +26,7 @@
 import lineward.scheduling.AttemptOutcome;
 import lineward.scheduling.EndpointState;
 import lineward.scheduling.EngineKind;
-import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerSettings;
 import lineward.scheduling.execution.SpeculativeScheduler;
@@ -274,7 +274,7 @@
             SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                     new SchedulerSettings.Capabilities(true, true, false, true, true, true, true),
                     new SchedulerSettings.AttemptLimits(4, 500, 400),
-                    new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
+                    new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.WAIT));
             SchedulerSettings.Rules rules = new SchedulerSettings.Rules(
                     1_000,
                     new SchedulerSettings.SlowStartRule(5_000, 0.3, 3, 1_000),
--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -104,7 +104,8 @@
                 new SchedulerSettings.Capabilities(
                         true, reporting, false, !strict, !strict, !strict, reporting /* gossip */),
                 new SchedulerSettings.AttemptLimits(strict ? 3 : 4, 400, strict ? 0 : 400),
-                new SchedulerSettings.MemoryLimits(0.4, strict ? MemoryShortage.PAGE : MemoryShortage.WAIT));
+                new SchedulerSettings.MemoryLimits(
+                        0.4, strict ? MemoryShortageHandling.PAGE : MemoryShortageHandling.WAIT));
     }
 
     private static SchedulerSettings.Rules rules(Site site) {
--- a/src/test/java/lineward/scheduling/FleetQuotaTest.java
+++ b/src/test/java/lineward/scheduling/FleetQuotaTest.java
@@ -136,7 +136,7 @@
     /** An engine that pages counts memory in use, not grants, so a large grant avoids a spill at no cost. */
     @Test
     public void enginesThatPageGrantTheMaximum() {
-        for (MemoryShortage shortage : MemoryShortage.values()) {
+        for (MemoryShortageHandling shortage : MemoryShortageHandling.values()) {
             SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                     new SchedulerSettings.Capabilities(true, false, false, true, true, true, false),
                     new SchedulerSettings.AttemptLimits(4, 500, 0),
@@ -148,7 +148,7 @@
                     .allActions(SchedulerAction.SetResourceLimits.class)
                     .get(0)
                     .grantMb();
-            double expected = shortage == MemoryShortage.PAGE ? 0.4 * 16_000 : 100 * 1.25;
+            double expected = shortage == MemoryShortageHandling.PAGE ? 0.4 * 16_000 : 100 * 1.25;
             assertEquals(granted, expected, 1e-6, "grant with shortage " + shortage);
         }
     }
--- a/src/test/java/lineward/scheduling/FleetSlowStartTest.java
+++ b/src/test/java/lineward/scheduling/FleetSlowStartTest.java
@@ -187,7 +187,7 @@
                 SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                         new SchedulerSettings.Capabilities(true, false, false, true, true, true, false),
                         new SchedulerSettings.AttemptLimits(6, 2000, 0),
-                        new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.PAGE));
+                        new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.PAGE));
                 scheduler = new SpeculativeScheduler(
                         new SchedulerSettings(
                                 CLASSES,
--- a/src/test/java/lineward/scheduling/LearnedStateTest.java
+++ b/src/test/java/lineward/scheduling/LearnedStateTest.java
@@ -24,7 +24,7 @@
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, true),
                 new SchedulerSettings.AttemptLimits(4, 500, 2000),
-                new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.PAGE));
+                new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.PAGE));
         List<EngineKind> kinds = List.of(new EngineKind(8, 0));
         return new TestingScheduler(new SchedulerSettings(
                         List.of(lookupClass()),
@@ -177,7 +177,7 @@
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, false),
                 new SchedulerSettings.AttemptLimits(4, 500, 2000),
-                new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
+                new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.WAIT));
         SchedulerSettings settings = settings(limits, rules(), loadClass());
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2);
         scheduler.requestArrives(1, 0, 0, 3000, 20_000).advance(3000);
--- a/src/test/java/lineward/scheduling/RandomDaysTest.java
+++ b/src/test/java/lineward/scheduling/RandomDaysTest.java
@@ -67,7 +67,7 @@
                         random.nextBoolean()),
                 new SchedulerSettings.AttemptLimits(1 + random.nextInt(5), 500, random.nextInt(3) * 500),
                 new SchedulerSettings.MemoryLimits(
-                        0.4, List.of(MemoryShortage.values()).get(random.nextInt(3))));
+                        0.4, List.of(MemoryShortageHandling.values()).get(random.nextInt(3))));
         boolean budget = random.nextBoolean();
         SchedulerSettings.Rules rules = new SchedulerSettings.Rules(
                 1000,
--- a/src/test/java/lineward/scheduling/RulesTest.java
+++ b/src/test/java/lineward/scheduling/RulesTest.java
@@ -269,7 +269,7 @@
             SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                     new SchedulerSettings.Capabilities(true, true, false, true, true, true, false),
                     new SchedulerSettings.AttemptLimits(4, 500, 500),
-                    new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
+                    new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.WAIT));
             SchedulerSettings settings = settings(limits, rules, lookupClass());
             TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3);
             scheduler.requestArrives(1, 0).advance(1150);
--- a/src/test/java/lineward/scheduling/SpeculationTest.java
+++ b/src/test/java/lineward/scheduling/SpeculationTest.java
@@ -154,7 +154,7 @@
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, false),
                 new SchedulerSettings.AttemptLimits(4, 500, 1000),
-                new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
+                new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.WAIT));
         SchedulerSettings settings = settings(limits, rules(), lookupClass());
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3, 4);
         for (int i = 0; i < 60; i++) {
@@ -193,7 +193,7 @@
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, false),
                 new SchedulerSettings.AttemptLimits(4, 500, 1000),
-                new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
+                new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.WAIT));
         RequestClass longObjective = new RequestClass(
                 new RequestClass.Objective(30_000, 1, 60_000, 1, 0.5),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
--- a/src/test/java/lineward/scheduling/TestingScheduler.java
+++ b/src/test/java/lineward/scheduling/TestingScheduler.java
@@ -67,7 +67,7 @@
         return new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, false),
                 new SchedulerSettings.AttemptLimits(maxAttempts, 500, 0),
-                new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
+                new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.WAIT));
     }
 
     static SchedulerSettings.Rules rules() {
--- a/src/test/java/lineward/scheduling/WaitingAttemptsTest.java
+++ b/src/test/java/lineward/scheduling/WaitingAttemptsTest.java
@@ -22,7 +22,7 @@
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, false),
                 new SchedulerSettings.AttemptLimits(attempts, 500, progressIntervalMs),
-                new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
+                new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.WAIT));
         SchedulerSettings settings = settings(limits, rules(), lookupClass(), loadClass());
         return new TestingScheduler(settings).listEngines(1, 2, 3, 4);
     }
@@ -86,7 +86,7 @@
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, false),
                 new SchedulerSettings.AttemptLimits(5, 500, 1000),
-                new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
+                new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.WAIT));
         SchedulerSettings settings = settings(limits, rules(), lookupClass(), reportClass);
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3, 4);
         for (int i = 0; i < 25; i++) {
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -5,7 +5,7 @@
 
 import java.util.Optional;
 import lineward.scheduling.EngineKind;
-import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerAction;
 import lineward.scheduling.SchedulerAction.SetResourceLimits;
@@ -53,19 +53,19 @@
     @DataProvider
     public Object[][] grants() {
         return new Object[][] {
-            {true, MemoryShortage.WAIT, 16_000, 1_000, 1_250, 1_250},
-            {true, MemoryShortage.WAIT, 16_000, 5_120, 6_400, 6_400},
-            {true, MemoryShortage.WAIT, 16_000, 9_000, 6_400, 6_400},
-            {true, MemoryShortage.WAIT, 0, 9_000, 11_250, 11_250},
-            {true, MemoryShortage.PAGE, 16_000, 1_000, 6_400, 1_250},
-            {false, MemoryShortage.WAIT, 16_000, 1_000, 0, 1_250},
+            {true, MemoryShortageHandling.WAIT, 16_000, 1_000, 1_250, 1_250},
+            {true, MemoryShortageHandling.WAIT, 16_000, 5_120, 6_400, 6_400},
+            {true, MemoryShortageHandling.WAIT, 16_000, 9_000, 6_400, 6_400},
+            {true, MemoryShortageHandling.WAIT, 0, 9_000, 11_250, 11_250},
+            {true, MemoryShortageHandling.PAGE, 16_000, 1_000, 6_400, 1_250},
+            {false, MemoryShortageHandling.WAIT, 16_000, 1_000, 0, 1_250},
         };
     }
 
     @Test(dataProvider = "grants")
     public void grantsTheNeedWithinTheLimitOfTheEngine(
             boolean grants,
-            MemoryShortage shortage,
+            MemoryShortageHandling shortage,
             double engineMb,
             double estimateMb,
             double grantMb,
--- a/src/test/java/lineward/scheduling/decision/TestingSettings.java
+++ b/src/test/java/lineward/scheduling/decision/TestingSettings.java
@@ -6,7 +6,7 @@
 import lineward.scheduling.EngineKind;
 import lineward.scheduling.Idempotence;
 import lineward.scheduling.LoadReportField;
-import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerSettings;
 
@@ -38,7 +38,7 @@
     int maxAttempts = 4;
     double maxRetryAfterMs = 500;
     double progressIntervalMs;
-    MemoryShortage memoryShortage = MemoryShortage.WAIT;
+    MemoryShortageHandling memoryShortage = MemoryShortageHandling.WAIT;
     double overloadFactor = 3;
     double settleMs = 500;
     SchedulerSettings.RetryBudget retryBudget = new SchedulerSettings.RetryBudget(0, 0, 0);
