--- a/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
@@ -15,7 +15,7 @@
     private final RetryPolicy retries;
     private final KeyOrder keyOrder;
     private final RequestLifecycle lifecycle;
-    private final AdmissionQueue queue;
+    private final DispatchQueue dispatchQueue;
 
     AttemptOutcomes(
             SchedulerContext context,
@@ -23,13 +23,13 @@
             RetryPolicy retries,
             KeyOrder keyOrder,
             RequestLifecycle lifecycle,
-            AdmissionQueue queue) {
+            DispatchQueue dispatchQueue) {
         this.context = context;
         this.learning = learning;
         this.retries = retries;
         this.keyOrder = keyOrder;
         this.lifecycle = lifecycle;
-        this.queue = queue;
+        this.dispatchQueue = dispatchQueue;
     }
 
     /** Handles the end of an attempt. An unknown attempt, or one that has already ended, is ignored. */
@@ -65,7 +65,7 @@
         TrackedRequest request = attempt.request();
         if (retries.mayRetry(request, outcome)) {
             request.requeue(attempt);
-            queue.add(request);
+            dispatchQueue.add(request);
         } else {
             lifecycle.giveUp(request);
         }
--- a/src/main/java/lineward/scheduling/execution/AdmissionQueue.java
+++ b/src/main/java/lineward/scheduling/execution/DispatchQueue.java
@@ -13,7 +13,7 @@
 import lineward.scheduling.state.TrackedRequest;
 
 /** Holds admitted requests until an engine has capacity, and dispatches them by priority. */
-final class AdmissionQueue {
+final class DispatchQueue {
     private record Prioritized(TrackedRequest request, double priority) {}
 
     private static final Comparator<Prioritized> HIGHEST_PRIORITY_FIRST = Comparator.comparingDouble(
@@ -29,7 +29,7 @@
     private List<TrackedRequest> queue = new ArrayList<>();
     private boolean blocked;
 
-    AdmissionQueue(
+    DispatchQueue(
             SchedulerContext context,
             AdmissionPolicy policy,
             EngineSelector selector,
--- a/src/main/java/lineward/scheduling/execution/Mechanisms.java
+++ b/src/main/java/lineward/scheduling/execution/Mechanisms.java
@@ -31,7 +31,7 @@
     final LoadReportPolling polling;
     final SpeculativeCancellation speculation;
     final RequestLifecycle lifecycle;
-    final AdmissionQueue queue;
+    final DispatchQueue dispatchQueue;
     final AttemptOutcomes outcomes;
     final Sweep sweep;
     final PeriodicRecomputation recomputation;
@@ -56,9 +56,9 @@
         EngineSelector selector = new EngineSelector(context, limits, retries, outliers, eligibility, score);
         AttemptStarter starter = new AttemptStarter(context, retries, budget, outliers, resources);
         AdmissionPolicy admission = new AdmissionPolicy(context);
-        queue = new AdmissionQueue(context, admission, selector, keyOrder, lifecycle, starter);
+        dispatchQueue = new DispatchQueue(context, admission, selector, keyOrder, lifecycle, starter);
         OutcomeLearning learning = new OutcomeLearning(context, outliers, resources);
-        outcomes = new AttemptOutcomes(context, learning, retries, keyOrder, lifecycle, queue);
+        outcomes = new AttemptOutcomes(context, learning, retries, keyOrder, lifecycle, dispatchQueue);
         MigrationPolicy migration = new MigrationPolicy(context, cancellation, retries, eligibility);
         sweep = new Sweep(context, outliers, speculation, cancellation, migration, lifecycle, keyOrder);
         recomputation = new PeriodicRecomputation(context, limits);
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -57,7 +57,7 @@
         // Gossip arrives far more often than requests, so gossip alone does not dispatch the queue; the next
         // sweep does.
         if (!events.stream().allMatch(SchedulerEvent.GossipReceived.class::isInstance)) {
-            mechanisms.queue.dispatch();
+            mechanisms.dispatchQueue.dispatch();
         }
         mechanisms.reports.publishGossip(SWEEP_INTERVAL_MS);
         scheduleSweep();
@@ -76,10 +76,10 @@
     }
 
     private void sweep() {
-        mechanisms.recomputation.runIfDue(mechanisms.queue.isBlocked());
+        mechanisms.recomputation.runIfDue(mechanisms.dispatchQueue.isBlocked());
         mechanisms.sweep.detectSilentEngines();
         mechanisms.sweep.cancelAttempts();
-        mechanisms.queue.giveUpOverdue();
+        mechanisms.dispatchQueue.giveUpOverdue();
         mechanisms.sweep.forgetSettled();
     }
 
@@ -109,7 +109,7 @@
         mechanisms.outliers.earnRecoveryProbe();
         type.demand().add(request.expectedWorkMs());
         mechanisms.keyOrder.add(request);
-        mechanisms.queue.add(request);
+        mechanisms.dispatchQueue.add(request);
     }
 
     @Override
