--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -80,7 +80,7 @@
         mechanisms.sweep.detectSilentEngines();
         mechanisms.sweep.cancelAttempts();
         mechanisms.dispatchQueue.giveUpOverdue();
-        mechanisms.sweep.forgetSettled();
+        mechanisms.sweep.removeExpiredState();
     }
 
     private void scheduleSweep() {
--- a/src/main/java/lineward/scheduling/execution/Sweep.java
+++ b/src/main/java/lineward/scheduling/execution/Sweep.java
@@ -64,12 +64,12 @@
      * Removes the keys whose settle time has passed, and the engines that are gone and not under maintenance,
      * unless attempts are in flight on them or work sent to them still counts in their slow-start budget.
      */
-    void forgetSettled() {
+    void removeExpiredState() {
         keyOrder.forgetSettledKeys();
-        context.removeEngines(this::isForgettable);
+        context.removeEngines(this::isRemovable);
     }
 
-    private boolean isForgettable(Engine engine) {
+    private boolean isRemovable(Engine engine) {
         return engine.isGone()
                 && !engine.isUnderMaintenance()
                 && engine.attempts().isEmpty()
