--- a/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
+++ b/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
@@ -18,7 +18,7 @@
 
     private final SchedulerContext context;
     private final ConcurrencyLimits limits;
-    private double nextMs;
+    private double nextRunAtMs;
 
     PeriodicRecomputation(SchedulerContext context, ConcurrencyLimits limits) {
         this.context = context;
@@ -26,10 +26,10 @@
     }
 
     void runIfDue(boolean requestsBlocked) {
-        if (context.nowMs() < nextMs) {
+        if (context.nowMs() < nextRunAtMs) {
             return;
         }
-        nextMs = context.nowMs() + INTERVAL_MS;
+        nextRunAtMs = context.nowMs() + INTERVAL_MS;
         recomputeServiceTimes();
         for (ClassState type : context.classes()) {
             type.setTauRatio(SpeculativeTimeout.tauRatio(type, context.nowMs()));
