--- a/src/main/java/lineward/app/ConfigFile.java
+++ b/src/main/java/lineward/app/ConfigFile.java
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Map;
 import lineward.scheduling.SchedulerSettings;
+import lineward.scheduling.simulator.InputException;
 import lineward.scheduling.simulator.SettingsReader;
-import lineward.scheduling.simulator.WireException;
 
 /**
  * The configuration file of the platform, in JSON. Only this class contains its keys, which the platform
@@ -131,7 +131,7 @@
     private static SchedulerSettings schedulerSettings(ConfigNode settings) {
         try {
             return SettingsReader.read(settings.value().toString());
-        } catch (WireException e) {
+        } catch (InputException e) {
             // The message already names the setting, the value found and the allowed values.
             throw ConfigException.unusable(settings.file() + ": settings: " + e.getMessage(), e);
         }
--- a/src/main/java/lineward/scheduling/simulator/BatchReader.java
+++ b/src/main/java/lineward/scheduling/simulator/BatchReader.java
@@ -64,7 +64,7 @@
         long end = CLOCK_BYTES + (long) count * EventRecord.LENGTH;
         if (count < 0 || end > body.limit()) {
             long records = Integer.toUnsignedLong(count);
-            throw new WireException("batch of " + records + " records does not fit its frame");
+            throw new InputException("batch of " + records + " records does not fit its frame");
         }
         ByteBuffer tail = body.slice((int) end, body.limit() - (int) end);
         boolean selected = false;
@@ -74,7 +74,7 @@
             selected |= entry.code() == INSTANCE_SELECTED;
             if (!selected && entry.code() != ENDPOINT_LIST) {
                 String code = "record with code " + entry.code();
-                throw new WireException(code + " comes before any instance was selected");
+                throw new InputException(code + " comes before any instance was selected");
             }
             read(entry, tail, sink);
         }
@@ -96,7 +96,7 @@
             case HEALTH_CHECK_COMPLETED -> sink.event(healthCheckCompleted(entry));
             case TIMER_FIRED -> sink.event(new SchedulerEvent.TimerFired(entry.signedInt(1)));
             case GOSSIP_RECEIVED -> sink.event(gossipReceived(entry, tail));
-            default -> throw new WireException("unknown event code " + entry.code());
+            default -> throw new InputException("unknown event code " + entry.code());
         }
     }
 
@@ -166,14 +166,14 @@
     private SchedulerEvent endpointsChanged(EventRecord entry) {
         int mode = entry.signedByte(1);
         if (mode < 0 || mode > 3) {
-            throw new WireException("unknown endpoint list mode " + mode);
+            throw new InputException("unknown endpoint list mode " + mode);
         }
         if (mode == 3) {
             return new SchedulerEvent.DiscoveryFailed();
         }
         int number = entry.unsignedShort(6);
         if (number >= MAX_ENDPOINT_LISTS || endpointLists.get(number) == null) {
-            throw new WireException("no endpoint list with number " + number);
+            throw new InputException("no endpoint list with number " + number);
         }
         boolean fullSnapshot = mode != 2;
         return new SchedulerEvent.EndpointsChanged(fullSnapshot, endpointLists.get(number));
@@ -183,7 +183,7 @@
         int number = entry.unsignedShort(1);
         int endpoints = entry.signedInt(7);
         if (number >= MAX_ENDPOINT_LISTS) {
-            throw new WireException("endpoint list number " + number + " is out of range");
+            throw new InputException("endpoint list number " + number + " is out of range");
         }
         ByteBuffer slice = tailSlice(tail, entry.signedInt(3), endpoints, ENDPOINT_BYTES);
         List<Endpoint> list = new ArrayList<>();
@@ -208,13 +208,13 @@
             case 0 -> EndpointState.GONE;
             case 2 -> EndpointState.READY;
             case 3 -> EndpointState.DRAINING;
-            default -> throw new WireException("unknown engine state " + code);
+            default -> throw new InputException("unknown engine state " + code);
         };
     }
 
     private static ByteBuffer tailSlice(ByteBuffer tail, int from, int length, int size) {
         if (from < 0 || length < 0 || from + (long) length * size > tail.limit()) {
-            throw new WireException("a record refers to data past the end of its frame");
+            throw new InputException("a record refers to data past the end of its frame");
         }
         return tail.slice(from, length * size);
     }
--- a/src/main/java/lineward/scheduling/simulator/EventRecord.java
+++ b/src/main/java/lineward/scheduling/simulator/EventRecord.java
@@ -80,7 +80,7 @@
             case 503 -> AttemptOutcome.REJECTED;
             case 504 -> AttemptOutcome.TIMEOUT;
             case 598 -> AttemptOutcome.RESET;
-            default -> throw new WireException("unknown outcome " + code);
+            default -> throw new InputException("unknown outcome " + code);
         };
     }
 }
--- a/src/main/java/lineward/scheduling/simulator/Main.java
+++ b/src/main/java/lineward/scheduling/simulator/Main.java
@@ -41,7 +41,7 @@
             return 0;
         } catch (EOFException e) {
             errors.println(PROGRAM + "the input ends inside a frame");
-        } catch (WireException e) {
+        } catch (InputException e) {
             errors.println(PROGRAM + e.getMessage());
         } catch (IOException e) {
             errors.println(PROGRAM + "I/O error: " + e.getMessage());
@@ -55,7 +55,7 @@
         int count = header.getInt();
         int length = header.getInt();
         if (length < 0 || length > MAX_FRAME_BYTES) {
-            throw new WireException("frame of " + Integer.toUnsignedLong(length) + " bytes is too long");
+            throw new InputException("frame of " + Integer.toUnsignedLong(length) + " bytes is too long");
         }
         return instances.answer(count, ByteBuffer.wrap(readFully(in, length)));
     }
--- a/src/main/java/lineward/scheduling/simulator/SchedulerInstances.java
+++ b/src/main/java/lineward/scheduling/simulator/SchedulerInstances.java
@@ -22,7 +22,7 @@
         batch.clear();
         writer.clear();
         if (body.limit() < Double.BYTES) {
-            throw new WireException("frame of " + body.limit() + " bytes is too short for the clock");
+            throw new InputException("frame of " + body.limit() + " bytes is too short for the clock");
         }
         double nowMs = body.getDouble(0);
         reader.read(count, body, this);
--- a/src/main/java/lineward/scheduling/simulator/SettingsReader.java
+++ b/src/main/java/lineward/scheduling/simulator/SettingsReader.java
@@ -37,19 +37,19 @@
      * Reads the settings.
      *
      * @param text the settings as JSON
-     * @throws WireException if the text is not a JSON object, or a setting is outside its valid range
+     * @throws InputException if the text is not a JSON object, or a setting is outside its valid range
      */
     public static SchedulerSettings read(String text) {
         try {
             JsonNode root = JSON.readTree(text);
             if (root == null || !root.isObject()) {
-                throw new WireException("settings are not a JSON object");
+                throw new InputException("settings are not a JSON object");
             }
             return new SettingsReader(root).settings();
         } catch (JsonProcessingException e) {
-            throw new WireException("settings are not JSON: " + e.getOriginalMessage(), e);
+            throw new InputException("settings are not JSON: " + e.getOriginalMessage(), e);
         } catch (IllegalArgumentException e) {
-            throw new WireException(e.getMessage(), e);
+            throw new InputException(e.getMessage(), e);
         }
     }
 
