--- a/src/main/java/lineward/scheduling/simulator/BatchReader.java
+++ b/src/main/java/lineward/scheduling/simulator/BatchReader.java
@@ -45,7 +45,7 @@
         void killInstance();
 
         /** An event for the selected instance. */
-        void event(SchedulerEvent event);
+        void add(SchedulerEvent event);
     }
 
     private final List<List<Endpoint>> endpointLists = new ArrayList<>();
@@ -86,16 +86,16 @@
             case ENDPOINT_LIST -> readEndpointList(entry, tail);
             case INSTANCE_OPENED -> sink.openInstance(entry.signedLong(1), settingsText(entry, tail));
             case INSTANCE_KILLED -> sink.killInstance();
-            case ENDPOINTS_CHANGED -> sink.event(endpointsChanged(entry));
-            case REQUEST_ARRIVED -> sink.event(requestArrived(entry));
-            case REQUEST_CANCELLED -> sink.event(new SchedulerEvent.RequestCancelled(entry.unsignedInt(1)));
+            case ENDPOINTS_CHANGED -> sink.add(endpointsChanged(entry));
+            case REQUEST_ARRIVED -> sink.add(requestArrived(entry));
+            case REQUEST_CANCELLED -> sink.add(new SchedulerEvent.RequestCancelled(entry.unsignedInt(1)));
             case RESPONSE_STARTED ->
-                sink.event(new SchedulerEvent.ResponseStarted(entry.unsignedInt(1), entry.unsignedShort(19)));
+                sink.add(new SchedulerEvent.ResponseStarted(entry.unsignedInt(1), entry.unsignedShort(19)));
             case ATTEMPT_PROGRESS -> readProgress(entry, sink);
-            case ATTEMPT_ENDED -> sink.event(attemptEnded(entry));
-            case HEALTH_CHECK_COMPLETED -> sink.event(healthCheckCompleted(entry));
-            case TIMER_FIRED -> sink.event(new SchedulerEvent.TimerFired(entry.signedInt(1)));
-            case GOSSIP_RECEIVED -> sink.event(gossipReceived(entry, tail));
+            case ATTEMPT_ENDED -> sink.add(attemptEnded(entry));
+            case HEALTH_CHECK_COMPLETED -> sink.add(healthCheckCompleted(entry));
+            case TIMER_FIRED -> sink.add(new SchedulerEvent.TimerFired(entry.signedInt(1)));
+            case GOSSIP_RECEIVED -> sink.add(gossipReceived(entry, tail));
             default -> throw new InputException("unknown event code " + entry.code());
         }
     }
@@ -159,7 +159,7 @@
         };
         if (kind != null) {
             long request = entry.unsignedInt(1);
-            sink.event(new SchedulerEvent.AttemptProgress(request, entry.unsignedShort(11), kind, amount));
+            sink.add(new SchedulerEvent.AttemptProgress(request, entry.unsignedShort(11), kind, amount));
         }
     }
 
--- a/src/main/java/lineward/scheduling/simulator/SchedulerInstances.java
+++ b/src/main/java/lineward/scheduling/simulator/SchedulerInstances.java
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public void event(SchedulerEvent event) {
+    public void add(SchedulerEvent event) {
         if (schedulers.containsKey(selected)) {
             batch.computeIfAbsent(selected, k -> new ArrayList<>()).add(event);
         }
--- a/src/test/java/lineward/scheduling/simulator/AdapterTest.java
+++ b/src/test/java/lineward/scheduling/simulator/AdapterTest.java
@@ -148,7 +148,7 @@
             public void killInstance() {}
 
             @Override
-            public void event(SchedulerEvent event) {
+            public void add(SchedulerEvent event) {
                 seen.add(event);
             }
         };
