--- a/src/main/java/lineward/scheduling/simulator/BatchReader.java
+++ b/src/main/java/lineward/scheduling/simulator/BatchReader.java
@@ -113,10 +113,10 @@
                 entry.unsignedInt(1),
                 entry.unsignedByte(5),
                 entry.signedLong(10),
-                entry.doubleFloat(18),
-                hasWorkEstimate ? entry.doubleFloat(26) : 0,
-                entry.singleFloat(34),
-                (int) entry.singleFloat(38),
+                entry.float64(18),
+                hasWorkEstimate ? entry.float64(26) : 0,
+                entry.float32(34),
+                (int) entry.float32(38),
                 clientRetry,
                 entry.signedInt(6));
     }
@@ -138,7 +138,7 @@
 
     private static SchedulerEvent healthCheckCompleted(EventRecord entry) {
         return new SchedulerEvent.HealthCheckCompleted(
-                entry.engine(1), entry.outcome(7), entry.doubleFloat(9), entry.loadReport(17));
+                entry.engineNumber(1), entry.outcome(7), entry.float64(9), entry.loadReport(17));
     }
 
     private static SchedulerEvent gossipReceived(EventRecord entry, ByteBuffer tail) {
@@ -150,7 +150,7 @@
 
     /** Progress of an unknown kind is ignored. */
     private static void readProgress(EventRecord entry, Sink sink) {
-        double amount = entry.singleFloat(14);
+        double amount = entry.float32(14);
         ProgressKind kind = switch (entry.signedByte(13)) {
             case 1 -> ProgressKind.RATIO_DONE;
             case 2 -> ProgressKind.SPILLING;
@@ -195,12 +195,12 @@
 
     private static Endpoint endpoint(EventRecord entry) {
         int kind = entry.unsignedShort(0);
-        double weight = entry.singleFloat(2);
-        double startedAtMs = entry.doubleFloat(12);
+        double weight = entry.float32(2);
+        double startedAtMs = entry.float64(12);
         int zone = entry.unsignedByte(21);
         int cell = entry.unsignedShort(22);
         EndpointState state = state(entry.signedByte(20));
-        return new Endpoint(entry.engine(6), kind, weight, startedAtMs, state, zone, cell);
+        return new Endpoint(entry.engineNumber(6), kind, weight, startedAtMs, state, zone, cell);
     }
 
     private static EndpointState state(byte code) {
--- a/src/main/java/lineward/scheduling/simulator/EventRecord.java
+++ b/src/main/java/lineward/scheduling/simulator/EventRecord.java
@@ -46,16 +46,16 @@
         return bytes.getLong(offset);
     }
 
-    double singleFloat(int offset) {
+    double float32(int offset) {
         return bytes.getFloat(offset);
     }
 
-    double doubleFloat(int offset) {
+    double float64(int offset) {
         return bytes.getDouble(offset);
     }
 
     /** Reads an engine's number, an unsigned integer of six bytes. */
-    long engine(int offset) {
+    long engineNumber(int offset) {
         return unsignedInt(offset) << Short.SIZE | unsignedShort(offset + Integer.BYTES);
     }
 
@@ -63,7 +63,7 @@
     double[] loadReport(int offset) {
         double[] values = new double[Math.max(0, Math.min(MAX_REPORT_VALUES, signedByte(offset)))];
         for (int i = 0; i < values.length; i++) {
-            values[i] = singleFloat(offset + 1 + Float.BYTES * i);
+            values[i] = float32(offset + 1 + Float.BYTES * i);
         }
         return values;
     }
