--- a/src/main/java/lineward/scheduling/simulator/BatchReader.java
+++ b/src/main/java/lineward/scheduling/simulator/BatchReader.java
@@ -57,18 +57,18 @@
     /**
      * Reads a batch.
      *
-     * @param count number of records in the batch
+     * @param recordCount number of records in the batch
      * @param body the bytes after the length field: clock, records, tail
      */
-    void read(int count, ByteBuffer body, Sink sink) {
-        long end = CLOCK_BYTES + (long) count * EventRecord.LENGTH;
-        if (count < 0 || end > body.limit()) {
-            long records = Integer.toUnsignedLong(count);
+    void read(int recordCount, ByteBuffer body, Sink sink) {
+        long end = CLOCK_BYTES + (long) recordCount * EventRecord.LENGTH;
+        if (recordCount < 0 || end > body.limit()) {
+            long records = Integer.toUnsignedLong(recordCount);
             throw new InputException("batch of " + records + " records does not fit its frame");
         }
         ByteBuffer tail = body.slice((int) end, body.limit() - (int) end);
         boolean selected = false;
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < recordCount; i++) {
             ByteBuffer slice = body.slice(CLOCK_BYTES + i * EventRecord.LENGTH, EventRecord.LENGTH);
             EventRecord entry = new EventRecord(slice);
             selected |= entry.code() == INSTANCE_SELECTED;
@@ -122,9 +122,9 @@
     }
 
     private static SchedulerEvent attemptEnded(EventRecord entry) {
-        long needs = entry.unsignedInt(24);
-        double workMs = needs >>> WORK_SHIFT;
-        double memoryMb = (needs & MEMORY_MASK) * MEMORY_UNIT_MB;
+        long packedUsage = entry.unsignedInt(24);
+        double workMs = packedUsage >>> WORK_SHIFT;
+        double memoryMb = (packedUsage & MEMORY_MASK) * MEMORY_UNIT_MB;
         boolean requestCompleted = entry.signedByte(23) != 0;
         return new SchedulerEvent.AttemptEnded(
                 entry.unsignedInt(1),
@@ -171,26 +171,26 @@
         if (mode == 3) {
             return new SchedulerEvent.DiscoveryFailed();
         }
-        int number = entry.unsignedShort(6);
-        if (number >= MAX_ENDPOINT_LISTS || endpointLists.get(number) == null) {
-            throw new InputException("no endpoint list with number " + number);
+        int listNumber = entry.unsignedShort(6);
+        if (listNumber >= MAX_ENDPOINT_LISTS || endpointLists.get(listNumber) == null) {
+            throw new InputException("no endpoint list with number " + listNumber);
         }
         boolean fullSnapshot = mode != 2;
-        return new SchedulerEvent.EndpointsChanged(fullSnapshot, endpointLists.get(number));
+        return new SchedulerEvent.EndpointsChanged(fullSnapshot, endpointLists.get(listNumber));
     }
 
     private void readEndpointList(EventRecord entry, ByteBuffer tail) {
-        int number = entry.unsignedShort(1);
-        int endpoints = entry.signedInt(7);
-        if (number >= MAX_ENDPOINT_LISTS) {
-            throw new InputException("endpoint list number " + number + " is out of range");
+        int listNumber = entry.unsignedShort(1);
+        int endpointCount = entry.signedInt(7);
+        if (listNumber >= MAX_ENDPOINT_LISTS) {
+            throw new InputException("endpoint list number " + listNumber + " is out of range");
         }
-        ByteBuffer slice = tailSlice(tail, entry.signedInt(3), endpoints, ENDPOINT_BYTES);
+        ByteBuffer slice = tailSlice(tail, entry.signedInt(3), endpointCount, ENDPOINT_BYTES);
         List<Endpoint> list = new ArrayList<>();
-        for (int i = 0; i < endpoints; i++) {
+        for (int i = 0; i < endpointCount; i++) {
             list.add(endpoint(new EventRecord(slice.slice(i * ENDPOINT_BYTES, ENDPOINT_BYTES))));
         }
-        endpointLists.set(number, List.copyOf(list));
+        endpointLists.set(listNumber, List.copyOf(list));
     }
 
     private static Endpoint endpoint(EventRecord entry) {
@@ -212,10 +212,10 @@
         };
     }
 
-    private static ByteBuffer tailSlice(ByteBuffer tail, int from, int length, int size) {
-        if (from < 0 || length < 0 || from + (long) length * size > tail.limit()) {
+    private static ByteBuffer tailSlice(ByteBuffer tail, int offset, int count, int elementBytes) {
+        if (offset < 0 || count < 0 || offset + (long) count * elementBytes > tail.limit()) {
             throw new InputException("a record refers to data past the end of its frame");
         }
-        return tail.slice(from, length * size);
+        return tail.slice(offset, count * elementBytes);
     }
 }
--- a/src/main/java/lineward/scheduling/simulator/ReplyWriter.java
+++ b/src/main/java/lineward/scheduling/simulator/ReplyWriter.java
@@ -27,17 +27,17 @@
 
     private final ByteArrayOutputStream tail = new ByteArrayOutputStream();
     private ByteBuffer records = ByteBuffer.allocate(INITIAL_BYTES);
-    private int count;
+    private int recordCount;
 
     void clear() {
         records.clear();
         tail.reset();
-        count = 0;
+        recordCount = 0;
     }
 
     /** The actions that follow belong to this instance. */
     void selectInstance(int instance) {
-        finish(begin(INSTANCE_SELECTED).putInt(instance));
+        finishRecord(beginRecord(INSTANCE_SELECTED).putInt(instance));
     }
 
     /** The selected instance has failed with an exception. */
@@ -51,52 +51,52 @@
 
     @Override
     public void startAttempt(SchedulerAction.StartAttempt action) {
-        ByteBuffer entry = begin(START_ATTEMPT).putInt((int) action.request());
-        finish(putEngine(entry, action.engine()).putDouble(action.timeoutMs()));
+        ByteBuffer entry = beginRecord(START_ATTEMPT).putInt((int) action.request());
+        finishRecord(putEngine(entry, action.engine()).putDouble(action.timeoutMs()));
     }
 
     @Override
     public void cancelAttempt(SchedulerAction.CancelAttempt action) {
-        ByteBuffer entry = begin(CANCEL_ATTEMPT).putInt((int) action.request());
-        finish(entry.putShort((short) action.attempt()));
+        ByteBuffer entry = beginRecord(CANCEL_ATTEMPT).putInt((int) action.request());
+        finishRecord(entry.putShort((short) action.attempt()));
     }
 
     @Override
     public void reject(SchedulerAction.Reject action) {
-        finish(begin(REJECT).putInt((int) action.request()).putDouble(action.retryAfterMs()));
+        finishRecord(beginRecord(REJECT).putInt((int) action.request()).putDouble(action.retryAfterMs()));
     }
 
     @Override
     public void fail(SchedulerAction.Fail action) {
-        finish(begin(FAIL).putInt((int) action.request()));
+        finishRecord(beginRecord(FAIL).putInt((int) action.request()));
     }
 
     @Override
     public void setResourceLimits(SchedulerAction.SetResourceLimits action) {
-        ByteBuffer entry = begin(SET_RESOURCE_LIMITS).putInt((int) action.request());
-        finish(entry.putFloat((float) action.grantMb()).put((byte) action.priority()));
+        ByteBuffer entry = beginRecord(SET_RESOURCE_LIMITS).putInt((int) action.request());
+        finishRecord(entry.putFloat((float) action.grantMb()).put((byte) action.priority()));
     }
 
     @Override
     public void startHealthCheck(SchedulerAction.StartHealthCheck action) {
-        finish(putEngine(begin(START_HEALTH_CHECK), action.engine()));
+        finishRecord(putEngine(beginRecord(START_HEALTH_CHECK), action.engine()));
     }
 
     @Override
     public void broadcastGossip(SchedulerAction.BroadcastGossip action) {
-        ByteBuffer entry = begin(BROADCAST_GOSSIP).putInt(ALL_FRONT_ENDS).putInt(tail.size());
-        finish(entry.putInt(action.payload().length));
+        ByteBuffer entry = beginRecord(BROADCAST_GOSSIP).putInt(ALL_FRONT_ENDS).putInt(tail.size());
+        finishRecord(entry.putInt(action.payload().length));
         tail.writeBytes(action.payload());
     }
 
     @Override
     public void scheduleTimer(SchedulerAction.ScheduleTimer action) {
-        finish(begin(SCHEDULE_TIMER).putDouble(action.delayMs()).putInt(action.token()));
+        finishRecord(beginRecord(SCHEDULE_TIMER).putDouble(action.delayMs()).putInt(action.token()));
     }
 
     @Override
     public void watchEndpoints(SchedulerAction.WatchEndpoints action) {
-        finish(begin(WATCH_ENDPOINTS).put((byte) 1));
+        finishRecord(beginRecord(WATCH_ENDPOINTS).put((byte) 1));
     }
 
     @Override
@@ -106,10 +106,10 @@
 
     /** Returns the reply frame: number of records, length of the rest, records, tail. */
     byte[] frame() {
-        int recordBytes = count * RECORD_BYTES;
+        int recordBytes = recordCount * RECORD_BYTES;
         int length = recordBytes + tail.size();
         ByteBuffer frame = ByteBuffer.allocate(2 * Integer.BYTES + length);
-        frame.putInt(count).putInt(length);
+        frame.putInt(recordCount).putInt(length);
         frame.put(records.array(), 0, recordBytes).put(tail.toByteArray());
         return frame.array();
     }
@@ -120,20 +120,20 @@
 
     private void writeText(int code, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        finish(begin(code).putInt(tail.size()).putInt(bytes.length));
+        finishRecord(beginRecord(code).putInt(tail.size()).putInt(bytes.length));
         tail.writeBytes(bytes);
     }
 
-    private ByteBuffer begin(int code) {
+    private ByteBuffer beginRecord(int code) {
         if (records.remaining() < RECORD_BYTES) {
             records = ByteBuffer.allocate(records.capacity() * 2).put(records.flip());
         }
         return records.put((byte) code);
     }
 
-    private void finish(ByteBuffer entry) {
-        count++;
-        while (entry.position() < count * RECORD_BYTES) {
+    private void finishRecord(ByteBuffer entry) {
+        recordCount++;
+        while (entry.position() < recordCount * RECORD_BYTES) {
             entry.put((byte) 0);
         }
     }
