--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -66,13 +66,13 @@
      * @param load requested work relative to the capacity of all cores
      * @param skew standard deviation of the logarithm of the front ends' numbers of requests; besides, one
      *     front end in ten gets three times as many
-     * @param lost the zone that fails, or -1
+     * @param failedZone the zone that fails, or -1
      * @param partitionedZone the zone that is partitioned from the others, or -1
      * @param slowEngineInterval one engine in this many is three times slower; 0: none
      * @param outageMs duration of the failure and of the partition, which start after 0.3 of the period in
      *     which requests arrive
-     * @param lengthMs duration of that period
-     * @param loads fraction of the requests that are loads
+     * @param arrivalPeriodMs duration of that period
+     * @param loadRequestFraction fraction of the requests that are loads
      * @param retryBudget retries of each front end in 10 s, besides a fifth of its requests; 0: no limit
      */
     record Plan(
@@ -81,13 +81,13 @@
             int zones,
             double load,
             double skew,
-            int lost,
+            int failedZone,
             int partitionedZone,
             int slowEngineInterval,
             double outageMs,
-            double lengthMs,
+            double arrivalPeriodMs,
             long seed,
-            double loads,
+            double loadRequestFraction,
             int retryBudget) {
         Plan(
                 int frontEnds,
@@ -95,11 +95,11 @@
                 int zones,
                 double load,
                 double skew,
-                int lost,
+                int failedZone,
                 int partitionedZone,
                 int slowEngineInterval,
                 double outageMs,
-                double lengthMs,
+                double arrivalPeriodMs,
                 long seed) {
             this(
                     frontEnds,
@@ -107,11 +107,11 @@
                     zones,
                     load,
                     skew,
-                    lost,
+                    failedZone,
                     partitionedZone,
                     slowEngineInterval,
                     outageMs,
-                    lengthMs,
+                    arrivalPeriodMs,
                     seed,
                     0,
                     0);
@@ -176,7 +176,7 @@
         double startedAtMs;
         double at = startMs;
         int version;
-        boolean lost;
+        boolean failed;
 
         Engine(int id) {
             this.id = id;
@@ -342,7 +342,7 @@
             int partition = plan.partitionedZone;
             boolean acrossPartition = engine.zone != zone && (engine.zone == partition || zone == partition);
             boolean partitioned = partition >= 0 && acrossPartition && isOutage();
-            return !partitioned && !engine.lost;
+            return !partitioned && !engine.failed;
         }
 
         void receive(SchedulerEvent event) {
@@ -476,12 +476,13 @@
     }
 
     private double meanWork() {
-        double lookups = MEAN_WORK[0] * (1 - REPORT_RATIO - plan.loads);
-        return lookups + MEAN_WORK[1] * REPORT_RATIO + MEAN_WORK[2] * plan.loads;
+        double lookups = MEAN_WORK[0] * (1 - REPORT_RATIO - plan.loadRequestFraction);
+        return lookups + MEAN_WORK[1] * REPORT_RATIO + MEAN_WORK[2] * plan.loadRequestFraction;
     }
 
     private boolean isOutage() {
-        return now - startMs >= plan.lengthMs * 0.3 && now - startMs < plan.lengthMs * 0.3 + plan.outageMs;
+        return now - startMs >= plan.arrivalPeriodMs * 0.3
+                && now - startMs < plan.arrivalPeriodMs * 0.3 + plan.outageMs;
     }
 
     FleetDay play() {
@@ -505,7 +506,7 @@
             arrivals(frontEnd, perMs * parts[frontEnd.ordinal] / all);
         }
         outage();
-        double end = startMs + plan.lengthMs + 16_000;
+        double end = startMs + plan.arrivalPeriodMs + 16_000;
         while (!tasks.isEmpty() && tasks.peek().at <= end) {
             Due due = tasks.poll();
             now = due.at;
@@ -516,21 +517,23 @@
 
     private void arrivals(FrontEnd frontEnd, double perMs) {
         schedule(-Math.log(1 - random.nextDouble()) / perMs, () -> {
-            if (now < startMs + plan.lengthMs) {
+            if (now < startMs + plan.arrivalPeriodMs) {
                 double draw = random.nextDouble();
-                frontEnd.requestArrives(draw < REPORT_RATIO ? 1 : draw < REPORT_RATIO + plan.loads ? 2 : 0);
+                frontEnd.requestArrives(
+                        draw < REPORT_RATIO ? 1 : draw < REPORT_RATIO + plan.loadRequestFraction ? 2 : 0);
                 arrivals(frontEnd, perMs);
             }
         });
     }
 
     private void outage() {
-        if (plan.lost < 0) {
+        if (plan.failedZone < 0) {
             return;
         }
-        List<Engine> gone = engines.stream().filter(e -> e.zone == plan.lost).toList();
+        List<Engine> gone =
+                engines.stream().filter(e -> e.zone == plan.failedZone).toList();
         schedule(
-                plan.lengthMs * 0.3,
+                plan.arrivalPeriodMs * 0.3,
                 () -> gone.forEach(e -> {
                     e.advanceRuns();
                     for (Run run : List.copyOf(e.runs)) {
@@ -538,12 +541,12 @@
                     }
                     e.runs.clear();
                     e.shareCores();
-                    e.lost = true;
+                    e.failed = true;
                 }));
         schedule(
-                plan.lengthMs * 0.3 + plan.outageMs,
+                plan.arrivalPeriodMs * 0.3 + plan.outageMs,
                 () -> gone.forEach(e -> {
-                    e.lost = false;
+                    e.failed = false;
                     e.at = now;
                     e.startedAtMs = now;
                     frontEndNodes.forEach(frontEnd -> schedule(
