--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -485,7 +485,7 @@
                 && now - startMs < plan.arrivalPeriodMs * 0.3 + plan.outageMs;
     }
 
-    FleetDay play() {
+    FleetDay run() {
         now = startMs;
         for (int i = 0; i < plan.engines; i++) {
             engines.add(new Engine(i));
@@ -590,7 +590,7 @@
                             5000,
                             30_000,
                             seed))
-                    .play();
+                    .run();
             int last = day.seconds.lastKey() + 1;
             double lookups = day.served(0, 0, last);
             double reports = day.served(1, 0, last);
--- a/src/test/java/lineward/scheduling/SeededRulesTest.java
+++ b/src/test/java/lineward/scheduling/SeededRulesTest.java
@@ -33,7 +33,7 @@
         for (int seed = 1; seed <= (frontEnds < 10 ? 3 : 1); seed++) {
             FleetDay day = new FleetDay(new FleetDay.Plan(
                             frontEnds, engines, zones, 0.85, 0.3, 0, 1, 4, 5000, DAY_MS, seed, LOADS, budget))
-                    .play();
+                    .run();
             assertTrue(
                     day.outcomes.keySet().stream().anyMatch(outcome -> outcome.matches("(RESET|TIMEOUT) 2")),
                     "some loads may have run: " + day.outcomes);
--- a/src/test/java/lineward/scheduling/ZoneLossTest.java
+++ b/src/test/java/lineward/scheduling/ZoneLossTest.java
@@ -38,7 +38,7 @@
                             OUTAGE_MS,
                             DAY_MS,
                             seed /* of the simulated day */))
-                    .play();
+                    .run();
             for (int type = 0; type <= 1; type++) {
                 String message = "class " + type + ", seed " + seed + ": served ";
                 double duringOutage = day.served(type, OUTAGE_START_S, OUTAGE_END_S);
