--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -493,24 +493,24 @@
         for (int i = 0; i < plan.frontEnds; i++) {
             frontEndNodes.add(new FrontEnd(i));
         }
-        List<Endpoint> list = engines.stream().map(Engine::listed).toList();
-        SchedulerEvent listed = new SchedulerEvent.EndpointsChanged(true, list);
+        List<Endpoint> endpoints = engines.stream().map(Engine::listed).toList();
+        SchedulerEvent listed = new SchedulerEvent.EndpointsChanged(true, endpoints);
         frontEndNodes.forEach(frontEnd -> schedule(0, () -> frontEnd.receive(listed)));
         double perMs = perMs(plan.load);
-        double[] parts = new double[plan.frontEnds];
-        for (int i = 0; i < parts.length; i++) {
-            parts[i] = Math.exp(plan.skew * random.nextGaussian()) * (i % 10 == 3 ? 3 : 1);
+        double[] trafficWeights = new double[plan.frontEnds];
+        for (int i = 0; i < trafficWeights.length; i++) {
+            trafficWeights[i] = Math.exp(plan.skew * random.nextGaussian()) * (i % 10 == 3 ? 3 : 1);
         }
-        double all = Arrays.stream(parts).sum();
+        double totalWeight = Arrays.stream(trafficWeights).sum();
         for (FrontEnd frontEnd : frontEndNodes) {
-            arrivals(frontEnd, perMs * parts[frontEnd.ordinal] / all);
+            arrivals(frontEnd, perMs * trafficWeights[frontEnd.ordinal] / totalWeight);
         }
         outage();
         double end = startMs + plan.arrivalPeriodMs + 16_000;
         while (!tasks.isEmpty() && tasks.peek().at <= end) {
-            Due due = tasks.poll();
-            now = due.at;
-            due.task.run();
+            Due next = tasks.poll();
+            now = next.at;
+            next.task.run();
         }
         return this;
     }
@@ -576,13 +576,14 @@
      * @param args numbers of front ends, engines, zones and seeds, and the load
      */
     public static void main(String[] args) {
-        double[] numbers = Arrays.stream(args).mapToDouble(Double::parseDouble).toArray();
-        for (int seed = 1; seed <= numbers[3]; seed++) {
+        double[] parameters =
+                Arrays.stream(args).mapToDouble(Double::parseDouble).toArray();
+        for (int seed = 1; seed <= parameters[3]; seed++) {
             FleetDay day = new FleetDay(new Plan(
-                            (int) numbers[0],
-                            (int) numbers[1],
-                            (int) numbers[2],
-                            numbers[4],
+                            (int) parameters[0],
+                            (int) parameters[1],
+                            (int) parameters[2],
+                            parameters[4],
                             0.3,
                             0 /* failed zone */,
                             1 /* partitioned zone */,
