--- a/src/measure/java/lineward/scheduling/RuleChecker.java
+++ b/src/measure/java/lineward/scheduling/RuleChecker.java
@@ -12,14 +12,14 @@
  */
 final class RuleChecker {
     private static final class RequestRecord {
-        final int type;
+        final int classIndex;
         int attempts;
         boolean inFlight;
         boolean mayHaveRun;
         boolean completed;
 
-        RequestRecord(int type) {
-            this.type = type;
+        RequestRecord(int classIndex) {
+            this.classIndex = classIndex;
         }
     }
 
@@ -86,8 +86,8 @@
     }
 
     private boolean isNonIdempotent(RequestRecord request) {
-        RequestClass type = settings.classes().get(request.type);
-        return type.repeatability().idempotence() == Idempotence.NON_IDEMPOTENT;
+        RequestClass requestClass = settings.classes().get(request.classIndex);
+        return requestClass.repeatability().idempotence() == Idempotence.NON_IDEMPOTENT;
     }
 
     private static void require(boolean met, String rule) {
