--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -49,7 +49,7 @@
 
     @Test(dataProvider = "days")
     public void decisionsMatchTheRecordedDigest(Site site, int frontEnds, long seed, String recorded) {
-        SeededDay day = new SeededDay(settings(site, frontEnds), ENGINES, seed).play();
+        SeededSimulation day = new SeededSimulation(settings(site, frontEnds), ENGINES, seed).play();
         assertTrue(day.actions() > MIN_ACTIONS, "only " + day.actions() + " actions");
         assertEquals(day.digest(), recorded);
     }
--- a/src/test/java/lineward/scheduling/SeededDay.java
+++ b/src/test/java/lineward/scheduling/SeededSimulation.java
@@ -35,7 +35,7 @@
  * restart; clients cancel; other front ends send gossip. The same seed and settings give the same events as
  * long as the scheduler gives the same actions.
  */
-final class SeededDay {
+final class SeededSimulation {
     private static final double START_MS = 1_000;
     private static final double ARRIVAL_PERIOD_MS = 20_000;
     private static final double END_MS = 40_000;
@@ -65,7 +65,7 @@
     private long order;
     private int actions;
 
-    SeededDay(SchedulerSettings settings, int engineCount, long seed) {
+    SeededSimulation(SchedulerSettings settings, int engineCount, long seed) {
         this.settings = settings;
         this.engineCount = engineCount;
         this.random = new Random(seed);
@@ -73,7 +73,7 @@
     }
 
     /** Runs the simulation to its end. */
-    SeededDay play() {
+    SeededSimulation play() {
         scheduleEndpoints();
         scheduleArrivals();
         scheduleGossip();
