--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -48,10 +48,10 @@
     }
 
     @Test(dataProvider = "days")
-    public void decisionsMatchTheRecordedDigest(Site site, int frontEnds, long seed, String recorded) {
-        SeededSimulation day = new SeededSimulation(settings(site, frontEnds), ENGINES, seed).play();
-        assertTrue(day.actions() > MIN_ACTIONS, "only " + day.actions() + " actions");
-        assertEquals(day.digest(), recorded);
+    public void decisionsMatchTheRecordedDigest(Site site, int frontEnds, long seed, String expectedDigest) {
+        SeededSimulation simulation = new SeededSimulation(settings(site, frontEnds), ENGINES, seed).play();
+        assertTrue(simulation.actions() > MIN_ACTIONS, "only " + simulation.actions() + " actions");
+        assertEquals(simulation.digest(), expectedDigest);
     }
 
     private static SchedulerSettings settings(Site site, int frontEnds) {
