--- a/src/test/java/lineward/scheduling/RandomDaysTest.java
+++ b/src/test/java/lineward/scheduling/RandomEventsTest.java
@@ -32,7 +32,7 @@
  * Tests with random settings and random valid events that the rules hold and that the same events give the
  * same actions.
  */
-public class RandomDaysTest {
+public class RandomEventsTest {
     private record Due(double at, int order, SchedulerEvent event) {}
 
     private static final class RequestRecord {
