--- a/src/test/java/lineward/scheduling/simulator/AdapterTest.java
+++ b/src/test/java/lineward/scheduling/simulator/SimulatorProtocolTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /** Tests the frames and records of the simulator's protocol, and the keys of the settings. */
-public class AdapterTest {
+public class SimulatorProtocolTest {
     private static final String SETTINGS = "{\"classes\":[{\"aim\":1000,\"deadline\":5000,"
             + "\"effect\":\"retryable\",\"value\":1}],\"skus\":[\"a\"],\"zones\":[\"z\"],\"peers-total\":1,"
             + "\"limits\":{\"max-attempts\":3,\"cancel\":true},\"never-heard-of\":{\"x\":1}}";
