--- a/src/test/java/lineward/scheduling/StyleTest.java
+++ b/src/test/java/lineward/scheduling/StyleTest.java
@@ -20,7 +20,7 @@
     private static final int MAX_COLUMNS = 110;
 
     @Test
-    public void theDeployFileListsEveryDecisionClassAndNoOther() throws IOException {
+    public void deployFileListsExactlyTheDecisionClasses() throws IOException {
         JsonNode deploy = new TomlMapper().readTree(Files.readString(Path.of("deploy/balancer.toml")));
         Set<String> listed = new TreeSet<>();
         deploy.path("policy").forEach(file -> listed.add(file.asText()));
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void aDecisionClassIsShortEnoughToReadInOneSitting() throws IOException {
+    public void decisionClassesAreLimitedInLength() throws IOException {
         for (String file : decisionFiles()) {
             int lines = Files.readAllLines(Path.of(file)).size();
             assertTrue(lines <= MAX_DECISION_LINES, file + ": " + lines + " lines");
@@ -44,7 +44,7 @@
     }
 
     @Test
-    public void linesAreShortEnoughToRead() throws IOException {
+    public void linesAreLimitedInLength() throws IOException {
         try (Stream<Path> files = Files.walk(Path.of("src"))) {
             for (Path file :
                     files.filter(path -> path.toString().endsWith(".java")).toList()) {
