--- a/src/test/java/lineward/scheduling/TestingScheduler.java
+++ b/src/test/java/lineward/scheduling/TestingScheduler.java
@@ -126,14 +126,14 @@
 
     /** Advances the clock with a timer event at every tick; the last actions are those of all ticks. */
     TestingScheduler advance(double ms) {
-        List<SchedulerAction> recorded = new ArrayList<>();
+        List<SchedulerAction> tickActions = new ArrayList<>();
         for (double endMs = nowMs + ms; nowMs < endMs; ) {
             nowMs = Math.min(endMs, nowMs + TICK_MS);
             receive(new SchedulerEvent.TimerFired(0));
-            recorded.addAll(lastActions);
+            tickActions.addAll(lastActions);
         }
         lastActions.clear();
-        lastActions.addAll(recorded);
+        lastActions.addAll(tickActions);
         return this;
     }
 
