--- a/src/test/java/lineward/scheduling/RulesTest.java
+++ b/src/test/java/lineward/scheduling/SchedulerRulesTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.Test;
 
 /** Tests the rules on deadlines, repeats, key order, drains, slow start and the retry budget. */
-public class RulesTest {
+public class SchedulerRulesTest {
 
     @Test
     public void requestWithoutTimeLeftIsRejectedInTheSameDecision() {
