--- a/src/test/java/lineward/scheduling/SchedulerRulesTest.java
+++ b/src/test/java/lineward/scheduling/SchedulerRulesTest.java
@@ -62,11 +62,11 @@
         for (AttemptOutcome outcome : List.of(REJECTED, CONNECT_FAILED)) {
             TestingScheduler scheduler = new TestingScheduler(settings(loadClass())).listEngines(1, 2);
             scheduler.requestArrives(5, 0);
-            long first = scheduler.lastStartedEngine();
+            long firstEngine = scheduler.lastStartedEngine();
             scheduler.attemptEnds(5, 0, outcome);
             assertThat(scheduler.lastStartedEngine())
                     .as(outcome.name())
-                    .isNotEqualTo(first)
+                    .isNotEqualTo(firstEngine)
                     .isPositive();
         }
     }
@@ -76,11 +76,11 @@
         SchedulerSettings settings = settings(byKeyClass(DeduplicationScope.CELL, 4000));
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3, 4);
         scheduler.requestArrives(5, 0);
-        long first = scheduler.lastStartedEngine();
+        long firstEngine = scheduler.lastStartedEngine();
         scheduler.nowMs += 50;
         scheduler.attemptEnds(5, 0, ERROR);
-        assertThat(scheduler.lastStartedEngine() % 2).isEqualTo(first % 2);
-        assertThat(scheduler.lastStartedEngine()).isNotEqualTo(first);
+        assertThat(scheduler.lastStartedEngine() % 2).isEqualTo(firstEngine % 2);
+        assertThat(scheduler.lastStartedEngine()).isNotEqualTo(firstEngine);
         assertThat(scheduler.lastStarts().get(0).startWithinMs())
                 .as("the attempt may wait for a connection")
                 .isEqualTo(3950);
@@ -111,12 +111,14 @@
     public void engineInSlowStartStaysWithinItsBudget() {
         // Two windows of 1 s allow 2 x 3 x 0.33 x 8 cores x 0.85 (the utilisation at full capacity) x 1 s =
         // 13,464 ms of work: 67 requests of 200 ms.
-        assertThat(startedAtEngineInSlowStart(1)).isBetween(10, 67);
-        int ofFour = startedAtEngineInSlowStart(4);
-        assertThat(ofFour).as("a quarter for each of four front ends").isBetween(2, 17);
+        assertThat(attemptsStartedDuringSlowStart(1)).isBetween(10, 67);
+        int startedByOneOfFour = attemptsStartedDuringSlowStart(4);
+        assertThat(startedByOneOfFour)
+                .as("a quarter for each of four front ends")
+                .isBetween(2, 17);
     }
 
-    private static int startedAtEngineInSlowStart(int frontEnds) {
+    private static int attemptsStartedDuringSlowStart(int frontEnds) {
         SchedulerSettings defaults = settings(lookupClass());
         TestingScheduler scheduler = new TestingScheduler(new SchedulerSettings(
                 defaults.classes(),
@@ -144,7 +146,7 @@
     }
 
     @Test
-    public void requestsOfAKeyRunInOrderAndSettleAfterAnIndeterminateOutcome() {
+    public void requestsOfAKeyRunInOrderAndWaitAfterAnIndeterminateOutcome() {
         TestingScheduler scheduler = new TestingScheduler(settings(loadClass())).listEngines(1, 2, 3);
         for (int id = 1; id <= 3; id++) {
             scheduler.requestArrives(id, 0, 77, 500, 9000);
@@ -164,7 +166,7 @@
     }
 
     @Test
-    public void requestIsQueuedUntilItsDeadlineWithoutAnEngineOfItsPlacement() {
+    public void requestWithoutAnAllowedEngineIsQueuedUntilItsDeadline() {
         TestingScheduler scheduler = new TestingScheduler(settings(classOnKind(1))).listEngines(1, 2);
         scheduler.requestArrives(5, 0);
         assertThat(scheduler.allStarts()).isEmpty();
@@ -205,7 +207,7 @@
     }
 
     @Test
-    public void contradictorySettingsAreRejected() {
+    public void invalidSettingsAreRejected() {
         assertThatThrownBy(() -> settings(classOnKind(5))).hasMessageContaining("unknown kind");
         assertThatThrownBy(() -> settings()).hasMessageContaining("classes");
     }
