--- a/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
@@ -11,7 +11,7 @@
 /** Handles ended attempts: updates state and estimates, and completes or requeues the request. */
 final class AttemptOutcomes {
     private final SchedulerContext context;
-    private final OutcomeLearning learning;
+    private final OutcomeRecorder outcomeRecorder;
     private final RetryPolicy retries;
     private final KeyOrder keyOrder;
     private final RequestLifecycle lifecycle;
@@ -19,13 +19,13 @@
 
     AttemptOutcomes(
             SchedulerContext context,
-            OutcomeLearning learning,
+            OutcomeRecorder outcomeRecorder,
             RetryPolicy retries,
             KeyOrder keyOrder,
             RequestLifecycle lifecycle,
             DispatchQueue dispatchQueue) {
         this.context = context;
-        this.learning = learning;
+        this.outcomeRecorder = outcomeRecorder;
         this.retries = retries;
         this.keyOrder = keyOrder;
         this.lifecycle = lifecycle;
@@ -42,7 +42,7 @@
         attempt.end();
         request.endAttempt(attempt, end.outcome());
         attempt.engine().endAttempt(attempt);
-        learning.learn(attempt, end);
+        outcomeRecorder.recordOutcome(attempt, end);
         if (end.outcome().isIndeterminate()) {
             keyOrder.settle(request);
         }
--- a/src/main/java/lineward/scheduling/execution/Mechanisms.java
+++ b/src/main/java/lineward/scheduling/execution/Mechanisms.java
@@ -57,8 +57,8 @@
         AttemptStarter starter = new AttemptStarter(context, retries, budget, outliers, resources);
         AdmissionPolicy admission = new AdmissionPolicy(context);
         dispatchQueue = new DispatchQueue(context, admission, selector, keyOrder, lifecycle, starter);
-        OutcomeLearning learning = new OutcomeLearning(context, outliers, resources);
-        outcomes = new AttemptOutcomes(context, learning, retries, keyOrder, lifecycle, dispatchQueue);
+        OutcomeRecorder outcomeRecorder = new OutcomeRecorder(context, outliers, resources);
+        outcomes = new AttemptOutcomes(context, outcomeRecorder, retries, keyOrder, lifecycle, dispatchQueue);
         MigrationPolicy migration = new MigrationPolicy(context, cancellation, retries, eligibility);
         sweep = new Sweep(context, outliers, speculation, cancellation, migration, lifecycle, keyOrder);
         recomputation = new PeriodicRecomputation(context, limits);
--- a/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
@@ -10,27 +10,27 @@
 import lineward.scheduling.state.TrackedRequest;
 
 /** Updates the estimators and the outlier detector with the outcomes of attempts. */
-final class OutcomeLearning {
+final class OutcomeRecorder {
     private final SchedulerContext context;
     private final OutlierDetector outliers;
     private final ResourceLimits resources;
 
-    OutcomeLearning(SchedulerContext context, OutlierDetector outliers, ResourceLimits resources) {
+    OutcomeRecorder(SchedulerContext context, OutlierDetector outliers, ResourceLimits resources) {
         this.context = context;
         this.outliers = outliers;
         this.resources = resources;
     }
 
-    void learn(Attempt attempt, SchedulerEvent.AttemptEnded end) {
+    void recordOutcome(Attempt attempt, SchedulerEvent.AttemptEnded end) {
         switch (end.outcome()) {
             case OK -> {
                 outliers.recordSuccess(attempt.engine());
-                learnRunTime(attempt);
-                learnNeeds(attempt.request(), end);
+                recordRunTime(attempt);
+                recordResourceUse(attempt.request(), end);
             }
-            case CANCELLED, TIMEOUT -> learnCensoredRun(attempt);
+            case CANCELLED, TIMEOUT -> recordCensoredRun(attempt);
             case RESET -> {
-                learnCensoredRun(attempt);
+                recordCensoredRun(attempt);
                 outliers.recordReset(attempt.engine());
             }
             case CONNECT_FAILED -> outliers.recordConnectFailure(attempt.engine());
@@ -41,20 +41,20 @@
         }
     }
 
-    private void learnRunTime(Attempt attempt) {
+    private void recordRunTime(Attempt attempt) {
         double nowMs = context.nowMs();
         TrackedRequest request = attempt.request();
         ServiceTimeModel model = request.type().model();
         double runMs = attempt.runTimeMs(nowMs);
         double ratio = runMs / model.slowdown() / request.workUnitMs();
         if (attempt.isFirstRun()) {
-            learnFirstRun(attempt, runMs, ratio);
+            recordFirstRun(attempt, runMs, ratio);
         } else if (request.isRelaunched()) {
             model.addRelaunch(ratio, nowMs);
         }
     }
 
-    private void learnFirstRun(Attempt attempt, double runMs, double ratio) {
+    private void recordFirstRun(Attempt attempt, double runMs, double ratio) {
         double nowMs = context.nowMs();
         TrackedRequest request = attempt.request();
         ServiceTimeModel model = request.type().model();
@@ -69,7 +69,7 @@
         context.serviceTimes().addSlowdown(logSlowdown, nowMs);
     }
 
-    private void learnNeeds(TrackedRequest request, SchedulerEvent.AttemptEnded end) {
+    private void recordResourceUse(TrackedRequest request, SchedulerEvent.AttemptEnded end) {
         ServiceTimeModel model = request.type().model();
         if (end.memoryMb() > 0 && request.estimatedMemoryMb() > 0) {
             double logRatio = Math.log(end.memoryMb() / request.estimatedMemoryMb());
@@ -87,17 +87,17 @@
      * lasted until the timeout, or as long as predicted if that is less. Censored at its actual run time, it
      * would not count as a slow run, and the curve would lose its tail.
      */
-    private void learnCensoredRun(Attempt attempt) {
+    private void recordCensoredRun(Attempt attempt) {
         if (!attempt.isFirstRun() || attempt.isMigrated()) {
             return;
         }
         TrackedRequest request = attempt.request();
         ServiceTimeModel model = request.type().model();
         double ratio = attempt.runTimeMs(context.nowMs()) / model.slowdown() / request.workUnitMs();
-        model.addFirstRun(Math.max(ratio, leastCensoredRatio(attempt)), false);
+        model.addFirstRun(Math.max(ratio, minCensoredRatio(attempt)), false);
     }
 
-    private static double leastCensoredRatio(Attempt attempt) {
+    private static double minCensoredRatio(Attempt attempt) {
         OptionalDouble predictedMs = attempt.slowRunPredictedMs();
         if (predictedMs.isEmpty()) {
             return 0;
