--- a/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptEndHandler.java
@@ -9,7 +9,7 @@
 import lineward.scheduling.state.TrackedRequest;
 
 /** Handles ended attempts: updates state and estimates, and completes or requeues the request. */
-final class AttemptOutcomes {
+final class AttemptEndHandler {
     private final SchedulerContext context;
     private final OutcomeRecorder outcomeRecorder;
     private final RetryPolicy retries;
@@ -17,7 +17,7 @@
     private final RequestLifecycle lifecycle;
     private final DispatchQueue dispatchQueue;
 
-    AttemptOutcomes(
+    AttemptEndHandler(
             SchedulerContext context,
             OutcomeRecorder outcomeRecorder,
             RetryPolicy retries,
@@ -33,7 +33,7 @@
     }
 
     /** Handles the end of an attempt. An unknown attempt, or one that has already ended, is ignored. */
-    void end(SchedulerEvent.AttemptEnded end) {
+    void handle(SchedulerEvent.AttemptEnded end) {
         Attempt attempt = context.findUnendedAttempt(end.request(), end.attempt());
         if (attempt == null) {
             return;
--- a/src/main/java/lineward/scheduling/execution/Mechanisms.java
+++ b/src/main/java/lineward/scheduling/execution/Mechanisms.java
@@ -32,7 +32,7 @@
     final SpeculativeCancellation speculation;
     final RequestLifecycle lifecycle;
     final DispatchQueue dispatchQueue;
-    final AttemptOutcomes outcomes;
+    final AttemptEndHandler attemptEndHandler;
     final Sweep sweep;
     final PeriodicRecomputation recomputation;
 
@@ -58,7 +58,8 @@
         AdmissionPolicy admission = new AdmissionPolicy(context);
         dispatchQueue = new DispatchQueue(context, admission, selector, keyOrder, lifecycle, starter);
         OutcomeRecorder outcomeRecorder = new OutcomeRecorder(context, outliers, resources);
-        outcomes = new AttemptOutcomes(context, outcomeRecorder, retries, keyOrder, lifecycle, dispatchQueue);
+        attemptEndHandler =
+                new AttemptEndHandler(context, outcomeRecorder, retries, keyOrder, lifecycle, dispatchQueue);
         MigrationPolicy migration = new MigrationPolicy(context, cancellation, retries, eligibility);
         sweep = new Sweep(context, outliers, speculation, cancellation, migration, lifecycle, keyOrder);
         recomputation = new PeriodicRecomputation(context, limits);
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -129,7 +129,7 @@
 
     @Override
     public void attemptEnded(SchedulerEvent.AttemptEnded end) {
-        mechanisms.outcomes.end(end);
+        mechanisms.attemptEndHandler.handle(end);
     }
 
     @Override
