--- a/src/main/java/lineward/scheduling/execution/Mechanisms.java
+++ b/src/main/java/lineward/scheduling/execution/SchedulerComponents.java
@@ -21,8 +21,8 @@
 import lineward.scheduling.state.SchedulerContext;
 
 /** Creates and wires the policies of one scheduler and the classes that carry out their decisions. */
-final class Mechanisms {
-    final RetryBudgetTracker budget;
+final class SchedulerComponents {
+    final RetryBudgetTracker retryBudget;
     final LoadReports reports;
     final SlowStart slowStart;
     final ResourceLimits resources;
@@ -36,9 +36,9 @@
     final Sweep sweep;
     final PeriodicRecomputation recomputation;
 
-    Mechanisms(SchedulerContext context) {
+    SchedulerComponents(SchedulerContext context) {
         EngineCapacity capacity = new EngineCapacity(context);
-        budget = new RetryBudgetTracker(context);
+        retryBudget = new RetryBudgetTracker(context);
         reports = new LoadReports(context);
         slowStart = new SlowStart(context, capacity);
         resources = new ResourceLimits(context);
@@ -46,7 +46,7 @@
         keyOrder = new KeyOrder(context);
         polling = new LoadReportPolling(context, reports, outliers);
         ConcurrencyLimits limits = new ConcurrencyLimits(context, capacity, reports, resources);
-        RetryPolicy retries = new RetryPolicy(context, keyOrder, budget);
+        RetryPolicy retries = new RetryPolicy(context, keyOrder, retryBudget);
         EngineEligibility eligibility = new EngineEligibility(context, limits, slowStart);
         CancellationPolicy cancellation = new CancellationPolicy(context);
         speculation = new SpeculativeCancellation(context, cancellation, retries, eligibility);
@@ -54,7 +54,7 @@
         lifecycle = new RequestLifecycle(context, cancellation, finalAnswers, keyOrder);
         EngineLoadScore score = new EngineLoadScore(context, limits, slowStart, resources, reports, capacity);
         EngineSelector selector = new EngineSelector(context, limits, retries, outliers, eligibility, score);
-        AttemptStarter starter = new AttemptStarter(context, retries, budget, outliers, resources);
+        AttemptStarter starter = new AttemptStarter(context, retries, retryBudget, outliers, resources);
         AdmissionPolicy admission = new AdmissionPolicy(context);
         dispatchQueue = new DispatchQueue(context, admission, selector, keyOrder, lifecycle, starter);
         OutcomeRecorder outcomeRecorder = new OutcomeRecorder(context, outliers, resources);
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -26,7 +26,7 @@
     private static final int SWEEP_TIMER = 0;
 
     private final SchedulerContext context;
-    private final Mechanisms mechanisms;
+    private final SchedulerComponents components;
     private boolean pollingStarted;
     private boolean subscribePending;
     private boolean sweepScheduled;
@@ -39,7 +39,7 @@
      */
     public SpeculativeScheduler(SchedulerSettings settings, long seed) {
         context = new SchedulerContext(settings, seed);
-        mechanisms = new Mechanisms(context);
+        components = new SchedulerComponents(context);
         subscribePending = settings.discovery().requiresSubscription();
     }
 
@@ -53,13 +53,13 @@
         if (events.stream().anyMatch(SchedulerEvent.TimerFired.class::isInstance)) {
             sweep();
         }
-        mechanisms.sweep.migrateWaiting();
+        components.sweep.migrateWaiting();
         // Gossip arrives far more often than requests, so gossip alone does not dispatch the queue; the next
         // sweep does.
         if (!events.stream().allMatch(SchedulerEvent.GossipReceived.class::isInstance)) {
-            mechanisms.dispatchQueue.dispatch();
+            components.dispatchQueue.dispatch();
         }
-        mechanisms.reports.publishGossip(SWEEP_INTERVAL_MS);
+        components.reports.publishGossip(SWEEP_INTERVAL_MS);
         scheduleSweep();
         return context.endDecision();
     }
@@ -71,16 +71,16 @@
         }
         if (!pollingStarted) {
             pollingStarted = true;
-            mechanisms.polling.start();
+            components.polling.start();
         }
     }
 
     private void sweep() {
-        mechanisms.recomputation.runIfDue(mechanisms.dispatchQueue.isBlocked());
-        mechanisms.sweep.detectSilentEngines();
-        mechanisms.sweep.cancelAttempts();
-        mechanisms.dispatchQueue.giveUpOverdue();
-        mechanisms.sweep.removeExpiredState();
+        components.recomputation.runIfDue(components.dispatchQueue.isBlocked());
+        components.sweep.detectSilentEngines();
+        components.sweep.cancelAttempts();
+        components.dispatchQueue.giveUpOverdue();
+        components.sweep.removeExpiredState();
     }
 
     private void scheduleSweep() {
@@ -99,17 +99,17 @@
 
     @Override
     public void requestArrived(SchedulerEvent.RequestArrived arrival) {
-        TrackedRequest request = context.admit(arrival, mechanisms.speculation.drawExempt());
+        TrackedRequest request = context.admit(arrival, components.speculation.drawExempt());
         ClassState type = request.type();
         if (request.hasWorkEstimate()) {
             type.model().addWork(request.expectedWorkMs(), context.nowMs());
         }
-        mechanisms.budget.recordAdmission();
-        mechanisms.polling.countRequest();
-        mechanisms.outliers.earnRecoveryProbe();
+        components.retryBudget.recordAdmission();
+        components.polling.countRequest();
+        components.outliers.earnRecoveryProbe();
         type.demand().add(request.expectedWorkMs());
-        mechanisms.keyOrder.add(request);
-        mechanisms.dispatchQueue.add(request);
+        components.keyOrder.add(request);
+        components.dispatchQueue.add(request);
     }
 
     @Override
@@ -122,14 +122,14 @@
         attempt.setWaiting(report.kind().isWaiting(), context.nowMs());
         switch (report.kind()) {
             case RATIO_DONE -> attempt.recordProgress(report.amount(), context.nowMs());
-            case SPILLING -> mechanisms.resources.recordSpill(attempt.request().type());
-            case WAITING_FOR_MEMORY, WAITING_FOR_LOAD -> mechanisms.sweep.recordWaiting(attempt);
+            case SPILLING -> components.resources.recordSpill(attempt.request().type());
+            case WAITING_FOR_MEMORY, WAITING_FOR_LOAD -> components.sweep.recordWaiting(attempt);
         }
     }
 
     @Override
     public void attemptEnded(SchedulerEvent.AttemptEnded end) {
-        mechanisms.attemptEndHandler.handle(end);
+        components.attemptEndHandler.handle(end);
     }
 
     @Override
@@ -144,14 +144,14 @@
     public void requestCancelled(SchedulerEvent.RequestCancelled cancelled) {
         TrackedRequest request = context.findRequest(cancelled.request());
         if (request != null) {
-            mechanisms.lifecycle.complete(request);
+            components.lifecycle.complete(request);
         }
     }
 
     @Override
     public void timerFired(SchedulerEvent.TimerFired timer) {
         if (timer.token() == LoadReportPolling.TIMER) {
-            mechanisms.polling.poll();
+            components.polling.poll();
         } else {
             sweepScheduled = false;
         }
@@ -161,18 +161,18 @@
     public void healthCheckCompleted(SchedulerEvent.HealthCheckCompleted check) {
         Engine engine = context.findEngine(check.engine());
         if (engine != null) {
-            mechanisms.polling.complete(check, engine);
+            components.polling.complete(check, engine);
         }
     }
 
     @Override
     public void gossipReceived(SchedulerEvent.GossipReceived gossip) {
-        mechanisms.reports.applyGossip(gossip.payload());
+        components.reports.applyGossip(gossip.payload());
     }
 
     @Override
     public void quotaChanged(SchedulerEvent.QuotaChanged change) {
-        mechanisms.slowStart.changeQuota(change.ratio());
+        components.slowStart.changeQuota(change.ratio());
     }
 
     @Override
@@ -188,7 +188,7 @@
         for (Endpoint endpoint : change.endpoints()) {
             boolean restarted = context.updateEngine(endpoint);
             if (restarted) {
-                mechanisms.outliers.forgetFailures(context.engine(endpoint.engine()));
+                components.outliers.forgetFailures(context.engine(endpoint.engine()));
             }
         }
         context.countReadyCores();
