--- a/src/main/java/lineward/scheduling/simulator/Main.java
+++ b/src/main/java/lineward/scheduling/simulator/Main.java
@@ -13,7 +13,7 @@
 
 /** Connects schedulers to the simulator: batches on standard input, replies on standard output. */
 public final class Main {
-    private static final String PROGRAM = "lineward adapter: ";
+    private static final String ERROR_PREFIX = "lineward adapter: ";
     private static final int MAX_FRAME_BYTES = 1 << 30;
     private static final int INPUT_BUFFER_BYTES = 1 << 16;
     private static final int HEADER_BYTES = 2 * Integer.BYTES;
@@ -34,30 +34,31 @@
     static int run(InputStream input, OutputStream output, PrintStream errors) {
         try (DataInputStream in = new DataInputStream(new BufferedInputStream(input, INPUT_BUFFER_BYTES))) {
             SchedulerInstances instances = new SchedulerInstances();
-            for (int first = in.read(); first >= 0; first = in.read()) {
-                output.write(answer(instances, first, in));
+            for (int firstHeaderByte = in.read(); firstHeaderByte >= 0; firstHeaderByte = in.read()) {
+                output.write(processFrame(instances, firstHeaderByte, in));
                 output.flush();
             }
             return 0;
         } catch (EOFException e) {
-            errors.println(PROGRAM + "the input ends inside a frame");
+            errors.println(ERROR_PREFIX + "the input ends inside a frame");
         } catch (InputException e) {
-            errors.println(PROGRAM + e.getMessage());
+            errors.println(ERROR_PREFIX + e.getMessage());
         } catch (IOException e) {
-            errors.println(PROGRAM + "I/O error: " + e.getMessage());
+            errors.println(ERROR_PREFIX + "I/O error: " + e.getMessage());
         }
         return 1;
     }
 
-    private static byte[] answer(SchedulerInstances instances, int first, InputStream in) throws IOException {
-        ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES).put((byte) first);
+    private static byte[] processFrame(SchedulerInstances instances, int firstHeaderByte, InputStream in)
+            throws IOException {
+        ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES).put((byte) firstHeaderByte);
         header.put(readFully(in, HEADER_BYTES - 1)).flip();
-        int count = header.getInt();
+        int recordCount = header.getInt();
         int length = header.getInt();
         if (length < 0 || length > MAX_FRAME_BYTES) {
             throw new InputException("frame of " + Integer.toUnsignedLong(length) + " bytes is too long");
         }
-        return instances.answer(count, ByteBuffer.wrap(readFully(in, length)));
+        return instances.processBatch(recordCount, ByteBuffer.wrap(readFully(in, length)));
     }
 
     private static byte[] readFully(InputStream in, int length) throws IOException {
--- a/src/main/java/lineward/scheduling/simulator/SchedulerInstances.java
+++ b/src/main/java/lineward/scheduling/simulator/SchedulerInstances.java
@@ -14,19 +14,19 @@
     private final BatchReader reader = new BatchReader();
     private final ReplyWriter writer = new ReplyWriter();
     private final Map<Integer, Scheduler> schedulers = new LinkedHashMap<>();
-    private final Map<Integer, List<SchedulerEvent>> batch = new LinkedHashMap<>();
-    private int selected;
+    private final Map<Integer, List<SchedulerEvent>> eventsByInstance = new LinkedHashMap<>();
+    private int selectedInstance;
 
     /** Processes a batch and returns the reply frame. */
-    byte[] answer(int count, ByteBuffer body) {
-        batch.clear();
+    byte[] processBatch(int recordCount, ByteBuffer body) {
+        eventsByInstance.clear();
         writer.clear();
         if (body.limit() < Double.BYTES) {
             throw new InputException("frame of " + body.limit() + " bytes is too short for the clock");
         }
         double nowMs = body.getDouble(0);
-        reader.read(count, body, this);
-        batch.forEach((instance, events) -> decide(instance, events, nowMs));
+        reader.read(recordCount, body, this);
+        eventsByInstance.forEach((instance, events) -> decide(instance, events, nowMs));
         return writer.frame();
     }
 
@@ -47,26 +47,28 @@
 
     @Override
     public void selectInstance(int instance) {
-        selected = instance;
+        selectedInstance = instance;
     }
 
     @Override
     public void openInstance(long seed, String settings) {
-        schedulers.put(selected, new SpeculativeScheduler(SettingsReader.read(settings), seed));
-        batch.put(selected, new ArrayList<>());
+        schedulers.put(selectedInstance, new SpeculativeScheduler(SettingsReader.read(settings), seed));
+        eventsByInstance.put(selectedInstance, new ArrayList<>());
     }
 
     /** Removes the instance, and its events that came earlier in the batch. */
     @Override
     public void killInstance() {
-        schedulers.remove(selected);
-        batch.remove(selected);
+        schedulers.remove(selectedInstance);
+        eventsByInstance.remove(selectedInstance);
     }
 
     @Override
     public void add(SchedulerEvent event) {
-        if (schedulers.containsKey(selected)) {
-            batch.computeIfAbsent(selected, k -> new ArrayList<>()).add(event);
+        if (schedulers.containsKey(selectedInstance)) {
+            eventsByInstance
+                    .computeIfAbsent(selectedInstance, k -> new ArrayList<>())
+                    .add(event);
         }
     }
 }
