--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -118,12 +118,12 @@
         }
     }
 
-    private record Due(double at, long order, Runnable task) {}
+    private record ScheduledTask(double atMs, long order, Runnable task) {}
 
     private final Plan plan;
     private final Random random;
-    private final PriorityQueue<Due> tasks =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+            Comparator.comparingDouble(ScheduledTask::atMs).thenComparingLong(ScheduledTask::order));
     private final List<Engine> engines = new ArrayList<>();
     private final List<FrontEnd> frontEndNodes = new ArrayList<>();
     private double now;
@@ -468,7 +468,7 @@
     }
 
     private void schedule(double delay, Runnable task) {
-        tasks.add(new Due(now + delay, nextOrder++, task));
+        tasks.add(new ScheduledTask(now + delay, nextOrder++, task));
     }
 
     private double perMs(double load) {
@@ -507,9 +507,9 @@
         }
         outage();
         double end = startMs + plan.arrivalPeriodMs + 16_000;
-        while (!tasks.isEmpty() && tasks.peek().at <= end) {
-            Due next = tasks.poll();
-            now = next.at;
+        while (!tasks.isEmpty() && tasks.peek().atMs <= end) {
+            ScheduledTask next = tasks.poll();
+            now = next.atMs;
             next.task.run();
         }
         return this;
