--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -49,8 +49,8 @@
 
     @Test(dataProvider = "days")
     public void decisionsMatchTheRecordedDigest(Site site, int frontEnds, long seed, String expectedDigest) {
-        SeededSimulation simulation = new SeededSimulation(settings(site, frontEnds), ENGINES, seed).play();
-        assertTrue(simulation.actions() > MIN_ACTIONS, "only " + simulation.actions() + " actions");
+        SeededSimulation simulation = new SeededSimulation(settings(site, frontEnds), ENGINES, seed).run();
+        assertTrue(simulation.actionCount() > MIN_ACTIONS, "only " + simulation.actionCount() + " actions");
         assertEquals(simulation.digest(), expectedDigest);
     }
 
--- a/src/test/java/lineward/scheduling/SeededSimulation.java
+++ b/src/test/java/lineward/scheduling/SeededSimulation.java
@@ -40,9 +40,9 @@
     private static final double ARRIVAL_PERIOD_MS = 20_000;
     private static final double END_MS = 40_000;
     private static final double MEAN_RUN_MS = 180;
-    private static final int REPORT_FIELDS = 3;
+    private static final int REPORT_FIELD_COUNT = 3;
 
-    private record Due(double atMs, long order, SchedulerEvent event) {}
+    private record TimedEvent(double atMs, long sequenceNumber, SchedulerEvent event) {}
 
     private static final class OpenRequest {
         final double deadlineMs;
@@ -57,13 +57,13 @@
     private final SchedulerSettings settings;
     private final Scheduler scheduler;
     private final int engineCount;
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::atMs).thenComparingLong(Due::order));
+    private final PriorityQueue<TimedEvent> events = new PriorityQueue<>(
+            Comparator.comparingDouble(TimedEvent::atMs).thenComparingLong(TimedEvent::sequenceNumber));
     private final Map<Long, OpenRequest> requests = new HashMap<>();
-    private final Map<Long, Double> silentUntil = new HashMap<>();
+    private final Map<Long, Double> silentUntilByEngine = new HashMap<>();
     private final ActionDigest digest = new ActionDigest();
-    private long order;
-    private int actions;
+    private long nextNumber;
+    private int actionCount;
 
     SeededSimulation(SchedulerSettings settings, int engineCount, long seed) {
         this.settings = settings;
@@ -73,18 +73,18 @@
     }
 
     /** Runs the simulation to its end. */
-    SeededSimulation play() {
+    SeededSimulation run() {
         scheduleEndpoints();
         scheduleArrivals();
         scheduleGossip();
-        while (!queue.isEmpty() && queue.peek().atMs() < END_MS) {
-            double nowMs = queue.peek().atMs();
+        while (!events.isEmpty() && events.peek().atMs() < END_MS) {
+            double nowMs = events.peek().atMs();
             List<SchedulerEvent> batch = new ArrayList<>();
-            while (!queue.isEmpty() && queue.peek().atMs() == nowMs) {
-                recordEvent(queue.poll().event(), nowMs, batch);
+            while (!events.isEmpty() && events.peek().atMs() == nowMs) {
+                recordEvent(events.poll().event(), nowMs, batch);
             }
             for (SchedulerAction action : scheduler.decide(nowMs, batch)) {
-                actions++;
+                actionCount++;
                 digest.add(action);
                 perform(action, nowMs);
             }
@@ -93,8 +93,8 @@
         return this;
     }
 
-    int actions() {
-        return actions;
+    int actionCount() {
+        return actionCount;
     }
 
     String digest() {
@@ -102,10 +102,10 @@
     }
 
     private void schedule(double atMs, SchedulerEvent event) {
-        queue.add(new Due(atMs, order++, event));
+        events.add(new TimedEvent(atMs, nextNumber++, event));
     }
 
-    private Endpoint listed(long engine, EndpointState state, double startedAtMs) {
+    private Endpoint endpoint(long engine, EndpointState state, double startedAtMs) {
         int kind = (int) (engine % settings.kinds().size());
         int zone = (int) (engine % Math.max(1, settings.position().zoneCount()));
         return new Endpoint(engine, kind, 1, startedAtMs, state, zone, (int) (engine / 2 % 3));
@@ -114,15 +114,15 @@
     private void scheduleEndpoints() {
         List<Endpoint> list = new ArrayList<>();
         for (long engine = 1; engine <= engineCount; engine++) {
-            list.add(listed(engine, EndpointState.READY, engine % 5 == 0 ? START_MS - 500 : 0));
+            list.add(endpoint(engine, EndpointState.READY, engine % 5 == 0 ? START_MS - 500 : 0));
         }
         schedule(START_MS, new EndpointsChanged(true, list));
         for (int i = 0; i < 24; i++) {
             double atMs = START_MS + random.nextDouble() * ARRIVAL_PERIOD_MS;
             long engine = 1L + random.nextInt(engineCount);
             EndpointState state = List.of(EndpointState.values()).get(random.nextInt(3));
-            schedule(atMs, new EndpointsChanged(false, List.of(listed(engine, state, 0))));
-            Endpoint restarted = listed(engine, EndpointState.READY, atMs + 600);
+            schedule(atMs, new EndpointsChanged(false, List.of(endpoint(engine, state, 0))));
+            Endpoint restarted = endpoint(engine, EndpointState.READY, atMs + 600);
             schedule(atMs + 700, new EndpointsChanged(false, List.of(restarted)));
         }
         schedule(START_MS + 9_000, new EndpointsChanged(true, list));
@@ -132,14 +132,14 @@
         schedule(START_MS + 7_000, new MaintenanceChanged(engineCount + 9, true, START_MS + 7_000));
         schedule(START_MS + 11_000, new QuotaChanged(0.5));
         schedule(START_MS + 14_000, new QuotaChanged(1));
-        silentUntil.put(3L, START_MS + 8_000);
+        silentUntilByEngine.put(3L, START_MS + 8_000);
     }
 
     private void scheduleArrivals() {
         int count = 700;
         for (int request = 1; request <= count; request++) {
             double atMs = START_MS + random.nextDouble() * ARRIVAL_PERIOD_MS;
-            int type = random.nextInt(settings.classes().size());
+            int classIndex = random.nextInt(settings.classes().size());
             long key = random.nextInt(3) == 0 ? 1 + random.nextInt(6) : 0;
             double timeLeftMs = random.nextInt(25) == 0 ? 0 : 800 + random.nextInt(5_000);
             double workMs = random.nextInt(4) == 0 ? 0 : 50 + random.nextInt(700);
@@ -147,7 +147,7 @@
                     atMs,
                     new RequestArrived(
                             request,
-                            type,
+                            classIndex,
                             key,
                             timeLeftMs,
                             workMs,
@@ -178,22 +178,22 @@
 
     private void perform(SchedulerAction action, double nowMs) {
         if (action instanceof SchedulerAction.StartAttempt start) {
-            start(start, nowMs);
+            startAttempt(start, nowMs);
         } else if (action instanceof SchedulerAction.CancelAttempt cancel) {
-            cancel(cancel, nowMs);
+            scheduleCancelledEnd(cancel, nowMs);
         } else if (action instanceof SchedulerAction.StartHealthCheck check) {
-            completeHealthCheck(check, nowMs);
+            scheduleHealthCheckEnd(check, nowMs);
         } else if (action instanceof SchedulerAction.ScheduleTimer timer) {
             schedule(nowMs + timer.delayMs(), new TimerFired(timer.token()));
         }
     }
 
-    private void start(SchedulerAction.StartAttempt start, double nowMs) {
+    private void startAttempt(SchedulerAction.StartAttempt start, double nowMs) {
         OpenRequest request = requests.get(start.request());
         int attempt = request.attempts++;
         double runMs = MEAN_RUN_MS * -Math.log(1 - random.nextDouble());
         runMs *= random.nextInt(12) == 0 ? 12 : 1;
-        double silentUntilMs = silentUntil.getOrDefault(start.engine(), 0.0);
+        double silentUntilMs = silentUntilByEngine.getOrDefault(start.engine(), 0.0);
         double endMs = Math.max(nowMs + 5 + runMs, silentUntilMs > nowMs ? silentUntilMs + runMs : 0);
         double progressUntilMs = Math.min(endMs, request.deadlineMs);
         scheduleProgress(start.request(), attempt, nowMs, progressUntilMs, silentUntilMs > nowMs);
@@ -205,21 +205,21 @@
         schedule(endMs, attemptEnded(start.request(), attempt, outcome));
     }
 
-    private void scheduleProgress(long request, int attempt, double from, double until, boolean silent) {
+    private void scheduleProgress(long request, int attempt, double fromMs, double untilMs, boolean silent) {
         if (silent) {
             return;
         }
         if (random.nextInt(6) == 0) {
             ProgressKind kind = List.of(ProgressKind.values()).get(1 + random.nextInt(3));
-            schedule(from + 3, new AttemptProgress(request, attempt, kind, random.nextInt(300)));
+            schedule(fromMs + 3, new AttemptProgress(request, attempt, kind, random.nextInt(300)));
         }
         double intervalMs = settings.limits().attempts().progressIntervalMs();
-        for (double atMs = from + intervalMs; intervalMs > 0 && atMs < until; atMs += intervalMs) {
-            double done = (atMs - from) / (until - from) * (0.6 + 0.4 * random.nextDouble());
+        for (double atMs = fromMs + intervalMs; intervalMs > 0 && atMs < untilMs; atMs += intervalMs) {
+            double done = (atMs - fromMs) / (untilMs - fromMs) * (0.6 + 0.4 * random.nextDouble());
             schedule(atMs, new AttemptProgress(request, attempt, ProgressKind.RATIO_DONE, done));
         }
         if (random.nextInt(15) == 0) {
-            schedule(until - 1, new ResponseStarted(request, attempt));
+            schedule(untilMs - 1, new ResponseStarted(request, attempt));
         }
     }
 
@@ -235,21 +235,21 @@
     }
 
     private AttemptEnded attemptEnded(long request, int attempt, AttemptOutcome outcome) {
-        boolean reportsCost = outcome == OK && random.nextBoolean();
-        double work = reportsCost ? 40 + random.nextInt(900) : 0;
-        double memory = reportsCost ? 20 + random.nextInt(1_800) : 0;
+        boolean reportsUsage = outcome == OK && random.nextBoolean();
+        double workMs = reportsUsage ? 40 + random.nextInt(900) : 0;
+        double memoryMb = reportsUsage ? 20 + random.nextInt(1_800) : 0;
         boolean completed = outcome == OK;
-        return new AttemptEnded(request, attempt, outcome, completed, work, memory, new double[0]);
+        return new AttemptEnded(request, attempt, outcome, completed, workMs, memoryMb, new double[0]);
     }
 
     /** A cancelled attempt may end by itself before it is stopped; the scheduler ignores the second end. */
-    private void cancel(SchedulerAction.CancelAttempt cancel, double nowMs) {
+    private void scheduleCancelledEnd(SchedulerAction.CancelAttempt cancel, double nowMs) {
         AttemptOutcome outcome = random.nextInt(10) == 0 ? OK : CANCELLED;
         schedule(nowMs + 1 + random.nextInt(40), attemptEnded(cancel.request(), cancel.attempt(), outcome));
     }
 
-    private void completeHealthCheck(SchedulerAction.StartHealthCheck check, double nowMs) {
-        double[] report = new double[REPORT_FIELDS];
+    private void scheduleHealthCheckEnd(SchedulerAction.StartHealthCheck check, double nowMs) {
+        double[] report = new double[REPORT_FIELD_COUNT];
         for (int i = 0; i < report.length; i++) {
             report[i] = random.nextDouble() * (i == 0 ? 12 : 1);
         }
