--- a/src/test/java/lineward/scheduling/RandomEventsTest.java
+++ b/src/test/java/lineward/scheduling/RandomEventsTest.java
@@ -33,16 +33,16 @@
  * same actions.
  */
 public class RandomEventsTest {
-    private record Due(double at, int order, SchedulerEvent event) {}
+    private record TimedEvent(double atMs, int sequenceNumber, SchedulerEvent event) {}
 
     private static final class RequestRecord {
-        int type;
+        int classIndex;
         long key;
         int attempts;
         int inFlight;
         boolean completed;
         boolean mayHaveRun;
-        double deadline;
+        double deadlineMs;
         final List<Long> engines = new ArrayList<>();
     }
 
@@ -68,12 +68,12 @@
                 new SchedulerSettings.AttemptLimits(1 + random.nextInt(5), 500, random.nextInt(3) * 500),
                 new SchedulerSettings.MemoryLimits(
                         0.4, List.of(MemoryShortageHandling.values()).get(random.nextInt(3))));
-        boolean budget = random.nextBoolean();
+        boolean limitsRetries = random.nextBoolean();
         SchedulerSettings.Rules rules = new SchedulerSettings.Rules(
                 1000,
                 new SchedulerSettings.SlowStartRule(5000, 0.33, 3, 1000),
                 300,
-                new SchedulerSettings.RetryBudget(budget ? 5000 : 0, 2, 0.1));
+                new SchedulerSettings.RetryBudget(limitsRetries ? 5000 : 0, 2, 0.1));
         return new SchedulerSettings(
                 List.of(lookupClass(), loadClass(), byKey, classOnKind(1)),
                 List.of(new EngineKind(4, 8000), new EngineKind(8, 0)),
@@ -86,8 +86,8 @@
                 new SchedulerSettings.TenantQuotas(List.of(), 1));
     }
 
-    private static Endpoint engine(long id, EndpointState state, double since) {
-        return new Endpoint(id, (int) (id % 2), 1, since, state, (int) (id / 2 % 2), (int) (id / 2 % 2));
+    private static Endpoint endpoint(long id, EndpointState state, double startMs) {
+        return new Endpoint(id, (int) (id % 2), 1, startMs, state, (int) (id / 2 % 2), (int) (id / 2 % 2));
     }
 
     @DataProvider
@@ -114,41 +114,41 @@
 
     @Test(dataProvider = "seeds")
     public void decisionsFollowTheRulesAndAreReproducible(long seed) {
-        String first = day(seed);
-        assertThat(first).contains("StartAttempt").isEqualTo(day(seed));
+        String firstLog = simulate(seed);
+        assertThat(firstLog).contains("StartAttempt").isEqualTo(simulate(seed));
     }
 
-    private static String day(long seed) {
+    private static String simulate(long seed) {
         Random random = new Random(seed);
         SchedulerSettings settings = settings(random);
         SpeculativeScheduler scheduler = new SpeculativeScheduler(settings, seed);
-        PriorityQueue<Due> due =
-                new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingInt(Due::order));
+        PriorityQueue<TimedEvent> events = new PriorityQueue<>(
+                Comparator.comparingDouble(TimedEvent::atMs).thenComparingInt(TimedEvent::sequenceNumber));
         Map<Long, RequestRecord> requests = new HashMap<>();
         Map<Long, List<Long>> requestsByKey = new HashMap<>();
         Map<Long, Double> settledMs = new HashMap<>();
         Map<Long, EndpointState> engineStates = new HashMap<>();
-        List<Double> retriesMs = new ArrayList<>();
-        List<Double> admittedMs = new ArrayList<>();
-        boolean costs = random.nextBoolean();
-        int order = 0;
-        List<Endpoint> list = new ArrayList<>();
+        List<Double> retryTimesMs = new ArrayList<>();
+        List<Double> admissionTimesMs = new ArrayList<>();
+        boolean hasEstimates = random.nextBoolean();
+        int nextNumber = 0;
+        List<Endpoint> endpoints = new ArrayList<>();
         for (long id = 1; id <= 6; id++) {
-            list.add(engine(id, EndpointState.READY, 0));
+            endpoints.add(endpoint(id, EndpointState.READY, 0));
         }
-        due.add(new Due(1000, order++, new EndpointsChanged(true, list)));
+        events.add(new TimedEvent(1000, nextNumber++, new EndpointsChanged(true, endpoints)));
         for (int i = 1; i <= 600; i++) {
-            double at = 1000 + random.nextDouble() * 15000;
+            double atMs = 1000 + random.nextDouble() * 15000;
             int type = random.nextInt(4);
-            due.add(new Due(
-                    at,
-                    order++,
+            events.add(new TimedEvent(
+                    atMs,
+                    nextNumber++,
                     new RequestArrived(
                             i,
                             type,
                             type == 1 ? 1 + random.nextInt(5) : 0,
                             random.nextInt(20) == 0 ? 0 : 1500 + random.nextInt(4000),
-                            costs ? 50 + random.nextInt(900) : 0,
+                            hasEstimates ? 50 + random.nextInt(900) : 0,
                             random.nextInt(1000),
                             random.nextInt(6),
                             false,
@@ -156,24 +156,24 @@
         }
         for (int i = 0; i < 30; i++) {
             EndpointState state = List.of(EndpointState.values()).get(random.nextInt(3));
-            double at = 1500 + random.nextDouble() * 14000;
-            int changed = 1 + random.nextInt(5);
-            List<Endpoint> update = List.of(engine(changed, state, at - 200));
-            due.add(new Due(at, order++, new EndpointsChanged(false, update)));
+            double atMs = 1500 + random.nextDouble() * 14000;
+            int changedEngine = 1 + random.nextInt(5);
+            List<Endpoint> update = List.of(endpoint(changedEngine, state, atMs - 200));
+            events.add(new TimedEvent(atMs, nextNumber++, new EndpointsChanged(false, update)));
         }
-        StringBuilder log = new StringBuilder();
-        while (!due.isEmpty()) {
-            Due next = due.poll();
-            double now = next.at();
+        StringBuilder actionLog = new StringBuilder();
+        while (!events.isEmpty()) {
+            TimedEvent next = events.poll();
+            double nowMs = next.atMs();
             if (next.event() instanceof EndpointsChanged change) {
                 change.endpoints().forEach(e -> engineStates.put(e.engine(), e.state()));
             } else if (next.event() instanceof RequestArrived a) {
                 RequestRecord request = new RequestRecord();
-                request.type = a.requestClass();
+                request.classIndex = a.requestClass();
                 request.key = a.key();
-                request.deadline = now + a.timeLeftMs();
+                request.deadlineMs = nowMs + a.timeLeftMs();
                 requests.put(a.request(), request);
-                admittedMs.add(now);
+                admissionTimesMs.add(nowMs);
                 if (request.key != 0) {
                     requestsByKey
                             .computeIfAbsent(request.key, k -> new ArrayList<>())
@@ -185,21 +185,23 @@
                 request.mayHaveRun |= ended.outcome().mayHaveRun();
                 request.completed |= ended.requestCompleted();
                 if (List.of(TIMEOUT, RESET, CANCELLED).contains(ended.outcome())) {
-                    settledMs.merge(request.key, now + settings.rules().settleMs(), Math::max);
+                    settledMs.merge(request.key, nowMs + settings.rules().settleMs(), Math::max);
                 }
             }
-            for (SchedulerAction action : scheduler.decide(now, List.of(next.event()))) {
-                log.append(now).append(action).append('\n');
+            for (SchedulerAction action : scheduler.decide(nowMs, List.of(next.event()))) {
+                actionLog.append(nowMs).append(action).append('\n');
                 if (action instanceof SchedulerAction.ScheduleTimer a) {
-                    due.add(new Due(now + a.delayMs(), order++, new TimerFired(a.token())));
+                    events.add(new TimedEvent(nowMs + a.delayMs(), nextNumber++, new TimerFired(a.token())));
                 } else if (action instanceof SchedulerAction.Reject a) {
                     RequestRecord request = requests.get(a.request());
-                    Idempotence idempotence =
-                            settings.classes().get(request.type).repeatability().idempotence();
+                    Idempotence idempotence = settings.classes()
+                            .get(request.classIndex)
+                            .repeatability()
+                            .idempotence();
                     assertThat(request.completed).isFalse();
-                    RequestClass.Repeatability repeat =
-                            settings.classes().get(request.type).repeatability();
-                    boolean anywhere = repeat.scope() == DeduplicationScope.ALL;
+                    RequestClass.Repeatability repeatability =
+                            settings.classes().get(request.classIndex).repeatability();
+                    boolean anywhere = repeatability.scope() == DeduplicationScope.ALL;
                     boolean byKeyAnywhere = idempotence == Idempotence.BY_KEY && anywhere;
                     boolean neverRan = !request.mayHaveRun && request.inFlight == 0;
                     assertThat(idempotence == Idempotence.IDEMPOTENT || neverRan || byKeyAnywhere)
@@ -212,8 +214,8 @@
                     requests.get(a.request()).completed = true;
                 } else if (action instanceof SchedulerAction.StartAttempt a) {
                     RequestRecord request = requests.get(a.request());
-                    RequestClass type = settings.classes().get(request.type);
-                    Endpoint e = engine(a.engine(), EndpointState.READY, 0);
+                    RequestClass type = settings.classes().get(request.classIndex);
+                    Endpoint e = endpoint(a.engine(), EndpointState.READY, 0);
                     assertThat(request.completed).isFalse();
                     assertThat(request.inFlight).isZero();
                     assertThat(engineStates.get(a.engine())).isEqualTo(EndpointState.READY);
@@ -234,33 +236,34 @@
                         assertThat(request.engines).allMatch(tried -> tried / 2 % 2 == a.engine() / 2 % 2);
                     }
                     if (request.key != 0) {
-                        for (long before : requestsByKey.get(request.key)) {
-                            if (before == a.request()) {
+                        for (long earlier : requestsByKey.get(request.key)) {
+                            if (earlier == a.request()) {
                                 break;
                             }
-                            assertThat(requests.get(before).completed && requests.get(before).inFlight == 0)
+                            assertThat(requests.get(earlier).completed && requests.get(earlier).inFlight == 0)
                                     .isTrue();
                         }
-                        assertThat(request.attempts > 0 || now >= settledMs.getOrDefault(request.key, 0.0))
+                        assertThat(request.attempts > 0 || nowMs >= settledMs.getOrDefault(request.key, 0.0))
                                 .isTrue();
                     }
                     if (request.attempts > 0 && settings.rules().retryBudget().windowMs() > 0) {
-                        retriesMs.add(now);
-                        double from = now - settings.rules().retryBudget().windowMs();
-                        assertThat((double) retriesMs.stream()
-                                        .filter(atMs -> atMs >= from)
+                        retryTimesMs.add(nowMs);
+                        double windowStartMs =
+                                nowMs - settings.rules().retryBudget().windowMs();
+                        assertThat((double) retryTimesMs.stream()
+                                        .filter(atMs -> atMs >= windowStartMs)
                                         .count())
                                 .isLessThanOrEqualTo(2
                                         + 0.1
-                                                * admittedMs.stream()
-                                                        .filter(atMs -> atMs >= from)
+                                                * admissionTimesMs.stream()
+                                                        .filter(atMs -> atMs >= windowStartMs)
                                                         .count());
                     }
                     AttemptOutcome[] outcomes = {OK, OK, OK, ERROR, REJECTED, CONNECT_FAILED, RESET};
                     AttemptOutcome outcome = outcomes[random.nextInt(outcomes.length)];
-                    double ends = now + 20 + random.nextInt(random.nextInt(8) == 0 ? 8000 : 600);
-                    if (ends >= request.deadline) {
-                        ends = request.deadline;
+                    double endMs = nowMs + 20 + random.nextInt(random.nextInt(8) == 0 ? 8000 : 600);
+                    if (endMs >= request.deadlineMs) {
+                        endMs = request.deadlineMs;
                         outcome = TIMEOUT;
                     }
                     if (outcome != REJECTED && outcome != CONNECT_FAILED) {
@@ -270,17 +273,17 @@
                     boolean answered = outcome == OK;
                     SchedulerEvent ended =
                             new AttemptEnded(a.request(), attempt, outcome, answered, 0, 0, new double[0]);
-                    due.add(new Due(Math.max(now, ends), order++, ended));
+                    events.add(new TimedEvent(Math.max(nowMs, endMs), nextNumber++, ended));
                     request.inFlight++;
                 }
             }
             for (RequestRecord request : requests.values()) {
-                assertThat(request.completed || now <= request.deadline + 20)
+                assertThat(request.completed || nowMs <= request.deadlineMs + 20)
                         .as("an answer by the deadline")
                         .isTrue();
             }
         }
         assertThat(requests.values()).allMatch(request -> request.completed && request.inFlight == 0);
-        return log.toString();
+        return actionLog.toString();
     }
 }
