--- a/src/test/java/lineward/scheduling/LargeFleetTest.java
+++ b/src/test/java/lineward/scheduling/LargeFleetTest.java
@@ -27,34 +27,35 @@
 public class LargeFleetTest {
     private static final int CORES = 8;
 
-    private record Start(double at, double work) {}
+    private record AttemptStart(double atMs, double workMs) {}
 
-    private record Due(double at, int frontEnd, SchedulerEvent event) {}
+    private record TimedEvent(double atMs, int frontEnd, SchedulerEvent event) {}
 
-    private static AttemptEnded served(long request) {
+    private static AttemptEnded attemptSucceeded(long request) {
         return new AttemptEnded(request, 0, OK, true, 0, 0, new double[0]);
     }
 
-    private static RequestArrived request(long id, int type, double cost, double memoryMb, int group) {
-        return new RequestArrived(id, type, 0, 5000, cost, memoryMb, group, false, 0);
+    private static RequestArrived requestArrived(
+            long id, int classIndex, double workMs, double memoryMb, int tableGroup) {
+        return new RequestArrived(id, classIndex, 0, 5000, workMs, memoryMb, tableGroup, false, 0);
     }
 
-    private final Map<Long, Double> costs = new HashMap<>();
+    private final Map<Long, Double> workMsByRequest = new HashMap<>();
 
     /** Schedules the answer of each attempt for when its work is done, and each timer. */
     private void perform(
             int frontEnd,
             List<SchedulerAction> actions,
-            double now,
-            PriorityQueue<Due> pending,
-            List<List<Start>> starts /* by engine */) {
+            double nowMs,
+            PriorityQueue<TimedEvent> events,
+            List<List<AttemptStart>> startsByEngine /* by engine */) {
         for (SchedulerAction action : actions) {
             if (action instanceof SchedulerAction.StartAttempt start) {
-                double cost = costs.get(start.request());
-                starts.get((int) start.engine()).add(new Start(now, cost));
-                pending.add(new Due(now + cost, frontEnd, served(start.request())));
+                double workMs = workMsByRequest.get(start.request());
+                startsByEngine.get((int) start.engine()).add(new AttemptStart(nowMs, workMs));
+                events.add(new TimedEvent(nowMs + workMs, frontEnd, attemptSucceeded(start.request())));
             } else if (action instanceof SchedulerAction.ScheduleTimer timer) {
-                pending.add(new Due(now + timer.delayMs(), frontEnd, new TimerFired(timer.token())));
+                events.add(new TimedEvent(nowMs + timer.delayMs(), frontEnd, new TimerFired(timer.token())));
             }
         }
     }
@@ -95,16 +96,16 @@
                     i));
             schedulers.get(i).decide(start, List.of(new EndpointsChanged(true, list)));
         }
-        List<List<Start>> startsByEngine = new ArrayList<>();
+        List<List<AttemptStart>> startsByEngine = new ArrayList<>();
         for (int id = 0; id <= engines; id++) {
             startsByEngine.add(new ArrayList<>());
         }
         int requests = 0;
         double endMs = start;
-        PriorityQueue<Due> pending = new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at()));
+        PriorityQueue<TimedEvent> pending = new PriorityQueue<>((a, b) -> Double.compare(a.atMs(), b.atMs()));
         for (double now = start; now < start + rules.slowStart().durationMs() - 200; now += 5) {
-            while (!pending.isEmpty() && pending.peek().at() <= now) {
-                Due due = pending.poll();
+            while (!pending.isEmpty() && pending.peek().atMs() <= now) {
+                TimedEvent due = pending.poll();
                 SpeculativeScheduler scheduler = schedulers.get(due.frontEnd());
                 List<SchedulerAction> actions = scheduler.decide(now, List.of(due.event()));
                 perform(due.frontEnd(), actions, now, pending, startsByEngine);
@@ -113,8 +114,8 @@
                 int frontEnd = random.nextInt(frontEnds);
                 double cost = random.nextInt(6) == 0 ? 1200 : 50 + random.nextInt(250);
                 long id = ++requests;
-                costs.put(id, cost);
-                RequestArrived request = request(id, 0, cost, 100, 0);
+                workMsByRequest.put(id, cost);
+                RequestArrived request = requestArrived(id, 0, cost, 100, 0);
                 List<SchedulerAction> actions = schedulers.get(frontEnd).decide(now, List.of(request));
                 perform(frontEnd, actions, now, pending, startsByEngine);
             }
@@ -126,21 +127,22 @@
                 * CORES
                 * rules.slowStart().windowMs();
         for (int id = 2; id <= engines; id += 2) {
-            List<Start> starts = startsByEngine.get(id);
-            for (Start first : starts) {
+            List<AttemptStart> starts = startsByEngine.get(id);
+            for (AttemptStart first : starts) {
                 double workInWindow = starts.stream()
-                        .filter(other -> other.at() >= first.at()
-                                && other.at() < first.at() + rules.slowStart().windowMs())
-                        .mapToDouble(Start::work)
+                        .filter(other -> other.atMs() >= first.atMs()
+                                && other.atMs()
+                                        < first.atMs() + rules.slowStart().windowMs())
+                        .mapToDouble(AttemptStart::workMs)
                         .sum();
-                String from = "engine " + id + " from " + first.at();
+                String from = "engine " + id + " from " + first.atMs();
                 assertThat(workInWindow).as(from).isLessThanOrEqualTo(allowed);
             }
             for (double from = start; from + 5000 < endMs; from += 5000) {
                 double begin = from;
                 assertThat(starts)
                         .as("engine " + id + " is used")
-                        .anyMatch(other -> other.at() >= begin && other.at() < begin + 5000);
+                        .anyMatch(other -> other.atMs() >= begin && other.atMs() < begin + 5000);
             }
         }
     }
@@ -181,13 +183,13 @@
             for (int request = 1; request <= 10; request++) {
                 double now = request * 1000;
                 int type = request % 2;
-                RequestArrived arrival = request(request, type, 200, 300, request);
+                RequestArrived arrival = requestArrived(request, type, 200, 300, request);
                 for (SchedulerAction action : scheduler.decide(now, List.of(new TimerFired(0), arrival))) {
                     if (action instanceof SchedulerAction.StartAttempt start && type == 0 && request > 2) {
                         lookupsByKind[(int) start.engine() % 2]++;
                     }
                 }
-                scheduler.decide(now + 200, List.of(served(request)));
+                scheduler.decide(now + 200, List.of(attemptSucceeded(request)));
             }
         }
         // Half of the work is restricted to kind 0, which has 16 of the 28 cores. Equal load on all cores
