--- a/src/test/java/lineward/scheduling/LargeFleetTest.java
+++ b/src/test/java/lineward/scheduling/LargeFleetTest.java
@@ -74,10 +74,10 @@
         SchedulerSettings.Rules rules = rules();
         Random random = new Random(frontEnds);
         int engines = 10;
-        double start = 100_000;
-        List<Endpoint> list = new ArrayList<>();
+        double startMs = 100_000;
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int id = 1; id <= engines; id++) {
-            list.add(new Endpoint(id, 0, 1, id % 2 == 0 ? start - 100 : 0, EndpointState.READY, 0, 0));
+            endpoints.add(new Endpoint(id, 0, 1, id % 2 == 0 ? startMs - 100 : 0, EndpointState.READY, 0, 0));
         }
         List<SpeculativeScheduler> schedulers = new ArrayList<>();
         for (int i = 0; i < frontEnds; i++) {
@@ -94,34 +94,34 @@
                             NO_COSTS,
                             new SchedulerSettings.TenantQuotas(List.of(), 1)),
                     i));
-            schedulers.get(i).decide(start, List.of(new EndpointsChanged(true, list)));
+            schedulers.get(i).decide(startMs, List.of(new EndpointsChanged(true, endpoints)));
         }
         List<List<AttemptStart>> startsByEngine = new ArrayList<>();
         for (int id = 0; id <= engines; id++) {
             startsByEngine.add(new ArrayList<>());
         }
-        int requests = 0;
-        double endMs = start;
-        PriorityQueue<TimedEvent> pending = new PriorityQueue<>((a, b) -> Double.compare(a.atMs(), b.atMs()));
-        for (double now = start; now < start + rules.slowStart().durationMs() - 200; now += 5) {
-            while (!pending.isEmpty() && pending.peek().atMs() <= now) {
-                TimedEvent due = pending.poll();
-                SpeculativeScheduler scheduler = schedulers.get(due.frontEnd());
-                List<SchedulerAction> actions = scheduler.decide(now, List.of(due.event()));
-                perform(due.frontEnd(), actions, now, pending, startsByEngine);
+        int requestCount = 0;
+        double endMs = startMs;
+        PriorityQueue<TimedEvent> events = new PriorityQueue<>((a, b) -> Double.compare(a.atMs(), b.atMs()));
+        for (double nowMs = startMs; nowMs < startMs + rules.slowStart().durationMs() - 200; nowMs += 5) {
+            while (!events.isEmpty() && events.peek().atMs() <= nowMs) {
+                TimedEvent timedEvent = events.poll();
+                SpeculativeScheduler scheduler = schedulers.get(timedEvent.frontEnd());
+                List<SchedulerAction> actions = scheduler.decide(nowMs, List.of(timedEvent.event()));
+                perform(timedEvent.frontEnd(), actions, nowMs, events, startsByEngine);
             }
             if (random.nextInt(10) < 9) {
                 int frontEnd = random.nextInt(frontEnds);
-                double cost = random.nextInt(6) == 0 ? 1200 : 50 + random.nextInt(250);
-                long id = ++requests;
-                workMsByRequest.put(id, cost);
-                RequestArrived request = requestArrived(id, 0, cost, 100, 0);
-                List<SchedulerAction> actions = schedulers.get(frontEnd).decide(now, List.of(request));
-                perform(frontEnd, actions, now, pending, startsByEngine);
+                double workMs = random.nextInt(6) == 0 ? 1200 : 50 + random.nextInt(250);
+                long id = ++requestCount;
+                workMsByRequest.put(id, workMs);
+                RequestArrived request = requestArrived(id, 0, workMs, 100, 0);
+                List<SchedulerAction> actions = schedulers.get(frontEnd).decide(nowMs, List.of(request));
+                perform(frontEnd, actions, nowMs, events, startsByEngine);
             }
-            endMs = now;
+            endMs = nowMs;
         }
-        double allowed = rules.slowStart().overloadFactor()
+        double maxWorkMs = rules.slowStart().overloadFactor()
                 * rules.slowStart().initialRatio()
                 * 0.85
                 * CORES
@@ -136,9 +136,9 @@
                         .mapToDouble(AttemptStart::workMs)
                         .sum();
                 String from = "engine " + id + " from " + first.atMs();
-                assertThat(workInWindow).as(from).isLessThanOrEqualTo(allowed);
+                assertThat(workInWindow).as(from).isLessThanOrEqualTo(maxWorkMs);
             }
-            for (double from = start; from + 5000 < endMs; from += 5000) {
+            for (double from = startMs; from + 5000 < endMs; from += 5000) {
                 double begin = from;
                 assertThat(starts)
                         .as("engine " + id + " is used")
@@ -158,11 +158,11 @@
      * restricted to it.
      */
     @Test(dataProvider = "largeFleetSizes")
-    public void enginesOfAPlacementAreLeftToTheClassesPlacedThere(int frontEnds) {
+    public void unrestrictedClassLeavesEnginesToARestrictedOne(int frontEnds) {
         List<EngineKind> kinds = List.of(new EngineKind(16, 32000), new EngineKind(12, 24000));
-        List<Endpoint> list = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int id = 0; id < 20; id++) {
-            list.add(new Endpoint(id, id % 2, 1, 0, EndpointState.READY, 0, 0));
+            endpoints.add(new Endpoint(id, id % 2, 1, 0, EndpointState.READY, 0, 0));
         }
         int[] lookupsByKind = new int[2];
         for (int i = 0; i < frontEnds; i++) {
@@ -179,17 +179,17 @@
                             NO_COSTS,
                             new SchedulerSettings.TenantQuotas(List.of(), 1)),
                     i);
-            scheduler.decide(0, List.of(new EndpointsChanged(true, list)));
+            scheduler.decide(0, List.of(new EndpointsChanged(true, endpoints)));
             for (int request = 1; request <= 10; request++) {
-                double now = request * 1000;
+                double nowMs = request * 1000;
                 int type = request % 2;
                 RequestArrived arrival = requestArrived(request, type, 200, 300, request);
-                for (SchedulerAction action : scheduler.decide(now, List.of(new TimerFired(0), arrival))) {
+                for (SchedulerAction action : scheduler.decide(nowMs, List.of(new TimerFired(0), arrival))) {
                     if (action instanceof SchedulerAction.StartAttempt start && type == 0 && request > 2) {
                         lookupsByKind[(int) start.engine() % 2]++;
                     }
                 }
-                scheduler.decide(now + 200, List.of(attemptSucceeded(request)));
+                scheduler.decide(nowMs + 200, List.of(attemptSucceeded(request)));
             }
         }
         // Half of the work is restricted to kind 0, which has 16 of the 28 cores. Equal load on all cores
@@ -204,9 +204,9 @@
      */
     @Test
     public void frontEndWithLittleTrafficDetectsASlowFleet() {
-        List<Endpoint> list = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int id = 1; id <= 40; id++) {
-            list.add(new Endpoint(id, 0, 1, 0, EndpointState.READY, 0, 0));
+            endpoints.add(new Endpoint(id, 0, 1, 0, EndpointState.READY, 0, 0));
         }
         TestingScheduler scheduler = new TestingScheduler(new SchedulerSettings(
                 List.of(lookupClass()),
@@ -218,7 +218,7 @@
                 new SchedulerSettings.Discovery(false, 0, false),
                 NO_COSTS,
                 new SchedulerSettings.TenantQuotas(List.of(), 1)));
-        scheduler.receive(new EndpointsChanged(true, list));
+        scheduler.receive(new EndpointsChanged(true, endpoints));
         for (int i = 0; i < 40; i++) {
             scheduler.requestArrives(i, 0).advance(200).attemptEnds(i, 0, OK).advance(100);
         }
@@ -247,8 +247,8 @@
     /** Half of the engines refuse connections; recovery probes to them stay a fraction of the traffic. */
     @Test(dataProvider = "probedFleetSizes")
     public void recoveryProbesStayAFractionOfTheTraffic(int frontEnds) {
-        int requests = 0;
-        int toDead = 0;
+        int requestCount = 0;
+        int probes = 0;
         for (int i = 0; i < Math.min(frontEnds, 30); i++) {
             List<EngineKind> kinds = List.of(new EngineKind(8, 16000));
             TestingScheduler scheduler = new TestingScheduler(new SchedulerSettings(
@@ -265,14 +265,14 @@
             for (int id = 1; id <= 60; id++) {
                 scheduler.requestArrives(id, 0);
                 for (int attempt = 0; scheduler.lastStartedEngine() > 0; attempt++) {
-                    boolean dead = scheduler.lastStartedEngine() > 4;
-                    toDead += dead && id > 20 ? 1 : 0;
-                    scheduler.attemptEnds(id, attempt, dead ? CONNECT_FAILED : OK);
+                    boolean refusesConnections = scheduler.lastStartedEngine() > 4;
+                    probes += refusesConnections && id > 20 ? 1 : 0;
+                    scheduler.attemptEnds(id, attempt, refusesConnections ? CONNECT_FAILED : OK);
                 }
-                requests += id > 20 ? 1 : 0;
+                requestCount += id > 20 ? 1 : 0;
                 scheduler.advance(400);
             }
         }
-        assertThat(toDead).isPositive().isLessThanOrEqualTo(requests / 5);
+        assertThat(probes).isPositive().isLessThanOrEqualTo(requestCount / 5);
     }
 }
