--- a/src/test/java/lineward/scheduling/SeededRulesTest.java
+++ b/src/test/java/lineward/scheduling/SeededRulesTest.java
@@ -18,8 +18,8 @@
 
 /** Tests that fleets of several sizes keep the rules, with non-idempotent loads and a small retry budget. */
 public class SeededRulesTest {
-    private static final double LOADS = 0.06;
-    private static final int DAY_MS = 15_000;
+    private static final double LOAD_REQUEST_RATIO = 0.06;
+    private static final int ARRIVAL_PERIOD_MS = 15_000;
 
     /** Front ends, engines, zones, and retries allowed in 10 s besides a fifth of the admitted requests. */
     @DataProvider
@@ -29,16 +29,28 @@
 
     /** A zone fails and another one is partitioned; the simulation throws at the first violated rule. */
     @Test(dataProvider = "fleets")
-    public void nothingRunsTwiceAndRetriesAreBudgeted(int frontEnds, int engines, int zones, int budget) {
+    public void loadsRunAtMostOnceAndRetriesAreLimited(int frontEnds, int engines, int zones, int budget) {
         for (int seed = 1; seed <= (frontEnds < 10 ? 3 : 1); seed++) {
             FleetDay day = new FleetDay(new FleetDay.Plan(
-                            frontEnds, engines, zones, 0.85, 0.3, 0, 1, 4, 5000, DAY_MS, seed, LOADS, budget))
+                            frontEnds,
+                            engines,
+                            zones,
+                            0.85,
+                            0.3,
+                            0,
+                            1,
+                            4,
+                            5000,
+                            ARRIVAL_PERIOD_MS,
+                            seed,
+                            LOAD_REQUEST_RATIO,
+                            budget))
                     .run();
             assertTrue(
                     day.outcomes.keySet().stream().anyMatch(outcome -> outcome.matches("(RESET|TIMEOUT) 2")),
                     "some loads may have run: " + day.outcomes);
-            double served = day.served(2, 0, DAY_MS / 1000);
-            assertTrue(served > 0.3, "loads served: " + served);
+            double servedRatio = day.served(2, 0, ARRIVAL_PERIOD_MS / 1000);
+            assertTrue(servedRatio > 0.3, "loads served: " + servedRatio);
         }
     }
 
@@ -58,12 +70,12 @@
 
     /** The checker detects each injected violation, and accepts the same steps without the last one. */
     @Test(dataProvider = "faults")
-    public void checkerFindsAPlantedFault(String fault, int type, List<Object> steps) {
-        assertThrows(AssertionError.class, () -> play(type, steps));
-        play(type, steps.subList(0, steps.size() - 1));
+    public void checkerDetectsAnInjectedViolation(String violation, int classIndex, List<Object> steps) {
+        assertThrows(AssertionError.class, () -> check(classIndex, steps));
+        check(classIndex, steps.subList(0, steps.size() - 1));
     }
 
-    private static void play(int type, List<Object> steps) {
+    private static void check(int classIndex, List<Object> steps) {
         SchedulerSettings.Rules rules = new SchedulerSettings.Rules(
                 1000,
                 new SchedulerSettings.SlowStartRule(15_000, 0.33, 3, 1000),
@@ -71,7 +83,7 @@
                 new SchedulerSettings.RetryBudget(10_000, 1, 0.2));
         SchedulerSettings settings = settings(limits(4), rules, loadClass(), lookupClass());
         RuleChecker checker = new RuleChecker(settings);
-        checker.onEvent(0, new RequestArrived(1, type, 0, 5000, 0, 0, 0, false, 0));
+        checker.onEvent(0, new RequestArrived(1, classIndex, 0, 5000, 0, 0, 0, false, 0));
         int attempt = 0;
         for (Object step : steps) {
             if (step instanceof AttemptOutcome outcome) {
