--- a/src/test/java/lineward/scheduling/simulator/SimulatorProtocolTest.java
+++ b/src/test/java/lineward/scheduling/simulator/SimulatorProtocolTest.java
@@ -35,7 +35,7 @@
         return ByteBuffer.allocate(48).put((byte) code);
     }
 
-    private static String error(byte[] input) {
+    private static String errorOutput(byte[] input) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         PrintStream errors = new PrintStream(err, true, StandardCharsets.UTF_8);
@@ -44,7 +44,7 @@
         return err.toString(StandardCharsets.UTF_8);
     }
 
-    private static byte[] opening() {
+    private static byte[] frameWithARequest() {
         byte[] settings = SETTINGS.getBytes(StandardCharsets.UTF_8);
         ByteBuffer entry = ByteBuffer.allocate(24)
                 .putShort((short) 0)
@@ -75,9 +75,9 @@
     }
 
     @Test
-    public void openedInstanceStartsAnAttempt() {
+    public void openedInstanceStartsAnAttemptForARequest() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        int status = Main.run(new ByteArrayInputStream(opening()), out, System.err);
+        int status = Main.run(new ByteArrayInputStream(frameWithARequest()), out, System.err);
         assertThat(status).isZero();
         ByteBuffer reply = ByteBuffer.wrap(out.toByteArray());
         assertThat(reply.getInt(4)).isEqualTo(reply.limit() - 8);
@@ -98,22 +98,22 @@
     }
 
     @Test
-    public void malformedInputIsNamed() {
-        assertThat(error(new byte[] {0, 0, 0})).contains("inside a frame");
-        assertThat(error(frame(1, 1, new byte[0], record(0x63)))).contains("before any instance");
+    public void malformedInputIsReported() {
+        assertThat(errorOutput(new byte[] {0, 0, 0})).contains("inside a frame");
+        assertThat(errorOutput(frame(1, 1, new byte[0], record(0x63)))).contains("before any instance");
         byte[] unknown = frame(2, 1, new byte[0], record(0x18), record(0x63));
-        assertThat(error(unknown)).contains("unknown event code 99");
+        assertThat(errorOutput(unknown)).contains("unknown event code 99");
         byte[] wrongLength = frame(0, 1, new byte[0]);
         wrongLength[3] = 9;
-        assertThat(error(wrongLength)).contains("does not fit");
-        assertThat(error(frame(
+        assertThat(errorOutput(wrongLength)).contains("does not fit");
+        assertThat(errorOutput(frame(
                         2,
                         1,
                         "{oops".getBytes(StandardCharsets.UTF_8),
                         record(0x18),
                         record(0x13).putLong(1).putInt(0).putInt(5))))
                 .contains("not JSON");
-        assertThat(error(frame(
+        assertThat(errorOutput(frame(
                         2,
                         1,
                         new byte[0],
@@ -123,20 +123,20 @@
     }
 
     @Test
-    public void settingsKeepTheirMeaning() {
+    public void settingsAreParsedAndValidated() {
         SchedulerSettings settings = SettingsReader.read(SETTINGS);
         assertThat(settings.classes().get(0).repeatability().idempotence()).isEqualTo(Idempotence.IDEMPOTENT);
         assertThat(settings.classes().get(0).placement().kinds()).isNull();
         assertThat(settings.rules().retryBudget().windowMs()).isZero();
         assertThat(settings.limits().attempts().maxPerRequest()).isEqualTo(3);
         assertThatThrownBy(() -> SettingsReader.read("{\"classes\":[]}")).hasMessageContaining("classes");
-        String boundToUnknown = SETTINGS.replace("\"value\"", "\"runs-on\":[\"q\"],\"value\"");
-        assertThatThrownBy(() -> SettingsReader.read(boundToUnknown)).hasMessageContaining("unknown kind");
+        String withUnknownKind = SETTINGS.replace("\"value\"", "\"runs-on\":[\"q\"],\"value\"");
+        assertThatThrownBy(() -> SettingsReader.read(withUnknownKind)).hasMessageContaining("unknown kind");
     }
 
     @Test
-    public void tenantAndGossipAreForwarded() {
-        java.util.List<SchedulerEvent> seen = new java.util.ArrayList<>();
+    public void tenantAndGossipAreDecodedAndGossipIsEncoded() {
+        java.util.List<SchedulerEvent> events = new java.util.ArrayList<>();
         BatchReader.Sink sink = new BatchReader.Sink() {
             @Override
             public void selectInstance(int instance) {}
@@ -149,7 +149,7 @@
 
             @Override
             public void add(SchedulerEvent event) {
-                seen.add(event);
+                events.add(event);
             }
         };
         byte[] batch = frame(
@@ -166,8 +166,8 @@
                         .putDouble(0),
                 record(0x1c).putInt(4).putInt(1).putInt(2));
         new BatchReader().read(3, ByteBuffer.wrap(batch).slice(8, batch.length - 8), sink);
-        assertThat(((SchedulerEvent.RequestArrived) seen.get(0)).tenant()).isEqualTo(2);
-        SchedulerEvent.GossipReceived gossip = (SchedulerEvent.GossipReceived) seen.get(1);
+        assertThat(((SchedulerEvent.RequestArrived) events.get(0)).tenant()).isEqualTo(2);
+        SchedulerEvent.GossipReceived gossip = (SchedulerEvent.GossipReceived) events.get(1);
         assertThat(gossip.sender()).isEqualTo(4);
         assertThat(gossip.payload()).containsExactly(8, 7);
         ReplyWriter writer = new ReplyWriter();
