--- a/src/main/java/lineward/core/ActionExecutor.java
+++ b/src/main/java/lineward/core/ActionExecutor.java
@@ -33,7 +33,7 @@
 
     @Override
     public void startAttempt(SchedulerAction.StartAttempt start) {
-        TrackedRequest<X> request = coordinator.request(start.request());
+        TrackedRequest<X> request = coordinator.request(start.requestId());
         if (request == null) {
             return;
         }
@@ -79,7 +79,7 @@
 
     @Override
     public void cancelAttempt(SchedulerAction.CancelAttempt cancel) {
-        TrackedRequest<X> request = coordinator.request(cancel.request());
+        TrackedRequest<X> request = coordinator.request(cancel.requestId());
         TrackedAttempt attempt = request == null ? null : request.attemptInFlight(cancel.attempt());
         if (attempt == null || !attempt.cancel()) {
             return;
@@ -96,7 +96,7 @@
 
     @Override
     public void setResourceLimits(SchedulerAction.SetResourceLimits limits) {
-        TrackedRequest<X> request = coordinator.request(limits.request());
+        TrackedRequest<X> request = coordinator.request(limits.requestId());
         if (request != null && request.setResourceLimits(limits.grantMb(), limits.priority())) {
             changePriorityOfRunning(request);
         }
@@ -119,7 +119,7 @@
 
     @Override
     public void reject(SchedulerAction.Reject reject) {
-        TrackedRequest<X> request = coordinator.request(reject.request());
+        TrackedRequest<X> request = coordinator.request(reject.requestId());
         if (request != null && coordinator.complete(request, Tracer.Ending.REJECTED)) {
             long retryAfterMs = Math.round(reject.retryAfterMs());
             coordinator.addCommand(new Command.Reject<>(request.exchange(), retryAfterMs));
@@ -129,7 +129,7 @@
 
     @Override
     public void fail(SchedulerAction.Fail fail) {
-        TrackedRequest<X> request = coordinator.request(fail.request());
+        TrackedRequest<X> request = coordinator.request(fail.requestId());
         if (request != null && coordinator.complete(request, Tracer.Ending.FAILED)) {
             coordinator.addCommand(new Command.Fail<>(request.exchange()));
             coordinator.releaseIfDone(request);
--- a/src/main/java/lineward/scheduling/SchedulerAction.java
+++ b/src/main/java/lineward/scheduling/SchedulerAction.java
@@ -46,14 +46,14 @@
      * @param startWithinMs time within which it must reach the engine; sent later, the request might run
      *     twice; {@link #ANY_TIME}: no limit
      */
-    record StartAttempt(long request, long engine, double timeoutMs /* 0: none */, double startWithinMs)
+    record StartAttempt(long requestId, long engine, double timeoutMs /* 0: none */, double startWithinMs)
             implements SchedulerAction {
         /** Value of {@link #startWithinMs} for an attempt that may start at any time. */
         public static final double ANY_TIME = Double.POSITIVE_INFINITY;
 
         /** Creates an action whose attempt may start at any time. */
-        public StartAttempt(long request, long engine, double timeoutMs) {
-            this(request, engine, timeoutMs, ANY_TIME);
+        public StartAttempt(long requestId, long engine, double timeoutMs) {
+            this(requestId, engine, timeoutMs, ANY_TIME);
         }
 
         @Override
@@ -63,7 +63,7 @@
     }
 
     /** Cancels an attempt in flight. */
-    record CancelAttempt(long request, int attempt) implements SchedulerAction {
+    record CancelAttempt(long requestId, int attempt) implements SchedulerAction {
         @Override
         public void dispatchTo(Handler handler) {
             handler.cancelAttempt(this);
@@ -75,7 +75,7 @@
      *
      * @param retryAfterMs time after which the client is advised to retry; 0: no advice
      */
-    record Reject(long request, double retryAfterMs) implements SchedulerAction {
+    record Reject(long requestId, double retryAfterMs) implements SchedulerAction {
         @Override
         public void dispatchTo(Handler handler) {
             handler.reject(this);
@@ -83,7 +83,7 @@
     }
 
     /** Answers a request as failed; it may have run. */
-    record Fail(long request) implements SchedulerAction {
+    record Fail(long requestId) implements SchedulerAction {
         @Override
         public void dispatchTo(Handler handler) {
             handler.fail(this);
@@ -96,7 +96,7 @@
      * @param grantMb memory grant; 0: the engine decides
      * @param priority from 0, the lowest, to 3; it also applies at once to attempts in flight
      */
-    record SetResourceLimits(long request, double grantMb, int priority) implements SchedulerAction {
+    record SetResourceLimits(long requestId, double grantMb, int priority) implements SchedulerAction {
         @Override
         public void dispatchTo(Handler handler) {
             handler.setResourceLimits(this);
--- a/src/main/java/lineward/scheduling/SchedulerEvent.java
+++ b/src/main/java/lineward/scheduling/SchedulerEvent.java
@@ -107,7 +107,7 @@
      * @param tenant index of its tenant in the settings; not used
      */
     record RequestArrived(
-            long request,
+            long requestId,
             int requestClass,
             long key,
             double timeLeftMs,
@@ -127,7 +127,7 @@
      * The response of an attempt has begun to reach the client. From now on the attempt is not cancelled to
      * be relaunched or migrated.
      */
-    record ResponseStarted(long request, int attempt) implements SchedulerEvent {
+    record ResponseStarted(long requestId, int attempt) implements SchedulerEvent {
         @Override
         public void dispatchTo(Handler handler) {
             handler.responseStarted(this);
@@ -140,7 +140,7 @@
      * @param amount for {@link ProgressKind#RATIO_DONE} the fraction that is done, from 0 to 1; for {@link
      *     ProgressKind#SPILLING} the megabytes that are missing; the scheduler uses only the former
      */
-    record AttemptProgress(long request, int attempt, ProgressKind kind, double amount /* by its kind */)
+    record AttemptProgress(long requestId, int attempt, ProgressKind kind, double amount /* by its kind */)
             implements SchedulerEvent {
         @Override
         public void dispatchTo(Handler handler) {
@@ -158,7 +158,7 @@
      */
     @SuppressWarnings("ArrayRecordComponent") // passed on once, never compared
     record AttemptEnded(
-            long request,
+            long requestId,
             int attempt,
             AttemptOutcome outcome,
             boolean requestCompleted,
@@ -173,7 +173,7 @@
     }
 
     /** A request needs no answer any more, for example because its client has disconnected. */
-    record RequestCancelled(long request) implements SchedulerEvent {
+    record RequestCancelled(long requestId) implements SchedulerEvent {
         @Override
         public void dispatchTo(Handler handler) {
             handler.requestCancelled(this);
--- a/src/main/java/lineward/scheduling/execution/AttemptEndHandler.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptEndHandler.java
@@ -34,7 +34,7 @@
 
     /** Handles the end of an attempt. An unknown attempt, or one that has already ended, is ignored. */
     void handle(SchedulerEvent.AttemptEnded end) {
-        Attempt attempt = context.findUnendedAttempt(end.request(), end.attempt());
+        Attempt attempt = context.findUnendedAttempt(end.requestId(), end.attempt());
         if (attempt == null) {
             return;
         }
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -114,7 +114,7 @@
 
     @Override
     public void attemptProgressed(SchedulerEvent.AttemptProgress report) {
-        Attempt attempt = context.findUnendedAttempt(report.request(), report.attempt());
+        Attempt attempt = context.findUnendedAttempt(report.requestId(), report.attempt());
         if (attempt == null) {
             return;
         }
@@ -134,7 +134,7 @@
 
     @Override
     public void responseStarted(SchedulerEvent.ResponseStarted response) {
-        TrackedRequest request = context.findRequest(response.request());
+        TrackedRequest request = context.findRequest(response.requestId());
         if (request != null) {
             request.startResponse();
         }
@@ -142,7 +142,7 @@
 
     @Override
     public void requestCancelled(SchedulerEvent.RequestCancelled cancelled) {
-        TrackedRequest request = context.findRequest(cancelled.request());
+        TrackedRequest request = context.findRequest(cancelled.requestId());
         if (request != null) {
             components.lifecycle.complete(request);
         }
--- a/src/main/java/lineward/scheduling/simulator/BatchReader.java
+++ b/src/main/java/lineward/scheduling/simulator/BatchReader.java
@@ -158,8 +158,8 @@
             default -> null;
         };
         if (kind != null) {
-            long request = entry.unsignedInt(1);
-            sink.add(new SchedulerEvent.AttemptProgress(request, entry.unsignedShort(11), kind, amount));
+            long requestId = entry.unsignedInt(1);
+            sink.add(new SchedulerEvent.AttemptProgress(requestId, entry.unsignedShort(11), kind, amount));
         }
     }
 
--- a/src/main/java/lineward/scheduling/simulator/ReplyWriter.java
+++ b/src/main/java/lineward/scheduling/simulator/ReplyWriter.java
@@ -51,29 +51,29 @@
 
     @Override
     public void startAttempt(SchedulerAction.StartAttempt action) {
-        ByteBuffer entry = beginRecord(START_ATTEMPT).putInt((int) action.request());
+        ByteBuffer entry = beginRecord(START_ATTEMPT).putInt((int) action.requestId());
         finishRecord(putEngine(entry, action.engine()).putDouble(action.timeoutMs()));
     }
 
     @Override
     public void cancelAttempt(SchedulerAction.CancelAttempt action) {
-        ByteBuffer entry = beginRecord(CANCEL_ATTEMPT).putInt((int) action.request());
+        ByteBuffer entry = beginRecord(CANCEL_ATTEMPT).putInt((int) action.requestId());
         finishRecord(entry.putShort((short) action.attempt()));
     }
 
     @Override
     public void reject(SchedulerAction.Reject action) {
-        finishRecord(beginRecord(REJECT).putInt((int) action.request()).putDouble(action.retryAfterMs()));
+        finishRecord(beginRecord(REJECT).putInt((int) action.requestId()).putDouble(action.retryAfterMs()));
     }
 
     @Override
     public void fail(SchedulerAction.Fail action) {
-        finishRecord(beginRecord(FAIL).putInt((int) action.request()));
+        finishRecord(beginRecord(FAIL).putInt((int) action.requestId()));
     }
 
     @Override
     public void setResourceLimits(SchedulerAction.SetResourceLimits action) {
-        ByteBuffer entry = beginRecord(SET_RESOURCE_LIMITS).putInt((int) action.request());
+        ByteBuffer entry = beginRecord(SET_RESOURCE_LIMITS).putInt((int) action.requestId());
         finishRecord(entry.putFloat((float) action.grantMb()).put((byte) action.priority()));
     }
 
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -52,7 +52,7 @@
      * @param exempt whether the speculative timeout does not apply to its attempts
      */
     TrackedRequest(SchedulerEvent.RequestArrived arrival, ClassState type, boolean exempt, double nowMs) {
-        this.id = arrival.request();
+        this.id = arrival.requestId();
         this.key = arrival.key();
         this.tableGroup = arrival.tableGroup();
         this.type = type;
--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -130,7 +130,7 @@
     private long nextOrder;
     private final double startMs = 100_000;
     /** By second of arrival and by class: requests, answers in time, late answers. */
-    final TreeMap<Integer, double[][]> seconds = new TreeMap<>();
+    final TreeMap<Integer, double[][]> countsBySecond = new TreeMap<>();
 
     double maxSlowStartRatio;
     final Map<String, Integer> outcomes = new TreeMap<>();
@@ -140,30 +140,36 @@
         this.random = new Random(plan.seed);
     }
 
-    private static final class Run {
+    private static final class RunningAttempt {
         final FrontEnd frontEnd;
-        final long request;
-        final int attempt;
-        final int type;
-        double left;
+        final long requestId;
+        final int attemptIndex;
+        final int classIndex;
+        double remainingWorkMs;
         double rate;
         int priority;
 
-        Run(FrontEnd frontEnd, long request, int attempt, int type, double left, int priority) {
+        RunningAttempt(
+                FrontEnd frontEnd,
+                long requestId,
+                int attemptIndex,
+                int classIndex,
+                double remainingWorkMs,
+                int priority) {
             this.frontEnd = frontEnd;
-            this.request = request;
-            this.attempt = attempt;
-            this.type = type;
-            this.left = left;
+            this.requestId = requestId;
+            this.attemptIndex = attemptIndex;
+            this.classIndex = classIndex;
+            this.remainingWorkMs = remainingWorkMs;
             this.priority = priority;
         }
 
         void reset() {
-            frontEnd.ended(request, attempt, AttemptOutcome.RESET, 0);
+            frontEnd.attemptEnded(requestId, attemptIndex, AttemptOutcome.RESET, 0);
         }
 
         boolean isAttempt(FrontEnd ofFrontEnd, long ofRequest, int number) {
-            return frontEnd == ofFrontEnd && request == ofRequest && attempt == number;
+            return frontEnd == ofFrontEnd && requestId == ofRequest && attemptIndex == number;
         }
     }
 
@@ -171,7 +177,7 @@
         final int id;
         final int zone;
         final double speed;
-        final List<Run> runs = new ArrayList<>();
+        final List<RunningAttempt> runs = new ArrayList<>();
         final List<double[]> sent = new ArrayList<>();
         double startedAtMs;
         double at = startMs;
@@ -187,8 +193,8 @@
         }
 
         void advanceRuns() {
-            for (Run run : runs) {
-                run.left -= run.rate * (now - at);
+            for (RunningAttempt run : runs) {
+                run.remainingWorkMs -= run.rate * (now - at);
             }
             at = now;
         }
@@ -203,7 +209,8 @@
          */
         void shareCores() {
             double threads = runs.stream()
-                    .mapToInt(run -> CLASSES.get(run.type).executionProfile().threads())
+                    .mapToInt(run ->
+                            CLASSES.get(run.classIndex).executionProfile().threads())
                     .sum();
             double capacityRatio = startedAtMs == 0 ? 1 : Math.min(1, warmedUpRatio());
             double crowd = Math.max(0, threads / (SATURATION_THREADS_PER_CORE * CORES) - 1);
@@ -211,13 +218,13 @@
             runs.forEach(run -> run.rate = 0);
             for (int round = 0; round < 3 && cores > 1e-9; round++) {
                 double weights = 0;
-                for (Run run : runs) {
-                    int maxRate = CLASSES.get(run.type).executionProfile().threads();
+                for (RunningAttempt run : runs) {
+                    int maxRate = CLASSES.get(run.classIndex).executionProfile().threads();
                     weights += run.rate < maxRate ? WEIGHTS[run.priority] * maxRate : 0;
                 }
                 double before = cores;
-                for (Run run : runs) {
-                    int maxRate = CLASSES.get(run.type).executionProfile().threads();
+                for (RunningAttempt run : runs) {
+                    int maxRate = CLASSES.get(run.classIndex).executionProfile().threads();
                     if (run.rate < maxRate) {
                         double quota = before * WEIGHTS[run.priority] * maxRate / weights;
                         double more = Math.min(maxRate - run.rate, quota);
@@ -228,9 +235,9 @@
             }
             int scheduledVersion = ++version;
             double next = Double.POSITIVE_INFINITY;
-            for (Run run : runs) {
+            for (RunningAttempt run : runs) {
                 run.rate *= speed * capacityRatio;
-                next = Math.min(next, Math.max(0, run.left) / Math.max(1e-9, run.rate));
+                next = Math.min(next, Math.max(0, run.remainingWorkMs) / Math.max(1e-9, run.rate));
             }
             if (next < 1e7) {
                 schedule(Math.max(0.01, Math.min(next, 1000)), () -> {
@@ -243,22 +250,22 @@
 
         void step() {
             advanceRuns();
-            for (Run run : List.copyOf(runs)) {
-                if (run.left <= 1e-6) {
+            for (RunningAttempt run : List.copyOf(runs)) {
+                if (run.remainingWorkMs <= 1e-6) {
                     runs.remove(run);
-                    run.frontEnd.ended(run.request, run.attempt, AttemptOutcome.OK, 1);
+                    run.frontEnd.attemptEnded(run.requestId, run.attemptIndex, AttemptOutcome.OK, 1);
                 }
             }
             shareCores();
         }
 
-        void add(Run run) {
+        void add(RunningAttempt run) {
             advanceRuns();
             runs.add(run);
             double ageMs = now - startedAtMs;
             if (startedAtMs > 0 && ageMs > MAX_DISCOVERY_DELAY_MS && ageMs < WARMUP_MS) {
                 double capacity = CORES * 0.85 * warmedUpRatio();
-                sent.add(new double[] {now, MEAN_WORK[run.type]});
+                sent.add(new double[] {now, MEAN_WORK[run.classIndex]});
                 sent.removeIf(start -> start[0] < now - OVERLOAD_WINDOW_MS);
                 double work = sent.stream().mapToDouble(start -> start[1]).sum();
                 double ratio = work / (OVERLOAD_FACTOR * capacity * OVERLOAD_WINDOW_MS);
@@ -283,7 +290,7 @@
     }
 
     private final class OpenRequest {
-        final int type;
+        final int classIndex;
         final double at;
         final double deadline;
         final double work;
@@ -292,10 +299,10 @@
         boolean completed;
         boolean inFlight;
 
-        OpenRequest(int type, double work) {
-            this.type = type;
+        OpenRequest(int classIndex, double work) {
+            this.classIndex = classIndex;
             this.at = now;
-            this.deadline = now + CLASSES.get(type).objective().deadlineMs();
+            this.deadline = now + CLASSES.get(classIndex).objective().deadlineMs();
             this.work = work;
         }
     }
@@ -367,39 +374,43 @@
 
         private double[] row(OpenRequest request) {
             int second = (int) ((request.at - startMs) / 1000);
-            return seconds.computeIfAbsent(second, added -> new double[CLASSES.size()][4])[request.type];
+            return countsBySecond
+                    .computeIfAbsent(second, newSecond -> new double[CLASSES.size()][4])[request.classIndex];
         }
 
         private void perform(SchedulerAction action) {
             if (action instanceof SchedulerAction.ScheduleTimer timer) {
                 schedule(timer.delayMs(), () -> receive(new SchedulerEvent.TimerFired(timer.token())));
             } else if (action instanceof SchedulerAction.SetResourceLimits limits) {
-                OpenRequest request = openRequests.get(limits.request());
+                OpenRequest request = openRequests.get(limits.requestId());
                 if (request != null) {
                     request.priority = limits.priority();
                 }
             } else if (action instanceof SchedulerAction.Reject rejected) {
-                OpenRequest request = openRequests.get(rejected.request());
+                OpenRequest request = openRequests.get(rejected.requestId());
                 String ending = request.attempts.isEmpty() ? "rejected unsent " : "rejected ";
-                outcomes.merge(ending + request.type, 1, Integer::sum);
+                outcomes.merge(ending + request.classIndex, 1, Integer::sum);
                 request.completed = true;
             } else if (action instanceof SchedulerAction.Fail failed) {
-                outcomes.merge("failed " + openRequests.get(failed.request()).type, 1, Integer::sum);
-                openRequests.get(failed.request()).completed = true;
+                outcomes.merge("failed " + openRequests.get(failed.requestId()).classIndex, 1, Integer::sum);
+                openRequests.get(failed.requestId()).completed = true;
             } else if (action instanceof SchedulerAction.StartAttempt start) {
                 send(start);
-            } else if (action instanceof SchedulerAction.CancelAttempt cancel) {
-                OpenRequest request = openRequests.get(cancel.request());
-                if (request.inFlight && cancel.attempt() == request.attempts.size() - 1) {
-                    Engine engine = request.attempts.get(cancel.attempt());
-                    schedule(1, () -> engine.drop(this, cancel.request(), cancel.attempt()));
-                    schedule(6, () -> ended(cancel.request(), cancel.attempt(), AttemptOutcome.CANCELLED, 0));
+            } else if (action instanceof SchedulerAction.CancelAttempt cancelled) {
+                OpenRequest request = openRequests.get(cancelled.requestId());
+                if (request.inFlight && cancelled.attempt() == request.attempts.size() - 1) {
+                    Engine engine = request.attempts.get(cancelled.attempt());
+                    schedule(1, () -> engine.drop(this, cancelled.requestId(), cancelled.attempt()));
+                    schedule(
+                            6,
+                            () -> attemptEnded(
+                                    cancelled.requestId(), cancelled.attempt(), AttemptOutcome.CANCELLED, 0));
                 }
             }
         }
 
         private void send(SchedulerAction.StartAttempt start) {
-            OpenRequest request = openRequests.get(start.request());
+            OpenRequest request = openRequests.get(start.requestId());
             Engine engine = engines.get((int) start.engine() - 1);
             int attempt = request.attempts.size();
             request.attempts.add(engine);
@@ -407,8 +418,8 @@
             if (request.deadline - now > 10) {
                 schedule(request.deadline - 10 - now, () -> {
                     if (request.inFlight && request.attempts.size() - 1 == attempt) {
-                        engine.drop(this, start.request(), attempt);
-                        ended(start.request(), attempt, AttemptOutcome.TIMEOUT, 0);
+                        engine.drop(this, start.requestId(), attempt);
+                        attemptEnded(start.requestId(), attempt, AttemptOutcome.TIMEOUT, 0);
                     }
                 });
             }
@@ -417,32 +428,33 @@
                 connectionUsedMs.remove(engine.id);
                 schedule(
                         connected ? 1100 : 250,
-                        () -> ended(
-                                start.request(),
+                        () -> attemptEnded(
+                                start.requestId(),
                                 attempt,
                                 connected ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED,
                                 0));
                 return;
             }
             connectionUsedMs.put(engine.id, now);
-            double plain = request.type == 1 && random.nextDouble() < RUNAWAY_RATIO
+            double plain = request.classIndex == 1 && random.nextDouble() < RUNAWAY_RATIO
                     ? request.work * (RUNAWAY_FACTORS[0] + RUNAWAY_FACTORS[1] * random.nextDouble())
                     : request.work;
             double work = plain * Math.exp(0.1 * random.nextGaussian());
             schedule(1, () -> {
                 if (!reaches(engine)) {
-                    schedule(1100, () -> ended(start.request(), attempt, AttemptOutcome.RESET, 0));
+                    schedule(1100, () -> attemptEnded(start.requestId(), attempt, AttemptOutcome.RESET, 0));
                 } else if (request.inFlight && request.attempts.size() - 1 == attempt) {
-                    engine.add(new Run(this, start.request(), attempt, request.type, work, request.priority));
+                    engine.add(new RunningAttempt(
+                            this, start.requestId(), attempt, request.classIndex, work, request.priority));
                 }
             });
         }
 
-        void ended(long requestId, int attempt, AttemptOutcome outcome, double delay) {
+        void attemptEnded(long requestId, int attempt, AttemptOutcome outcome, double delay) {
             OpenRequest request = openRequests.get(requestId);
             Engine engine = request.attempts.get(attempt);
             if (outcome == AttemptOutcome.OK && !reaches(engine)) {
-                schedule(1100, () -> ended(requestId, attempt, AttemptOutcome.RESET, 0));
+                schedule(1100, () -> attemptEnded(requestId, attempt, AttemptOutcome.RESET, 0));
                 return;
             }
             schedule(delay, () -> {
@@ -450,10 +462,10 @@
                     return;
                 }
                 request.inFlight = false;
-                outcomes.merge(outcome + " " + request.type, 1, Integer::sum);
+                outcomes.merge(outcome + " " + request.classIndex, 1, Integer::sum);
                 boolean completed = request.completed || outcome == AttemptOutcome.OK;
                 if (outcome == AttemptOutcome.OK && !request.completed) {
-                    RequestClass requestClass = CLASSES.get(request.type);
+                    RequestClass requestClass = CLASSES.get(request.classIndex);
                     double objectiveMs = requestClass.objective().latencyMs()
                             + requestClass.objective().latencyPerRunTime()
                                     * request.work
@@ -536,7 +548,7 @@
                 plan.arrivalPeriodMs * 0.3,
                 () -> gone.forEach(e -> {
                     e.advanceRuns();
-                    for (Run run : List.copyOf(e.runs)) {
+                    for (RunningAttempt run : List.copyOf(e.runs)) {
                         schedule(1100, run::reset);
                     }
                     e.runs.clear();
@@ -561,7 +573,7 @@
      */
     double served(int type, int from, int to) {
         double[] sum = new double[3];
-        seconds.subMap(from, to).values().forEach(rows -> {
+        countsBySecond.subMap(from, to).values().forEach(rows -> {
             for (int i = 0; i < sum.length; i++) {
                 sum[i] += rows[type][i];
             }
@@ -592,7 +604,7 @@
                             30_000,
                             seed))
                     .run();
-            int last = day.seconds.lastKey() + 1;
+            int last = day.countsBySecond.lastKey() + 1;
             double lookups = day.served(0, 0, last);
             double reports = day.served(1, 0, last);
             System.out.printf(
--- a/src/measure/java/lineward/scheduling/RuleChecker.java
+++ b/src/measure/java/lineward/scheduling/RuleChecker.java
@@ -34,28 +34,28 @@
 
     void onEvent(double nowMs, SchedulerEvent event) {
         if (event instanceof SchedulerEvent.RequestArrived arrival) {
-            requests.put(arrival.request(), new RequestRecord(arrival.requestClass()));
+            requests.put(arrival.requestId(), new RequestRecord(arrival.requestClass()));
             admittedMs.add(nowMs);
         } else if (event instanceof SchedulerEvent.AttemptEnded ended) {
-            RequestRecord request = requests.get(ended.request());
+            RequestRecord request = requests.get(ended.requestId());
             request.inFlight = false;
             request.mayHaveRun |= ended.outcome().mayHaveRun();
             request.completed |= ended.requestCompleted();
         } else if (event instanceof SchedulerEvent.RequestCancelled cancelled) {
-            requests.get(cancelled.request()).completed = true;
+            requests.get(cancelled.requestId()).completed = true;
         }
     }
 
     void onAction(double nowMs, SchedulerAction action) {
         if (action instanceof SchedulerAction.StartAttempt start) {
-            checkStart(nowMs, requests.get(start.request()));
+            checkStart(nowMs, requests.get(start.requestId()));
         } else if (action instanceof SchedulerAction.Reject rejected) {
-            RequestRecord request = requests.get(rejected.request());
+            RequestRecord request = requests.get(rejected.requestId());
             boolean neverRan = !request.mayHaveRun && !request.inFlight;
             require(!isNonIdempotent(request) || neverRan, "rejected a request that must not run twice");
             checkAnswer(request);
         } else if (action instanceof SchedulerAction.Fail failed) {
-            checkAnswer(requests.get(failed.request()));
+            checkAnswer(requests.get(failed.requestId()));
         }
     }
 
--- a/src/test/java/lineward/core/CoordinatorTest.java
+++ b/src/test/java/lineward/core/CoordinatorTest.java
@@ -108,7 +108,7 @@
         assertNull(last(TIMEOUT));
         List<Command<String>> commands = coordinator.tick(2290);
         assertEquals(commands, List.of(new Command.CancelAttempt<>("r", id, 0, "s-1")));
-        assertEquals(last(TIMEOUT).request(), id);
+        assertEquals(last(TIMEOUT).requestId(), id);
         scheduler.next = List.of(new SchedulerAction.Reject(id, 125));
         coordinator.endpointsChanged(false, List.of());
         assertEquals(coordinator.tick(2291), List.of(new Command.Reject<>("r", 125)));
@@ -136,7 +136,7 @@
         coordinator.tick(3105);
         assertNull(last(CANCELLED));
         coordinator.tick(3106);
-        assertEquals(last(CANCELLED).request(), id);
+        assertEquals(last(CANCELLED).requestId(), id);
     }
 
     @Test
--- a/src/test/java/lineward/scheduling/ActionDigest.java
+++ b/src/test/java/lineward/scheduling/ActionDigest.java
@@ -44,15 +44,15 @@
     public void add(SchedulerAction action) {
         if (action instanceof SchedulerAction.StartAttempt added) {
             double engine = added.engine();
-            add('S', (double) added.request(), engine, added.timeoutMs(), added.startWithinMs());
+            add('S', (double) added.requestId(), engine, added.timeoutMs(), added.startWithinMs());
         } else if (action instanceof SchedulerAction.CancelAttempt added) {
-            add('C', (double) added.request(), added.attempt());
+            add('C', (double) added.requestId(), added.attempt());
         } else if (action instanceof SchedulerAction.Reject added) {
-            add('R', (double) added.request(), added.retryAfterMs());
+            add('R', (double) added.requestId(), added.retryAfterMs());
         } else if (action instanceof SchedulerAction.Fail added) {
-            add('F', (double) added.request());
+            add('F', (double) added.requestId());
         } else if (action instanceof SchedulerAction.SetResourceLimits added) {
-            add('L', (double) added.request(), added.grantMb(), added.priority());
+            add('L', (double) added.requestId(), added.grantMb(), added.priority());
         } else if (action instanceof SchedulerAction.BroadcastGossip added) {
             add('A', added.payload());
         } else if (action instanceof SchedulerAction.StartHealthCheck added) {
--- a/src/test/java/lineward/scheduling/FleetQuotaTest.java
+++ b/src/test/java/lineward/scheduling/FleetQuotaTest.java
@@ -107,7 +107,7 @@
         }
         double quota = MAX_THREADS_PER_CORE * CORES * engines / frontEnds;
         long lookups = scheduler.allStarts().stream()
-                .filter(start -> start.request() > 1000)
+                .filter(start -> start.requestId() > 1000)
                 .count();
         long reports = scheduler.allStarts().size() - lookups;
         assertTrue(lookups >= 1 && reports >= 1, "both classes start");
@@ -125,7 +125,7 @@
         for (int id = 201; id <= 300; id++) {
             scheduler.requestArrives(id, 0, 0, 100, 5000).advance(25);
         }
-        assertTrue(scheduler.allStarts().stream().anyMatch(start -> start.request() == 1000));
+        assertTrue(scheduler.allStarts().stream().anyMatch(start -> start.requestId() == 1000));
     }
 
     @DataProvider
@@ -167,7 +167,7 @@
             scheduler.requestArrives(id, 0, 0, 200, 5000).advance(100).attemptEnds(id, 0, AttemptOutcome.OK);
         }
         long reports = scheduler.allStarts().stream()
-                .map(SchedulerAction.StartAttempt::request)
+                .map(SchedulerAction.StartAttempt::requestId)
                 .filter(id -> id > 100 && id <= 140)
                 .distinct()
                 .count();
--- a/src/test/java/lineward/scheduling/FleetSlowStartTest.java
+++ b/src/test/java/lineward/scheduling/FleetSlowStartTest.java
@@ -247,9 +247,9 @@
             }
 
             private void start(SchedulerAction.StartAttempt start) {
-                double work = works.get(start.request());
-                int attempt = attempts.merge(start.request(), 1, Integer::sum) - 1;
-                inFlight.put(start.request(), attempt);
+                double work = works.get(start.requestId());
+                int attempt = attempts.merge(start.requestId(), 1, Integer::sum) - 1;
+                inFlight.put(start.requestId(), attempt);
                 retries += attempt > 0 ? 1 : 0;
                 if (start.engine() <= enginesInSlowStart) {
                     startedInSlowStart++;
@@ -262,11 +262,11 @@
                         : AttemptOutcome.OK;
                 whileRunning(
                         fails ? 5 : work / (work > 1000 ? 3 : 1) * (1 + random.nextDouble()),
-                        () -> ended(start.request(), attempt, outcome));
+                        () -> ended(start.requestId(), attempt, outcome));
             }
 
             private void cancelled(SchedulerAction.CancelAttempt cancel) {
-                ended(cancel.request(), cancel.attempt(), AttemptOutcome.CANCELLED);
+                ended(cancel.requestId(), cancel.attempt(), AttemptOutcome.CANCELLED);
             }
 
             private void ended(long request, int attempt, AttemptOutcome outcome) {
--- a/src/test/java/lineward/scheduling/HostExampleTest.java
+++ b/src/test/java/lineward/scheduling/HostExampleTest.java
@@ -36,11 +36,11 @@
         while (!due.isEmpty()) {
             Due next = due.poll();
             if (next.event() instanceof AttemptEnded ended) {
-                served.add(ended.request());
+                served.add(ended.requestId());
             }
             for (SchedulerAction action : frontEnd.decide(next.at(), List.of(next.event()))) {
                 if (action instanceof SchedulerAction.StartAttempt start) {
-                    due.add(new Due(next.at() + 150, served(start.request())));
+                    due.add(new Due(next.at() + 150, served(start.requestId())));
                 } else if (action instanceof SchedulerAction.ScheduleTimer timer) {
                     due.add(new Due(next.at() + timer.delayMs(), new TimerFired(timer.token())));
                 }
--- a/src/test/java/lineward/scheduling/LargeFleetTest.java
+++ b/src/test/java/lineward/scheduling/LargeFleetTest.java
@@ -51,9 +51,9 @@
             List<List<AttemptStart>> startsByEngine /* by engine */) {
         for (SchedulerAction action : actions) {
             if (action instanceof SchedulerAction.StartAttempt start) {
-                double workMs = workMsByRequest.get(start.request());
+                double workMs = workMsByRequest.get(start.requestId());
                 startsByEngine.get((int) start.engine()).add(new AttemptStart(nowMs, workMs));
-                events.add(new TimedEvent(nowMs + workMs, frontEnd, attemptSucceeded(start.request())));
+                events.add(new TimedEvent(nowMs + workMs, frontEnd, attemptSucceeded(start.requestId())));
             } else if (action instanceof SchedulerAction.ScheduleTimer timer) {
                 events.add(new TimedEvent(nowMs + timer.delayMs(), frontEnd, new TimerFired(timer.token())));
             }
--- a/src/test/java/lineward/scheduling/RandomEventsTest.java
+++ b/src/test/java/lineward/scheduling/RandomEventsTest.java
@@ -172,15 +172,15 @@
                 request.classIndex = a.requestClass();
                 request.key = a.key();
                 request.deadlineMs = nowMs + a.timeLeftMs();
-                requests.put(a.request(), request);
+                requests.put(a.requestId(), request);
                 admissionTimesMs.add(nowMs);
                 if (request.key != 0) {
                     requestsByKey
                             .computeIfAbsent(request.key, k -> new ArrayList<>())
-                            .add(a.request());
+                            .add(a.requestId());
                 }
             } else if (next.event() instanceof AttemptEnded ended) {
-                RequestRecord request = requests.get(ended.request());
+                RequestRecord request = requests.get(ended.requestId());
                 request.inFlight--;
                 request.mayHaveRun |= ended.outcome().mayHaveRun();
                 request.completed |= ended.requestCompleted();
@@ -193,7 +193,7 @@
                 if (action instanceof SchedulerAction.ScheduleTimer a) {
                     events.add(new TimedEvent(nowMs + a.delayMs(), nextNumber++, new TimerFired(a.token())));
                 } else if (action instanceof SchedulerAction.Reject a) {
-                    RequestRecord request = requests.get(a.request());
+                    RequestRecord request = requests.get(a.requestId());
                     Idempotence idempotence = settings.classes()
                             .get(request.classIndex)
                             .repeatability()
@@ -210,10 +210,10 @@
                 } else if (action instanceof SchedulerAction.CancelAttempt) {
                     assertThat(settings.limits().capabilities().cancellation()).isTrue();
                 } else if (action instanceof SchedulerAction.Fail a) {
-                    assertThat(requests.get(a.request()).completed).isFalse();
-                    requests.get(a.request()).completed = true;
+                    assertThat(requests.get(a.requestId()).completed).isFalse();
+                    requests.get(a.requestId()).completed = true;
                 } else if (action instanceof SchedulerAction.StartAttempt a) {
-                    RequestRecord request = requests.get(a.request());
+                    RequestRecord request = requests.get(a.requestId());
                     RequestClass type = settings.classes().get(request.classIndex);
                     Endpoint e = endpoint(a.engine(), EndpointState.READY, 0);
                     assertThat(request.completed).isFalse();
@@ -237,7 +237,7 @@
                     }
                     if (request.key != 0) {
                         for (long earlier : requestsByKey.get(request.key)) {
-                            if (earlier == a.request()) {
+                            if (earlier == a.requestId()) {
                                 break;
                             }
                             assertThat(requests.get(earlier).completed && requests.get(earlier).inFlight == 0)
@@ -272,7 +272,7 @@
                     int attempt = request.attempts++;
                     boolean answered = outcome == OK;
                     SchedulerEvent ended =
-                            new AttemptEnded(a.request(), attempt, outcome, answered, 0, 0, new double[0]);
+                            new AttemptEnded(a.requestId(), attempt, outcome, answered, 0, 0, new double[0]);
                     events.add(new TimedEvent(Math.max(nowMs, endMs), nextNumber++, ended));
                     request.inFlight++;
                 }
--- a/src/test/java/lineward/scheduling/RareClassStragglerTest.java
+++ b/src/test/java/lineward/scheduling/RareClassStragglerTest.java
@@ -35,7 +35,7 @@
 
     private static List<SchedulerAction.CancelAttempt> cancels(TestingScheduler scheduler) {
         return scheduler.allCancels().stream()
-                .filter(cancel -> cancel.request() == STRAGGLER)
+                .filter(cancel -> cancel.requestId() == STRAGGLER)
                 .toList();
     }
 
@@ -51,7 +51,7 @@
         assertEquals(cancels(scheduler).size(), 1);
         scheduler.attemptEnds(STRAGGLER, 0, AttemptOutcome.CANCELLED);
         List<Long> usedEngines = scheduler.allStarts().stream()
-                .filter(start -> start.request() == STRAGGLER)
+                .filter(start -> start.requestId() == STRAGGLER)
                 .map(SchedulerAction.StartAttempt::engine)
                 .toList();
         assertEquals(usedEngines.size(), 2, "the straggler is relaunched at once");
--- a/src/test/java/lineward/scheduling/SchedulerRulesTest.java
+++ b/src/test/java/lineward/scheduling/SchedulerRulesTest.java
@@ -138,7 +138,7 @@
             scheduler.requestArrives(i, 0);
             for (SchedulerAction.StartAttempt start : scheduler.lastStarts()) {
                 started++;
-                scheduler.attemptEnds(start.request(), 0, OK);
+                scheduler.attemptEnds(start.requestId(), 0, OK);
                 started += scheduler.lastStarts().size();
             }
         }
@@ -152,16 +152,16 @@
             scheduler.requestArrives(id, 0, 77, 500, 9000);
         }
         assertThat(scheduler.allStarts())
-                .extracting(SchedulerAction.StartAttempt::request)
+                .extracting(SchedulerAction.StartAttempt::requestId)
                 .containsExactly(1L);
         scheduler.attemptEnds(1, 0, OK);
         assertThat(scheduler.lastStarts())
-                .extracting(SchedulerAction.StartAttempt::request)
+                .extracting(SchedulerAction.StartAttempt::requestId)
                 .containsExactly(2L);
         scheduler.attemptEnds(2, 0, RESET);
         assertThat(scheduler.advance(475).lastStarts()).isEmpty();
         assertThat(scheduler.advance(50).lastStarts())
-                .extracting(SchedulerAction.StartAttempt::request)
+                .extracting(SchedulerAction.StartAttempt::requestId)
                 .containsExactly(3L);
     }
 
--- a/src/test/java/lineward/scheduling/SeededSimulation.java
+++ b/src/test/java/lineward/scheduling/SeededSimulation.java
@@ -171,7 +171,7 @@
 
     private void recordEvent(SchedulerEvent event, double nowMs, List<SchedulerEvent> batch) {
         if (event instanceof RequestArrived arrival) {
-            requests.put(arrival.request(), new OpenRequest(nowMs + arrival.timeLeftMs()));
+            requests.put(arrival.requestId(), new OpenRequest(nowMs + arrival.timeLeftMs()));
         }
         batch.add(event);
     }
@@ -189,20 +189,20 @@
     }
 
     private void startAttempt(SchedulerAction.StartAttempt start, double nowMs) {
-        OpenRequest request = requests.get(start.request());
+        OpenRequest request = requests.get(start.requestId());
         int attempt = request.attempts++;
         double runMs = MEAN_RUN_MS * -Math.log(1 - random.nextDouble());
         runMs *= random.nextInt(12) == 0 ? 12 : 1;
         double silentUntilMs = silentUntilByEngine.getOrDefault(start.engine(), 0.0);
         double endMs = Math.max(nowMs + 5 + runMs, silentUntilMs > nowMs ? silentUntilMs + runMs : 0);
         double progressUntilMs = Math.min(endMs, request.deadlineMs);
-        scheduleProgress(start.request(), attempt, nowMs, progressUntilMs, silentUntilMs > nowMs);
+        scheduleProgress(start.requestId(), attempt, nowMs, progressUntilMs, silentUntilMs > nowMs);
         AttemptOutcome outcome = drawOutcome();
         if (endMs >= request.deadlineMs) {
             endMs = Math.max(nowMs, request.deadlineMs);
             outcome = TIMEOUT;
         }
-        schedule(endMs, attemptEnded(start.request(), attempt, outcome));
+        schedule(endMs, attemptEnded(start.requestId(), attempt, outcome));
     }
 
     private void scheduleProgress(long request, int attempt, double fromMs, double untilMs, boolean silent) {
@@ -245,7 +245,7 @@
     /** A cancelled attempt may end by itself before it is stopped; the scheduler ignores the second end. */
     private void scheduleCancelledEnd(SchedulerAction.CancelAttempt cancel, double nowMs) {
         AttemptOutcome outcome = random.nextInt(10) == 0 ? OK : CANCELLED;
-        schedule(nowMs + 1 + random.nextInt(40), attemptEnded(cancel.request(), cancel.attempt(), outcome));
+        schedule(nowMs + 1 + random.nextInt(40), attemptEnded(cancel.requestId(), cancel.attempt(), outcome));
     }
 
     private void scheduleHealthCheckEnd(SchedulerAction.StartHealthCheck check, double nowMs) {
--- a/src/test/java/lineward/scheduling/SpeculationTest.java
+++ b/src/test/java/lineward/scheduling/SpeculationTest.java
@@ -177,10 +177,10 @@
         assertThat(scheduler.allCancels()).isEmpty();
         scheduler.advance(300);
         assertThat(scheduler.allCancels())
-                .extracting(SchedulerAction.CancelAttempt::request)
+                .extracting(SchedulerAction.CancelAttempt::requestId)
                 .containsExactly(1L);
         assertThat(scheduler.allActions(SchedulerAction.Reject.class))
-                .extracting(SchedulerAction.Reject::request)
+                .extracting(SchedulerAction.Reject::requestId)
                 .containsExactly(1L);
     }
 
