--- a/src/test/java/lineward/scheduling/HostExampleTest.java
+++ b/src/test/java/lineward/scheduling/HostExampleTest.java
@@ -18,34 +18,35 @@
 
 /** Runs a scheduler in a minimal host program, with simulated engines that answer after 150 ms. */
 public class HostExampleTest {
-    private static AttemptEnded served(long request) {
+    private static AttemptEnded attemptSucceeded(long request) {
         return new AttemptEnded(request, 0, OK, true, 0, 0, new double[0]);
     }
 
-    private record Due(double at, SchedulerEvent event) {}
+    private record TimedEvent(double atMs, SchedulerEvent event) {}
 
     @Test
-    public void hostDrivesTheSchedulerWithoutTheAdapter() {
-        Scheduler frontEnd = new SpeculativeScheduler(settings(lookupClass()), 42);
-        PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at()));
-        due.add(new Due(0, new EndpointsChanged(true, List.of(readyEngine(1), readyEngine(2)))));
-        for (int i = 0; i < 50; i++) {
-            due.add(new Due(10 + i * 20, new RequestArrived(i, 0, 0, 5000, 150, 100, i % 5, false, 0)));
+    public void hostProgramServesEachRequestOnce() {
+        Scheduler scheduler = new SpeculativeScheduler(settings(lookupClass()), 42);
+        PriorityQueue<TimedEvent> events = new PriorityQueue<>((a, b) -> Double.compare(a.atMs(), b.atMs()));
+        events.add(new TimedEvent(0, new EndpointsChanged(true, List.of(readyEngine(1), readyEngine(2)))));
+        for (int index = 0; index < 50; index++) {
+            events.add(new TimedEvent(
+                    10 + index * 20, new RequestArrived(index, 0, 0, 5000, 150, 100, index % 5, false, 0)));
         }
-        List<Long> served = new ArrayList<>();
-        while (!due.isEmpty()) {
-            Due next = due.poll();
+        List<Long> servedRequests = new ArrayList<>();
+        while (!events.isEmpty()) {
+            TimedEvent next = events.poll();
             if (next.event() instanceof AttemptEnded ended) {
-                served.add(ended.requestId());
+                servedRequests.add(ended.requestId());
             }
-            for (SchedulerAction action : frontEnd.decide(next.at(), List.of(next.event()))) {
+            for (SchedulerAction action : scheduler.decide(next.atMs(), List.of(next.event()))) {
                 if (action instanceof SchedulerAction.StartAttempt start) {
-                    due.add(new Due(next.at() + 150, served(start.requestId())));
+                    events.add(new TimedEvent(next.atMs() + 150, attemptSucceeded(start.requestId())));
                 } else if (action instanceof SchedulerAction.ScheduleTimer timer) {
-                    due.add(new Due(next.at() + timer.delayMs(), new TimerFired(timer.token())));
+                    events.add(new TimedEvent(next.atMs() + timer.delayMs(), new TimerFired(timer.token())));
                 }
             }
         }
-        assertThat(served).hasSize(50).doesNotHaveDuplicates();
+        assertThat(servedRequests).hasSize(50).doesNotHaveDuplicates();
     }
 }
