--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -38,7 +38,7 @@
                     new RequestClass.Placement(null, null),
                     new RequestClass.ExecutionProfile(true, false, 2)));
 
-    private static final double[] MEAN_WORK = {100, 3000, 4000};
+    private static final double[] MEAN_WORK_MS = {100, 3000, 4000};
     private static final double[] WORK_LOG_DEVIATION = {0.85, 1.0, 0.6};
     private static final double REPORT_RATIO = 0.15;
     /** Fraction of the attempts of reports that need far more work than the request has. */
@@ -58,7 +58,7 @@
     private static final double MAX_DISCOVERY_DELAY_MS = 4000;
 
     private static final double OVERLOAD_FACTOR = 2.5;
-    private static final double[] WEIGHTS = {1, 4, 8, 16};
+    private static final double[] PRIORITY_WEIGHTS = {1, 4, 8, 16};
 
     /**
      * Parameters of a simulation.
@@ -125,14 +125,14 @@
     private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
             Comparator.comparingDouble(ScheduledTask::atMs).thenComparingLong(ScheduledTask::order));
     private final List<Engine> engines = new ArrayList<>();
-    private final List<FrontEnd> frontEndNodes = new ArrayList<>();
-    private double now;
+    private final List<FrontEnd> frontEnds = new ArrayList<>();
+    private double nowMs;
     private long nextOrder;
     private final double startMs = 100_000;
     /** By second of arrival and by class: requests, answers in time, late answers. */
     final TreeMap<Integer, double[][]> countsBySecond = new TreeMap<>();
 
-    double maxSlowStartRatio;
+    double maxSlowStartBudgetRatio;
     final Map<String, Integer> outcomes = new TreeMap<>();
 
     FleetDay(Plan plan) {
@@ -194,13 +194,13 @@
 
         void advanceRuns() {
             for (RunningAttempt run : runs) {
-                run.remainingWorkMs -= run.rate * (now - at);
+                run.remainingWorkMs -= run.rate * (nowMs - at);
             }
-            at = now;
+            at = nowMs;
         }
 
         private double warmedUpRatio() {
-            return INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (now - startedAtMs) / WARMUP_MS;
+            return INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (nowMs - startedAtMs) / WARMUP_MS;
         }
 
         /**
@@ -220,13 +220,13 @@
                 double weights = 0;
                 for (RunningAttempt run : runs) {
                     int maxRate = CLASSES.get(run.classIndex).executionProfile().threads();
-                    weights += run.rate < maxRate ? WEIGHTS[run.priority] * maxRate : 0;
+                    weights += run.rate < maxRate ? PRIORITY_WEIGHTS[run.priority] * maxRate : 0;
                 }
                 double before = cores;
                 for (RunningAttempt run : runs) {
                     int maxRate = CLASSES.get(run.classIndex).executionProfile().threads();
                     if (run.rate < maxRate) {
-                        double quota = before * WEIGHTS[run.priority] * maxRate / weights;
+                        double quota = before * PRIORITY_WEIGHTS[run.priority] * maxRate / weights;
                         double more = Math.min(maxRate - run.rate, quota);
                         run.rate += more;
                         cores -= more;
@@ -262,14 +262,14 @@
         void add(RunningAttempt run) {
             advanceRuns();
             runs.add(run);
-            double ageMs = now - startedAtMs;
+            double ageMs = nowMs - startedAtMs;
             if (startedAtMs > 0 && ageMs > MAX_DISCOVERY_DELAY_MS && ageMs < WARMUP_MS) {
                 double capacity = CORES * 0.85 * warmedUpRatio();
-                sent.add(new double[] {now, MEAN_WORK[run.classIndex]});
-                sent.removeIf(start -> start[0] < now - OVERLOAD_WINDOW_MS);
+                sent.add(new double[] {nowMs, MEAN_WORK_MS[run.classIndex]});
+                sent.removeIf(start -> start[0] < nowMs - OVERLOAD_WINDOW_MS);
                 double work = sent.stream().mapToDouble(start -> start[1]).sum();
                 double ratio = work / (OVERLOAD_FACTOR * capacity * OVERLOAD_WINDOW_MS);
-                maxSlowStartRatio = Math.max(maxSlowStartRatio, ratio);
+                maxSlowStartBudgetRatio = Math.max(maxSlowStartBudgetRatio, ratio);
             }
             shareCores();
         }
@@ -301,8 +301,8 @@
 
         OpenRequest(int classIndex, double work) {
             this.classIndex = classIndex;
-            this.at = now;
-            this.deadline = now + CLASSES.get(classIndex).objective().deadlineMs();
+            this.at = nowMs;
+            this.deadline = nowMs + CLASSES.get(classIndex).objective().deadlineMs();
             this.work = work;
         }
     }
@@ -340,7 +340,7 @@
                     new SchedulerSettings.LoadReporting(List.of(), false),
                     new SchedulerSettings.Discovery(false, 0, false),
                     new SchedulerSettings.MessageCosts(0, 0),
-                    new SchedulerSettings.TenantQuotas(List.of(800 * perMs(1)), 1));
+                    new SchedulerSettings.TenantQuotas(List.of(800 * requestsPerMs(1)), 1));
             scheduler = new SpeculativeScheduler(settings, plan.seed * 1000 + ordinal);
             checker = new RuleChecker(settings);
         }
@@ -353,23 +353,23 @@
         }
 
         void receive(SchedulerEvent event) {
-            checker.onEvent(now, event);
-            for (SchedulerAction action : scheduler.decide(now, List.of(event))) {
-                checker.onAction(now, action);
+            checker.onEvent(nowMs, event);
+            for (SchedulerAction action : scheduler.decide(nowMs, List.of(event))) {
+                checker.onAction(nowMs, action);
                 perform(action);
             }
         }
 
         void requestArrives(int type) {
             double spread = WORK_LOG_DEVIATION[type];
-            double work = MEAN_WORK[type] * Math.exp(spread * random.nextGaussian() - spread * spread / 2);
+            double work = MEAN_WORK_MS[type] * Math.exp(spread * random.nextGaussian() - spread * spread / 2);
             double estimatedWork = work * Math.exp(0.4 * random.nextGaussian()) * ESTIMATE_RATIO[type];
             long id = ++ids;
             OpenRequest request = new OpenRequest(type, work);
             openRequests.put(id, request);
             row(request)[0]++;
             receive(new SchedulerEvent.RequestArrived(
-                    id, type, 0, request.deadline - now, estimatedWork, 200, random.nextInt(50), false, 0));
+                    id, type, 0, request.deadline - nowMs, estimatedWork, 200, random.nextInt(50), false, 0));
         }
 
         private double[] row(OpenRequest request) {
@@ -415,15 +415,15 @@
             int attempt = request.attempts.size();
             request.attempts.add(engine);
             request.inFlight = true;
-            if (request.deadline - now > 10) {
-                schedule(request.deadline - 10 - now, () -> {
+            if (request.deadline - nowMs > 10) {
+                schedule(request.deadline - 10 - nowMs, () -> {
                     if (request.inFlight && request.attempts.size() - 1 == attempt) {
                         engine.drop(this, start.requestId(), attempt);
                         attemptEnded(start.requestId(), attempt, AttemptOutcome.TIMEOUT, 0);
                     }
                 });
             }
-            boolean connected = connectionUsedMs.getOrDefault(engine.id, 0.0) > now - 20_000;
+            boolean connected = connectionUsedMs.getOrDefault(engine.id, 0.0) > nowMs - 20_000;
             if (!reaches(engine)) {
                 connectionUsedMs.remove(engine.id);
                 schedule(
@@ -435,7 +435,7 @@
                                 0));
                 return;
             }
-            connectionUsedMs.put(engine.id, now);
+            connectionUsedMs.put(engine.id, nowMs);
             double plain = request.classIndex == 1 && random.nextDouble() < RUNAWAY_RATIO
                     ? request.work * (RUNAWAY_FACTORS[0] + RUNAWAY_FACTORS[1] * random.nextDouble())
                     : request.work;
@@ -470,7 +470,7 @@
                             + requestClass.objective().latencyPerRunTime()
                                     * request.work
                                     / requestClass.executionProfile().threads();
-                    row(request)[now - request.at <= objectiveMs ? 1 : 2]++;
+                    row(request)[nowMs - request.at <= objectiveMs ? 1 : 2]++;
                 }
                 request.completed = completed;
                 double[] none = {};
@@ -480,73 +480,73 @@
     }
 
     private void schedule(double delay, Runnable task) {
-        tasks.add(new ScheduledTask(now + delay, nextOrder++, task));
+        tasks.add(new ScheduledTask(nowMs + delay, nextOrder++, task));
     }
 
-    private double perMs(double load) {
-        return load * plan.engines * CORES / meanWork();
+    private double requestsPerMs(double load) {
+        return load * plan.engines * CORES / meanWorkMs();
     }
 
-    private double meanWork() {
-        double lookups = MEAN_WORK[0] * (1 - REPORT_RATIO - plan.loadRequestFraction);
-        return lookups + MEAN_WORK[1] * REPORT_RATIO + MEAN_WORK[2] * plan.loadRequestFraction;
+    private double meanWorkMs() {
+        double lookups = MEAN_WORK_MS[0] * (1 - REPORT_RATIO - plan.loadRequestFraction);
+        return lookups + MEAN_WORK_MS[1] * REPORT_RATIO + MEAN_WORK_MS[2] * plan.loadRequestFraction;
     }
 
     private boolean isOutage() {
-        return now - startMs >= plan.arrivalPeriodMs * 0.3
-                && now - startMs < plan.arrivalPeriodMs * 0.3 + plan.outageMs;
+        return nowMs - startMs >= plan.arrivalPeriodMs * 0.3
+                && nowMs - startMs < plan.arrivalPeriodMs * 0.3 + plan.outageMs;
     }
 
     FleetDay run() {
-        now = startMs;
+        nowMs = startMs;
         for (int i = 0; i < plan.engines; i++) {
             engines.add(new Engine(i));
         }
         for (int i = 0; i < plan.frontEnds; i++) {
-            frontEndNodes.add(new FrontEnd(i));
+            frontEnds.add(new FrontEnd(i));
         }
         List<Endpoint> endpoints = engines.stream().map(Engine::listed).toList();
         SchedulerEvent listed = new SchedulerEvent.EndpointsChanged(true, endpoints);
-        frontEndNodes.forEach(frontEnd -> schedule(0, () -> frontEnd.receive(listed)));
-        double perMs = perMs(plan.load);
+        frontEnds.forEach(frontEnd -> schedule(0, () -> frontEnd.receive(listed)));
+        double requestsPerMs = requestsPerMs(plan.load);
         double[] trafficWeights = new double[plan.frontEnds];
         for (int i = 0; i < trafficWeights.length; i++) {
             trafficWeights[i] = Math.exp(plan.skew * random.nextGaussian()) * (i % 10 == 3 ? 3 : 1);
         }
         double totalWeight = Arrays.stream(trafficWeights).sum();
-        for (FrontEnd frontEnd : frontEndNodes) {
-            arrivals(frontEnd, perMs * trafficWeights[frontEnd.ordinal] / totalWeight);
+        for (FrontEnd frontEnd : frontEnds) {
+            scheduleArrivals(frontEnd, requestsPerMs * trafficWeights[frontEnd.ordinal] / totalWeight);
         }
-        outage();
+        scheduleOutage();
         double end = startMs + plan.arrivalPeriodMs + 16_000;
         while (!tasks.isEmpty() && tasks.peek().atMs <= end) {
             ScheduledTask next = tasks.poll();
-            now = next.atMs;
+            nowMs = next.atMs;
             next.task.run();
         }
         return this;
     }
 
-    private void arrivals(FrontEnd frontEnd, double perMs) {
-        schedule(-Math.log(1 - random.nextDouble()) / perMs, () -> {
-            if (now < startMs + plan.arrivalPeriodMs) {
+    private void scheduleArrivals(FrontEnd frontEnd, double requestsPerMs) {
+        schedule(-Math.log(1 - random.nextDouble()) / requestsPerMs, () -> {
+            if (nowMs < startMs + plan.arrivalPeriodMs) {
                 double draw = random.nextDouble();
                 frontEnd.requestArrives(
                         draw < REPORT_RATIO ? 1 : draw < REPORT_RATIO + plan.loadRequestFraction ? 2 : 0);
-                arrivals(frontEnd, perMs);
+                scheduleArrivals(frontEnd, requestsPerMs);
             }
         });
     }
 
-    private void outage() {
+    private void scheduleOutage() {
         if (plan.failedZone < 0) {
             return;
         }
-        List<Engine> gone =
+        List<Engine> failedEngines =
                 engines.stream().filter(e -> e.zone == plan.failedZone).toList();
         schedule(
                 plan.arrivalPeriodMs * 0.3,
-                () -> gone.forEach(e -> {
+                () -> failedEngines.forEach(e -> {
                     e.advanceRuns();
                     for (RunningAttempt run : List.copyOf(e.runs)) {
                         schedule(1100, run::reset);
@@ -557,11 +557,11 @@
                 }));
         schedule(
                 plan.arrivalPeriodMs * 0.3 + plan.outageMs,
-                () -> gone.forEach(e -> {
+                () -> failedEngines.forEach(e -> {
                     e.failed = false;
-                    e.at = now;
-                    e.startedAtMs = now;
-                    frontEndNodes.forEach(frontEnd -> schedule(
+                    e.at = nowMs;
+                    e.startedAtMs = nowMs;
+                    frontEnds.forEach(frontEnd -> schedule(
                             MAX_DISCOVERY_DELAY_MS * (1 + random.nextDouble()) / 2,
                             () -> frontEnd.receive(e.update())));
                 }));
@@ -571,11 +571,11 @@
      * Returns the fraction of the requests that were answered, late or not, among those of one class that
      * arrived from second {@code from} to second {@code to}, exclusive.
      */
-    double served(int type, int from, int to) {
+    double servedRequestFraction(int classIndex, int from, int to) {
         double[] sum = new double[3];
         countsBySecond.subMap(from, to).values().forEach(rows -> {
             for (int i = 0; i < sum.length; i++) {
-                sum[i] += rows[type][i];
+                sum[i] += rows[classIndex][i];
             }
         });
         return (sum[1] + sum[2]) / Math.max(1, sum[0]);
@@ -605,11 +605,11 @@
                             seed))
                     .run();
             int last = day.countsBySecond.lastKey() + 1;
-            double lookups = day.served(0, 0, last);
-            double reports = day.served(1, 0, last);
+            double lookups = day.servedRequestFraction(0, 0, last);
+            double reports = day.servedRequestFraction(1, 0, last);
             System.out.printf(
                     "seed %d: lookups %.3f, reports %.3f; slow-start budget used %.2f; %s%n",
-                    seed, lookups, reports, day.maxSlowStartRatio, day.outcomes);
+                    seed, lookups, reports, day.maxSlowStartBudgetRatio, day.outcomes);
         }
     }
 }
--- a/src/test/java/lineward/scheduling/SeededRulesTest.java
+++ b/src/test/java/lineward/scheduling/SeededRulesTest.java
@@ -49,7 +49,7 @@
             assertTrue(
                     day.outcomes.keySet().stream().anyMatch(outcome -> outcome.matches("(RESET|TIMEOUT) 2")),
                     "some loads may have run: " + day.outcomes);
-            double servedRatio = day.served(2, 0, ARRIVAL_PERIOD_MS / 1000);
+            double servedRatio = day.servedRequestFraction(2, 0, ARRIVAL_PERIOD_MS / 1000);
             assertTrue(servedRatio > 0.3, "loads served: " + servedRatio);
         }
     }
--- a/src/test/java/lineward/scheduling/ZoneLossTest.java
+++ b/src/test/java/lineward/scheduling/ZoneLossTest.java
@@ -41,14 +41,15 @@
                     .run();
             for (int type = 0; type <= 1; type++) {
                 String message = "class " + type + ", seed " + seed + ": served ";
-                double duringOutage = day.served(type, OUTAGE_START_S, OUTAGE_END_S);
+                double duringOutage = day.servedRequestFraction(type, OUTAGE_START_S, OUTAGE_END_S);
                 assertTrue(duringOutage >= 0.3, message + duringOutage + " during the outage");
-                double afterRecovery = day.served(type, OUTAGE_END_S + RECOVERY_S, (int) (DAY_MS / 1000));
+                double afterRecovery =
+                        day.servedRequestFraction(type, OUTAGE_END_S + RECOVERY_S, (int) (DAY_MS / 1000));
                 String when = " from " + RECOVERY_S + " s after the outage";
                 assertTrue(afterRecovery >= 0.75, message + afterRecovery + when);
             }
-            String message = "seed " + seed + ": slow-start budget used " + day.maxSlowStartRatio;
-            assertTrue(day.maxSlowStartRatio <= 1, message);
+            String message = "seed " + seed + ": slow-start budget used " + day.maxSlowStartBudgetRatio;
+            assertTrue(day.maxSlowStartBudgetRatio <= 1, message);
         }
     }
 }
