--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -178,10 +178,10 @@
         final int zone;
         final double speed;
         final List<RunningAttempt> runs = new ArrayList<>();
-        final List<double[]> sent = new ArrayList<>();
+        final List<double[]> sentWork = new ArrayList<>();
         double startedAtMs;
-        double at = startMs;
-        int version;
+        double advancedToMs = startMs;
+        int scheduleVersion;
         boolean failed;
 
         Engine(int id) {
@@ -194,9 +194,9 @@
 
         void advanceRuns() {
             for (RunningAttempt run : runs) {
-                run.remainingWorkMs -= run.rate * (nowMs - at);
+                run.remainingWorkMs -= run.rate * (nowMs - advancedToMs);
             }
-            at = nowMs;
+            advancedToMs = nowMs;
         }
 
         private double warmedUpRatio() {
@@ -213,35 +213,35 @@
                             CLASSES.get(run.classIndex).executionProfile().threads())
                     .sum();
             double capacityRatio = startedAtMs == 0 ? 1 : Math.min(1, warmedUpRatio());
-            double crowd = Math.max(0, threads / (SATURATION_THREADS_PER_CORE * CORES) - 1);
-            double cores = CORES / (1 + OVERLOAD_SLOWDOWN * crowd);
+            double overload = Math.max(0, threads / (SATURATION_THREADS_PER_CORE * CORES) - 1);
+            double cores = CORES / (1 + OVERLOAD_SLOWDOWN * overload);
             runs.forEach(run -> run.rate = 0);
             for (int round = 0; round < 3 && cores > 1e-9; round++) {
-                double weights = 0;
+                double totalWeight = 0;
                 for (RunningAttempt run : runs) {
                     int maxRate = CLASSES.get(run.classIndex).executionProfile().threads();
-                    weights += run.rate < maxRate ? PRIORITY_WEIGHTS[run.priority] * maxRate : 0;
+                    totalWeight += run.rate < maxRate ? PRIORITY_WEIGHTS[run.priority] * maxRate : 0;
                 }
-                double before = cores;
+                double roundCores = cores;
                 for (RunningAttempt run : runs) {
                     int maxRate = CLASSES.get(run.classIndex).executionProfile().threads();
                     if (run.rate < maxRate) {
-                        double quota = before * PRIORITY_WEIGHTS[run.priority] * maxRate / weights;
-                        double more = Math.min(maxRate - run.rate, quota);
-                        run.rate += more;
-                        cores -= more;
+                        double share = roundCores * PRIORITY_WEIGHTS[run.priority] * maxRate / totalWeight;
+                        double added = Math.min(maxRate - run.rate, share);
+                        run.rate += added;
+                        cores -= added;
                     }
                 }
             }
-            int scheduledVersion = ++version;
-            double next = Double.POSITIVE_INFINITY;
+            int scheduledVersion = ++scheduleVersion;
+            double nextEndMs = Double.POSITIVE_INFINITY;
             for (RunningAttempt run : runs) {
                 run.rate *= speed * capacityRatio;
-                next = Math.min(next, Math.max(0, run.remainingWorkMs) / Math.max(1e-9, run.rate));
+                nextEndMs = Math.min(nextEndMs, Math.max(0, run.remainingWorkMs) / Math.max(1e-9, run.rate));
             }
-            if (next < 1e7) {
-                schedule(Math.max(0.01, Math.min(next, 1000)), () -> {
-                    if (scheduledVersion == version) {
+            if (nextEndMs < 1e7) {
+                schedule(Math.max(0.01, Math.min(nextEndMs, 1000)), () -> {
+                    if (scheduledVersion == scheduleVersion) {
                         step();
                     }
                 });
@@ -265,45 +265,45 @@
             double ageMs = nowMs - startedAtMs;
             if (startedAtMs > 0 && ageMs > MAX_DISCOVERY_DELAY_MS && ageMs < WARMUP_MS) {
                 double capacity = CORES * 0.85 * warmedUpRatio();
-                sent.add(new double[] {nowMs, MEAN_WORK_MS[run.classIndex]});
-                sent.removeIf(start -> start[0] < nowMs - OVERLOAD_WINDOW_MS);
-                double work = sent.stream().mapToDouble(start -> start[1]).sum();
+                sentWork.add(new double[] {nowMs, MEAN_WORK_MS[run.classIndex]});
+                sentWork.removeIf(start -> start[0] < nowMs - OVERLOAD_WINDOW_MS);
+                double work = sentWork.stream().mapToDouble(start -> start[1]).sum();
                 double ratio = work / (OVERLOAD_FACTOR * capacity * OVERLOAD_WINDOW_MS);
                 maxSlowStartBudgetRatio = Math.max(maxSlowStartBudgetRatio, ratio);
             }
             shareCores();
         }
 
-        void drop(FrontEnd frontEnd, long request, int attempt) {
+        void remove(FrontEnd frontEnd, long request, int attempt) {
             advanceRuns();
             runs.removeIf(run -> run.isAttempt(frontEnd, request, attempt));
             shareCores();
         }
 
-        SchedulerEvent update() {
-            return new SchedulerEvent.EndpointsChanged(false, List.of(listed()));
+        SchedulerEvent endpointUpdate() {
+            return new SchedulerEvent.EndpointsChanged(false, List.of(endpoint()));
         }
 
-        Endpoint listed() {
+        Endpoint endpoint() {
             return new Endpoint(id + 1, 0, 1, startedAtMs, EndpointState.READY, zone, 0);
         }
     }
 
     private final class OpenRequest {
         final int classIndex;
-        final double at;
+        final double arrivedAtMs;
         final double deadline;
-        final double work;
+        final double workMs;
         final List<Engine> attempts = new ArrayList<>();
         int priority = 1;
         boolean completed;
         boolean inFlight;
 
-        OpenRequest(int classIndex, double work) {
+        OpenRequest(int classIndex, double workMs) {
             this.classIndex = classIndex;
-            this.at = nowMs;
+            this.arrivedAtMs = nowMs;
             this.deadline = nowMs + CLASSES.get(classIndex).objective().deadlineMs();
-            this.work = work;
+            this.workMs = workMs;
         }
     }
 
@@ -315,7 +315,7 @@
         final RuleChecker checker;
         final Map<Long, OpenRequest> openRequests = new HashMap<>();
         final Map<Integer, Double> connectionUsedMs = new HashMap<>();
-        long ids;
+        long lastRequestId;
 
         FrontEnd(int ordinal) {
             this.ordinal = ordinal;
@@ -361,19 +361,20 @@
         }
 
         void requestArrives(int type) {
-            double spread = WORK_LOG_DEVIATION[type];
-            double work = MEAN_WORK_MS[type] * Math.exp(spread * random.nextGaussian() - spread * spread / 2);
+            double logDeviation = WORK_LOG_DEVIATION[type];
+            double work = MEAN_WORK_MS[type]
+                    * Math.exp(logDeviation * random.nextGaussian() - logDeviation * logDeviation / 2);
             double estimatedWork = work * Math.exp(0.4 * random.nextGaussian()) * ESTIMATE_RATIO[type];
-            long id = ++ids;
+            long id = ++lastRequestId;
             OpenRequest request = new OpenRequest(type, work);
             openRequests.put(id, request);
-            row(request)[0]++;
+            counts(request)[0]++;
             receive(new SchedulerEvent.RequestArrived(
                     id, type, 0, request.deadline - nowMs, estimatedWork, 200, random.nextInt(50), false, 0));
         }
 
-        private double[] row(OpenRequest request) {
-            int second = (int) ((request.at - startMs) / 1000);
+        private double[] counts(OpenRequest request) {
+            int second = (int) ((request.arrivedAtMs - startMs) / 1000);
             return countsBySecond
                     .computeIfAbsent(second, newSecond -> new double[CLASSES.size()][4])[request.classIndex];
         }
@@ -395,12 +396,12 @@
                 outcomes.merge("failed " + openRequests.get(failed.requestId()).classIndex, 1, Integer::sum);
                 openRequests.get(failed.requestId()).completed = true;
             } else if (action instanceof SchedulerAction.StartAttempt start) {
-                send(start);
+                startAttempt(start);
             } else if (action instanceof SchedulerAction.CancelAttempt cancelled) {
                 OpenRequest request = openRequests.get(cancelled.requestId());
                 if (request.inFlight && cancelled.attempt() == request.attempts.size() - 1) {
                     Engine engine = request.attempts.get(cancelled.attempt());
-                    schedule(1, () -> engine.drop(this, cancelled.requestId(), cancelled.attempt()));
+                    schedule(1, () -> engine.remove(this, cancelled.requestId(), cancelled.attempt()));
                     schedule(
                             6,
                             () -> attemptEnded(
@@ -409,7 +410,7 @@
             }
         }
 
-        private void send(SchedulerAction.StartAttempt start) {
+        private void startAttempt(SchedulerAction.StartAttempt start) {
             OpenRequest request = openRequests.get(start.requestId());
             Engine engine = engines.get((int) start.engine() - 1);
             int attempt = request.attempts.size();
@@ -418,7 +419,7 @@
             if (request.deadline - nowMs > 10) {
                 schedule(request.deadline - 10 - nowMs, () -> {
                     if (request.inFlight && request.attempts.size() - 1 == attempt) {
-                        engine.drop(this, start.requestId(), attempt);
+                        engine.remove(this, start.requestId(), attempt);
                         attemptEnded(start.requestId(), attempt, AttemptOutcome.TIMEOUT, 0);
                     }
                 });
@@ -436,10 +437,10 @@
                 return;
             }
             connectionUsedMs.put(engine.id, nowMs);
-            double plain = request.classIndex == 1 && random.nextDouble() < RUNAWAY_RATIO
-                    ? request.work * (RUNAWAY_FACTORS[0] + RUNAWAY_FACTORS[1] * random.nextDouble())
-                    : request.work;
-            double work = plain * Math.exp(0.1 * random.nextGaussian());
+            double baseWork = request.classIndex == 1 && random.nextDouble() < RUNAWAY_RATIO
+                    ? request.workMs * (RUNAWAY_FACTORS[0] + RUNAWAY_FACTORS[1] * random.nextDouble())
+                    : request.workMs;
+            double work = baseWork * Math.exp(0.1 * random.nextGaussian());
             schedule(1, () -> {
                 if (!reaches(engine)) {
                     schedule(1100, () -> attemptEnded(start.requestId(), attempt, AttemptOutcome.RESET, 0));
@@ -450,14 +451,14 @@
             });
         }
 
-        void attemptEnded(long requestId, int attempt, AttemptOutcome outcome, double delay) {
+        void attemptEnded(long requestId, int attempt, AttemptOutcome outcome, double delayMs) {
             OpenRequest request = openRequests.get(requestId);
             Engine engine = request.attempts.get(attempt);
             if (outcome == AttemptOutcome.OK && !reaches(engine)) {
                 schedule(1100, () -> attemptEnded(requestId, attempt, AttemptOutcome.RESET, 0));
                 return;
             }
-            schedule(delay, () -> {
+            schedule(delayMs, () -> {
                 if (!request.inFlight || request.attempts.size() - 1 != attempt) {
                     return;
                 }
@@ -468,9 +469,9 @@
                     RequestClass requestClass = CLASSES.get(request.classIndex);
                     double objectiveMs = requestClass.objective().latencyMs()
                             + requestClass.objective().latencyPerRunTime()
-                                    * request.work
+                                    * request.workMs
                                     / requestClass.executionProfile().threads();
-                    row(request)[nowMs - request.at <= objectiveMs ? 1 : 2]++;
+                    counts(request)[nowMs - request.arrivedAtMs <= objectiveMs ? 1 : 2]++;
                 }
                 request.completed = completed;
                 double[] none = {};
@@ -479,8 +480,8 @@
         }
     }
 
-    private void schedule(double delay, Runnable task) {
-        tasks.add(new ScheduledTask(nowMs + delay, nextOrder++, task));
+    private void schedule(double delayMs, Runnable task) {
+        tasks.add(new ScheduledTask(nowMs + delayMs, nextOrder++, task));
     }
 
     private double requestsPerMs(double load) {
@@ -505,7 +506,7 @@
         for (int i = 0; i < plan.frontEnds; i++) {
             frontEnds.add(new FrontEnd(i));
         }
-        List<Endpoint> endpoints = engines.stream().map(Engine::listed).toList();
+        List<Endpoint> endpoints = engines.stream().map(Engine::endpoint).toList();
         SchedulerEvent listed = new SchedulerEvent.EndpointsChanged(true, endpoints);
         frontEnds.forEach(frontEnd -> schedule(0, () -> frontEnd.receive(listed)));
         double requestsPerMs = requestsPerMs(plan.load);
@@ -559,11 +560,11 @@
                 plan.arrivalPeriodMs * 0.3 + plan.outageMs,
                 () -> failedEngines.forEach(e -> {
                     e.failed = false;
-                    e.at = nowMs;
+                    e.advancedToMs = nowMs;
                     e.startedAtMs = nowMs;
                     frontEnds.forEach(frontEnd -> schedule(
                             MAX_DISCOVERY_DELAY_MS * (1 + random.nextDouble()) / 2,
-                            () -> frontEnd.receive(e.update())));
+                            () -> frontEnd.receive(e.endpointUpdate())));
                 }));
     }
 
