--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSettings.java
@@ -7,7 +7,7 @@
 import lineward.scheduling.DeduplicationScope;
 import lineward.scheduling.EngineKind;
 import lineward.scheduling.Idempotence;
-import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerSettings;
 
@@ -41,10 +41,10 @@
                 new SchedulerSettings.FleetPosition(1, 0, 1, 0),
                 limits(config.bounds().maxAttempts()),
                 rules(),
-                new SchedulerSettings.Reporting(List.of(), false),
+                new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(false, 0, false),
-                new SchedulerSettings.Costs(0, 0),
-                new SchedulerSettings.Quotas(List.of(), 1));
+                new SchedulerSettings.MessageCosts(0, 0),
+                new SchedulerSettings.TenantQuotas(List.of(), 1));
     }
 
     private static List<RequestClass> classes(List<MysqlConfig.QueryClass> queryClasses) {
@@ -66,14 +66,14 @@
                         OVERDUE_VALUE_RATIO),
                 new RequestClass.Repeatability(idempotence, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, false, queryClass.threads()));
+                new RequestClass.ExecutionProfile(false, false, queryClass.threads()));
     }
 
     private static SchedulerSettings.Limits limits(int maxAttempts) {
         return new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, false, false, true, false, false, false),
                 new SchedulerSettings.AttemptLimits(maxAttempts, MAX_RETRY_AFTER_MS, 0),
-                new SchedulerSettings.MemoryLimits(1, MemoryShortage.WAIT));
+                new SchedulerSettings.MemoryLimits(1, MemoryShortageHandling.WAIT));
     }
 
     private static SchedulerSettings.Rules rules() {
--- a/src/main/java/lineward/scheduling/RequestClass.java
+++ b/src/main/java/lineward/scheduling/RequestClass.java
@@ -11,27 +11,27 @@
         Objective objective,
         Repeatability repeatability,
         Placement placement,
-        Workload workload /* how it runs there */) {
+        ExecutionProfile executionProfile /* how it runs there */) {
 
     /**
      * The latency objective of requests, their deadline, and the value of an answer.
      *
      * @param latencyMs constant part of the objective
-     * @param latencyPerWork part of the objective for each millisecond of the request's run time
+     * @param latencyPerRunTime part of the objective for each millisecond of the request's run time
      * @param deadlineMs how long a client waits for the answer
      * @param priorityWeight value of an answer within the objective
      * @param overdueValueRatio fraction of that value that a late answer still has
      */
     public record Objective(
             double latencyMs,
-            double latencyPerWork,
+            double latencyPerRunTime,
             double deadlineMs,
             double priorityWeight,
             double overdueValueRatio /* 0 to 1 */) {
         /** Validates the ranges. */
         public Objective {
             requireNotNegative("classes: aim", latencyMs);
-            requireNotNegative("classes: aim stretch", latencyPerWork);
+            requireNotNegative("classes: aim stretch", latencyPerRunTime);
             require(deadlineMs > 0, "classes: deadline", deadlineMs, "more than 0");
             requireNotNegative("classes: worth", priorityWeight);
             requireRatio("classes: late share", overdueValueRatio);
@@ -84,19 +84,20 @@
     /**
      * How a request runs on an engine.
      *
-     * @param load whether the request loads a table group, which it locks while it runs
+     * @param loadsTableGroup whether the request loads a table group, which it locks while it runs
      * @param waitsForLoads whether the request waits while its table group is being loaded
      * @param threads number of threads that the request runs on
      */
-    public record Workload(boolean load, boolean waitsForLoads, int threads) {
+    public record ExecutionProfile(boolean loadsTableGroup, boolean waitsForLoads, int threads) {
         /** Validates the ranges. */
-        public Workload {
+        public ExecutionProfile {
             require(threads >= 1, "classes: threads", threads, "1 or more");
         }
 
         /** Returns whether one delays the other on an engine if both use the same table group. */
-        public boolean conflictsWith(Workload other) {
-            return (load && (other.waitsForLoads || other.load)) || (other.load && waitsForLoads);
+        public boolean conflictsWith(ExecutionProfile other) {
+            return (loadsTableGroup && (other.waitsForLoads || other.loadsTableGroup))
+                    || (other.loadsTableGroup && waitsForLoads);
         }
     }
 }
--- a/src/main/java/lineward/scheduling/SchedulerSettings.java
+++ b/src/main/java/lineward/scheduling/SchedulerSettings.java
@@ -13,10 +13,10 @@
         FleetPosition position,
         Limits limits,
         Rules rules,
-        Reporting reporting,
+        LoadReporting loadReporting,
         Discovery discovery,
-        Costs costs,
-        Quotas quotas) {
+        MessageCosts messageCosts,
+        TenantQuotas tenantQuotas) {
 
     /** Validates the ranges and the references between the parts. */
     public SchedulerSettings {
@@ -25,7 +25,7 @@
         for (RequestClass requestClass : classes) {
             RequestClass.Placement placement = requestClass.placement();
             requireWithin("classes: bound to an unknown kind", placement.kinds(), kinds.size());
-            requireWithin("classes: bound to an unknown zone", placement.zones(), position.zones());
+            requireWithin("classes: bound to an unknown zone", placement.zones(), position.zoneCount());
         }
         classes = List.copyOf(classes);
         kinds = List.copyOf(kinds);
@@ -42,12 +42,12 @@
     }
 
     /** Returns the limits on attempts. */
-    public AttemptLimits attempts() {
+    public AttemptLimits attemptLimits() {
         return limits.attempts();
     }
 
     /** Returns the limits on memory grants. */
-    public MemoryLimits memory() {
+    public MemoryLimits memoryLimits() {
         return limits.memory();
     }
 
@@ -59,15 +59,15 @@
     /**
      * The position of this front end in the fleet.
      *
-     * @param zones number of zones
+     * @param zoneCount number of zones
      * @param zone index of its own zone
-     * @param frontEnds number of front ends, at least 1
+     * @param frontEndCount number of front ends, at least 1
      * @param ordinal number of this front end among them, from 0
      */
-    public record FleetPosition(int zones, int zone, int frontEnds, int ordinal) {
+    public record FleetPosition(int zoneCount, int zone, int frontEndCount, int ordinal) {
         /** Validates the ranges. */
         public FleetPosition {
-            require(frontEnds >= 1, "fronts", frontEnds, "1 or more");
+            require(frontEndCount >= 1, "fronts", frontEndCount, "1 or more");
         }
     }
 
@@ -77,7 +77,7 @@
     /**
      * What the deployment permits.
      *
-     * @param cancel attempts in flight may be cancelled
+     * @param cancellation attempts in flight may be cancelled
      * @param healthChecks engines may be asked for their health
      * @param hedging two attempts of one request may be in flight at once; not used
      * @param retryAfter a rejection may advise when to retry
@@ -86,7 +86,7 @@
      * @param gossip front ends may send messages to each other
      */
     public record Capabilities(
-            boolean cancel,
+            boolean cancellation,
             boolean healthChecks,
             boolean hedging,
             boolean retryAfter,
@@ -114,9 +114,9 @@
      * Limits on memory grants.
      *
      * @param maxGrantRatio largest fraction of an engine's memory for one request, more than 0 and up to 1
-     * @param shortage what an engine does with a request whose grant does not fit
+     * @param shortageHandling what an engine does with a request whose grant does not fit
      */
-    public record MemoryLimits(double maxGrantRatio, MemoryShortage shortage) {
+    public record MemoryLimits(double maxGrantRatio, MemoryShortageHandling shortageHandling) {
         /** Validates the ranges. */
         public MemoryLimits {
             boolean inRange = maxGrantRatio > 0 && maxGrantRatio <= 1;
@@ -197,9 +197,9 @@
      * @param fields the meaning of each value of a report, in order; empty: engines report nothing
      * @param inResponses whether responses contain a report; not used
      */
-    public record Reporting(List<LoadReportField> fields, boolean inResponses) {
+    public record LoadReporting(List<LoadReportField> fields, boolean inResponses) {
         /** Copies the list. */
-        public Reporting {
+        public LoadReporting {
             fields = List.copyOf(fields);
         }
     }
@@ -207,11 +207,11 @@
     /**
      * How front ends learn of endpoints.
      *
-     * @param subscribe whether service discovery sends the list to subscribers only
-     * @param pollWithinMs longest time between polls; 0: not specified; not used
-     * @param weightsAreMeaningful whether the weights in the list carry information; not used
+     * @param requiresSubscription whether service discovery sends the list to subscribers only
+     * @param maxPollIntervalMs longest time between polls; 0: not specified; not used
+     * @param hasWeights whether the weights in the list carry information; not used
      */
-    public record Discovery(boolean subscribe, double pollWithinMs, boolean weightsAreMeaningful) {}
+    public record Discovery(boolean requiresSubscription, double maxPollIntervalMs, boolean hasWeights) {}
 
     /**
      * Costs of messages: the points by which the evaluation score falls at a rate of one message per request.
@@ -219,9 +219,9 @@
      * @param healthCheck cost of a health check
      * @param gossip cost of a gossip message of the largest size, for each front end that receives it
      */
-    public record Costs(double healthCheck, double gossip) {
+    public record MessageCosts(double healthCheck, double gossip) {
         /** Validates the ranges. */
-        public Costs {
+        public MessageCosts {
             requireNotNegative("prices: probe", healthCheck);
             requireNotNegative("prices: peer", gossip);
         }
@@ -233,9 +233,9 @@
      * @param perTenant quota of each tenant in requests per second, over all front ends
      * @param overQuotaValueRatio fraction of its value that a request beyond its tenant's quota keeps
      */
-    public record Quotas(List<Double> perTenant, double overQuotaValueRatio) {
+    public record TenantQuotas(List<Double> perTenant, double overQuotaValueRatio) {
         /** Validates the ranges. */
-        public Quotas {
+        public TenantQuotas {
             perTenant = List.copyOf(perTenant);
             perTenant.forEach(quota -> requireNotNegative("tenants: quota", quota));
             requireRatio("over-share worth", overQuotaValueRatio);
--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -56,7 +56,7 @@
         this.capacity = capacity;
         this.reports = reports;
         this.grants = grants;
-        this.frontEnds = context.settings().position().frontEnds();
+        this.frontEnds = context.settings().position().frontEndCount();
         this.quota = evenQuota();
     }
 
@@ -182,6 +182,6 @@
         long attempts = engine.attempts().stream()
                 .filter(attempt -> attempt.request().type() == type)
                 .count();
-        return attempts * (double) type.settings().workload().threads();
+        return attempts * (double) type.settings().executionProfile().threads();
     }
 }
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -1,7 +1,7 @@
 package lineward.scheduling.decision;
 
 import java.util.Optional;
-import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.SchedulerAction;
 import lineward.scheduling.SchedulerSettings;
 import lineward.scheduling.state.ClassState;
@@ -52,8 +52,8 @@
      * at most the need of the request, so the maximum grant costs nothing there.
      */
     private double requestedGrantMb(TrackedRequest request, Engine engine) {
-        SchedulerSettings.MemoryLimits memory = context.settings().memory();
-        return memory.shortage() == MemoryShortage.PAGE
+        SchedulerSettings.MemoryLimits memory = context.settings().memoryLimits();
+        return memory.shortageHandling() == MemoryShortageHandling.PAGE
                 ? engine.memoryMb() * memory.maxGrantRatio()
                 : grantMb(request, engine);
     }
@@ -69,7 +69,7 @@
         double factor = learned ? request.type().grantFactor() : ClassState.INITIAL_GRANT_FACTOR;
         double needMb = request.estimatedMemoryMb() * correction * factor;
         return engine.memoryMb() > 0
-                ? Math.min(needMb, engine.memoryMb() * settings.memory().maxGrantRatio())
+                ? Math.min(needMb, engine.memoryMb() * settings.memoryLimits().maxGrantRatio())
                 : needMb;
     }
 
@@ -89,7 +89,7 @@
         if (request.expectedWorkMs() < largestMs * SHORT_WORK_RATIO) {
             return SHORT_PRIORITY;
         }
-        boolean load = request.type().settings().workload().load();
+        boolean load = request.type().settings().executionProfile().loadsTableGroup();
         return load || request.isRelaunched() ? LOAD_PRIORITY : LONG_PRIORITY;
     }
 
--- a/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptEndHandler.java
@@ -9,32 +9,32 @@
 import lineward.scheduling.state.TrackedRequest;
 
 /** Handles ended attempts: updates state and estimates, and completes or requeues the request. */
-final class AttemptOutcomes {
+final class AttemptEndHandler {
     private final SchedulerContext context;
-    private final OutcomeLearning learning;
+    private final OutcomeRecorder outcomeRecorder;
     private final RetryPolicy retries;
     private final KeyOrder keyOrder;
     private final RequestLifecycle lifecycle;
-    private final AdmissionQueue queue;
+    private final DispatchQueue dispatchQueue;
 
-    AttemptOutcomes(
+    AttemptEndHandler(
             SchedulerContext context,
-            OutcomeLearning learning,
+            OutcomeRecorder outcomeRecorder,
             RetryPolicy retries,
             KeyOrder keyOrder,
             RequestLifecycle lifecycle,
-            AdmissionQueue queue) {
+            DispatchQueue dispatchQueue) {
         this.context = context;
-        this.learning = learning;
+        this.outcomeRecorder = outcomeRecorder;
         this.retries = retries;
         this.keyOrder = keyOrder;
         this.lifecycle = lifecycle;
-        this.queue = queue;
+        this.dispatchQueue = dispatchQueue;
     }
 
     /** Handles the end of an attempt. An unknown attempt, or one that has already ended, is ignored. */
-    void end(SchedulerEvent.AttemptEnded end) {
-        Attempt attempt = context.findUnendedAttempt(end.request(), end.attempt());
+    void handle(SchedulerEvent.AttemptEnded end) {
+        Attempt attempt = context.findUnendedAttempt(end.requestId(), end.attempt());
         if (attempt == null) {
             return;
         }
@@ -42,7 +42,7 @@
         attempt.end();
         request.endAttempt(attempt, end.outcome());
         attempt.engine().endAttempt(attempt);
-        learning.learn(attempt, end);
+        outcomeRecorder.recordOutcome(attempt, end);
         if (end.outcome().isIndeterminate()) {
             keyOrder.settle(request);
         }
@@ -65,7 +65,7 @@
         TrackedRequest request = attempt.request();
         if (retries.mayRetry(request, outcome)) {
             request.requeue(attempt);
-            queue.add(request);
+            dispatchQueue.add(request);
         } else {
             lifecycle.giveUp(request);
         }
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -26,7 +26,7 @@
     private static final int SWEEP_TIMER = 0;
 
     private final SchedulerContext context;
-    private final Mechanisms mechanisms;
+    private final SchedulerComponents components;
     private boolean pollingStarted;
     private boolean subscribePending;
     private boolean sweepScheduled;
@@ -39,8 +39,8 @@
      */
     public SpeculativeScheduler(SchedulerSettings settings, long seed) {
         context = new SchedulerContext(settings, seed);
-        mechanisms = new Mechanisms(context);
-        subscribePending = settings.discovery().subscribe();
+        components = new SchedulerComponents(context);
+        subscribePending = settings.discovery().requiresSubscription();
     }
 
     @Override
@@ -53,13 +53,13 @@
         if (events.stream().anyMatch(SchedulerEvent.TimerFired.class::isInstance)) {
             sweep();
         }
-        mechanisms.sweep.migrateWaiting();
+        components.sweep.migrateWaiting();
         // Gossip arrives far more often than requests, so gossip alone does not dispatch the queue; the next
         // sweep does.
         if (!events.stream().allMatch(SchedulerEvent.GossipReceived.class::isInstance)) {
-            mechanisms.queue.dispatch();
+            components.dispatchQueue.dispatch();
         }
-        mechanisms.reports.publishGossip(SWEEP_INTERVAL_MS);
+        components.reports.publishGossip(SWEEP_INTERVAL_MS);
         scheduleSweep();
         return context.endDecision();
     }
@@ -71,16 +71,16 @@
         }
         if (!pollingStarted) {
             pollingStarted = true;
-            mechanisms.polling.start();
+            components.polling.start();
         }
     }
 
     private void sweep() {
-        mechanisms.recomputation.runIfDue(mechanisms.queue.isBlocked());
-        mechanisms.sweep.detectSilentEngines();
-        mechanisms.sweep.cancelAttempts();
-        mechanisms.queue.giveUpOverdue();
-        mechanisms.sweep.forgetSettled();
+        components.recomputation.runIfDue(components.dispatchQueue.isBlocked());
+        components.sweep.detectSilentEngines();
+        components.sweep.cancelAttempts();
+        components.dispatchQueue.giveUpOverdue();
+        components.sweep.removeExpiredState();
     }
 
     private void scheduleSweep() {
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public int excludedEngines() {
+    public int excludedEngineCount() {
         return (int) context.engines().stream()
                 .filter(engine -> engine.state().isExcluded())
                 .count();
@@ -99,22 +99,22 @@
 
     @Override
     public void requestArrived(SchedulerEvent.RequestArrived arrival) {
-        TrackedRequest request = context.admit(arrival, mechanisms.speculation.drawExempt());
+        TrackedRequest request = context.admit(arrival, components.speculation.drawExempt());
         ClassState type = request.type();
         if (request.hasWorkEstimate()) {
             type.model().addWork(request.expectedWorkMs(), context.nowMs());
         }
-        mechanisms.budget.recordAdmission();
-        mechanisms.polling.countRequest();
-        mechanisms.outliers.earnRecoveryProbe();
+        components.retryBudget.recordAdmission();
+        components.polling.countRequest();
+        components.outliers.earnRecoveryProbe();
         type.demand().add(request.expectedWorkMs());
-        mechanisms.keyOrder.add(request);
-        mechanisms.queue.add(request);
+        components.keyOrder.add(request);
+        components.dispatchQueue.add(request);
     }
 
     @Override
     public void attemptProgressed(SchedulerEvent.AttemptProgress report) {
-        Attempt attempt = context.findUnendedAttempt(report.request(), report.attempt());
+        Attempt attempt = context.findUnendedAttempt(report.requestId(), report.attempt());
         if (attempt == null) {
             return;
         }
@@ -122,19 +122,19 @@
         attempt.setWaiting(report.kind().isWaiting(), context.nowMs());
         switch (report.kind()) {
             case RATIO_DONE -> attempt.recordProgress(report.amount(), context.nowMs());
-            case SPILLING -> mechanisms.resources.recordSpill(attempt.request().type());
-            case WAITING_FOR_MEMORY, WAITING_FOR_LOAD -> mechanisms.sweep.recordWaiting(attempt);
+            case SPILLING -> components.resources.recordSpill(attempt.request().type());
+            case WAITING_FOR_MEMORY, WAITING_FOR_LOAD -> components.sweep.recordWaiting(attempt);
         }
     }
 
     @Override
     public void attemptEnded(SchedulerEvent.AttemptEnded end) {
-        mechanisms.outcomes.end(end);
+        components.attemptEndHandler.handle(end);
     }
 
     @Override
     public void responseStarted(SchedulerEvent.ResponseStarted response) {
-        TrackedRequest request = context.findRequest(response.request());
+        TrackedRequest request = context.findRequest(response.requestId());
         if (request != null) {
             request.startResponse();
         }
@@ -142,16 +142,16 @@
 
     @Override
     public void requestCancelled(SchedulerEvent.RequestCancelled cancelled) {
-        TrackedRequest request = context.findRequest(cancelled.request());
+        TrackedRequest request = context.findRequest(cancelled.requestId());
         if (request != null) {
-            mechanisms.lifecycle.complete(request);
+            components.lifecycle.complete(request);
         }
     }
 
     @Override
     public void timerFired(SchedulerEvent.TimerFired timer) {
         if (timer.token() == LoadReportPolling.TIMER) {
-            mechanisms.polling.poll();
+            components.polling.poll();
         } else {
             sweepScheduled = false;
         }
@@ -161,23 +161,23 @@
     public void healthCheckCompleted(SchedulerEvent.HealthCheckCompleted check) {
         Engine engine = context.findEngine(check.engine());
         if (engine != null) {
-            mechanisms.polling.complete(check, engine);
+            components.polling.complete(check, engine);
         }
     }
 
     @Override
     public void gossipReceived(SchedulerEvent.GossipReceived gossip) {
-        mechanisms.reports.applyGossip(gossip.payload());
+        components.reports.applyGossip(gossip.payload());
     }
 
     @Override
     public void quotaChanged(SchedulerEvent.QuotaChanged change) {
-        mechanisms.slowStart.changeQuota(change.ratio());
+        components.slowStart.changeQuota(change.ratio());
     }
 
     @Override
     public void discoveryFailed(SchedulerEvent.DiscoveryFailed failure) {
-        subscribePending = context.settings().discovery().subscribe();
+        subscribePending = context.settings().discovery().requiresSubscription();
     }
 
     @Override
@@ -188,7 +188,7 @@
         for (Endpoint endpoint : change.endpoints()) {
             boolean restarted = context.updateEngine(endpoint);
             if (restarted) {
-                mechanisms.outliers.forgetFailures(context.engine(endpoint.engine()));
+                components.outliers.forgetFailures(context.engine(endpoint.engine()));
             }
         }
         context.countReadyCores();
--- a/src/main/java/lineward/scheduling/simulator/BatchReader.java
+++ b/src/main/java/lineward/scheduling/simulator/BatchReader.java
@@ -45,7 +45,7 @@
         void killInstance();
 
         /** An event for the selected instance. */
-        void event(SchedulerEvent event);
+        void add(SchedulerEvent event);
     }
 
     private final List<List<Endpoint>> endpointLists = new ArrayList<>();
@@ -57,24 +57,24 @@
     /**
      * Reads a batch.
      *
-     * @param count number of records in the batch
+     * @param recordCount number of records in the batch
      * @param body the bytes after the length field: clock, records, tail
      */
-    void read(int count, ByteBuffer body, Sink sink) {
-        long end = CLOCK_BYTES + (long) count * EventRecord.LENGTH;
-        if (count < 0 || end > body.limit()) {
-            long records = Integer.toUnsignedLong(count);
-            throw new WireException("batch of " + records + " records does not fit its frame");
+    void read(int recordCount, ByteBuffer body, Sink sink) {
+        long end = CLOCK_BYTES + (long) recordCount * EventRecord.LENGTH;
+        if (recordCount < 0 || end > body.limit()) {
+            long records = Integer.toUnsignedLong(recordCount);
+            throw new InputException("batch of " + records + " records does not fit its frame");
         }
         ByteBuffer tail = body.slice((int) end, body.limit() - (int) end);
         boolean selected = false;
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < recordCount; i++) {
             ByteBuffer slice = body.slice(CLOCK_BYTES + i * EventRecord.LENGTH, EventRecord.LENGTH);
             EventRecord entry = new EventRecord(slice);
             selected |= entry.code() == INSTANCE_SELECTED;
             if (!selected && entry.code() != ENDPOINT_LIST) {
                 String code = "record with code " + entry.code();
-                throw new WireException(code + " comes before any instance was selected");
+                throw new InputException(code + " comes before any instance was selected");
             }
             read(entry, tail, sink);
         }
@@ -86,17 +86,17 @@
             case ENDPOINT_LIST -> readEndpointList(entry, tail);
             case INSTANCE_OPENED -> sink.openInstance(entry.signedLong(1), settingsText(entry, tail));
             case INSTANCE_KILLED -> sink.killInstance();
-            case ENDPOINTS_CHANGED -> sink.event(endpointsChanged(entry));
-            case REQUEST_ARRIVED -> sink.event(requestArrived(entry));
-            case REQUEST_CANCELLED -> sink.event(new SchedulerEvent.RequestCancelled(entry.unsignedInt(1)));
+            case ENDPOINTS_CHANGED -> sink.add(endpointsChanged(entry));
+            case REQUEST_ARRIVED -> sink.add(requestArrived(entry));
+            case REQUEST_CANCELLED -> sink.add(new SchedulerEvent.RequestCancelled(entry.unsignedInt(1)));
             case RESPONSE_STARTED ->
-                sink.event(new SchedulerEvent.ResponseStarted(entry.unsignedInt(1), entry.unsignedShort(19)));
+                sink.add(new SchedulerEvent.ResponseStarted(entry.unsignedInt(1), entry.unsignedShort(19)));
             case ATTEMPT_PROGRESS -> readProgress(entry, sink);
-            case ATTEMPT_ENDED -> sink.event(attemptEnded(entry));
-            case HEALTH_CHECK_COMPLETED -> sink.event(healthCheckCompleted(entry));
-            case TIMER_FIRED -> sink.event(new SchedulerEvent.TimerFired(entry.signedInt(1)));
-            case GOSSIP_RECEIVED -> sink.event(gossipReceived(entry, tail));
-            default -> throw new WireException("unknown event code " + entry.code());
+            case ATTEMPT_ENDED -> sink.add(attemptEnded(entry));
+            case HEALTH_CHECK_COMPLETED -> sink.add(healthCheckCompleted(entry));
+            case TIMER_FIRED -> sink.add(new SchedulerEvent.TimerFired(entry.signedInt(1)));
+            case GOSSIP_RECEIVED -> sink.add(gossipReceived(entry, tail));
+            default -> throw new InputException("unknown event code " + entry.code());
         }
     }
 
@@ -113,18 +113,18 @@
                 entry.unsignedInt(1),
                 entry.unsignedByte(5),
                 entry.signedLong(10),
-                entry.doubleFloat(18),
-                hasWorkEstimate ? entry.doubleFloat(26) : 0,
-                entry.singleFloat(34),
-                (int) entry.singleFloat(38),
+                entry.float64(18),
+                hasWorkEstimate ? entry.float64(26) : 0,
+                entry.float32(34),
+                (int) entry.float32(38),
                 clientRetry,
                 entry.signedInt(6));
     }
 
     private static SchedulerEvent attemptEnded(EventRecord entry) {
-        long needs = entry.unsignedInt(24);
-        double workMs = needs >>> WORK_SHIFT;
-        double memoryMb = (needs & MEMORY_MASK) * MEMORY_UNIT_MB;
+        long packedUsage = entry.unsignedInt(24);
+        double workMs = packedUsage >>> WORK_SHIFT;
+        double memoryMb = (packedUsage & MEMORY_MASK) * MEMORY_UNIT_MB;
         boolean requestCompleted = entry.signedByte(23) != 0;
         return new SchedulerEvent.AttemptEnded(
                 entry.unsignedInt(1),
@@ -138,7 +138,7 @@
 
     private static SchedulerEvent healthCheckCompleted(EventRecord entry) {
         return new SchedulerEvent.HealthCheckCompleted(
-                entry.engine(1), entry.outcome(7), entry.doubleFloat(9), entry.loadReport(17));
+                entry.engineNumber(1), entry.outcome(7), entry.float64(9), entry.loadReport(17));
     }
 
     private static SchedulerEvent gossipReceived(EventRecord entry, ByteBuffer tail) {
@@ -150,7 +150,7 @@
 
     /** Progress of an unknown kind is ignored. */
     private static void readProgress(EventRecord entry, Sink sink) {
-        double amount = entry.singleFloat(14);
+        double amount = entry.float32(14);
         ProgressKind kind = switch (entry.signedByte(13)) {
             case 1 -> ProgressKind.RATIO_DONE;
             case 2 -> ProgressKind.SPILLING;
@@ -158,49 +158,49 @@
             default -> null;
         };
         if (kind != null) {
-            long request = entry.unsignedInt(1);
-            sink.event(new SchedulerEvent.AttemptProgress(request, entry.unsignedShort(11), kind, amount));
+            long requestId = entry.unsignedInt(1);
+            sink.add(new SchedulerEvent.AttemptProgress(requestId, entry.unsignedShort(11), kind, amount));
         }
     }
 
     private SchedulerEvent endpointsChanged(EventRecord entry) {
         int mode = entry.signedByte(1);
         if (mode < 0 || mode > 3) {
-            throw new WireException("unknown endpoint list mode " + mode);
+            throw new InputException("unknown endpoint list mode " + mode);
         }
         if (mode == 3) {
             return new SchedulerEvent.DiscoveryFailed();
         }
-        int number = entry.unsignedShort(6);
-        if (number >= MAX_ENDPOINT_LISTS || endpointLists.get(number) == null) {
-            throw new WireException("no endpoint list with number " + number);
+        int listNumber = entry.unsignedShort(6);
+        if (listNumber >= MAX_ENDPOINT_LISTS || endpointLists.get(listNumber) == null) {
+            throw new InputException("no endpoint list with number " + listNumber);
         }
         boolean fullSnapshot = mode != 2;
-        return new SchedulerEvent.EndpointsChanged(fullSnapshot, endpointLists.get(number));
+        return new SchedulerEvent.EndpointsChanged(fullSnapshot, endpointLists.get(listNumber));
     }
 
     private void readEndpointList(EventRecord entry, ByteBuffer tail) {
-        int number = entry.unsignedShort(1);
-        int endpoints = entry.signedInt(7);
-        if (number >= MAX_ENDPOINT_LISTS) {
-            throw new WireException("endpoint list number " + number + " is out of range");
+        int listNumber = entry.unsignedShort(1);
+        int endpointCount = entry.signedInt(7);
+        if (listNumber >= MAX_ENDPOINT_LISTS) {
+            throw new InputException("endpoint list number " + listNumber + " is out of range");
         }
-        ByteBuffer slice = tailSlice(tail, entry.signedInt(3), endpoints, ENDPOINT_BYTES);
+        ByteBuffer slice = tailSlice(tail, entry.signedInt(3), endpointCount, ENDPOINT_BYTES);
         List<Endpoint> list = new ArrayList<>();
-        for (int i = 0; i < endpoints; i++) {
+        for (int i = 0; i < endpointCount; i++) {
             list.add(endpoint(new EventRecord(slice.slice(i * ENDPOINT_BYTES, ENDPOINT_BYTES))));
         }
-        endpointLists.set(number, List.copyOf(list));
+        endpointLists.set(listNumber, List.copyOf(list));
     }
 
     private static Endpoint endpoint(EventRecord entry) {
         int kind = entry.unsignedShort(0);
-        double weight = entry.singleFloat(2);
-        double startedAtMs = entry.doubleFloat(12);
+        double weight = entry.float32(2);
+        double startedAtMs = entry.float64(12);
         int zone = entry.unsignedByte(21);
         int cell = entry.unsignedShort(22);
         EndpointState state = state(entry.signedByte(20));
-        return new Endpoint(entry.engine(6), kind, weight, startedAtMs, state, zone, cell);
+        return new Endpoint(entry.engineNumber(6), kind, weight, startedAtMs, state, zone, cell);
     }
 
     private static EndpointState state(byte code) {
@@ -208,14 +208,14 @@
             case 0 -> EndpointState.GONE;
             case 2 -> EndpointState.READY;
             case 3 -> EndpointState.DRAINING;
-            default -> throw new WireException("unknown engine state " + code);
+            default -> throw new InputException("unknown engine state " + code);
         };
     }
 
-    private static ByteBuffer tailSlice(ByteBuffer tail, int from, int length, int size) {
-        if (from < 0 || length < 0 || from + (long) length * size > tail.limit()) {
-            throw new WireException("a record refers to data past the end of its frame");
+    private static ByteBuffer tailSlice(ByteBuffer tail, int offset, int count, int elementBytes) {
+        if (offset < 0 || count < 0 || offset + (long) count * elementBytes > tail.limit()) {
+            throw new InputException("a record refers to data past the end of its frame");
         }
-        return tail.slice(from, length * size);
+        return tail.slice(offset, count * elementBytes);
     }
 }
--- a/src/main/java/lineward/scheduling/simulator/SettingsReader.java
+++ b/src/main/java/lineward/scheduling/simulator/SettingsReader.java
@@ -9,7 +9,7 @@
 import lineward.scheduling.EngineKind;
 import lineward.scheduling.Idempotence;
 import lineward.scheduling.LoadReportField;
-import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerSettings;
 
@@ -37,19 +37,19 @@
      * Reads the settings.
      *
      * @param text the settings as JSON
-     * @throws WireException if the text is not a JSON object, or a setting is outside its valid range
+     * @throws InputException if the text is not a JSON object, or a setting is outside its valid range
      */
     public static SchedulerSettings read(String text) {
         try {
             JsonNode root = JSON.readTree(text);
             if (root == null || !root.isObject()) {
-                throw new WireException("settings are not a JSON object");
+                throw new InputException("settings are not a JSON object");
             }
             return new SettingsReader(root).settings();
         } catch (JsonProcessingException e) {
-            throw new WireException("settings are not JSON: " + e.getOriginalMessage(), e);
+            throw new InputException("settings are not JSON: " + e.getOriginalMessage(), e);
         } catch (IllegalArgumentException e) {
-            throw new WireException(e.getMessage(), e);
+            throw new InputException(e.getMessage(), e);
         }
     }
 
@@ -60,10 +60,10 @@
                 position(),
                 new SchedulerSettings.Limits(capabilities(), attemptLimits(), memoryLimits()),
                 rules(),
-                reporting(),
+                loadReporting(),
                 discovery(),
-                costs(),
-                quotas());
+                messageCosts(),
+                tenantQuotas());
     }
 
     private List<EngineKind> kinds() {
@@ -79,8 +79,8 @@
     private List<RequestClass> classes() {
         List<RequestClass> classes = new ArrayList<>();
         for (JsonNode node : root.path("classes")) {
-            RequestClass.Workload workload = workload(classes.size());
-            classes.add(new RequestClass(objective(node), repeatability(node), placement(node), workload));
+            RequestClass.ExecutionProfile profile = executionProfile(classes.size());
+            classes.add(new RequestClass(objective(node), repeatability(node), placement(node), profile));
         }
         return classes;
     }
@@ -115,12 +115,13 @@
         return new RequestClass.Placement(kinds, indices(node.get("zones-only"), zoneNames));
     }
 
-    private RequestClass.Workload workload(int requestClass) {
-        boolean load = engineSettings.path("writes-tables").path(requestClass).asBoolean(false);
+    private RequestClass.ExecutionProfile executionProfile(int requestClass) {
+        boolean loadsTableGroup =
+                engineSettings.path("writes-tables").path(requestClass).asBoolean(false);
         boolean waitsForLoads =
                 engineSettings.path("yields-to-loads").path(requestClass).asBoolean(false);
         int threads = engineSettings.path("threads-by-class").path(requestClass).asInt(1);
-        return new RequestClass.Workload(load, waitsForLoads, threads);
+        return new RequestClass.ExecutionProfile(loadsTableGroup, waitsForLoads, threads);
     }
 
     private SchedulerSettings.FleetPosition position() {
@@ -150,13 +151,14 @@
     }
 
     private SchedulerSettings.MemoryLimits memoryLimits() {
-        MemoryShortage shortage = switch (engineSettings.path("when-short").asText("wait")) {
-            case "shrink" -> MemoryShortage.SHRINK;
-            case "page" -> MemoryShortage.PAGE;
-            default -> MemoryShortage.WAIT;
-        };
+        MemoryShortageHandling shortageHandling =
+                switch (engineSettings.path("when-short").asText("wait")) {
+                    case "shrink" -> MemoryShortageHandling.SHRINK;
+                    case "page" -> MemoryShortageHandling.PAGE;
+                    default -> MemoryShortageHandling.WAIT;
+                };
         return new SchedulerSettings.MemoryLimits(
-                engineSettings.path("most-grant").asDouble(1), shortage);
+                engineSettings.path("most-grant").asDouble(1), shortageHandling);
     }
 
     private SchedulerSettings.Rules rules() {
@@ -174,11 +176,11 @@
         return new SchedulerSettings.Rules(drainGraceMs, slowStart, settleMs, retryBudget);
     }
 
-    private SchedulerSettings.Reporting reporting() {
+    private SchedulerSettings.LoadReporting loadReporting() {
         List<LoadReportField> fields = new ArrayList<>();
         root.path("report").path("fields").forEach(field -> fields.add(reportField(field.asText())));
         boolean inResponses = "piggyback".equals(root.path("report").path("how").asText());
-        return new SchedulerSettings.Reporting(fields, inResponses);
+        return new SchedulerSettings.LoadReporting(fields, inResponses);
     }
 
     private static LoadReportField reportField(String text) {
@@ -196,23 +198,23 @@
     }
 
     private SchedulerSettings.Discovery discovery() {
-        boolean subscribe = "subscribe".equals(root.path("discovery").asText());
-        double pollWithinMs = rules.path("ask-within").asDouble(0);
-        boolean weightsAreMeaningful = !"silent".equals(root.path("weights").asText("silent"));
-        return new SchedulerSettings.Discovery(subscribe, pollWithinMs, weightsAreMeaningful);
+        boolean requiresSubscription = "subscribe".equals(root.path("discovery").asText());
+        double maxPollIntervalMs = rules.path("ask-within").asDouble(0);
+        boolean hasWeights = !"silent".equals(root.path("weights").asText("silent"));
+        return new SchedulerSettings.Discovery(requiresSubscription, maxPollIntervalMs, hasWeights);
     }
 
-    private SchedulerSettings.Costs costs() {
+    private SchedulerSettings.MessageCosts messageCosts() {
         JsonNode prices = root.path("prices");
-        return new SchedulerSettings.Costs(
+        return new SchedulerSettings.MessageCosts(
                 prices.path("probe").asDouble(0), prices.path("peer").asDouble(0));
     }
 
-    private SchedulerSettings.Quotas quotas() {
+    private SchedulerSettings.TenantQuotas tenantQuotas() {
         List<Double> perTenant = new ArrayList<>();
         root.path("tenants")
                 .forEach(tenant -> perTenant.add(tenant.path("quota-rps").asDouble(0)));
-        return new SchedulerSettings.Quotas(
+        return new SchedulerSettings.TenantQuotas(
                 perTenant, root.path("over-share-worth").asDouble(1));
     }
 
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -52,7 +52,7 @@
      * @param exempt whether the speculative timeout does not apply to its attempts
      */
     TrackedRequest(SchedulerEvent.RequestArrived arrival, ClassState type, boolean exempt, double nowMs) {
-        this.id = arrival.request();
+        this.id = arrival.requestId();
         this.key = arrival.key();
         this.tableGroup = arrival.tableGroup();
         this.type = type;
@@ -68,7 +68,7 @@
         this.workUnitMs = Math.max(1, estimateMs);
         double runMs =
                 hasWorkEstimate() ? workUnitMs : workUnitMs * type.model().typicalRatio();
-        double objectiveMs = nowMs + objective.latencyMs() + objective.latencyPerWork() * runMs;
+        double objectiveMs = nowMs + objective.latencyMs() + objective.latencyPerRunTime() * runMs;
         this.objectiveAtMs = Math.min(deadlineMs, objectiveMs);
     }
 
@@ -150,7 +150,7 @@
 
     /** Returns the number of threads that an attempt runs on. */
     public int threads() {
-        return type.settings().workload().threads();
+        return type.settings().executionProfile().threads();
     }
 
     /** Returns whether the request may run any number of times. */
--- a/src/measure/java/lineward/scheduling/FleetDay.java
+++ b/src/measure/java/lineward/scheduling/FleetDay.java
@@ -26,19 +26,19 @@
                     new RequestClass.Objective(500, 2, 2500, 1, 0.1),
                     new RequestClass.Repeatability(IDEMPOTENT, ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(false, false, 1)),
+                    new RequestClass.ExecutionProfile(false, false, 1)),
             new RequestClass(
                     new RequestClass.Objective(3000, 2.5, 15_000, 12, 0.4),
                     new RequestClass.Repeatability(IDEMPOTENT, ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(false, false, 3)),
+                    new RequestClass.ExecutionProfile(false, false, 3)),
             new RequestClass(
                     new RequestClass.Objective(4000, 2.5, 25_000, 15, 0.5),
                     new RequestClass.Repeatability(NON_IDEMPOTENT, ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(true, false, 2)));
+                    new RequestClass.ExecutionProfile(true, false, 2)));
 
-    private static final double[] MEAN_WORK = {100, 3000, 4000};
+    private static final double[] MEAN_WORK_MS = {100, 3000, 4000};
     private static final double[] WORK_LOG_DEVIATION = {0.85, 1.0, 0.6};
     private static final double REPORT_RATIO = 0.15;
     /** Fraction of the attempts of reports that need far more work than the request has. */
@@ -58,7 +58,7 @@
     private static final double MAX_DISCOVERY_DELAY_MS = 4000;
 
     private static final double OVERLOAD_FACTOR = 2.5;
-    private static final double[] WEIGHTS = {1, 4, 8, 16};
+    private static final double[] PRIORITY_WEIGHTS = {1, 4, 8, 16};
 
     /**
      * Parameters of a simulation.
@@ -66,13 +66,13 @@
      * @param load requested work relative to the capacity of all cores
      * @param skew standard deviation of the logarithm of the front ends' numbers of requests; besides, one
      *     front end in ten gets three times as many
-     * @param lost the zone that fails, or -1
+     * @param failedZone the zone that fails, or -1
      * @param partitionedZone the zone that is partitioned from the others, or -1
      * @param slowEngineInterval one engine in this many is three times slower; 0: none
      * @param outageMs duration of the failure and of the partition, which start after 0.3 of the period in
      *     which requests arrive
-     * @param lengthMs duration of that period
-     * @param loads fraction of the requests that are loads
+     * @param arrivalPeriodMs duration of that period
+     * @param loadRequestFraction fraction of the requests that are loads
      * @param retryBudget retries of each front end in 10 s, besides a fifth of its requests; 0: no limit
      */
     record Plan(
@@ -81,13 +81,13 @@
             int zones,
             double load,
             double skew,
-            int lost,
+            int failedZone,
             int partitionedZone,
             int slowEngineInterval,
             double outageMs,
-            double lengthMs,
+            double arrivalPeriodMs,
             long seed,
-            double loads,
+            double loadRequestFraction,
             int retryBudget) {
         Plan(
                 int frontEnds,
@@ -95,11 +95,11 @@
                 int zones,
                 double load,
                 double skew,
-                int lost,
+                int failedZone,
                 int partitionedZone,
                 int slowEngineInterval,
                 double outageMs,
-                double lengthMs,
+                double arrivalPeriodMs,
                 long seed) {
             this(
                     frontEnds,
@@ -107,32 +107,32 @@
                     zones,
                     load,
                     skew,
-                    lost,
+                    failedZone,
                     partitionedZone,
                     slowEngineInterval,
                     outageMs,
-                    lengthMs,
+                    arrivalPeriodMs,
                     seed,
                     0,
                     0);
         }
     }
 
-    private record Due(double at, long order, Runnable task) {}
+    private record ScheduledTask(double atMs, long order, Runnable task) {}
 
     private final Plan plan;
     private final Random random;
-    private final PriorityQueue<Due> tasks =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+            Comparator.comparingDouble(ScheduledTask::atMs).thenComparingLong(ScheduledTask::order));
     private final List<Engine> engines = new ArrayList<>();
-    private final List<FrontEnd> frontEndNodes = new ArrayList<>();
-    private double now;
+    private final List<FrontEnd> frontEnds = new ArrayList<>();
+    private double nowMs;
     private long nextOrder;
     private final double startMs = 100_000;
     /** By second of arrival and by class: requests, answers in time, late answers. */
-    final TreeMap<Integer, double[][]> seconds = new TreeMap<>();
+    final TreeMap<Integer, double[][]> countsBySecond = new TreeMap<>();
 
-    double maxSlowStartRatio;
+    double maxSlowStartBudgetRatio;
     final Map<String, Integer> outcomes = new TreeMap<>();
 
     FleetDay(Plan plan) {
@@ -140,30 +140,36 @@
         this.random = new Random(plan.seed);
     }
 
-    private static final class Run {
+    private static final class RunningAttempt {
         final FrontEnd frontEnd;
-        final long request;
-        final int attempt;
-        final int type;
-        double left;
+        final long requestId;
+        final int attemptIndex;
+        final int classIndex;
+        double remainingWorkMs;
         double rate;
         int priority;
 
-        Run(FrontEnd frontEnd, long request, int attempt, int type, double left, int priority) {
+        RunningAttempt(
+                FrontEnd frontEnd,
+                long requestId,
+                int attemptIndex,
+                int classIndex,
+                double remainingWorkMs,
+                int priority) {
             this.frontEnd = frontEnd;
-            this.request = request;
-            this.attempt = attempt;
-            this.type = type;
-            this.left = left;
+            this.requestId = requestId;
+            this.attemptIndex = attemptIndex;
+            this.classIndex = classIndex;
+            this.remainingWorkMs = remainingWorkMs;
             this.priority = priority;
         }
 
         void reset() {
-            frontEnd.ended(request, attempt, AttemptOutcome.RESET, 0);
+            frontEnd.attemptEnded(requestId, attemptIndex, AttemptOutcome.RESET, 0);
         }
 
         boolean isAttempt(FrontEnd ofFrontEnd, long ofRequest, int number) {
-            return frontEnd == ofFrontEnd && request == ofRequest && attempt == number;
+            return frontEnd == ofFrontEnd && requestId == ofRequest && attemptIndex == number;
         }
     }
 
@@ -171,12 +177,12 @@
         final int id;
         final int zone;
         final double speed;
-        final List<Run> runs = new ArrayList<>();
-        final List<double[]> sent = new ArrayList<>();
+        final List<RunningAttempt> runs = new ArrayList<>();
+        final List<double[]> sentWork = new ArrayList<>();
         double startedAtMs;
-        double at = startMs;
-        int version;
-        boolean lost;
+        double advancedToMs = startMs;
+        int scheduleVersion;
+        boolean failed;
 
         Engine(int id) {
             this.id = id;
@@ -187,14 +193,14 @@
         }
 
         void advanceRuns() {
-            for (Run run : runs) {
-                run.left -= run.rate * (now - at);
+            for (RunningAttempt run : runs) {
+                run.remainingWorkMs -= run.rate * (nowMs - advancedToMs);
             }
-            at = now;
+            advancedToMs = nowMs;
         }
 
         private double warmedUpRatio() {
-            return INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (now - startedAtMs) / WARMUP_MS;
+            return INITIAL_CAPACITY_RATIO + (1 - INITIAL_CAPACITY_RATIO) * (nowMs - startedAtMs) / WARMUP_MS;
         }
 
         /**
@@ -203,38 +209,39 @@
          */
         void shareCores() {
             double threads = runs.stream()
-                    .mapToInt(run -> CLASSES.get(run.type).workload().threads())
+                    .mapToInt(run ->
+                            CLASSES.get(run.classIndex).executionProfile().threads())
                     .sum();
             double capacityRatio = startedAtMs == 0 ? 1 : Math.min(1, warmedUpRatio());
-            double crowd = Math.max(0, threads / (SATURATION_THREADS_PER_CORE * CORES) - 1);
-            double cores = CORES / (1 + OVERLOAD_SLOWDOWN * crowd);
+            double overload = Math.max(0, threads / (SATURATION_THREADS_PER_CORE * CORES) - 1);
+            double cores = CORES / (1 + OVERLOAD_SLOWDOWN * overload);
             runs.forEach(run -> run.rate = 0);
             for (int round = 0; round < 3 && cores > 1e-9; round++) {
-                double weights = 0;
-                for (Run run : runs) {
-                    int maxRate = CLASSES.get(run.type).workload().threads();
-                    weights += run.rate < maxRate ? WEIGHTS[run.priority] * maxRate : 0;
+                double totalWeight = 0;
+                for (RunningAttempt run : runs) {
+                    int maxRate = CLASSES.get(run.classIndex).executionProfile().threads();
+                    totalWeight += run.rate < maxRate ? PRIORITY_WEIGHTS[run.priority] * maxRate : 0;
                 }
-                double before = cores;
-                for (Run run : runs) {
-                    int maxRate = CLASSES.get(run.type).workload().threads();
+                double roundCores = cores;
+                for (RunningAttempt run : runs) {
+                    int maxRate = CLASSES.get(run.classIndex).executionProfile().threads();
                     if (run.rate < maxRate) {
-                        double quota = before * WEIGHTS[run.priority] * maxRate / weights;
-                        double more = Math.min(maxRate - run.rate, quota);
-                        run.rate += more;
-                        cores -= more;
+                        double share = roundCores * PRIORITY_WEIGHTS[run.priority] * maxRate / totalWeight;
+                        double added = Math.min(maxRate - run.rate, share);
+                        run.rate += added;
+                        cores -= added;
                     }
                 }
             }
-            int scheduledVersion = ++version;
-            double next = Double.POSITIVE_INFINITY;
-            for (Run run : runs) {
+            int scheduledVersion = ++scheduleVersion;
+            double nextEndMs = Double.POSITIVE_INFINITY;
+            for (RunningAttempt run : runs) {
                 run.rate *= speed * capacityRatio;
-                next = Math.min(next, Math.max(0, run.left) / Math.max(1e-9, run.rate));
+                nextEndMs = Math.min(nextEndMs, Math.max(0, run.remainingWorkMs) / Math.max(1e-9, run.rate));
             }
-            if (next < 1e7) {
-                schedule(Math.max(0.01, Math.min(next, 1000)), () -> {
-                    if (scheduledVersion == version) {
+            if (nextEndMs < 1e7) {
+                schedule(Math.max(0.01, Math.min(nextEndMs, 1000)), () -> {
+                    if (scheduledVersion == scheduleVersion) {
                         step();
                     }
                 });
@@ -243,60 +250,60 @@
 
         void step() {
             advanceRuns();
-            for (Run run : List.copyOf(runs)) {
-                if (run.left <= 1e-6) {
+            for (RunningAttempt run : List.copyOf(runs)) {
+                if (run.remainingWorkMs <= 1e-6) {
                     runs.remove(run);
-                    run.frontEnd.ended(run.request, run.attempt, AttemptOutcome.OK, 1);
+                    run.frontEnd.attemptEnded(run.requestId, run.attemptIndex, AttemptOutcome.OK, 1);
                 }
             }
             shareCores();
         }
 
-        void add(Run run) {
+        void add(RunningAttempt run) {
             advanceRuns();
             runs.add(run);
-            double ageMs = now - startedAtMs;
+            double ageMs = nowMs - startedAtMs;
             if (startedAtMs > 0 && ageMs > MAX_DISCOVERY_DELAY_MS && ageMs < WARMUP_MS) {
                 double capacity = CORES * 0.85 * warmedUpRatio();
-                sent.add(new double[] {now, MEAN_WORK[run.type]});
-                sent.removeIf(start -> start[0] < now - OVERLOAD_WINDOW_MS);
-                double work = sent.stream().mapToDouble(start -> start[1]).sum();
+                sentWork.add(new double[] {nowMs, MEAN_WORK_MS[run.classIndex]});
+                sentWork.removeIf(start -> start[0] < nowMs - OVERLOAD_WINDOW_MS);
+                double work = sentWork.stream().mapToDouble(start -> start[1]).sum();
                 double ratio = work / (OVERLOAD_FACTOR * capacity * OVERLOAD_WINDOW_MS);
-                maxSlowStartRatio = Math.max(maxSlowStartRatio, ratio);
+                maxSlowStartBudgetRatio = Math.max(maxSlowStartBudgetRatio, ratio);
             }
             shareCores();
         }
 
-        void drop(FrontEnd frontEnd, long request, int attempt) {
+        void remove(FrontEnd frontEnd, long request, int attempt) {
             advanceRuns();
             runs.removeIf(run -> run.isAttempt(frontEnd, request, attempt));
             shareCores();
         }
 
-        SchedulerEvent update() {
-            return new SchedulerEvent.EndpointsChanged(false, List.of(listed()));
+        SchedulerEvent endpointUpdate() {
+            return new SchedulerEvent.EndpointsChanged(false, List.of(endpoint()));
         }
 
-        Endpoint listed() {
+        Endpoint endpoint() {
             return new Endpoint(id + 1, 0, 1, startedAtMs, EndpointState.READY, zone, 0);
         }
     }
 
     private final class OpenRequest {
-        final int type;
-        final double at;
+        final int classIndex;
+        final double arrivedAtMs;
         final double deadline;
-        final double work;
+        final double workMs;
         final List<Engine> attempts = new ArrayList<>();
         int priority = 1;
         boolean completed;
         boolean inFlight;
 
-        OpenRequest(int type, double work) {
-            this.type = type;
-            this.at = now;
-            this.deadline = now + CLASSES.get(type).objective().deadlineMs();
-            this.work = work;
+        OpenRequest(int classIndex, double workMs) {
+            this.classIndex = classIndex;
+            this.arrivedAtMs = nowMs;
+            this.deadline = nowMs + CLASSES.get(classIndex).objective().deadlineMs();
+            this.workMs = workMs;
         }
     }
 
@@ -308,7 +315,7 @@
         final RuleChecker checker;
         final Map<Long, OpenRequest> openRequests = new HashMap<>();
         final Map<Integer, Double> connectionUsedMs = new HashMap<>();
-        long ids;
+        long lastRequestId;
 
         FrontEnd(int ordinal) {
             this.ordinal = ordinal;
@@ -316,7 +323,7 @@
             SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                     new SchedulerSettings.Capabilities(true, false, false, true, true, true, false),
                     new SchedulerSettings.AttemptLimits(6, 2000, 0),
-                    new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.PAGE));
+                    new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.PAGE));
             double budgetWindowMs = plan.retryBudget > 0 ? 10_000 : 0;
             SchedulerSettings.Rules rules = new SchedulerSettings.Rules(
                     1000,
@@ -330,10 +337,10 @@
                     new SchedulerSettings.FleetPosition(plan.zones, zone, plan.frontEnds, ordinal),
                     limits,
                     rules,
-                    new SchedulerSettings.Reporting(List.of(), false),
+                    new SchedulerSettings.LoadReporting(List.of(), false),
                     new SchedulerSettings.Discovery(false, 0, false),
-                    new SchedulerSettings.Costs(0, 0),
-                    new SchedulerSettings.Quotas(List.of(800 * perMs(1)), 1));
+                    new SchedulerSettings.MessageCosts(0, 0),
+                    new SchedulerSettings.TenantQuotas(List.of(800 * requestsPerMs(1)), 1));
             scheduler = new SpeculativeScheduler(settings, plan.seed * 1000 + ordinal);
             checker = new RuleChecker(settings);
         }
@@ -342,123 +349,129 @@
             int partition = plan.partitionedZone;
             boolean acrossPartition = engine.zone != zone && (engine.zone == partition || zone == partition);
             boolean partitioned = partition >= 0 && acrossPartition && isOutage();
-            return !partitioned && !engine.lost;
+            return !partitioned && !engine.failed;
         }
 
         void receive(SchedulerEvent event) {
-            checker.onEvent(now, event);
-            for (SchedulerAction action : scheduler.decide(now, List.of(event))) {
-                checker.onAction(now, action);
+            checker.onEvent(nowMs, event);
+            for (SchedulerAction action : scheduler.decide(nowMs, List.of(event))) {
+                checker.onAction(nowMs, action);
                 perform(action);
             }
         }
 
         void requestArrives(int type) {
-            double spread = WORK_LOG_DEVIATION[type];
-            double work = MEAN_WORK[type] * Math.exp(spread * random.nextGaussian() - spread * spread / 2);
+            double logDeviation = WORK_LOG_DEVIATION[type];
+            double work = MEAN_WORK_MS[type]
+                    * Math.exp(logDeviation * random.nextGaussian() - logDeviation * logDeviation / 2);
             double estimatedWork = work * Math.exp(0.4 * random.nextGaussian()) * ESTIMATE_RATIO[type];
-            long id = ++ids;
+            long id = ++lastRequestId;
             OpenRequest request = new OpenRequest(type, work);
             openRequests.put(id, request);
-            row(request)[0]++;
+            counts(request)[0]++;
             receive(new SchedulerEvent.RequestArrived(
-                    id, type, 0, request.deadline - now, estimatedWork, 200, random.nextInt(50), false, 0));
+                    id, type, 0, request.deadline - nowMs, estimatedWork, 200, random.nextInt(50), false, 0));
         }
 
-        private double[] row(OpenRequest request) {
-            int second = (int) ((request.at - startMs) / 1000);
-            return seconds.computeIfAbsent(second, added -> new double[CLASSES.size()][4])[request.type];
+        private double[] counts(OpenRequest request) {
+            int second = (int) ((request.arrivedAtMs - startMs) / 1000);
+            return countsBySecond
+                    .computeIfAbsent(second, newSecond -> new double[CLASSES.size()][4])[request.classIndex];
         }
 
         private void perform(SchedulerAction action) {
             if (action instanceof SchedulerAction.ScheduleTimer timer) {
                 schedule(timer.delayMs(), () -> receive(new SchedulerEvent.TimerFired(timer.token())));
             } else if (action instanceof SchedulerAction.SetResourceLimits limits) {
-                OpenRequest request = openRequests.get(limits.request());
+                OpenRequest request = openRequests.get(limits.requestId());
                 if (request != null) {
                     request.priority = limits.priority();
                 }
             } else if (action instanceof SchedulerAction.Reject rejected) {
-                OpenRequest request = openRequests.get(rejected.request());
+                OpenRequest request = openRequests.get(rejected.requestId());
                 String ending = request.attempts.isEmpty() ? "rejected unsent " : "rejected ";
-                outcomes.merge(ending + request.type, 1, Integer::sum);
+                outcomes.merge(ending + request.classIndex, 1, Integer::sum);
                 request.completed = true;
             } else if (action instanceof SchedulerAction.Fail failed) {
-                outcomes.merge("failed " + openRequests.get(failed.request()).type, 1, Integer::sum);
-                openRequests.get(failed.request()).completed = true;
+                outcomes.merge("failed " + openRequests.get(failed.requestId()).classIndex, 1, Integer::sum);
+                openRequests.get(failed.requestId()).completed = true;
             } else if (action instanceof SchedulerAction.StartAttempt start) {
-                send(start);
-            } else if (action instanceof SchedulerAction.CancelAttempt cancel) {
-                OpenRequest request = openRequests.get(cancel.request());
-                if (request.inFlight && cancel.attempt() == request.attempts.size() - 1) {
-                    Engine engine = request.attempts.get(cancel.attempt());
-                    schedule(1, () -> engine.drop(this, cancel.request(), cancel.attempt()));
-                    schedule(6, () -> ended(cancel.request(), cancel.attempt(), AttemptOutcome.CANCELLED, 0));
+                startAttempt(start);
+            } else if (action instanceof SchedulerAction.CancelAttempt cancelled) {
+                OpenRequest request = openRequests.get(cancelled.requestId());
+                if (request.inFlight && cancelled.attempt() == request.attempts.size() - 1) {
+                    Engine engine = request.attempts.get(cancelled.attempt());
+                    schedule(1, () -> engine.remove(this, cancelled.requestId(), cancelled.attempt()));
+                    schedule(
+                            6,
+                            () -> attemptEnded(
+                                    cancelled.requestId(), cancelled.attempt(), AttemptOutcome.CANCELLED, 0));
                 }
             }
         }
 
-        private void send(SchedulerAction.StartAttempt start) {
-            OpenRequest request = openRequests.get(start.request());
+        private void startAttempt(SchedulerAction.StartAttempt start) {
+            OpenRequest request = openRequests.get(start.requestId());
             Engine engine = engines.get((int) start.engine() - 1);
             int attempt = request.attempts.size();
             request.attempts.add(engine);
             request.inFlight = true;
-            if (request.deadline - now > 10) {
-                schedule(request.deadline - 10 - now, () -> {
+            if (request.deadline - nowMs > 10) {
+                schedule(request.deadline - 10 - nowMs, () -> {
                     if (request.inFlight && request.attempts.size() - 1 == attempt) {
-                        engine.drop(this, start.request(), attempt);
-                        ended(start.request(), attempt, AttemptOutcome.TIMEOUT, 0);
+                        engine.remove(this, start.requestId(), attempt);
+                        attemptEnded(start.requestId(), attempt, AttemptOutcome.TIMEOUT, 0);
                     }
                 });
             }
-            boolean connected = connectionUsedMs.getOrDefault(engine.id, 0.0) > now - 20_000;
+            boolean connected = connectionUsedMs.getOrDefault(engine.id, 0.0) > nowMs - 20_000;
             if (!reaches(engine)) {
                 connectionUsedMs.remove(engine.id);
                 schedule(
                         connected ? 1100 : 250,
-                        () -> ended(
-                                start.request(),
+                        () -> attemptEnded(
+                                start.requestId(),
                                 attempt,
                                 connected ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED,
                                 0));
                 return;
             }
-            connectionUsedMs.put(engine.id, now);
-            double plain = request.type == 1 && random.nextDouble() < RUNAWAY_RATIO
-                    ? request.work * (RUNAWAY_FACTORS[0] + RUNAWAY_FACTORS[1] * random.nextDouble())
-                    : request.work;
-            double work = plain * Math.exp(0.1 * random.nextGaussian());
+            connectionUsedMs.put(engine.id, nowMs);
+            double baseWork = request.classIndex == 1 && random.nextDouble() < RUNAWAY_RATIO
+                    ? request.workMs * (RUNAWAY_FACTORS[0] + RUNAWAY_FACTORS[1] * random.nextDouble())
+                    : request.workMs;
+            double work = baseWork * Math.exp(0.1 * random.nextGaussian());
             schedule(1, () -> {
                 if (!reaches(engine)) {
-                    schedule(1100, () -> ended(start.request(), attempt, AttemptOutcome.RESET, 0));
+                    schedule(1100, () -> attemptEnded(start.requestId(), attempt, AttemptOutcome.RESET, 0));
                 } else if (request.inFlight && request.attempts.size() - 1 == attempt) {
-                    engine.add(new Run(this, start.request(), attempt, request.type, work, request.priority));
+                    engine.add(new RunningAttempt(
+                            this, start.requestId(), attempt, request.classIndex, work, request.priority));
                 }
             });
         }
 
-        void ended(long requestId, int attempt, AttemptOutcome outcome, double delay) {
+        void attemptEnded(long requestId, int attempt, AttemptOutcome outcome, double delayMs) {
             OpenRequest request = openRequests.get(requestId);
             Engine engine = request.attempts.get(attempt);
             if (outcome == AttemptOutcome.OK && !reaches(engine)) {
-                schedule(1100, () -> ended(requestId, attempt, AttemptOutcome.RESET, 0));
+                schedule(1100, () -> attemptEnded(requestId, attempt, AttemptOutcome.RESET, 0));
                 return;
             }
-            schedule(delay, () -> {
+            schedule(delayMs, () -> {
                 if (!request.inFlight || request.attempts.size() - 1 != attempt) {
                     return;
                 }
                 request.inFlight = false;
-                outcomes.merge(outcome + " " + request.type, 1, Integer::sum);
+                outcomes.merge(outcome + " " + request.classIndex, 1, Integer::sum);
                 boolean completed = request.completed || outcome == AttemptOutcome.OK;
                 if (outcome == AttemptOutcome.OK && !request.completed) {
-                    RequestClass requestClass = CLASSES.get(request.type);
+                    RequestClass requestClass = CLASSES.get(request.classIndex);
                     double objectiveMs = requestClass.objective().latencyMs()
-                            + requestClass.objective().latencyPerWork()
-                                    * request.work
-                                    / requestClass.workload().threads();
-                    row(request)[now - request.at <= objectiveMs ? 1 : 2]++;
+                            + requestClass.objective().latencyPerRunTime()
+                                    * request.workMs
+                                    / requestClass.executionProfile().threads();
+                    counts(request)[nowMs - request.arrivedAtMs <= objectiveMs ? 1 : 2]++;
                 }
                 request.completed = completed;
                 double[] none = {};
@@ -467,88 +480,91 @@
         }
     }
 
-    private void schedule(double delay, Runnable task) {
-        tasks.add(new Due(now + delay, nextOrder++, task));
+    private void schedule(double delayMs, Runnable task) {
+        tasks.add(new ScheduledTask(nowMs + delayMs, nextOrder++, task));
     }
 
-    private double perMs(double load) {
-        return load * plan.engines * CORES / meanWork();
+    private double requestsPerMs(double load) {
+        return load * plan.engines * CORES / meanWorkMs();
     }
 
-    private double meanWork() {
-        double lookups = MEAN_WORK[0] * (1 - REPORT_RATIO - plan.loads);
-        return lookups + MEAN_WORK[1] * REPORT_RATIO + MEAN_WORK[2] * plan.loads;
+    private double meanWorkMs() {
+        double lookups = MEAN_WORK_MS[0] * (1 - REPORT_RATIO - plan.loadRequestFraction);
+        return lookups + MEAN_WORK_MS[1] * REPORT_RATIO + MEAN_WORK_MS[2] * plan.loadRequestFraction;
     }
 
     private boolean isOutage() {
-        return now - startMs >= plan.lengthMs * 0.3 && now - startMs < plan.lengthMs * 0.3 + plan.outageMs;
+        return nowMs - startMs >= plan.arrivalPeriodMs * 0.3
+                && nowMs - startMs < plan.arrivalPeriodMs * 0.3 + plan.outageMs;
     }
 
-    FleetDay play() {
-        now = startMs;
+    FleetDay run() {
+        nowMs = startMs;
         for (int i = 0; i < plan.engines; i++) {
             engines.add(new Engine(i));
         }
         for (int i = 0; i < plan.frontEnds; i++) {
-            frontEndNodes.add(new FrontEnd(i));
+            frontEnds.add(new FrontEnd(i));
         }
-        List<Endpoint> list = engines.stream().map(Engine::listed).toList();
-        SchedulerEvent listed = new SchedulerEvent.EndpointsChanged(true, list);
-        frontEndNodes.forEach(frontEnd -> schedule(0, () -> frontEnd.receive(listed)));
-        double perMs = perMs(plan.load);
-        double[] parts = new double[plan.frontEnds];
-        for (int i = 0; i < parts.length; i++) {
-            parts[i] = Math.exp(plan.skew * random.nextGaussian()) * (i % 10 == 3 ? 3 : 1);
+        List<Endpoint> endpoints = engines.stream().map(Engine::endpoint).toList();
+        SchedulerEvent listed = new SchedulerEvent.EndpointsChanged(true, endpoints);
+        frontEnds.forEach(frontEnd -> schedule(0, () -> frontEnd.receive(listed)));
+        double requestsPerMs = requestsPerMs(plan.load);
+        double[] trafficWeights = new double[plan.frontEnds];
+        for (int i = 0; i < trafficWeights.length; i++) {
+            trafficWeights[i] = Math.exp(plan.skew * random.nextGaussian()) * (i % 10 == 3 ? 3 : 1);
         }
-        double all = Arrays.stream(parts).sum();
-        for (FrontEnd frontEnd : frontEndNodes) {
-            arrivals(frontEnd, perMs * parts[frontEnd.ordinal] / all);
+        double totalWeight = Arrays.stream(trafficWeights).sum();
+        for (FrontEnd frontEnd : frontEnds) {
+            scheduleArrivals(frontEnd, requestsPerMs * trafficWeights[frontEnd.ordinal] / totalWeight);
         }
-        outage();
-        double end = startMs + plan.lengthMs + 16_000;
-        while (!tasks.isEmpty() && tasks.peek().at <= end) {
-            Due due = tasks.poll();
-            now = due.at;
-            due.task.run();
+        scheduleOutage();
+        double end = startMs + plan.arrivalPeriodMs + 16_000;
+        while (!tasks.isEmpty() && tasks.peek().atMs <= end) {
+            ScheduledTask next = tasks.poll();
+            nowMs = next.atMs;
+            next.task.run();
         }
         return this;
     }
 
-    private void arrivals(FrontEnd frontEnd, double perMs) {
-        schedule(-Math.log(1 - random.nextDouble()) / perMs, () -> {
-            if (now < startMs + plan.lengthMs) {
+    private void scheduleArrivals(FrontEnd frontEnd, double requestsPerMs) {
+        schedule(-Math.log(1 - random.nextDouble()) / requestsPerMs, () -> {
+            if (nowMs < startMs + plan.arrivalPeriodMs) {
                 double draw = random.nextDouble();
-                frontEnd.requestArrives(draw < REPORT_RATIO ? 1 : draw < REPORT_RATIO + plan.loads ? 2 : 0);
-                arrivals(frontEnd, perMs);
+                frontEnd.requestArrives(
+                        draw < REPORT_RATIO ? 1 : draw < REPORT_RATIO + plan.loadRequestFraction ? 2 : 0);
+                scheduleArrivals(frontEnd, requestsPerMs);
             }
         });
     }
 
-    private void outage() {
-        if (plan.lost < 0) {
+    private void scheduleOutage() {
+        if (plan.failedZone < 0) {
             return;
         }
-        List<Engine> gone = engines.stream().filter(e -> e.zone == plan.lost).toList();
+        List<Engine> failedEngines =
+                engines.stream().filter(e -> e.zone == plan.failedZone).toList();
         schedule(
-                plan.lengthMs * 0.3,
-                () -> gone.forEach(e -> {
+                plan.arrivalPeriodMs * 0.3,
+                () -> failedEngines.forEach(e -> {
                     e.advanceRuns();
-                    for (Run run : List.copyOf(e.runs)) {
+                    for (RunningAttempt run : List.copyOf(e.runs)) {
                         schedule(1100, run::reset);
                     }
                     e.runs.clear();
                     e.shareCores();
-                    e.lost = true;
+                    e.failed = true;
                 }));
         schedule(
-                plan.lengthMs * 0.3 + plan.outageMs,
-                () -> gone.forEach(e -> {
-                    e.lost = false;
-                    e.at = now;
-                    e.startedAtMs = now;
-                    frontEndNodes.forEach(frontEnd -> schedule(
+                plan.arrivalPeriodMs * 0.3 + plan.outageMs,
+                () -> failedEngines.forEach(e -> {
+                    e.failed = false;
+                    e.advancedToMs = nowMs;
+                    e.startedAtMs = nowMs;
+                    frontEnds.forEach(frontEnd -> schedule(
                             MAX_DISCOVERY_DELAY_MS * (1 + random.nextDouble()) / 2,
-                            () -> frontEnd.receive(e.update())));
+                            () -> frontEnd.receive(e.endpointUpdate())));
                 }));
     }
 
@@ -556,11 +572,11 @@
      * Returns the fraction of the requests that were answered, late or not, among those of one class that
      * arrived from second {@code from} to second {@code to}, exclusive.
      */
-    double served(int type, int from, int to) {
+    double servedRequestFraction(int classIndex, int from, int to) {
         double[] sum = new double[3];
-        seconds.subMap(from, to).values().forEach(rows -> {
+        countsBySecond.subMap(from, to).values().forEach(rows -> {
             for (int i = 0; i < sum.length; i++) {
-                sum[i] += rows[type][i];
+                sum[i] += rows[classIndex][i];
             }
         });
         return (sum[1] + sum[2]) / Math.max(1, sum[0]);
@@ -573,13 +589,14 @@
      * @param args numbers of front ends, engines, zones and seeds, and the load
      */
     public static void main(String[] args) {
-        double[] numbers = Arrays.stream(args).mapToDouble(Double::parseDouble).toArray();
-        for (int seed = 1; seed <= numbers[3]; seed++) {
+        double[] parameters =
+                Arrays.stream(args).mapToDouble(Double::parseDouble).toArray();
+        for (int seed = 1; seed <= parameters[3]; seed++) {
             FleetDay day = new FleetDay(new Plan(
-                            (int) numbers[0],
-                            (int) numbers[1],
-                            (int) numbers[2],
-                            numbers[4],
+                            (int) parameters[0],
+                            (int) parameters[1],
+                            (int) parameters[2],
+                            parameters[4],
                             0.3,
                             0 /* failed zone */,
                             1 /* partitioned zone */,
@@ -587,13 +604,13 @@
                             5000,
                             30_000,
                             seed))
-                    .play();
-            int last = day.seconds.lastKey() + 1;
-            double lookups = day.served(0, 0, last);
-            double reports = day.served(1, 0, last);
+                    .run();
+            int last = day.countsBySecond.lastKey() + 1;
+            double lookups = day.servedRequestFraction(0, 0, last);
+            double reports = day.servedRequestFraction(1, 0, last);
             System.out.printf(
                     "seed %d: lookups %.3f, reports %.3f; slow-start budget used %.2f; %s%n",
-                    seed, lookups, reports, day.maxSlowStartRatio, day.outcomes);
+                    seed, lookups, reports, day.maxSlowStartBudgetRatio, day.outcomes);
         }
     }
 }
--- a/src/measure/java/lineward/scheduling/RuleChecker.java
+++ b/src/measure/java/lineward/scheduling/RuleChecker.java
@@ -12,14 +12,14 @@
  */
 final class RuleChecker {
     private static final class RequestRecord {
-        final int type;
+        final int classIndex;
         int attempts;
         boolean inFlight;
         boolean mayHaveRun;
         boolean completed;
 
-        RequestRecord(int type) {
-            this.type = type;
+        RequestRecord(int classIndex) {
+            this.classIndex = classIndex;
         }
     }
 
@@ -34,28 +34,28 @@
 
     void onEvent(double nowMs, SchedulerEvent event) {
         if (event instanceof SchedulerEvent.RequestArrived arrival) {
-            requests.put(arrival.request(), new RequestRecord(arrival.requestClass()));
+            requests.put(arrival.requestId(), new RequestRecord(arrival.requestClass()));
             admittedMs.add(nowMs);
         } else if (event instanceof SchedulerEvent.AttemptEnded ended) {
-            RequestRecord request = requests.get(ended.request());
+            RequestRecord request = requests.get(ended.requestId());
             request.inFlight = false;
             request.mayHaveRun |= ended.outcome().mayHaveRun();
             request.completed |= ended.requestCompleted();
         } else if (event instanceof SchedulerEvent.RequestCancelled cancelled) {
-            requests.get(cancelled.request()).completed = true;
+            requests.get(cancelled.requestId()).completed = true;
         }
     }
 
     void onAction(double nowMs, SchedulerAction action) {
         if (action instanceof SchedulerAction.StartAttempt start) {
-            checkStart(nowMs, requests.get(start.request()));
+            checkStart(nowMs, requests.get(start.requestId()));
         } else if (action instanceof SchedulerAction.Reject rejected) {
-            RequestRecord request = requests.get(rejected.request());
+            RequestRecord request = requests.get(rejected.requestId());
             boolean neverRan = !request.mayHaveRun && !request.inFlight;
             require(!isNonIdempotent(request) || neverRan, "rejected a request that must not run twice");
             checkAnswer(request);
         } else if (action instanceof SchedulerAction.Fail failed) {
-            checkAnswer(requests.get(failed.request()));
+            checkAnswer(requests.get(failed.requestId()));
         }
     }
 
@@ -64,7 +64,7 @@
         require(!request.inFlight, "two attempts of one request in flight");
         boolean mayRun = !isNonIdempotent(request) || !request.mayHaveRun;
         require(mayRun, "retried a request that must not run twice");
-        int maxAttempts = settings.attempts().maxPerRequest();
+        int maxAttempts = settings.attemptLimits().maxPerRequest();
         require(request.attempts < maxAttempts, "more attempts than allowed");
         if (request.attempts++ > 0 && settings.rules().retryBudget().windowMs() > 0) {
             retriesMs.add(nowMs);
@@ -86,8 +86,8 @@
     }
 
     private boolean isNonIdempotent(RequestRecord request) {
-        RequestClass type = settings.classes().get(request.type);
-        return type.repeatability().idempotence() == Idempotence.NON_IDEMPOTENT;
+        RequestClass requestClass = settings.classes().get(request.classIndex);
+        return requestClass.repeatability().idempotence() == Idempotence.NON_IDEMPOTENT;
     }
 
     private static void require(boolean met, String rule) {
--- a/src/test/java/lineward/core/CoordinatorTest.java
+++ b/src/test/java/lineward/core/CoordinatorTest.java
@@ -34,7 +34,7 @@
         List<SchedulerAction> nextActions = List.of();
 
         @Override
-        public int excludedEngines() {
+        public int excludedEngineCount() {
             return 0;
         }
 
@@ -108,7 +108,7 @@
         assertNull(lastAttemptEnded(TIMEOUT));
         List<Command<String>> commands = coordinator.tick(2290);
         assertEquals(commands, List.of(new Command.CancelAttempt<>("r", id, 0, "s-1")));
-        assertEquals(lastAttemptEnded(TIMEOUT).request(), id);
+        assertEquals(lastAttemptEnded(TIMEOUT).requestId(), id);
         scheduler.nextActions = List.of(new SchedulerAction.Reject(id, 125));
         coordinator.endpointsChanged(false, List.of());
         assertEquals(coordinator.tick(2291), List.of(new Command.Reject<>("r", 125)));
@@ -136,7 +136,7 @@
         coordinator.tick(3105);
         assertNull(lastAttemptEnded(CANCELLED));
         coordinator.tick(3106);
-        assertEquals(lastAttemptEnded(CANCELLED).request(), id);
+        assertEquals(lastAttemptEnded(CANCELLED).requestId(), id);
     }
 
     @Test
--- a/src/test/java/lineward/core/PlannerDigestTest.java
+++ b/src/test/java/lineward/core/PlannerDigestTest.java
@@ -26,7 +26,7 @@
 import lineward.scheduling.AttemptOutcome;
 import lineward.scheduling.EndpointState;
 import lineward.scheduling.EngineKind;
-import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerSettings;
 import lineward.scheduling.execution.SpeculativeScheduler;
@@ -267,21 +267,21 @@
                     new RequestClass.Objective(800, 1, 4_000, 1, 0),
                     new RequestClass.Repeatability(IDEMPOTENT, ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(false, true, 1));
+                    new RequestClass.ExecutionProfile(false, true, 1));
             RequestClass loading = new RequestClass(
                     new RequestClass.Objective(2_000, 2, 6_000, 3, 0.5),
                     new RequestClass.Repeatability(NON_IDEMPOTENT, ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(true, false, 2));
+                    new RequestClass.ExecutionProfile(true, false, 2));
             RequestClass keyed = new RequestClass(
                     new RequestClass.Objective(900, 1, 4_000, 2, 0),
                     new RequestClass.Repeatability(BY_KEY, ALL, 900, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(false, true, 1));
+                    new RequestClass.ExecutionProfile(false, true, 1));
             SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                     new SchedulerSettings.Capabilities(true, true, false, true, true, true, true),
                     new SchedulerSettings.AttemptLimits(4, 500, 400),
-                    new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
+                    new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.WAIT));
             SchedulerSettings.Rules rules = new SchedulerSettings.Rules(
                     1_000,
                     new SchedulerSettings.SlowStartRule(5_000, 0.3, 3, 1_000),
@@ -293,10 +293,10 @@
                     new SchedulerSettings.FleetPosition(2, 0, frontEnds, 0),
                     limits,
                     rules,
-                    new SchedulerSettings.Reporting(List.of(IN_FLIGHT, MEMORY), false),
+                    new SchedulerSettings.LoadReporting(List.of(IN_FLIGHT, MEMORY), false),
                     new SchedulerSettings.Discovery(false, 0, false),
-                    new SchedulerSettings.Costs(0.001, 0.0001),
-                    new SchedulerSettings.Quotas(List.of(), 1));
+                    new SchedulerSettings.MessageCosts(0.001, 0.0001),
+                    new SchedulerSettings.TenantQuotas(List.of(), 1));
         }
     }
 }
--- a/src/test/java/lineward/scheduling/DecisionDigestTest.java
+++ b/src/test/java/lineward/scheduling/DecisionDigestTest.java
@@ -48,10 +48,10 @@
     }
 
     @Test(dataProvider = "days")
-    public void decisionsMatchTheRecordedDigest(Site site, int frontEnds, long seed, String recorded) {
-        SeededDay day = new SeededDay(settings(site, frontEnds), ENGINES, seed).play();
-        assertTrue(day.actions() > MIN_ACTIONS, "only " + day.actions() + " actions");
-        assertEquals(day.digest(), recorded);
+    public void decisionsMatchTheRecordedDigest(Site site, int frontEnds, long seed, String expectedDigest) {
+        SeededSimulation simulation = new SeededSimulation(settings(site, frontEnds), ENGINES, seed).run();
+        assertTrue(simulation.actionCount() > MIN_ACTIONS, "only " + simulation.actionCount() + " actions");
+        assertEquals(simulation.digest(), expectedDigest);
     }
 
     private static SchedulerSettings settings(Site site, int frontEnds) {
@@ -64,10 +64,10 @@
                 new SchedulerSettings.FleetPosition(3, 1, frontEnds, frontEnds / 2),
                 limits(site),
                 rules(site),
-                new SchedulerSettings.Reporting(report, false),
+                new SchedulerSettings.LoadReporting(report, false),
                 new SchedulerSettings.Discovery(site == Site.STRICT, 5_000, false),
-                new SchedulerSettings.Costs(0.001, 0.0001),
-                new SchedulerSettings.Quotas(List.of(), 0.2));
+                new SchedulerSettings.MessageCosts(0.001, 0.0001),
+                new SchedulerSettings.TenantQuotas(List.of(), 0.2));
     }
 
     private static List<RequestClass> classes() {
@@ -87,14 +87,14 @@
             boolean inOrder,
             List<Integer> kinds,
             List<Integer> zones,
-            boolean load,
+            boolean loadsTableGroup,
             boolean waitsForLoads,
             int threads) {
         return new RequestClass(
-                new RequestClass.Objective(900, 1.5, 5_000, threads, load ? 0.4 : 0),
+                new RequestClass.Objective(900, 1.5, 5_000, threads, loadsTableGroup ? 0.4 : 0),
                 new RequestClass.Repeatability(idempotence, scope, keyTtlMs, inOrder),
                 new RequestClass.Placement(kinds, zones),
-                new RequestClass.Workload(load, waitsForLoads, threads));
+                new RequestClass.ExecutionProfile(loadsTableGroup, waitsForLoads, threads));
     }
 
     private static SchedulerSettings.Limits limits(Site site) {
@@ -104,7 +104,8 @@
                 new SchedulerSettings.Capabilities(
                         true, reporting, false, !strict, !strict, !strict, reporting /* gossip */),
                 new SchedulerSettings.AttemptLimits(strict ? 3 : 4, 400, strict ? 0 : 400),
-                new SchedulerSettings.MemoryLimits(0.4, strict ? MemoryShortage.PAGE : MemoryShortage.WAIT));
+                new SchedulerSettings.MemoryLimits(
+                        0.4, strict ? MemoryShortageHandling.PAGE : MemoryShortageHandling.WAIT));
     }
 
     private static SchedulerSettings.Rules rules(Site site) {
--- a/src/test/java/lineward/scheduling/FleetQuotaTest.java
+++ b/src/test/java/lineward/scheduling/FleetQuotaTest.java
@@ -28,7 +28,7 @@
                 new RequestClass.Objective(3000, 2.5, 15000, 12, 0.4),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, false, THREADS));
+                new RequestClass.ExecutionProfile(false, false, THREADS));
     }
 
     static TestingScheduler frontEnd(int frontEnds, int ordinal, int engines) {
@@ -42,10 +42,10 @@
                         new SchedulerSettings.FleetPosition(1, 0, frontEnds, ordinal),
                         limits(6),
                         rules(),
-                        new SchedulerSettings.Reporting(List.of(), false),
+                        new SchedulerSettings.LoadReporting(List.of(), false),
                         new SchedulerSettings.Discovery(false, 0, false),
                         NO_COSTS,
-                        new SchedulerSettings.Quotas(List.of(), 1)))
+                        new SchedulerSettings.TenantQuotas(List.of(), 1)))
                 .receive(new SchedulerEvent.EndpointsChanged(true, list));
     }
 
@@ -107,7 +107,7 @@
         }
         double quota = MAX_THREADS_PER_CORE * CORES * engines / frontEnds;
         long lookups = scheduler.allStarts().stream()
-                .filter(start -> start.request() > 1000)
+                .filter(start -> start.requestId() > 1000)
                 .count();
         long reports = scheduler.allStarts().size() - lookups;
         assertTrue(lookups >= 1 && reports >= 1, "both classes start");
@@ -125,7 +125,7 @@
         for (int id = 201; id <= 300; id++) {
             scheduler.requestArrives(id, 0, 0, 100, 5000).advance(25);
         }
-        assertTrue(scheduler.allStarts().stream().anyMatch(start -> start.request() == 1000));
+        assertTrue(scheduler.allStarts().stream().anyMatch(start -> start.requestId() == 1000));
     }
 
     @DataProvider
@@ -136,7 +136,7 @@
     /** An engine that pages counts memory in use, not grants, so a large grant avoids a spill at no cost. */
     @Test
     public void enginesThatPageGrantTheMaximum() {
-        for (MemoryShortage shortage : MemoryShortage.values()) {
+        for (MemoryShortageHandling shortage : MemoryShortageHandling.values()) {
             SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                     new SchedulerSettings.Capabilities(true, false, false, true, true, true, false),
                     new SchedulerSettings.AttemptLimits(4, 500, 0),
@@ -148,7 +148,7 @@
                     .allActions(SchedulerAction.SetResourceLimits.class)
                     .get(0)
                     .grantMb();
-            double expected = shortage == MemoryShortage.PAGE ? 0.4 * 16_000 : 100 * 1.25;
+            double expected = shortage == MemoryShortageHandling.PAGE ? 0.4 * 16_000 : 100 * 1.25;
             assertEquals(granted, expected, 1e-6, "grant with shortage " + shortage);
         }
     }
@@ -167,7 +167,7 @@
             scheduler.requestArrives(id, 0, 0, 200, 5000).advance(100).attemptEnds(id, 0, AttemptOutcome.OK);
         }
         long reports = scheduler.allStarts().stream()
-                .map(SchedulerAction.StartAttempt::request)
+                .map(SchedulerAction.StartAttempt::requestId)
                 .filter(id -> id > 100 && id <= 140)
                 .distinct()
                 .count();
--- a/src/test/java/lineward/scheduling/FleetSlowStartTest.java
+++ b/src/test/java/lineward/scheduling/FleetSlowStartTest.java
@@ -29,12 +29,12 @@
                     new RequestClass.Objective(500, 2, 2500, 1, 0.1),
                     new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(false, false, 1)),
+                    new RequestClass.ExecutionProfile(false, false, 1)),
             new RequestClass(
                     new RequestClass.Objective(3000, 2.5, 15_000, 12, 0.4),
                     new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                     new RequestClass.Placement(null, null),
-                    new RequestClass.Workload(false, false, 3)));
+                    new RequestClass.ExecutionProfile(false, false, 3)));
     private static final double[] WORK_MS = {100, 3000};
     private static final double REPORT_RATIO = 0.15;
     private static final double MEAN_WORK_MS = (1 - REPORT_RATIO) * WORK_MS[0] + REPORT_RATIO * WORK_MS[1];
@@ -187,7 +187,7 @@
                 SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                         new SchedulerSettings.Capabilities(true, false, false, true, true, true, false),
                         new SchedulerSettings.AttemptLimits(6, 2000, 0),
-                        new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.PAGE));
+                        new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.PAGE));
                 scheduler = new SpeculativeScheduler(
                         new SchedulerSettings(
                                 CLASSES,
@@ -195,10 +195,10 @@
                                 new SchedulerSettings.FleetPosition(1, 0, frontEnds, ordinal),
                                 limits,
                                 rules,
-                                new SchedulerSettings.Reporting(List.of(), false),
+                                new SchedulerSettings.LoadReporting(List.of(), false),
                                 new SchedulerSettings.Discovery(false, 0, false),
                                 NO_COSTS,
-                                new SchedulerSettings.Quotas(List.of(), 1)),
+                                new SchedulerSettings.TenantQuotas(List.of(), 1)),
                         random.nextLong());
                 receive(new SchedulerEvent.EndpointsChanged(true, list(started)));
             }
@@ -247,9 +247,9 @@
             }
 
             private void start(SchedulerAction.StartAttempt start) {
-                double work = works.get(start.request());
-                int attempt = attempts.merge(start.request(), 1, Integer::sum) - 1;
-                inFlight.put(start.request(), attempt);
+                double work = works.get(start.requestId());
+                int attempt = attempts.merge(start.requestId(), 1, Integer::sum) - 1;
+                inFlight.put(start.requestId(), attempt);
                 retries += attempt > 0 ? 1 : 0;
                 if (start.engine() <= enginesInSlowStart) {
                     startedInSlowStart++;
@@ -262,11 +262,11 @@
                         : AttemptOutcome.OK;
                 whileRunning(
                         fails ? 5 : work / (work > 1000 ? 3 : 1) * (1 + random.nextDouble()),
-                        () -> ended(start.request(), attempt, outcome));
+                        () -> ended(start.requestId(), attempt, outcome));
             }
 
             private void cancelled(SchedulerAction.CancelAttempt cancel) {
-                ended(cancel.request(), cancel.attempt(), AttemptOutcome.CANCELLED);
+                ended(cancel.requestId(), cancel.attempt(), AttemptOutcome.CANCELLED);
             }
 
             private void ended(long request, int attempt, AttemptOutcome outcome) {
--- a/src/test/java/lineward/scheduling/LearnedStateTest.java
+++ b/src/test/java/lineward/scheduling/LearnedStateTest.java
@@ -24,7 +24,7 @@
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, true),
                 new SchedulerSettings.AttemptLimits(4, 500, 2000),
-                new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.PAGE));
+                new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.PAGE));
         List<EngineKind> kinds = List.of(new EngineKind(8, 0));
         return new TestingScheduler(new SchedulerSettings(
                         List.of(lookupClass()),
@@ -32,11 +32,11 @@
                         new SchedulerSettings.FleetPosition(1, 0, frontEnds, 0),
                         limits,
                         rules(),
-                        new SchedulerSettings.Reporting(
+                        new SchedulerSettings.LoadReporting(
                                 List.of(LoadReportField.IN_FLIGHT, LoadReportField.MEMORY), false),
                         new SchedulerSettings.Discovery(false, 0, false),
-                        new SchedulerSettings.Costs(0.01, 0.01),
-                        new SchedulerSettings.Quotas(List.of(), 1)))
+                        new SchedulerSettings.MessageCosts(0.01, 0.01),
+                        new SchedulerSettings.TenantQuotas(List.of(), 1)))
                 .listEngines(1, 2, 3, 4);
     }
 
@@ -118,7 +118,7 @@
                 new RequestClass.Objective(400, 2, 20_000, 1, 0),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, false, 1));
+                new RequestClass.ExecutionProfile(false, false, 1));
         for (double reportedMs : new double[] {1150, 0}) {
             SchedulerSettings settings = settings(limits(4), rules(), stretched);
             TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3);
@@ -164,7 +164,7 @@
                 scheduler.requestArrives(2, 0);
             }
             scheduler.advance(2500).requestArrives(3, 0).advance(100);
-            assertThat(scheduler.excludedEngines()).isEqualTo(twoOverdue ? 1 : 0);
+            assertThat(scheduler.excludedEngineCount()).isEqualTo(twoOverdue ? 1 : 0);
         }
     }
 
@@ -177,7 +177,7 @@
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, false),
                 new SchedulerSettings.AttemptLimits(4, 500, 2000),
-                new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
+                new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.WAIT));
         SchedulerSettings settings = settings(limits, rules(), loadClass());
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2);
         scheduler.requestArrives(1, 0, 0, 3000, 20_000).advance(3000);
@@ -196,10 +196,10 @@
                 withReports.position(),
                 withReports.limits(),
                 withReports.rules(),
-                new SchedulerSettings.Reporting(List.of(), false),
+                new SchedulerSettings.LoadReporting(List.of(), false),
                 withReports.discovery(),
-                withReports.costs(),
-                withReports.quotas());
+                withReports.messageCosts(),
+                withReports.tenantQuotas());
         TestingScheduler scheduler = new TestingScheduler(withoutReports).listEngines(1, 2);
         scheduler.receive(new GossipReceived(1, new byte[] {0, 1, 0, 2}));
         assertThat(scheduler.requestArrives(1, 0).lastStartedEngine()).isPositive();
--- a/src/test/java/lineward/scheduling/RulesTest.java
+++ b/src/test/java/lineward/scheduling/SchedulerRulesTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.Test;
 
 /** Tests the rules on deadlines, repeats, key order, drains, slow start and the retry budget. */
-public class RulesTest {
+public class SchedulerRulesTest {
 
     @Test
     public void requestWithoutTimeLeftIsRejectedInTheSameDecision() {
@@ -62,11 +62,11 @@
         for (AttemptOutcome outcome : List.of(REJECTED, CONNECT_FAILED)) {
             TestingScheduler scheduler = new TestingScheduler(settings(loadClass())).listEngines(1, 2);
             scheduler.requestArrives(5, 0);
-            long first = scheduler.lastStartedEngine();
+            long firstEngine = scheduler.lastStartedEngine();
             scheduler.attemptEnds(5, 0, outcome);
             assertThat(scheduler.lastStartedEngine())
                     .as(outcome.name())
-                    .isNotEqualTo(first)
+                    .isNotEqualTo(firstEngine)
                     .isPositive();
         }
     }
@@ -76,11 +76,11 @@
         SchedulerSettings settings = settings(byKeyClass(DeduplicationScope.CELL, 4000));
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3, 4);
         scheduler.requestArrives(5, 0);
-        long first = scheduler.lastStartedEngine();
+        long firstEngine = scheduler.lastStartedEngine();
         scheduler.nowMs += 50;
         scheduler.attemptEnds(5, 0, ERROR);
-        assertThat(scheduler.lastStartedEngine() % 2).isEqualTo(first % 2);
-        assertThat(scheduler.lastStartedEngine()).isNotEqualTo(first);
+        assertThat(scheduler.lastStartedEngine() % 2).isEqualTo(firstEngine % 2);
+        assertThat(scheduler.lastStartedEngine()).isNotEqualTo(firstEngine);
         assertThat(scheduler.lastStarts().get(0).startWithinMs())
                 .as("the attempt may wait for a connection")
                 .isEqualTo(3950);
@@ -111,12 +111,14 @@
     public void engineInSlowStartStaysWithinItsBudget() {
         // Two windows of 1 s allow 2 x 3 x 0.33 x 8 cores x 0.85 (the utilisation at full capacity) x 1 s =
         // 13,464 ms of work: 67 requests of 200 ms.
-        assertThat(startedAtEngineInSlowStart(1)).isBetween(10, 67);
-        int ofFour = startedAtEngineInSlowStart(4);
-        assertThat(ofFour).as("a quarter for each of four front ends").isBetween(2, 17);
+        assertThat(attemptsStartedDuringSlowStart(1)).isBetween(10, 67);
+        int startedByOneOfFour = attemptsStartedDuringSlowStart(4);
+        assertThat(startedByOneOfFour)
+                .as("a quarter for each of four front ends")
+                .isBetween(2, 17);
     }
 
-    private static int startedAtEngineInSlowStart(int frontEnds) {
+    private static int attemptsStartedDuringSlowStart(int frontEnds) {
         SchedulerSettings defaults = settings(lookupClass());
         TestingScheduler scheduler = new TestingScheduler(new SchedulerSettings(
                 defaults.classes(),
@@ -124,10 +126,10 @@
                 new SchedulerSettings.FleetPosition(2, 0, frontEnds, 0),
                 defaults.limits(),
                 defaults.rules(),
-                new SchedulerSettings.Reporting(List.of(), false),
+                new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(false, 0, false),
                 NO_COSTS,
-                new SchedulerSettings.Quotas(List.of(), 1)));
+                new SchedulerSettings.TenantQuotas(List.of(), 1)));
         scheduler.receive(new SchedulerEvent.EndpointsChanged(
                 true, List.of(new Endpoint(1, 0, 1, scheduler.nowMs - 10, EndpointState.READY, 0, 0))));
         int started = 0;
@@ -136,7 +138,7 @@
             scheduler.requestArrives(i, 0);
             for (SchedulerAction.StartAttempt start : scheduler.lastStarts()) {
                 started++;
-                scheduler.attemptEnds(start.request(), 0, OK);
+                scheduler.attemptEnds(start.requestId(), 0, OK);
                 started += scheduler.lastStarts().size();
             }
         }
@@ -144,27 +146,27 @@
     }
 
     @Test
-    public void requestsOfAKeyRunInOrderAndSettleAfterAnIndeterminateOutcome() {
+    public void requestsOfAKeyRunInOrderAndWaitAfterAnIndeterminateOutcome() {
         TestingScheduler scheduler = new TestingScheduler(settings(loadClass())).listEngines(1, 2, 3);
         for (int id = 1; id <= 3; id++) {
             scheduler.requestArrives(id, 0, 77, 500, 9000);
         }
         assertThat(scheduler.allStarts())
-                .extracting(SchedulerAction.StartAttempt::request)
+                .extracting(SchedulerAction.StartAttempt::requestId)
                 .containsExactly(1L);
         scheduler.attemptEnds(1, 0, OK);
         assertThat(scheduler.lastStarts())
-                .extracting(SchedulerAction.StartAttempt::request)
+                .extracting(SchedulerAction.StartAttempt::requestId)
                 .containsExactly(2L);
         scheduler.attemptEnds(2, 0, RESET);
         assertThat(scheduler.advance(475).lastStarts()).isEmpty();
         assertThat(scheduler.advance(50).lastStarts())
-                .extracting(SchedulerAction.StartAttempt::request)
+                .extracting(SchedulerAction.StartAttempt::requestId)
                 .containsExactly(3L);
     }
 
     @Test
-    public void requestIsQueuedUntilItsDeadlineWithoutAnEngineOfItsPlacement() {
+    public void requestWithoutAnAllowedEngineIsQueuedUntilItsDeadline() {
         TestingScheduler scheduler = new TestingScheduler(settings(classOnKind(1))).listEngines(1, 2);
         scheduler.requestArrives(5, 0);
         assertThat(scheduler.allStarts()).isEmpty();
@@ -205,7 +207,7 @@
     }
 
     @Test
-    public void contradictorySettingsAreRejected() {
+    public void invalidSettingsAreRejected() {
         assertThatThrownBy(() -> settings(classOnKind(5))).hasMessageContaining("unknown kind");
         assertThatThrownBy(() -> settings()).hasMessageContaining("classes");
     }
@@ -221,7 +223,7 @@
                 new RequestClass.Objective(300, 2.5, 15_000, 3, 0.4),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, false, 2));
+                new RequestClass.ExecutionProfile(false, false, 2));
         int started = 0;
         for (int i = 0; i < 300; i++) {
             SchedulerSettings defaults = settings(report);
@@ -231,10 +233,10 @@
                     new SchedulerSettings.FleetPosition(2, 0, 300, i),
                     defaults.limits(),
                     defaults.rules(),
-                    new SchedulerSettings.Reporting(List.of(), false),
+                    new SchedulerSettings.LoadReporting(List.of(), false),
                     new SchedulerSettings.Discovery(false, 0, false),
                     NO_COSTS,
-                    new SchedulerSettings.Quotas(List.of(), 1)));
+                    new SchedulerSettings.TenantQuotas(List.of(), 1)));
             scheduler.receive(new SchedulerEvent.EndpointsChanged(
                     true, List.of(new Endpoint(1, 0, 1, scheduler.nowMs + 2000, EndpointState.READY, 0, 0))));
             scheduler.nowMs += 2010;
@@ -269,7 +271,7 @@
             SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                     new SchedulerSettings.Capabilities(true, true, false, true, true, true, false),
                     new SchedulerSettings.AttemptLimits(4, 500, 500),
-                    new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
+                    new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.WAIT));
             SchedulerSettings settings = settings(limits, rules, lookupClass());
             TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3);
             scheduler.requestArrives(1, 0).advance(1150);
--- a/src/test/java/lineward/scheduling/TestingScheduler.java
+++ b/src/test/java/lineward/scheduling/TestingScheduler.java
@@ -8,7 +8,7 @@
 
 /** A scheduler with a simulated clock, which records the scheduler's actions. */
 final class TestingScheduler {
-    static final SchedulerSettings.Costs NO_COSTS = new SchedulerSettings.Costs(0, 0);
+    static final SchedulerSettings.MessageCosts NO_COSTS = new SchedulerSettings.MessageCosts(0, 0);
 
     private static final double TICK_MS = 25;
     private static final long SEED = 7;
@@ -33,7 +33,7 @@
                 new RequestClass.Objective(1000, 1, 5000, 1, 0),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, true, 1));
+                new RequestClass.ExecutionProfile(false, true, 1));
     }
 
     /** Loads of tables, which are not idempotent; those with the same key run in order of arrival. */
@@ -42,7 +42,7 @@
                 new RequestClass.Objective(3000, 2, 20000, 3, 0.5),
                 new RequestClass.Repeatability(Idempotence.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, true),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(true, false, 2));
+                new RequestClass.ExecutionProfile(true, false, 2));
     }
 
     /** Requests with an idempotency key. */
@@ -51,7 +51,7 @@
                 new RequestClass.Objective(3000, 2, 20000, 3, 0.5),
                 new RequestClass.Repeatability(Idempotence.BY_KEY, scope, keyTtlMs, false),
                 new RequestClass.Placement(null, null),
-                new RequestClass.Workload(false, false, 1));
+                new RequestClass.ExecutionProfile(false, false, 1));
     }
 
     /** Requests that may run on one kind of engine only. */
@@ -60,14 +60,14 @@
                 new RequestClass.Objective(2000, 1, 5000, 1, 0),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(List.of(kind), null),
-                new RequestClass.Workload(false, false, 1));
+                new RequestClass.ExecutionProfile(false, false, 1));
     }
 
     static SchedulerSettings.Limits limits(int maxAttempts) {
         return new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, false),
                 new SchedulerSettings.AttemptLimits(maxAttempts, 500, 0),
-                new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
+                new SchedulerSettings.MemoryLimits(0.4, MemoryShortageHandling.WAIT));
     }
 
     static SchedulerSettings.Rules rules() {
@@ -89,10 +89,10 @@
                 new SchedulerSettings.FleetPosition(2, 0, fleet, 0),
                 limits,
                 rules,
-                new SchedulerSettings.Reporting(List.of(), false),
+                new SchedulerSettings.LoadReporting(List.of(), false),
                 new SchedulerSettings.Discovery(false, 0, false),
                 NO_COSTS,
-                new SchedulerSettings.Quotas(List.of(), 1));
+                new SchedulerSettings.TenantQuotas(List.of(), 1));
     }
 
     static SchedulerSettings settings(int frontEnds, RequestClass... classes) {
@@ -126,14 +126,14 @@
 
     /** Advances the clock with a timer event at every tick; the last actions are those of all ticks. */
     TestingScheduler advance(double ms) {
-        List<SchedulerAction> recorded = new ArrayList<>();
+        List<SchedulerAction> tickActions = new ArrayList<>();
         for (double endMs = nowMs + ms; nowMs < endMs; ) {
             nowMs = Math.min(endMs, nowMs + TICK_MS);
             receive(new SchedulerEvent.TimerFired(0));
-            recorded.addAll(lastActions);
+            tickActions.addAll(lastActions);
         }
         lastActions.clear();
-        lastActions.addAll(recorded);
+        lastActions.addAll(tickActions);
         return this;
     }
 
@@ -176,8 +176,8 @@
         return allActions(SchedulerAction.CancelAttempt.class);
     }
 
-    int excludedEngines() {
-        return scheduler.excludedEngines();
+    int excludedEngineCount() {
+        return scheduler.excludedEngineCount();
     }
 
     /** Returns the engine of the last attempt that the last actions start; -1 if they start none. */
--- a/src/test/java/lineward/scheduling/decision/TestingSettings.java
+++ b/src/test/java/lineward/scheduling/decision/TestingSettings.java
@@ -6,7 +6,7 @@
 import lineward.scheduling.EngineKind;
 import lineward.scheduling.Idempotence;
 import lineward.scheduling.LoadReportField;
-import lineward.scheduling.MemoryShortage;
+import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerSettings;
 
@@ -23,7 +23,7 @@
     double keyTtlMs = 2_000;
     boolean inOrder;
     RequestClass.Placement placement = RequestClass.Placement.ANYWHERE;
-    RequestClass.Workload workload = new RequestClass.Workload(false, false, 1);
+    RequestClass.ExecutionProfile workload = new RequestClass.ExecutionProfile(false, false, 1);
     /** Additional classes; the class that the fields above describe comes first. */
     final List<RequestClass> otherClasses = new ArrayList<>();
 
@@ -38,7 +38,7 @@
     int maxAttempts = 4;
     double maxRetryAfterMs = 500;
     double progressIntervalMs;
-    MemoryShortage memoryShortage = MemoryShortage.WAIT;
+    MemoryShortageHandling memoryShortage = MemoryShortageHandling.WAIT;
     double overloadFactor = 3;
     double settleMs = 500;
     SchedulerSettings.RetryBudget retryBudget = new SchedulerSettings.RetryBudget(0, 0, 0);
@@ -61,10 +61,10 @@
                 new SchedulerSettings.FleetPosition(2, 0, frontEnds, ordinal),
                 limits(),
                 rules(),
-                new SchedulerSettings.Reporting(reportFields, false),
+                new SchedulerSettings.LoadReporting(reportFields, false),
                 new SchedulerSettings.Discovery(false, 0, false),
-                new SchedulerSettings.Costs(healthCheckCost, NO_COST),
-                new SchedulerSettings.Quotas(List.of(), 1));
+                new SchedulerSettings.MessageCosts(healthCheckCost, NO_COST),
+                new SchedulerSettings.TenantQuotas(List.of(), 1));
     }
 
     private SchedulerSettings.Limits limits() {
