--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -25,7 +25,7 @@
      * reliable curve, the timeout is limited to the bounds for a straggler, and is the upper bound if no edge
      * saves enough load.
      */
-    public static OptionalDouble tauRatio(ClassState type, double nowMs) {
+    public static OptionalDouble timeoutRatio(ClassState type, double nowMs) {
         ServiceTimeModel model = type.model();
         if (!model.hasTypicalRatio()) {
             return OptionalDouble.empty();
--- a/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
+++ b/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
@@ -32,7 +32,7 @@
         nextMs = context.nowMs() + INTERVAL_MS;
         recomputeServiceTimes();
         for (ClassState type : context.classes()) {
-            type.setTauRatio(SpeculativeTimeout.tauRatio(type, context.nowMs()));
+            type.setTauRatio(SpeculativeTimeout.timeoutRatio(type, context.nowMs()));
         }
         context.recomputeDemand();
         limits.adaptQuota(requestsBlocked, INTERVAL_MS);
--- a/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
@@ -55,7 +55,7 @@
     @Test(dataProvider = "runs")
     public void tauCostsTheLeastLoad(int usualRuns, int slowRuns, double slowRatio, double tau) {
         ClassState type = classWith(usualRuns, slowRuns, slowRatio);
-        OptionalDouble ratio = SpeculativeTimeout.tauRatio(type, 0);
+        OptionalDouble ratio = SpeculativeTimeout.timeoutRatio(type, 0);
         if (tau == NEVER) {
             assertThat(ratio).isEmpty();
         } else {
@@ -78,6 +78,6 @@
         for (int run = 0; run < 5; run++) {
             type.model().addRelaunch(relaunchRatio, 0);
         }
-        assertThat(SpeculativeTimeout.tauRatio(type, 0).isPresent()).isEqualTo(saves);
+        assertThat(SpeculativeTimeout.timeoutRatio(type, 0).isPresent()).isEqualTo(saves);
     }
 }
