--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -30,15 +30,15 @@
         if (!model.hasTypicalRatio()) {
             return OptionalDouble.empty();
         }
-        OptionalDouble leastLoad = leastLoadRatio(model, nowMs);
+        OptionalDouble leastLoad = leastLoadTimeoutRatio(model, nowMs);
         if (model.hasCurve()) {
             return leastLoad;
         }
-        return OptionalDouble.of(withinStragglerBounds(leastLoad, model.typicalRatio()));
+        return OptionalDouble.of(clampToStragglerBounds(leastLoad, model.typicalRatio()));
     }
 
     /** Returns the bin edge with the least expected load; empty if no edge saves enough load. */
-    private static OptionalDouble leastLoadRatio(ServiceTimeModel model, double nowMs) {
+    private static OptionalDouble leastLoadTimeoutRatio(ServiceTimeModel model, double nowMs) {
         SurvivalCurve curve = model.firstRuns();
         double relaunchRatio = model.relaunchRatio(nowMs);
         double leastLoad = model.meanRatio() * (1 - MIN_LOAD_SAVED);
@@ -53,7 +53,7 @@
         return best;
     }
 
-    private static double withinStragglerBounds(OptionalDouble ratio, double typicalRatio) {
+    private static double clampToStragglerBounds(OptionalDouble ratio, double typicalRatio) {
         double upperLog = ServiceTimeModel.STRAGGLER_LOG_RATIO;
         double lowerLog = upperLog / 2;
         double log = ratio.isPresent() ? Math.log(ratio.getAsDouble() / typicalRatio) : upperLog;
