--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -72,7 +72,7 @@
             return false;
         }
         boolean engineFails = isOnEjectedEngine(attempt) || isStandingStill(attempt, relaunchMs);
-        return engineFails || isPastTau(attempt, relaunchMs);
+        return engineFails || isTooSlow(attempt, relaunchMs);
     }
 
     /** Returns the expected run time of a relaunch at the current slowdown of its class on all engines. */
@@ -102,7 +102,7 @@
                 && attempt.predictedRemainingMs() > STANDSTILL_RELAUNCHES * relaunchMs;
     }
 
-    private boolean isSubjectToTau(Attempt attempt) {
+    private boolean isSubjectToTimeout(Attempt attempt) {
         TrackedRequest request = attempt.request();
         if (request.isRelaunched() || request.isExemptFromCancellation() || attempt.isWaiting()) {
             return false;
@@ -118,8 +118,8 @@
      * progress report, however, an attempt that would end before a relaunch is spared, and one that would
      * take far longer than a relaunch is too slow before the timeout; its predicted run time is recorded.
      */
-    private boolean isPastTau(Attempt attempt, double relaunchMs) {
-        if (!isSubjectToTau(attempt)) {
+    private boolean isTooSlow(Attempt attempt, double relaunchMs) {
+        if (!isSubjectToTimeout(attempt)) {
             return false;
         }
         TrackedRequest request = attempt.request();
