--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -61,12 +61,12 @@
                 && cancellation.isUnanswered(attempt.request())
                 && retries.mayRunTwice(attempt.request())
                 && retries.hasAttemptsLeft(attempt.request())
-                && isDue(attempt)
+                && needsRelaunch(attempt)
                 && retries.mayRelaunch(attempt.request())
                 && eligibility.hasTargetForRelaunch(attempt);
     }
 
-    private boolean isDue(Attempt attempt) {
+    private boolean needsRelaunch(Attempt attempt) {
         double relaunchMs = expectedRelaunchMs(attempt.request());
         if (attempt.request().deadlineMs() - context.nowMs() < relaunchMs) {
             return false;
