--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -19,12 +19,12 @@
      * An attempt is cancelled before the speculative timeout if its predicted remaining time exceeds this
      * multiple of the expected run time of a relaunch.
      */
-    private static final double EARLY_CANCEL_RELAUNCHES = 2;
+    private static final double EARLY_CANCEL_RELAUNCH_FACTOR = 2;
     /**
      * A relaunch is stalled if its predicted remaining time exceeds this multiple of the expected run time of
      * another relaunch.
      */
-    private static final double STANDSTILL_RELAUNCHES = 4;
+    private static final double STALL_RELAUNCH_FACTOR = 4;
     /** A recovery probe may take this multiple of its expected run time plus a margin. */
     private static final double RECOVERY_PROBE_FACTOR = 2;
 
@@ -71,7 +71,7 @@
         if (attempt.request().deadlineMs() - context.nowMs() < relaunchMs) {
             return false;
         }
-        boolean engineFails = isOnEjectedEngine(attempt) || isStandingStill(attempt, relaunchMs);
+        boolean engineFails = isOnEjectedEngine(attempt) || isStalled(attempt, relaunchMs);
         return engineFails || isTooSlow(attempt, relaunchMs);
     }
 
@@ -95,11 +95,11 @@
      * Returns whether the attempt is a relaunch that is stalled. The speculative timeout does not apply to a
      * relaunch, but its progress may show that its engine does no work.
      */
-    private boolean isStandingStill(Attempt attempt, double relaunchMs) {
+    private boolean isStalled(Attempt attempt, double relaunchMs) {
         return attempt.request().isRelaunched()
                 && !attempt.isWaiting()
                 && hasFreshProgress(attempt)
-                && attempt.predictedRemainingMs() > STANDSTILL_RELAUNCHES * relaunchMs;
+                && attempt.predictedRemainingMs() > STALL_RELAUNCH_FACTOR * relaunchMs;
     }
 
     private boolean isSubjectToTimeout(Attempt attempt) {
@@ -131,7 +131,7 @@
             return past;
         }
         double remainingMs = attempt.predictedRemainingMs();
-        boolean early = !past && remainingMs > EARLY_CANCEL_RELAUNCHES * relaunchMs;
+        boolean early = !past && remainingMs > EARLY_CANCEL_RELAUNCH_FACTOR * relaunchMs;
         attempt.recordPrediction(early ? OptionalDouble.of(runMs + remainingMs) : OptionalDouble.empty());
         return early || (past && remainingMs >= relaunchMs);
     }
