--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -107,10 +107,10 @@
         if (request.isRelaunched() || request.isExemptFromCancellation() || attempt.isWaiting()) {
             return false;
         }
-        boolean nothingSaved =
+        boolean noTimeoutSavesLoad =
                 request.type().model().hasCurve() && request.type().tauRatio().isEmpty();
         boolean enoughRuns = context.serviceTimes().completedRuns() >= ServiceTimeModel.MIN_COMPLETED_RUNS;
-        return enoughRuns && !nothingSaved;
+        return enoughRuns && !noTimeoutSavesLoad;
     }
 
     /**
@@ -125,8 +125,8 @@
         TrackedRequest request = attempt.request();
         double runMs =
                 attempt.runTimeMs(context.nowMs()) / request.type().model().slowdown();
-        OptionalDouble tauRatio = request.type().tauRatio();
-        boolean past = tauRatio.isPresent() && runMs / request.workUnitMs() >= tauRatio.getAsDouble();
+        OptionalDouble timeoutRatio = request.type().tauRatio();
+        boolean past = timeoutRatio.isPresent() && runMs / request.workUnitMs() >= timeoutRatio.getAsDouble();
         if (!hasFreshProgress(attempt)) {
             return past;
         }
--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -30,11 +30,11 @@
         if (!model.hasTypicalRatio()) {
             return OptionalDouble.empty();
         }
-        OptionalDouble leastLoad = leastLoadTimeoutRatio(model, nowMs);
+        OptionalDouble leastLoadRatio = leastLoadTimeoutRatio(model, nowMs);
         if (model.hasCurve()) {
-            return leastLoad;
+            return leastLoadRatio;
         }
-        return OptionalDouble.of(clampToStragglerBounds(leastLoad, model.typicalRatio()));
+        return OptionalDouble.of(clampToStragglerBounds(leastLoadRatio, model.typicalRatio()));
     }
 
     /** Returns the bin edge with the least expected load; empty if no edge saves enough load. */
@@ -42,15 +42,15 @@
         SurvivalCurve curve = model.firstRuns();
         double relaunchRatio = model.relaunchRatio(nowMs);
         double leastLoad = model.meanRatio() * (1 - MIN_LOAD_SAVED);
-        OptionalDouble best = OptionalDouble.empty();
+        OptionalDouble bestRatio = OptionalDouble.empty();
         for (int bin = 0; bin < curve.bins(); bin++) {
             double load = curve.areaUpTo(bin) + relaunchRatio * curve.survivalPast(bin);
             if (load < leastLoad && curve.survivalPast(bin) > 0) {
                 leastLoad = load;
-                best = OptionalDouble.of(curve.upperEdge(bin));
+                bestRatio = OptionalDouble.of(curve.upperEdge(bin));
             }
         }
-        return best;
+        return bestRatio;
     }
 
     private static double clampToStragglerBounds(OptionalDouble ratio, double typicalRatio) {
