--- a/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
@@ -40,7 +40,7 @@
      * that its request is not relaunched. Always false if the request is not idempotent or the settings do
      * not permit cancellation.
      */
-    public boolean hasNoValue(Attempt attempt) {
+    public boolean shouldGiveUp(Attempt attempt) {
         TrackedRequest request = attempt.request();
         boolean mayCancel = context.settings().capabilities().cancel();
         if (!mayCancel || !isUnanswered(request) || !request.isIdempotent()) {
--- a/src/main/java/lineward/scheduling/execution/Sweep.java
+++ b/src/main/java/lineward/scheduling/execution/Sweep.java
@@ -53,7 +53,7 @@
             for (Attempt attempt : new ArrayList<>(engine.attempts())) {
                 if (speculation.shouldCancel(attempt)) {
                     lifecycle.cancel(attempt, CancelCause.SLOW);
-                } else if (cancellation.hasNoValue(attempt)) {
+                } else if (cancellation.shouldGiveUp(attempt)) {
                     lifecycle.giveUp(attempt.request());
                 }
             }
--- a/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
@@ -124,6 +124,6 @@
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         run.apply(attempt, policies.context.nowMs());
         policies.advance(ageMs);
-        assertThat(policies.cancellation.hasNoValue(attempt)).isEqualTo(none);
+        assertThat(policies.cancellation.shouldGiveUp(attempt)).isEqualTo(none);
     }
 }
