--- a/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
@@ -12,9 +12,9 @@
      * Fraction of the expected run time that must fit before the objective, or before the deadline if a late
      * answer has a value; below 1 because estimates are inexact.
      */
-    private static final double MIN_FIT_RATIO = 0.8;
+    private static final double REQUIRED_RUN_RATIO = 0.8;
     /** Maximum slowdown that is assumed in that check. */
-    private static final double MAX_FIT_SLOWDOWN = 2;
+    private static final double MAX_ASSUMED_SLOWDOWN = 2;
     /** The urgency factor rises from 1 at admission to 1 plus this value at the objective. */
     private static final double URGENCY = 2;
 
@@ -53,14 +53,14 @@
         if (context.nowMs() > request.deadlineMs() - ANSWER_MARGIN_MS) {
             return true;
         }
-        double slowdown = Math.min(request.type().model().slowdown(), MAX_FIT_SLOWDOWN);
-        double endMs = context.nowMs() + minRunMs(request) * slowdown;
+        double slowdown = Math.min(request.type().model().slowdown(), MAX_ASSUMED_SLOWDOWN);
+        double endMs = context.nowMs() + requiredRunMs(request) * slowdown;
         boolean hasOverdueValue = request.type().settings().objective().overdueValueRatio() > 0;
         return endMs > (hasOverdueValue ? request.deadlineMs() : request.objectiveAtMs());
     }
 
     /** Returns the part of the expected run time that must fit into the remaining time. */
-    static double minRunMs(TrackedRequest request) {
-        return MIN_FIT_RATIO * request.expectedRunMs();
+    static double requiredRunMs(TrackedRequest request) {
+        return REQUIRED_RUN_RATIO * request.expectedRunMs();
     }
 }
--- a/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
@@ -48,7 +48,7 @@
         }
         RequestClass.Objective objective = request.type().settings().objective();
         boolean notStarted = attempt.isWaiting() && !attempt.hasProgress();
-        double earliestEndMs = context.nowMs() + AdmissionPolicy.minRunMs(request);
+        double earliestEndMs = context.nowMs() + AdmissionPolicy.requiredRunMs(request);
         boolean waitedTooLong = notStarted && earliestEndMs > request.objectiveAtMs();
         double graceEndMs = request.objectiveAtMs() + OVERDUE_GRACE_RATIO * objective.latencyMs();
         return waitedTooLong || (objective.overdueValueRatio() == 0 && context.nowMs() > graceEndMs);
