--- a/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
@@ -16,9 +16,9 @@
     /** Maximum slowdown that is assumed in that check. */
     private static final double MAX_ASSUMED_SLOWDOWN = 2;
     /** The urgency factor rises from 1 at admission to 1 plus this value at the objective. */
-    private static final double URGENCY = 2;
+    private static final double URGENCY_GROWTH = 2;
 
-    private static final double RELAUNCH_FACTOR = 2;
+    private static final double RELAUNCH_PRIORITY_FACTOR = 2;
     private static final double MIN_WORK_MS = 1;
 
     private final SchedulerContext context;
@@ -39,13 +39,13 @@
         boolean overdue = request.objectiveAtMs() - context.nowMs() - slowedRunMs < 0;
         double value = objective.priorityWeight() * (overdue ? objective.overdueValueRatio() : 1);
         double urgency = overdue ? 1 : urgency(request);
-        double relaunch = request.isRelaunched() ? RELAUNCH_FACTOR : 1;
-        return value * urgency * relaunch / Math.max(MIN_WORK_MS, request.expectedWorkMs());
+        double relaunchFactor = request.isRelaunched() ? RELAUNCH_PRIORITY_FACTOR : 1;
+        return value * urgency * relaunchFactor / Math.max(MIN_WORK_MS, request.expectedWorkMs());
     }
 
     private double urgency(TrackedRequest request) {
         double waitedMs = context.nowMs() - request.admittedAtMs();
-        return 1 + URGENCY * waitedMs / Math.max(1, request.objectiveAtMs() - request.admittedAtMs());
+        return 1 + URGENCY_GROWTH * waitedMs / Math.max(1, request.objectiveAtMs() - request.admittedAtMs());
     }
 
     /** Returns whether a queued request can no longer be answered while its answer has a value. */
