--- a/src/main/java/lineward/frontend/ClientRegistry.java
+++ b/src/main/java/lineward/frontend/ClientRegistry.java
@@ -54,7 +54,7 @@
     }
 
     private void evictOne() {
-        switch (ClientEvictionPolicy.evict(capacity, silent.size(), idle.size(), closing.size())) {
+        switch (ClientEvictionPolicy.selectEviction(capacity, silent.size(), idle.size(), closing.size())) {
             case CLOSE_OLDEST_SILENT -> close(oldest(silent));
             case CLOSE_OLDEST_IDLE_GRACEFULLY -> closeGracefully(oldest(idle));
             case CLOSE_OLDEST_IDLE -> close(oldest(idle));
--- a/src/main/java/lineward/scheduling/decision/ClientEvictionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ClientEvictionPolicy.java
@@ -26,7 +26,7 @@
     private ClientEvictionPolicy() {}
 
     /** Returns which connection of a full server to close, given the number of connections in each state. */
-    public static Eviction evict(int capacity, int silent, int idle, int closing) {
+    public static Eviction selectEviction(int capacity, int silent, int idle, int closing) {
         if (silent > capacity / SILENT_DIVISOR || idle == 0) {
             return Eviction.CLOSE_OLDEST_SILENT;
         }
--- a/src/test/java/lineward/scheduling/decision/ClientEvictionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/ClientEvictionPolicyTest.java
@@ -28,6 +28,7 @@
     @Test(dataProvider = "connections")
     public void evictsByTheConnectionsInEachState(
             int silent, int idle, int closing, ClientEvictionPolicy.Eviction eviction) {
-        assertThat(ClientEvictionPolicy.evict(CAPACITY, silent, idle, closing)).isEqualTo(eviction);
+        assertThat(ClientEvictionPolicy.selectEviction(CAPACITY, silent, idle, closing))
+                .isEqualTo(eviction);
     }
 }
