--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -176,7 +176,7 @@
      * Records that an engine answered a request with an error. The first error of a request counts as a
      * failure of its engine; the second error reverts that failure, as the request itself may be at fault.
      */
-    public void attributeError(TrackedRequest request, Engine engine) {
+    public void recordError(TrackedRequest request, Engine engine) {
         request.recordError(engine);
         if (request.errors() == 1) {
             engine.health().recordError(context.nowMs());
--- a/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
@@ -34,7 +34,7 @@
                 outliers.recordReset(attempt.engine());
             }
             case CONNECT_FAILED -> outliers.recordConnectFailure(attempt.engine());
-            case ERROR -> outliers.attributeError(attempt.request(), attempt.engine());
+            case ERROR -> outliers.recordError(attempt.request(), attempt.engine());
             case REJECTED, NOT_STARTED -> {
                 // Nothing ran, and the outcome is no sign of a faulty engine.
             }
--- a/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
@@ -24,7 +24,7 @@
         void apply(TestingPolicies policies, Engine engine) {
             switch (this) {
                 case SUCCESS -> policies.outliers.recordSuccess(engine);
-                case ERROR -> policies.outliers.attributeError(policies.admit(), engine);
+                case ERROR -> policies.outliers.recordError(policies.admit(), engine);
                 case RESET -> policies.outliers.recordReset(engine);
                 case CONNECT_FAILURE -> policies.outliers.recordConnectFailure(engine);
             }
@@ -79,9 +79,9 @@
             Answer.ERROR.apply(policies, first);
         }
         TrackedRequest request = policies.admit();
-        policies.outliers.attributeError(request, first);
+        policies.outliers.recordError(request, first);
         assertThat(first.health().isEjected()).isEqualTo(ejected);
-        policies.outliers.attributeError(request, second);
+        policies.outliers.recordError(request, second);
         assertThat(first.health().consecutiveFailures()).isEqualTo(remaining);
         assertThat(first.health().isEjected()).isEqualTo(remaining >= 3);
         assertThat(second.health().consecutiveFailures()).isZero();
