--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -216,7 +216,7 @@
     }
 
     /** Ends the ejection and clears the failures of an engine whose process has restarted. */
-    public void forgetFailures(Engine engine) {
+    public void recordRestart(Engine engine) {
         engine.health().clearFailures();
     }
 }
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -188,7 +188,7 @@
         for (Endpoint endpoint : change.endpoints()) {
             boolean restarted = context.updateEngine(endpoint);
             if (restarted) {
-                mechanisms.outliers.forgetFailures(context.engine(endpoint.engine()));
+                mechanisms.outliers.recordRestart(context.engine(endpoint.engine()));
             }
         }
         context.countReadyCores();
