--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -16,7 +16,7 @@
      * Minimum time without a response after which an engine with overdue work is ejected: longer than usual
      * pauses, far shorter than any deadline.
      */
-    static final double SILENCE_MS = 900;
+    static final double MIN_SILENCE_MS = 900;
 
     private static final int MAX_CONSECUTIVE_FAILURES = 3;
     /**
@@ -29,7 +29,7 @@
      * recovery probe interval. If so many engines seem faulty, the fault is more likely at this front end.
      */
     private static final double MIN_HEALTHY_RATIO = 0.34;
-    /** An attempt is overdue after this multiple of its usual run time plus {@link #SILENCE_MS}. */
+    /** An attempt is overdue after this multiple of its usual run time plus {@link #MIN_SILENCE_MS}. */
     private static final double OVERDUE_FACTOR = 3;
     /**
      * Minimum number of unanswered attempts, at least one of them overdue, at which a silent engine is
@@ -111,7 +111,7 @@
     /** Ejects the engine if it has overdue work and has sent neither answers nor progress for too long. */
     public void detectSilence(Engine engine) {
         double silentMs = context.nowMs() - engine.health().lastResponseMs();
-        boolean silent = !engine.health().isEjected() && silentMs >= SILENCE_MS;
+        boolean silent = !engine.health().isEjected() && silentMs >= MIN_SILENCE_MS;
         if (silent && hasOverdueWork(engine, silentMs)) {
             eject(engine, EjectionCause.SILENCE);
         }
@@ -132,8 +132,8 @@
             if (!attempt.isWaiting()) {
                 double ageMs = context.nowMs() - attempt.startedAtMs();
                 double usualMs = usualRunMs(attempt.request());
-                overdue |= ageMs > OVERDUE_FACTOR * usualMs + SILENCE_MS;
-                unanswered += ageMs > Math.max(SILENCE_MS, usualMs) ? 1 : 0;
+                overdue |= ageMs > OVERDUE_FACTOR * usualMs + MIN_SILENCE_MS;
+                unanswered += ageMs > Math.max(MIN_SILENCE_MS, usualMs) ? 1 : 0;
                 double quietMs = Math.min(ageMs, silentMs);
                 boolean missed = reportsProgress && quietMs > intervalMs * MISSED_PROGRESS_INTERVALS;
                 if (missed || (overdue && unanswered >= UNANSWERED_ATTEMPTS && progressIsDue)) {
--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -125,7 +125,7 @@
      */
     private boolean mayOutliveItsKey(TrackedRequest request) {
         return request.isRepeatableByKey()
-                && context.nowMs() + OutlierDetector.SILENCE_MS
+                && context.nowMs() + OutlierDetector.MIN_SILENCE_MS
                         > keyExpiryMs(request, request.attempts().get(0));
     }
 }
--- a/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
@@ -209,7 +209,7 @@
      */
     @DataProvider
     public Object[][] keyAges() {
-        double latestMs = KEY_TTL_MS - OutlierDetector.SILENCE_MS;
+        double latestMs = KEY_TTL_MS - OutlierDetector.MIN_SILENCE_MS;
         return new Object[][] {
             {BY_KEY, latestMs, true},
             {BY_KEY, latestMs + 1, false},
