--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -23,7 +23,7 @@
      * Minimum number of consecutive failures, the last one a reset, at which the engine's process counts as
      * ended. A single connection may break for other reasons.
      */
-    private static final int RESETS_OF_A_LOST_PROCESS = 2;
+    private static final int MIN_FAILURES_OF_LOST_PROCESS = 2;
     /**
      * Fraction of healthy engines below which ejected ones are used as well, each for one attempt in every
      * recovery probe interval. If so many engines seem faulty, the fault is more likely at this front end.
@@ -35,7 +35,7 @@
      * Minimum number of unanswered attempts, at least one of them overdue, at which a silent engine is
      * ejected. In a large fleet a single one may be a straggler.
      */
-    private static final int UNANSWERED_ATTEMPTS = 2;
+    private static final int MIN_UNANSWERED_ATTEMPTS = 2;
     /**
      * Number of progress intervals without a report after which a silent engine is ejected. The first report
      * may take up to 1.5 intervals.
@@ -136,7 +136,7 @@
                 unanswered += ageMs > Math.max(MIN_SILENCE_MS, usualMs) ? 1 : 0;
                 double quietMs = Math.min(ageMs, silentMs);
                 boolean missed = reportsProgress && quietMs > intervalMs * MISSED_PROGRESS_INTERVALS;
-                if (missed || (overdue && unanswered >= UNANSWERED_ATTEMPTS && progressIsDue)) {
+                if (missed || (overdue && unanswered >= MIN_UNANSWERED_ATTEMPTS && progressIsDue)) {
                     return true;
                 }
             }
@@ -160,7 +160,7 @@
      */
     public void recordReset(Engine engine) {
         recordFailure(engine, EjectionCause.RESETS);
-        if (engine.health().consecutiveFailures() >= RESETS_OF_A_LOST_PROCESS) {
+        if (engine.health().consecutiveFailures() >= MIN_FAILURES_OF_LOST_PROCESS) {
             engine.recordConnectionLost(context.nowMs());
         }
     }
