--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -49,15 +49,15 @@
      */
     private static final double RECOVERY_PROBES_PER_REQUEST = 0.1;
 
-    private static final double MAX_RECOVERY_PROBES = 2;
+    private static final double MAX_PROBE_BUDGET = 2;
     /**
      * A request may be a recovery probe if the time to its objective exceeds this multiple of its expected
      * run time.
      */
-    private static final double RECOVERY_PROBE_SLACK = 3;
+    private static final double RECOVERY_PROBE_SLACK_FACTOR = 3;
 
     private final SchedulerContext context;
-    private double recoveryProbes = MAX_RECOVERY_PROBES;
+    private double probeBudget = MAX_PROBE_BUDGET;
 
     /** Creates a detector over the given scheduler state. */
     public OutlierDetector(SchedulerContext context) {
@@ -66,7 +66,7 @@
 
     /** Adds to the budget the fraction of a recovery probe that an admitted request earns. */
     public void earnRecoveryProbe() {
-        recoveryProbes = Math.min(MAX_RECOVERY_PROBES, recoveryProbes + RECOVERY_PROBES_PER_REQUEST);
+        probeBudget = Math.min(MAX_PROBE_BUDGET, probeBudget + RECOVERY_PROBES_PER_REQUEST);
     }
 
     /**
@@ -75,7 +75,7 @@
      */
     public void spendRecoveryProbe(Engine engine) {
         scheduleRecoveryProbe(engine);
-        recoveryProbes = Math.max(0, recoveryProbes - 1);
+        probeBudget = Math.max(0, probeBudget - 1);
     }
 
     private void scheduleRecoveryProbe(Engine engine) {
@@ -92,7 +92,7 @@
 
     /** Returns whether a request may be the engine's next recovery probe. */
     public boolean mayProbe(Engine engine, TrackedRequest request) {
-        return isDueForProbe(engine) && recoveryProbes >= 1 && canAffordAProbe(request);
+        return isDueForProbe(engine) && probeBudget >= 1 && isSuitableAsProbe(request);
     }
 
     /** Returns whether an ejected engine's next recovery probe is due. */
@@ -101,11 +101,11 @@
         return health.isEjected() && context.nowMs() >= health.nextRecoveryProbeMs();
     }
 
-    private boolean canAffordAProbe(TrackedRequest request) {
+    private boolean isSuitableAsProbe(TrackedRequest request) {
         double slackMs = request.objectiveAtMs() - context.nowMs();
         return !request.isRelaunched()
                 && request.isIdempotent()
-                && slackMs > RECOVERY_PROBE_SLACK * request.expectedRunMs();
+                && slackMs > RECOVERY_PROBE_SLACK_FACTOR * request.expectedRunMs();
     }
 
     /** Ejects the engine if it has overdue work and has sent neither answers nor progress for too long. */
