--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -131,7 +131,7 @@
             // An engine reports only once that an attempt waits, and is then silent until the attempt runs.
             if (!attempt.isWaiting()) {
                 double ageMs = context.nowMs() - attempt.startedAtMs();
-                double usualMs = usualRunMs(attempt.request());
+                double usualMs = slowedRunMs(attempt.request());
                 overdue |= ageMs > OVERDUE_FACTOR * usualMs + MIN_SILENCE_MS;
                 unanswered += ageMs > Math.max(MIN_SILENCE_MS, usualMs) ? 1 : 0;
                 double quietMs = Math.min(ageMs, silentMs);
@@ -145,7 +145,7 @@
     }
 
     /** Returns the run time to expect at the current slowdown of the class. */
-    private static double usualRunMs(TrackedRequest request) {
+    private static double slowedRunMs(TrackedRequest request) {
         return request.expectedRunMs() * request.type().model().slowdown();
     }
 
