--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -86,8 +86,8 @@
      * Returns whether so few of the engines that a request may run on are healthy that it may use any ejected
      * engine whose next recovery probe is due.
      */
-    public boolean mustUseEjected(int healthy, int allowed) {
-        return healthy < MIN_HEALTHY_RATIO * allowed;
+    public boolean mustUseEjected(int healthyCount, int allowedCount) {
+        return healthyCount < MIN_HEALTHY_RATIO * allowedCount;
     }
 
     /** Returns whether a request may be the engine's next recovery probe. */
@@ -125,18 +125,18 @@
         double intervalMs = context.settings().attempts().progressIntervalMs();
         boolean reportsProgress = intervalMs > 0;
         boolean progressIsDue = !reportsProgress || silentMs > intervalMs;
-        boolean overdue = false;
-        int unanswered = 0;
+        boolean anyOverdue = false;
+        int unansweredCount = 0;
         for (Attempt attempt : engine.attempts()) {
             // An engine reports only once that an attempt waits, and is then silent until the attempt runs.
             if (!attempt.isWaiting()) {
                 double ageMs = context.nowMs() - attempt.startedAtMs();
-                double usualMs = slowedRunMs(attempt.request());
-                overdue |= ageMs > OVERDUE_FACTOR * usualMs + MIN_SILENCE_MS;
-                unanswered += ageMs > Math.max(MIN_SILENCE_MS, usualMs) ? 1 : 0;
+                double slowedRunMs = slowedRunMs(attempt.request());
+                anyOverdue |= ageMs > OVERDUE_FACTOR * slowedRunMs + MIN_SILENCE_MS;
+                unansweredCount += ageMs > Math.max(MIN_SILENCE_MS, slowedRunMs) ? 1 : 0;
                 double quietMs = Math.min(ageMs, silentMs);
                 boolean missed = reportsProgress && quietMs > intervalMs * MISSED_PROGRESS_INTERVALS;
-                if (missed || (overdue && unanswered >= MIN_UNANSWERED_ATTEMPTS && progressIsDue)) {
+                if (missed || (anyOverdue && unansweredCount >= MIN_UNANSWERED_ATTEMPTS && progressIsDue)) {
                     return true;
                 }
             }
