--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -17,7 +17,7 @@
      * The number of engines that a request may run on, ejected ones included, and whether ejected ones are
      * used as well because too few are healthy.
      */
-    private record Placement(int engines, boolean useEjected) {}
+    private record EngineSet(int engines, boolean useEjected) {}
 
     private final SchedulerContext context;
     private final ConcurrencyLimits limits;
@@ -47,14 +47,14 @@
      * exceeds this front end's quota of the fleet, dispatch of its class is paused until the next decision.
      */
     public Optional<Engine> selectEngine(TrackedRequest request) {
-        Placement placement = placement(request);
+        EngineSet placement = allowedEngines(request);
         boolean withinQuota = limits.withinFleetQuota(
                 request, engine -> placement.useEjected() || !engine.health().isEjected());
         request.type().setDispatchPaused(!withinQuota);
         return withinQuota ? leastLoaded(request, placement) : Optional.empty();
     }
 
-    private Placement placement(TrackedRequest request) {
+    private EngineSet allowedEngines(TrackedRequest request) {
         int allowed = 0;
         int healthy = 0;
         for (Engine engine : context.engines()) {
@@ -63,10 +63,10 @@
                 healthy += engine.health().isEjected() ? 0 : 1;
             }
         }
-        return new Placement(allowed, outliers.mustUseEjected(healthy, allowed));
+        return new EngineSet(allowed, outliers.mustUseEjected(healthy, allowed));
     }
 
-    private Optional<Engine> leastLoaded(TrackedRequest request, Placement placement) {
+    private Optional<Engine> leastLoaded(TrackedRequest request, EngineSet placement) {
         Engine best = null;
         double bestScore = Double.POSITIVE_INFINITY;
         for (Engine engine : context.engines()) {
@@ -89,7 +89,7 @@
      * be ejected if a recovery probe is due, and may have been tried if no untried engine is left, but must
      * not have an overdue health check.
      */
-    private boolean isCandidate(Engine engine, TrackedRequest request, boolean probe, Placement placement) {
+    private boolean isCandidate(Engine engine, TrackedRequest request, boolean probe, EngineSet placement) {
         return isUsable(engine, probe, placement)
                 && !isHealthCheckOverdue(engine)
                 && !isTriedAndOthersLeft(engine, request, placement)
@@ -97,12 +97,12 @@
                 && retries.mayAttempt(request, engine);
     }
 
-    private boolean isUsable(Engine engine, boolean probe, Placement placement) {
+    private boolean isUsable(Engine engine, boolean probe, EngineSet placement) {
         boolean usedWhileEjected = placement.useEjected() && outliers.isDueForProbe(engine);
         return !engine.health().isEjected() || probe || usedWhileEjected;
     }
 
-    private static boolean isTriedAndOthersLeft(Engine engine, TrackedRequest request, Placement placement) {
+    private static boolean isTriedAndOthersLeft(Engine engine, TrackedRequest request, EngineSet placement) {
         return request.hasTried(engine) && placement.engines() > request.triedEngineCount();
     }
 
