--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -17,7 +17,7 @@
      * The number of engines that a request may run on, ejected ones included, and whether ejected ones are
      * used as well because too few are healthy.
      */
-    private record EngineSet(int engines, boolean useEjected) {}
+    private record EngineSet(int size, boolean useEjected) {}
 
     private final SchedulerContext context;
     private final ConcurrencyLimits limits;
@@ -103,7 +103,7 @@
     }
 
     private static boolean isTriedAndOthersLeft(Engine engine, TrackedRequest request, EngineSet placement) {
-        return request.hasTried(engine) && placement.engines() > request.triedEngineCount();
+        return request.hasTried(engine) && placement.size() > request.triedEngineCount();
     }
 
     private boolean isHealthCheckOverdue(Engine engine) {
