--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -73,7 +73,7 @@
             boolean probe = outliers.mayProbe(engine, request);
             if (isCandidate(engine, request, probe, placement)) {
                 double spread = loadScore.drawSpread(request.type(), engine);
-                boolean mustBeUsed = isNeededForRecovery(engine, probe && !placement.useEjected());
+                boolean mustBeUsed = mustBeSelected(engine, probe && !placement.useEjected());
                 double score = mustBeUsed ? SELECT_FIRST : loadScore.score(request, engine) - spread;
                 if (score < bestScore) {
                     bestScore = score;
@@ -115,7 +115,7 @@
      * Returns whether the engine must be selected regardless of its score, because an attempt is needed to
      * show that it has recovered. While it warms up, its score would never be the lowest.
      */
-    private static boolean isNeededForRecovery(Engine engine, boolean probe) {
+    private static boolean mustBeSelected(Engine engine, boolean probe) {
         boolean awaited = engine.isAwaitingFirstAnswer() && engine.attempts().isEmpty();
         return probe || awaited;
     }
