--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -92,7 +92,7 @@
     private boolean isCandidate(Engine engine, TrackedRequest request, boolean probe, EngineSet placement) {
         return isUsable(engine, probe, placement)
                 && !isHealthCheckOverdue(engine)
-                && !isTriedAndOthersLeft(engine, request, placement)
+                && !isExcludedAsTried(engine, request, placement)
                 && eligibility.hasCapacityNow(request, engine)
                 && retries.mayAttempt(request, engine);
     }
@@ -102,7 +102,7 @@
         return !engine.health().isEjected() || probe || usedWhileEjected;
     }
 
-    private static boolean isTriedAndOthersLeft(Engine engine, TrackedRequest request, EngineSet placement) {
+    private static boolean isExcludedAsTried(Engine engine, TrackedRequest request, EngineSet placement) {
         return request.hasTried(engine) && placement.size() > request.triedEngineCount();
     }
 
