--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -47,34 +47,34 @@
      * exceeds this front end's quota of the fleet, dispatch of its class is paused until the next decision.
      */
     public Optional<Engine> selectEngine(TrackedRequest request) {
-        EngineSet placement = allowedEngines(request);
+        EngineSet engines = allowedEngines(request);
         boolean withinQuota = limits.withinFleetQuota(
-                request, engine -> placement.useEjected() || !engine.health().isEjected());
+                request, engine -> engines.useEjected() || !engine.health().isEjected());
         request.type().setDispatchPaused(!withinQuota);
-        return withinQuota ? leastLoaded(request, placement) : Optional.empty();
+        return withinQuota ? leastLoaded(request, engines) : Optional.empty();
     }
 
     private EngineSet allowedEngines(TrackedRequest request) {
-        int allowed = 0;
-        int healthy = 0;
+        int allowedCount = 0;
+        int healthyCount = 0;
         for (Engine engine : context.engines()) {
             if (EngineEligibility.mayRunOn(request, engine)) {
-                allowed++;
-                healthy += engine.health().isEjected() ? 0 : 1;
+                allowedCount++;
+                healthyCount += engine.health().isEjected() ? 0 : 1;
             }
         }
-        return new EngineSet(allowed, outliers.mustUseEjected(healthy, allowed));
+        return new EngineSet(allowedCount, outliers.mustUseEjected(healthyCount, allowedCount));
     }
 
-    private Optional<Engine> leastLoaded(TrackedRequest request, EngineSet placement) {
+    private Optional<Engine> leastLoaded(TrackedRequest request, EngineSet engines) {
         Engine best = null;
         double bestScore = Double.POSITIVE_INFINITY;
         for (Engine engine : context.engines()) {
             boolean probe = outliers.mayProbe(engine, request);
-            if (isCandidate(engine, request, probe, placement)) {
+            if (isCandidate(engine, request, probe, engines)) {
                 double spread = loadScore.drawSpread(request.type(), engine);
-                boolean mustBeUsed = mustBeSelected(engine, probe && !placement.useEjected());
-                double score = mustBeUsed ? SELECT_FIRST : loadScore.score(request, engine) - spread;
+                boolean mustBeSelected = mustBeSelected(engine, probe && !engines.useEjected());
+                double score = mustBeSelected ? SELECT_FIRST : loadScore.score(request, engine) - spread;
                 if (score < bestScore) {
                     bestScore = score;
                     best = engine;
@@ -89,21 +89,21 @@
      * be ejected if a recovery probe is due, and may have been tried if no untried engine is left, but must
      * not have an overdue health check.
      */
-    private boolean isCandidate(Engine engine, TrackedRequest request, boolean probe, EngineSet placement) {
-        return isUsable(engine, probe, placement)
+    private boolean isCandidate(Engine engine, TrackedRequest request, boolean probe, EngineSet engines) {
+        return isUsable(engine, probe, engines)
                 && !isHealthCheckOverdue(engine)
-                && !isExcludedAsTried(engine, request, placement)
+                && !isExcludedAsTried(engine, request, engines)
                 && eligibility.hasCapacityNow(request, engine)
                 && retries.mayAttempt(request, engine);
     }
 
-    private boolean isUsable(Engine engine, boolean probe, EngineSet placement) {
-        boolean usedWhileEjected = placement.useEjected() && outliers.isDueForProbe(engine);
+    private boolean isUsable(Engine engine, boolean probe, EngineSet engines) {
+        boolean usedWhileEjected = engines.useEjected() && outliers.isDueForProbe(engine);
         return !engine.health().isEjected() || probe || usedWhileEjected;
     }
 
-    private static boolean isExcludedAsTried(Engine engine, TrackedRequest request, EngineSet placement) {
-        return request.hasTried(engine) && placement.size() > request.triedEngineCount();
+    private static boolean isExcludedAsTried(Engine engine, TrackedRequest request, EngineSet engines) {
+        return request.hasTried(engine) && engines.size() > request.triedEngineCount();
     }
 
     private boolean isHealthCheckOverdue(Engine engine) {
@@ -116,7 +116,8 @@
      * show that it has recovered. While it warms up, its score would never be the lowest.
      */
     private static boolean mustBeSelected(Engine engine, boolean probe) {
-        boolean awaited = engine.isAwaitingFirstAnswer() && engine.attempts().isEmpty();
-        return probe || awaited;
+        boolean awaitsFirstAnswer =
+                engine.isAwaitingFirstAnswer() && engine.attempts().isEmpty();
+        return probe || awaitsFirstAnswer;
     }
 }
