--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -14,9 +14,9 @@
      * Scale of the random noise in scores if this front end sees none of the load on the engines. It matches
      * the differences in load between engines that arise by chance.
      */
-    private static final double UNSEEN_SPREAD = 0.3;
+    private static final double UNSEEN_LOAD_NOISE = 0.3;
     /** Scale of the random noise in scores if this front end sees all load; it only breaks ties. */
-    private static final double TIE_SPREAD = 0.01;
+    private static final double TIE_BREAKING_NOISE = 0.01;
     /** Minimum fraction of an engine's cores that counts as free for a class. */
     private static final double MIN_FREE_RATIO = 0.05;
     /**
@@ -64,10 +64,10 @@
      * Draws the amount by which an engine's score is lowered: the logarithm of its free cores plus Gumbel
      * noise. Front ends that see the same load thus spread over the engines in proportion to the free cores.
      */
-    public double drawSpread(ClassState type, Engine engine) {
+    public double drawNoise(ClassState type, Engine engine) {
         double draw = 1 - context.drawRandom() * DRAW_RANGE - DRAW_OFFSET;
         double noise = -Math.log(-Math.log(draw));
-        double scale = TIE_SPREAD + UNSEEN_SPREAD * limits.unseenLoadRatio();
+        double scale = TIE_BREAKING_NOISE + UNSEEN_LOAD_NOISE * limits.unseenLoadRatio();
         return scale * (Math.log(freeCores(type, engine)) + noise);
     }
 
--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -72,7 +72,7 @@
         for (Engine engine : context.engines()) {
             boolean probe = outliers.mayProbe(engine, request);
             if (isCandidate(engine, request, probe, engines)) {
-                double spread = loadScore.drawSpread(request.type(), engine);
+                double spread = loadScore.drawNoise(request.type(), engine);
                 boolean mustBeSelected = mustBeSelected(engine, probe && !engines.useEjected());
                 double score = mustBeSelected ? SELECT_FIRST : loadScore.score(request, engine) - spread;
                 if (score < bestScore) {
--- a/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -150,6 +150,6 @@
     }
 
     private static double drawSpread(TestingPolicies policies) {
-        return policies.loadScore.drawSpread(policies.context.requestClass(0), policies.listEngine(1));
+        return policies.loadScore.drawNoise(policies.context.requestClass(0), policies.listEngine(1));
     }
 }
