--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -31,7 +31,7 @@
     private static final double MEMORY_WEIGHT = 1.2;
     private static final double OTHER_ZONE_LOAD = 0.02;
     private static final double NO_LOAD = 0;
-    private static final double MEMORY_UNKNOWN = Double.NEGATIVE_INFINITY;
+    private static final double UNKNOWN_MEMORY_LOAD = Double.NEGATIVE_INFINITY;
     /** Keeps random draws away from 0 and 1, where the Gumbel noise is infinite. */
     private static final double DRAW_RANGE = 0.999999;
 
@@ -66,9 +66,9 @@
      */
     public double drawNoise(ClassState type, Engine engine) {
         double draw = 1 - context.drawRandom() * DRAW_RANGE - DRAW_OFFSET;
-        double noise = -Math.log(-Math.log(draw));
+        double gumbel = -Math.log(-Math.log(draw));
         double scale = TIE_BREAKING_NOISE + UNSEEN_LOAD_NOISE * limits.unseenLoadRatio();
-        return scale * (Math.log(freeCores(type, engine)) + noise);
+        return scale * (Math.log(freeCores(type, engine)) + gumbel);
     }
 
     /**
@@ -76,16 +76,17 @@
      * the fleet than the given class.
      */
     private double freeCores(ClassState type, Engine engine) {
-        double boundRatio = 0;
+        double occupiedRatio = 0;
         for (ClassState other : context.classes()) {
-            boolean moreBound = other.demand().reachableCores() < type.demand().reachableCores();
-            if (moreBound && other.settings().placement().allows(engine.endpoint())) {
-                boundRatio += other.demand().workRatio()
+            boolean moreRestricted =
+                    other.demand().reachableCores() < type.demand().reachableCores();
+            if (moreRestricted && other.settings().placement().allows(engine.endpoint())) {
+                occupiedRatio += other.demand().workRatio()
                         * context.demand().readyCores()
                         / other.demand().reachableCores();
             }
         }
-        return engine.cores() * Math.max(MIN_FREE_RATIO, 1 - boundRatio);
+        return engine.cores() * Math.max(MIN_FREE_RATIO, 1 - occupiedRatio);
     }
 
     /**
@@ -134,7 +135,7 @@
             return reports.memoryInUse(engine) + MEMORY_BASE_LOAD;
         }
         if (engine.memoryMb() <= 0) {
-            return MEMORY_UNKNOWN;
+            return UNKNOWN_MEMORY_LOAD;
         }
         double grantedMb = engine.grantedMb() + resources.grantMb(request, engine);
         double ownRatio = Math.max(limits.quota(), 1 / ConcurrencyLimits.SMALL_FLEET);
--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -72,9 +72,9 @@
         for (Engine engine : context.engines()) {
             boolean probe = outliers.mayProbe(engine, request);
             if (isCandidate(engine, request, probe, engines)) {
-                double spread = loadScore.drawNoise(request.type(), engine);
+                double noise = loadScore.drawNoise(request.type(), engine);
                 boolean mustBeSelected = mustBeSelected(engine, probe && !engines.useEjected());
-                double score = mustBeSelected ? SELECT_FIRST : loadScore.score(request, engine) - spread;
+                double score = mustBeSelected ? SELECT_FIRST : loadScore.score(request, engine) - noise;
                 if (score < bestScore) {
                     bestScore = score;
                     best = engine;
