--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -137,7 +137,7 @@
         if (engine.memoryMb() <= 0) {
             return UNKNOWN_MEMORY_LOAD;
         }
-        double grantedMb = engine.grantedMb() + resources.grantMb(request, engine);
+        double grantedMb = engine.grantedMb() + resources.expectedMemoryMb(request, engine);
         double ownRatio = Math.max(limits.quota(), 1 / ConcurrencyLimits.SMALL_FLEET);
         return MEMORY_WEIGHT * grantedMb / (engine.memoryMb() * ownRatio);
     }
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -55,14 +55,14 @@
         SchedulerSettings.MemoryLimits memory = context.settings().memory();
         return memory.shortage() == MemoryShortage.PAGE
                 ? engine.memoryMb() * memory.maxGrantRatio()
-                : grantMb(request, engine);
+                : expectedMemoryMb(request, engine);
     }
 
     /**
      * Returns the memory that a request is expected to need on an engine. Other policies count this amount as
      * granted, even if the grant that is sent differs.
      */
-    public double grantMb(TrackedRequest request, Engine engine) {
+    public double expectedMemoryMb(TrackedRequest request, Engine engine) {
         SchedulerSettings settings = context.settings();
         double correction = request.type().model().memoryCorrection();
         boolean learned = settings.capabilities().grants();
--- a/src/main/java/lineward/scheduling/execution/AttemptStarter.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptStarter.java
@@ -35,7 +35,7 @@
 
     void start(TrackedRequest request, Engine engine) {
         double nowMs = context.nowMs();
-        Attempt attempt = new Attempt(request, engine, resources.grantMb(request, engine), nowMs);
+        Attempt attempt = new Attempt(request, engine, resources.expectedMemoryMb(request, engine), nowMs);
         if (attempt.isRecoveryProbe()) {
             outliers.spendRecoveryProbe(engine);
         }
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -77,7 +77,8 @@
         TestingPolicies policies = new TestingPolicies(settings);
         TrackedRequest request = policies.admit(0, TestingPolicies.NO_KEY, 200, estimateMb);
         assertThat(limits(policies, request).grantMb()).isEqualTo(grantMb);
-        assertThat(policies.resources.grantMb(request, policies.listEngine(1))).isEqualTo(countedMb);
+        assertThat(policies.resources.expectedMemoryMb(request, policies.listEngine(1)))
+                .isEqualTo(countedMb);
     }
 
     /**
--- a/src/test/java/lineward/scheduling/decision/TestingPolicies.java
+++ b/src/test/java/lineward/scheduling/decision/TestingPolicies.java
@@ -139,7 +139,7 @@
 
     Attempt start(TrackedRequest request, Engine engine) {
         double nowMs = context.nowMs();
-        Attempt attempt = new Attempt(request, engine, resources.grantMb(request, engine), nowMs);
+        Attempt attempt = new Attempt(request, engine, resources.expectedMemoryMb(request, engine), nowMs);
         if (!request.attempts().isEmpty()) {
             budget.recordRetry();
         }
