--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -15,8 +15,8 @@
     /** The grant factor converges to this quantile of the ratio of memory needs to corrected estimates. */
     private static final double NEED_QUANTILE = 0.98;
 
-    private static final double NEED_STEP = 0.03;
-    private static final double SPILL_STEP = 1.02;
+    private static final double GRANT_STEP = 0.03;
+    private static final double SPILL_GROWTH_FACTOR = 1.02;
     /** Work is short below this fraction of the mean work of the class with the largest mean. */
     private static final double SHORT_WORK_RATIO = 0.3;
 
@@ -24,7 +24,7 @@
 
     private static final int OVERDUE_PRIORITY = 0;
     private static final int LONG_PRIORITY = 1;
-    private static final int LOAD_PRIORITY = 2;
+    private static final int LOAD_OR_RELAUNCH_PRIORITY = 2;
     private static final int SHORT_PRIORITY = 3;
 
     private final SchedulerContext context;
@@ -90,7 +90,7 @@
             return SHORT_PRIORITY;
         }
         boolean load = request.type().settings().workload().load();
-        return load || request.isRelaunched() ? LOAD_PRIORITY : LONG_PRIORITY;
+        return load || request.isRelaunched() ? LOAD_OR_RELAUNCH_PRIORITY : LONG_PRIORITY;
     }
 
     /**
@@ -98,12 +98,12 @@
      */
     public void recordNeed(ClassState type, double factor) {
         boolean tooSmall = factor > type.grantFactor();
-        double change = tooSmall ? 1 + NEED_STEP * NEED_QUANTILE : 1 - NEED_STEP * (1 - NEED_QUANTILE);
+        double change = tooSmall ? 1 + GRANT_STEP * NEED_QUANTILE : 1 - GRANT_STEP * (1 - NEED_QUANTILE);
         type.setGrantFactor(type.grantFactor() * change);
     }
 
     /** Raises the grant factor, up to its maximum, after a request has spilled to disk. */
     public void recordSpill(ClassState type) {
-        type.setGrantFactor(Math.min(MAX_GRANT_FACTOR, type.grantFactor() * SPILL_STEP));
+        type.setGrantFactor(Math.min(MAX_GRANT_FACTOR, type.grantFactor() * SPILL_GROWTH_FACTOR));
     }
 }
