--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -39,11 +39,11 @@
      * priorities.
      */
     public Optional<SchedulerAction> limitsFor(TrackedRequest request, Engine engine) {
-        SchedulerSettings.Capabilities may = context.settings().capabilities();
-        if (!may.grants() && !may.priorities()) {
+        SchedulerSettings.Capabilities capabilities = context.settings().capabilities();
+        if (!capabilities.grants() && !capabilities.priorities()) {
             return Optional.empty();
         }
-        double grantMb = may.grants() ? requestedGrantMb(request, engine) : NO_GRANT;
+        double grantMb = capabilities.grants() ? requestedGrantMb(request, engine) : NO_GRANT;
         return Optional.of(new SchedulerAction.SetResourceLimits(request.id(), grantMb, priority(request)));
     }
 
@@ -65,8 +65,8 @@
     public double expectedMemoryMb(TrackedRequest request, Engine engine) {
         SchedulerSettings settings = context.settings();
         double correction = request.type().model().memoryCorrection();
-        boolean learned = settings.capabilities().grants();
-        double factor = learned ? request.type().grantFactor() : ClassState.INITIAL_GRANT_FACTOR;
+        boolean supported = settings.capabilities().grants();
+        double factor = supported ? request.type().grantFactor() : ClassState.INITIAL_GRANT_FACTOR;
         double needMb = request.estimatedMemoryMb() * correction * factor;
         return engine.memoryMb() > 0
                 ? Math.min(needMb, engine.memoryMb() * settings.memory().maxGrantRatio())
@@ -82,11 +82,11 @@
         if (nowMs + request.expectedRunMs() > request.objectiveAtMs()) {
             return OVERDUE_PRIORITY;
         }
-        double largestMs = context.classes().stream()
+        double largestMeanWorkMs = context.classes().stream()
                 .mapToDouble(type -> type.model().meanWorkMs(nowMs))
                 .max()
                 .orElse(0);
-        if (request.expectedWorkMs() < largestMs * SHORT_WORK_RATIO) {
+        if (request.expectedWorkMs() < largestMeanWorkMs * SHORT_WORK_RATIO) {
             return SHORT_PRIORITY;
         }
         boolean load = request.type().settings().workload().load();
@@ -96,8 +96,8 @@
     /**
      * Adapts the grant factor to the memory that a request needed, as a multiple of its corrected estimate.
      */
-    public void recordNeed(ClassState type, double factor) {
-        boolean tooSmall = factor > type.grantFactor();
+    public void recordNeed(ClassState type, double neededFactor) {
+        boolean tooSmall = neededFactor > type.grantFactor();
         double change = tooSmall ? 1 + GRANT_STEP * NEED_QUANTILE : 1 - GRANT_STEP * (1 - NEED_QUANTILE);
         type.setGrantFactor(type.grantFactor() * change);
     }
