--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -24,7 +24,7 @@
      * Minimum quota, as a multiple of an even share of the fleet among the front ends. With a smaller one, a
      * false sign of overload would reinforce itself.
      */
-    private static final double MIN_EVEN_QUOTAS = 1.3;
+    private static final double MIN_QUOTA_FACTOR = 1.3;
     /**
      * Time in which the quota grows from an even share to the whole fleet if load reports are not shared. It
      * shrinks at the same rate while the fleet is not calm.
@@ -57,11 +57,11 @@
         this.reports = reports;
         this.grants = grants;
         this.frontEnds = context.settings().position().frontEnds();
-        this.quota = evenQuota();
+        this.quota = minQuota();
     }
 
-    private double evenQuota() {
-        return Math.min(FULL_QUOTA, MIN_EVEN_QUOTAS / frontEnds);
+    private double minQuota() {
+        return Math.min(FULL_QUOTA, MIN_QUOTA_FACTOR / frontEnds);
     }
 
     /** Returns the fraction of all engines' threads that this front end may use now. */
@@ -86,7 +86,7 @@
         double growth = growth(intervalMs);
         quota = requestsBlocked && calm
                 ? Math.min(FULL_QUOTA, quota * growth)
-                : Math.max(evenQuota(), quota / (calm ? UNUSED_SHRINK : growth));
+                : Math.max(minQuota(), quota / (calm ? UNUSED_SHRINK : growth));
     }
 
     private double growth(double intervalMs) {
