--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -19,7 +19,7 @@
     /**
      * Number of front ends up to which each one estimates the load of an engine from its own attempts alone.
      */
-    static final double SMALL_FLEET = 4;
+    static final double SMALL_FLEET_FRONT_ENDS = 4;
     /**
      * Minimum quota, as a multiple of an even share of the fleet among the front ends. With a smaller one, a
      * false sign of overload would reinforce itself.
@@ -29,13 +29,13 @@
      * Time in which the quota grows from an even share to the whole fleet if load reports are not shared. It
      * shrinks at the same rate while the fleet is not calm.
      */
-    private static final double FULL_QUOTA_AFTER_MS = 10_000;
+    private static final double FULL_QUOTA_GROWTH_MS = 10_000;
     /** Slowdown of every class below which the fleet counts as calm if load reports are not shared. */
     private static final double CALM_SLOWDOWN = 1.3;
     /** Factor by which the quota grows or shrinks at each adaptation if load reports are shared. */
     private static final double REPORTED_GROWTH = 1.3;
     /** Divisor of the quota at each adaptation while it is not needed and the fleet is calm. */
-    private static final double UNUSED_SHRINK = 1.05;
+    private static final double UNUSED_QUOTA_DIVISOR = 1.05;
     /** Factor by which the granted fraction of an engine's memory may exceed the quota. */
     private static final double MEMORY_QUOTA_FACTOR = 1.2;
 
@@ -74,7 +74,7 @@
      * this one.
      */
     public double unseenLoadRatio() {
-        return Math.max(0, 1 - SMALL_FLEET / frontEnds);
+        return Math.max(0, 1 - SMALL_FLEET_FRONT_ENDS / frontEnds);
     }
 
     /**
@@ -86,11 +86,11 @@
         double growth = growth(intervalMs);
         quota = requestsBlocked && calm
                 ? Math.min(FULL_QUOTA, quota * growth)
-                : Math.max(minQuota(), quota / (calm ? UNUSED_SHRINK : growth));
+                : Math.max(minQuota(), quota / (calm ? UNUSED_QUOTA_DIVISOR : growth));
     }
 
     private double growth(double intervalMs) {
-        return reports.areShared() ? REPORTED_GROWTH : Math.pow(frontEnds, intervalMs / FULL_QUOTA_AFTER_MS);
+        return reports.areShared() ? REPORTED_GROWTH : Math.pow(frontEnds, intervalMs / FULL_QUOTA_GROWTH_MS);
     }
 
     /** Returns whether the fleet can take more load, by shared load reports or else by the slowdowns. */
@@ -135,7 +135,7 @@
      * of all requests.
      */
     public boolean withinFleetQuota(TrackedRequest request, Predicate<Engine> isUsable) {
-        if (reports.areShared() && frontEnds <= SMALL_FLEET) {
+        if (reports.areShared() && frontEnds <= SMALL_FLEET_FRONT_ENDS) {
             return true;
         }
         double threads = request.threads();
--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -138,7 +138,7 @@
             return UNKNOWN_MEMORY_LOAD;
         }
         double grantedMb = engine.grantedMb() + resources.expectedMemoryMb(request, engine);
-        double ownRatio = Math.max(limits.quota(), 1 / ConcurrencyLimits.SMALL_FLEET);
+        double ownRatio = Math.max(limits.quota(), 1 / ConcurrencyLimits.SMALL_FLEET_FRONT_ENDS);
         return MEMORY_WEIGHT * grantedMb / (engine.memoryMb() * ownRatio);
     }
 
