--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -139,43 +139,45 @@
             return true;
         }
         double threads = request.threads();
-        double limit = 0;
-        double inFlight = 0;
-        double ofClass = 0;
+        double fleetThreadLimit = 0;
+        double threadsInFlight = 0;
+        double classThreadsInFlight = 0;
         for (Engine engine : context.engines()) {
             if (engine.isReady() && isUsable.test(engine)) {
                 double engineLimit = threadLimit(engine);
                 if (engineLimit >= threads) {
                     return true;
                 }
-                limit += engineLimit;
-                inFlight += engine.threadsInFlight();
-                ofClass += threadsOf(request.type(), engine);
+                fleetThreadLimit += engineLimit;
+                threadsInFlight += engine.threadsInFlight();
+                classThreadsInFlight += threadsOf(request.type(), engine);
             }
         }
-        if (inFlight == 0 || inFlight + threads <= limit) {
+        if (threadsInFlight == 0 || threadsInFlight + threads <= fleetThreadLimit) {
             return true;
         }
         return withinClassQuota(
-                request, ofClass, limit * request.type().demand().valueRatio());
+                request,
+                classThreadsInFlight,
+                fleetThreadLimit * request.type().demand().valueRatio());
     }
 
     /**
      * Returns whether a request fits into the quota of its class. If that quota is less than one request, the
      * class may start single requests, at intervals that keep its mean use within the quota.
      */
-    private boolean withinClassQuota(TrackedRequest request, double inFlight, double classLimit) {
+    private boolean withinClassQuota(TrackedRequest request, double inFlight, double classThreadLimit) {
         if (inFlight > 0) {
-            return inFlight + request.threads() <= classLimit;
+            return inFlight + request.threads() <= classThreadLimit;
         }
-        return request.threads() <= classLimit || hasWaitedForQuota(request, classLimit);
+        return request.threads() <= classThreadLimit || hasWaitedForQuota(request, classThreadLimit);
     }
 
-    private boolean hasWaitedForQuota(TrackedRequest request, double classLimit) {
+    private boolean hasWaitedForQuota(TrackedRequest request, double classThreadLimit) {
         OptionalDouble lastStartedMs = request.type().lastStartedMs();
         return lastStartedMs.isEmpty()
                 || context.nowMs() - lastStartedMs.getAsDouble()
-                        >= request.expectedRunMs() * request.threads() / classLimit;
+                        >= request.expectedRunMs() * request.threads() / classThreadLimit;
     }
 
     private static double threadsOf(ClassState type, Engine engine) {
