--- a/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
@@ -10,7 +10,7 @@
      * Maximum number of attempts, of any kind, of a request that is still migrated. After more, another
      * engine is unlikely to have capacity.
      */
-    private static final int MAX_MIGRATIONS = 2;
+    private static final int MAX_ATTEMPTS_FOR_MIGRATION = 2;
 
     private final SchedulerContext context;
     private final CancellationPolicy cancellation;
@@ -50,6 +50,6 @@
     private boolean hasMigrationsLeft(TrackedRequest request) {
         int attempts = request.attempts().size();
         int maxAttempts = context.settings().attempts().maxPerRequest();
-        return attempts <= MAX_MIGRATIONS && attempts < maxAttempts - 1;
+        return attempts <= MAX_ATTEMPTS_FOR_MIGRATION && attempts < maxAttempts - 1;
     }
 }
