--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -35,7 +35,7 @@
      */
     public boolean mayAttempt(TrackedRequest request, Engine engine) {
         boolean firstAttempt = request.attempts().isEmpty();
-        return isOpen(request)
+        return isReadyForAttempt(request)
                 && keyOrder.isNext(request)
                 && mayRepeatAt(request, engine)
                 && (firstAttempt || budget.allows(1));
@@ -45,7 +45,7 @@
      * Returns whether the request may have an attempt now: it has no final answer and no attempt in flight,
      * its deadline has not passed, and it has attempts left.
      */
-    private boolean isOpen(TrackedRequest request) {
+    private boolean isReadyForAttempt(TrackedRequest request) {
         return !request.state().isCompleted()
                 && !request.hasAttemptInFlight()
                 && context.nowMs() < request.deadlineMs()
