--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -109,7 +109,7 @@
      * relaunches after cancellations in flight will use too, and within the lifetime of the request's key.
      */
     public boolean mayRelaunch(TrackedRequest request) {
-        return budget.allows(1 + cancelsInFlight()) && !mayOutliveItsKey(request);
+        return budget.allows(1 + cancelsInFlight()) && !mayExceedKeyTtl(request);
     }
 
     private long cancelsInFlight() {
@@ -123,7 +123,7 @@
      * Returns whether a relaunch might start after the key has expired. The lifetime counts from the start of
      * the first attempt, which may turn out to have run; a silent engine may delay the relaunch.
      */
-    private boolean mayOutliveItsKey(TrackedRequest request) {
+    private boolean mayExceedKeyTtl(TrackedRequest request) {
         return request.isRepeatableByKey()
                 && context.nowMs() + OutlierDetector.MIN_SILENCE_MS
                         > keyExpiryMs(request, request.attempts().get(0));
