--- a/src/main/java/lineward/scheduling/decision/KeyOrder.java
+++ b/src/main/java/lineward/scheduling/decision/KeyOrder.java
@@ -34,7 +34,7 @@
      * Delays the next request of the key by the settle time in the settings, because an attempt of the given
      * request may still be running.
      */
-    public void settle(TrackedRequest request) {
+    public void startSettleTime(TrackedRequest request) {
         if (request.isOrdered()) {
             double untilMs = context.nowMs() + context.settings().rules().settleMs();
             settledAtMs.merge(request.key(), untilMs, Math::max);
--- a/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
@@ -44,7 +44,7 @@
         attempt.engine().endAttempt(attempt);
         learning.learn(attempt, end);
         if (end.outcome().isIndeterminate()) {
-            keyOrder.settle(request);
+            keyOrder.startSettleTime(request);
         }
         if (!request.state().isCompleted()) {
             completeOrRetry(attempt, end);
--- a/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
+++ b/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
@@ -63,7 +63,7 @@
         TrackedRequest first = policies.admit(KEY, TestingPolicies.WORK_MS);
         TrackedRequest second = policies.admit(secondKey, TestingPolicies.WORK_MS);
         if (indeterminate) {
-            policies.keyOrder.settle(first);
+            policies.keyOrder.startSettleTime(first);
         }
         policies.keyOrder.remove(first);
         policies.advance(sinceMs);
@@ -76,7 +76,7 @@
         TestingPolicies policies = policies(true);
         TrackedRequest request = policies.admit(KEY, TestingPolicies.WORK_MS);
         policies.endAndRequeue(policies.start(request, policies.listEngine(1)), AttemptOutcome.TIMEOUT);
-        policies.keyOrder.settle(request);
+        policies.keyOrder.startSettleTime(request);
         assertThat(policies.keyOrder.isNext(request)).isTrue();
     }
 
@@ -84,9 +84,9 @@
     public void theLaterEndOfTwoSettleTimesCounts() {
         TestingPolicies policies = policies(true);
         TrackedRequest first = policies.admit(KEY, TestingPolicies.WORK_MS);
-        policies.keyOrder.settle(first);
+        policies.keyOrder.startSettleTime(first);
         policies.advance(SETTLE_MS - 1);
-        policies.keyOrder.settle(first);
+        policies.keyOrder.startSettleTime(first);
         policies.keyOrder.remove(first);
         policies.advance(SETTLE_MS - 1);
         assertThat(policies.keyOrder.isNext(policies.admit(KEY, TestingPolicies.WORK_MS)))
