--- a/src/main/java/lineward/scheduling/decision/KeyOrder.java
+++ b/src/main/java/lineward/scheduling/decision/KeyOrder.java
@@ -59,7 +59,7 @@
     }
 
     /** Removes the settle times that have passed. */
-    public void forgetSettledKeys() {
+    public void removeSettledKeys() {
         settledAtMs.values().removeIf(atMs -> atMs <= context.nowMs());
     }
 }
--- a/src/main/java/lineward/scheduling/execution/Sweep.java
+++ b/src/main/java/lineward/scheduling/execution/Sweep.java
@@ -65,7 +65,7 @@
      * unless attempts are in flight on them or work sent to them still counts in their slow-start budget.
      */
     void forgetSettled() {
-        keyOrder.forgetSettledKeys();
+        keyOrder.removeSettledKeys();
         context.removeEngines(this::isForgettable);
     }
 
--- a/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
+++ b/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
@@ -67,7 +67,7 @@
         }
         policies.keyOrder.remove(first);
         policies.advance(sinceMs);
-        policies.keyOrder.forgetSettledKeys();
+        policies.keyOrder.removeSettledKeys();
         assertThat(policies.keyOrder.isNext(second)).isEqualTo(next);
     }
 
