--- a/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
+++ b/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
@@ -18,7 +18,7 @@
  */
 public final class LoadReportPolling {
     /** Token of the timer for the next poll. */
-    public static final int TIMER = 1;
+    public static final int POLL_TIMER = 1;
     /**
      * Maximum cost of polling per admitted request, in points of the evaluation score like
      * {@link SchedulerSettings.Costs}. It is far below the cost of overload.
@@ -99,7 +99,7 @@
     }
 
     private void scheduleTimer(double delayMs) {
-        context.emit(new SchedulerAction.ScheduleTimer(delayMs, TIMER));
+        context.emit(new SchedulerAction.ScheduleTimer(delayMs, POLL_TIMER));
     }
 
     private void check(Engine engine) {
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -150,7 +150,7 @@
 
     @Override
     public void timerFired(SchedulerEvent.TimerFired timer) {
-        if (timer.token() == LoadReportPolling.TIMER) {
+        if (timer.token() == LoadReportPolling.POLL_TIMER) {
             mechanisms.polling.poll();
         } else {
             sweepScheduled = false;
--- a/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
+++ b/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
@@ -41,7 +41,7 @@
                 .map(ScheduleTimer.class::cast)
                 .toList();
         assertThat(timers).hasSize(1);
-        assertThat(timers.get(0).token()).isEqualTo(LoadReportPolling.TIMER);
+        assertThat(timers.get(0).token()).isEqualTo(LoadReportPolling.POLL_TIMER);
         return timers.get(0).delayMs();
     }
 
