--- a/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
+++ b/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
@@ -68,7 +68,7 @@
             }
         }
         candidates.sort(Comparator.comparingDouble(Candidate::lastReportMs));
-        candidates.stream().limit(ENGINES_PER_POLL).forEach(candidate -> check(candidate.engine()));
+        candidates.stream().limit(ENGINES_PER_POLL).forEach(candidate -> startCheck(candidate.engine()));
         double delayMs = Math.min(MAX_DELAY_MS, ENGINES_PER_POLL * intervalMs(candidates.size()));
         scheduleTimer(delayMs * (MIN_JITTER + context.drawRandom()));
     }
@@ -102,7 +102,7 @@
         context.emit(new SchedulerAction.ScheduleTimer(delayMs, POLL_TIMER));
     }
 
-    private void check(Engine engine) {
+    private void startCheck(Engine engine) {
         engine.load().startHealthCheck(context.nowMs());
         context.emit(new SchedulerAction.StartHealthCheck(engine.id()));
     }
@@ -111,7 +111,7 @@
      * Applies the result of a health check: the load report of a successful one is stored, a failed one
      * ejects the engine, and a rejected one has no effect.
      */
-    public void complete(SchedulerEvent.HealthCheckCompleted check, Engine engine) {
+    public void applyHealthCheck(SchedulerEvent.HealthCheckCompleted check, Engine engine) {
         engine.load().endHealthCheck();
         if (check.outcome() == AttemptOutcome.OK) {
             reports.apply(engine, check.loadReport());
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -161,7 +161,7 @@
     public void healthCheckCompleted(SchedulerEvent.HealthCheckCompleted check) {
         Engine engine = context.findEngine(check.engine());
         if (engine != null) {
-            mechanisms.polling.complete(check, engine);
+            mechanisms.polling.applyHealthCheck(check, engine);
         }
     }
 
