--- a/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
+++ b/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
@@ -28,8 +28,8 @@
     private static final double MIN_INTERVAL_MS = 250;
     private static final double MAX_DELAY_MS = 10_000;
     private static final int ENGINES_PER_POLL = 4;
-    private static final double MIN_TRAFFIC_PERIOD_MS = 1_000;
-    private static final double MIN_JITTER = 0.5;
+    private static final double MIN_RATE_PERIOD_MS = 1_000;
+    private static final double MIN_DELAY_FACTOR = 0.5;
     /** Sorts an engine that has never reported before all others. */
     private static final double NEVER_REPORTED = Double.NEGATIVE_INFINITY;
 
@@ -69,8 +69,8 @@
         }
         candidates.sort(Comparator.comparingDouble(Candidate::lastReportMs));
         candidates.stream().limit(ENGINES_PER_POLL).forEach(candidate -> startCheck(candidate.engine()));
-        double delayMs = Math.min(MAX_DELAY_MS, ENGINES_PER_POLL * intervalMs(candidates.size()));
-        scheduleTimer(delayMs * (MIN_JITTER + context.drawRandom()));
+        double delayMs = Math.min(MAX_DELAY_MS, ENGINES_PER_POLL * intervalPerEngineMs(candidates.size()));
+        scheduleTimer(delayMs * (MIN_DELAY_FACTOR + context.drawRandom()));
     }
 
     /**
@@ -88,11 +88,11 @@
      * cost budget, and that all front ends together poll each engine about once in {@value #MIN_INTERVAL_MS}
      * ms at most.
      */
-    private double intervalMs(int engines) {
+    private double intervalPerEngineMs(int engines) {
         SchedulerSettings.Costs costs = context.settings().costs();
         int frontEnds = context.settings().position().frontEnds();
         double gossipCost = costs.gossip() * reports.gossipMessageRatio() * (frontEnds - 1);
-        double seenForMs = Math.max(MIN_TRAFFIC_PERIOD_MS, context.nowMs() - context.startedMs());
+        double seenForMs = Math.max(MIN_RATE_PERIOD_MS, context.nowMs() - context.startedMs());
         double requestsPerMs = Math.max(1, requestsSeen) / seenForMs;
         double evenMs = MIN_INTERVAL_MS * frontEnds / (engines + 1);
         return Math.max(evenMs, (costs.healthCheck() + gossipCost) / COST_BUDGET / requestsPerMs);
