--- a/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
+++ b/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
@@ -88,14 +88,14 @@
      * cost budget, and that all front ends together poll each engine about once in {@value #MIN_INTERVAL_MS}
      * ms at most.
      */
-    private double intervalPerEngineMs(int engines) {
+    private double intervalPerEngineMs(int engineCount) {
         SchedulerSettings.Costs costs = context.settings().costs();
         int frontEnds = context.settings().position().frontEnds();
         double gossipCost = costs.gossip() * reports.gossipMessageRatio() * (frontEnds - 1);
-        double seenForMs = Math.max(MIN_RATE_PERIOD_MS, context.nowMs() - context.startedMs());
-        double requestsPerMs = Math.max(1, requestsSeen) / seenForMs;
-        double evenMs = MIN_INTERVAL_MS * frontEnds / (engines + 1);
-        return Math.max(evenMs, (costs.healthCheck() + gossipCost) / COST_BUDGET / requestsPerMs);
+        double observedMs = Math.max(MIN_RATE_PERIOD_MS, context.nowMs() - context.startedMs());
+        double requestsPerMs = Math.max(1, requestsSeen) / observedMs;
+        double evenIntervalMs = MIN_INTERVAL_MS * frontEnds / (engineCount + 1);
+        return Math.max(evenIntervalMs, (costs.healthCheck() + gossipCost) / COST_BUDGET / requestsPerMs);
     }
 
     private void scheduleTimer(double delayMs) {
