--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -147,7 +147,7 @@
      */
     @Override
     public void setAdmission(ServerAdmissionPolicy.Phase next) {
-        if (admission.welcomesClients() && next != ServerAdmissionPolicy.Phase.OPEN) {
+        if (admission.acceptsClients() && next != ServerAdmissionPolicy.Phase.OPEN) {
             shutdownStartedNanos = System.nanoTime();
         }
         admission.enter(next);
--- a/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns whether clients that can choose among front ends should use this one. */
-    public boolean welcomesClients() {
+    public boolean acceptsClients() {
         return phase == Phase.OPEN;
     }
 
--- a/src/main/java/lineward/thrift/OpenCalls.java
+++ b/src/main/java/lineward/thrift/OpenCalls.java
@@ -35,7 +35,7 @@
 
     /** Returns whether clients that can choose among front ends should use this one. */
     boolean acceptsClients() {
-        return admission.welcomesClients();
+        return admission.acceptsClients();
     }
 
     /**
--- a/src/test/java/lineward/scheduling/decision/ServerAdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/ServerAdmissionPolicyTest.java
@@ -23,7 +23,7 @@
         assertThat(policy.phase()).isEqualTo(OPEN);
         policy.enter(phase);
         assertThat(policy.phase()).isEqualTo(phase);
-        assertThat(policy.welcomesClients()).isEqualTo(welcomes);
+        assertThat(policy.acceptsClients()).isEqualTo(welcomes);
         assertThat(policy.admitsRequests()).isEqualTo(admits);
         assertThat(policy.mayAdmit(1)).isEqualTo(admits);
     }
