--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -150,7 +150,7 @@
         if (admission.acceptsClients() && next != ServerAdmissionPolicy.Phase.OPEN) {
             shutdownStartedNanos = System.nanoTime();
         }
-        admission.enter(next);
+        admission.setPhase(next);
     }
 
     /** Ignored: a statement keeps the deadline of its class. */
--- a/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
@@ -32,7 +32,7 @@
     }
 
     /** Sets the phase of the server. */
-    public void enter(Phase next) {
+    public void setPhase(Phase next) {
         phase = next;
     }
 
--- a/src/main/java/lineward/thrift/OpenCalls.java
+++ b/src/main/java/lineward/thrift/OpenCalls.java
@@ -30,7 +30,7 @@
 
     /** Sets which clients and requests are admitted from now on. */
     void setAdmission(ServerAdmissionPolicy.Phase next) {
-        admission.enter(next);
+        admission.setPhase(next);
     }
 
     /** Returns whether clients that can choose among front ends should use this one. */
--- a/src/test/java/lineward/scheduling/decision/ServerAdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/ServerAdmissionPolicyTest.java
@@ -21,7 +21,7 @@
     public void admitsByPhase(ServerAdmissionPolicy.Phase phase, boolean welcomes, boolean admits) {
         ServerAdmissionPolicy policy = new ServerAdmissionPolicy(MAX_STATEMENT_BYTES);
         assertThat(policy.phase()).isEqualTo(OPEN);
-        policy.enter(phase);
+        policy.setPhase(phase);
         assertThat(policy.phase()).isEqualTo(phase);
         assertThat(policy.acceptsClients()).isEqualTo(welcomes);
         assertThat(policy.admitsRequests()).isEqualTo(admits);
