--- a/src/main/java/lineward/mysql/client/ConnectedClients.java
+++ b/src/main/java/lineward/mysql/client/ConnectedClients.java
@@ -29,7 +29,7 @@
     /** Adds the client; returns false if that exceeds the limit and the caller must disconnect the client. */
     boolean add(ClientSession client) {
         clients.add(client);
-        return ServerAdmissionPolicy.mayConnect(clients.size(), maxClients);
+        return ServerAdmissionPolicy.isWithinClientLimit(clients.size(), maxClients);
     }
 
     void remove(ClientSession client) {
--- a/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
@@ -52,8 +52,8 @@
     }
 
     /** Returns whether the server keeps a new client, given the number of clients including the new one. */
-    public static boolean mayConnect(int clients, int maxClients) {
-        return clients <= maxClients;
+    public static boolean isWithinClientLimit(int clientCount, int maxClients) {
+        return clientCount <= maxClients;
     }
 
     /** Adds the statement of an admitted request to the total size. */
