--- a/src/main/java/lineward/scheduling/decision/EngineEligibility.java
+++ b/src/main/java/lineward/scheduling/decision/EngineEligibility.java
@@ -40,8 +40,9 @@
     public boolean hasTargetForRelaunch(Attempt attempt) {
         TrackedRequest request = attempt.request();
         for (Engine engine : context.engines()) {
-            boolean other = engine != attempt.engine() && !engine.health().isEjected();
-            if (other && !request.hasTried(engine) && hasCapacityNow(request, engine)) {
+            boolean healthyAlternative =
+                    engine != attempt.engine() && !engine.health().isEjected();
+            if (healthyAlternative && !request.hasTried(engine) && hasCapacityNow(request, engine)) {
                 return true;
             }
         }
