--- a/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
@@ -12,10 +12,10 @@
 public class AdmissionPolicyTest {
     private static final double ROUNDING = 1e-12;
 
-    private static TestingPolicies policies(double priorityWeight, double overdueValueRatio) {
+    private static PolicyFixture policies(double priorityWeight, double overdueValueRatio) {
         TestingSettings settings = new TestingSettings();
         settings.objective = new RequestClass.Objective(1_000, 1, 5_000, priorityWeight, overdueValueRatio);
-        return new TestingPolicies(settings);
+        return new PolicyFixture(settings);
     }
 
     /**
@@ -40,8 +40,8 @@
     @Test(dataProvider = "priorities")
     public void ordersByValuePerWorkAndUrgency(
             double weight, double lateRatio, boolean relaunched, double workMs, double ageMs, double value) {
-        TestingPolicies policies = policies(weight, lateRatio);
-        TrackedRequest request = policies.admit(TestingPolicies.NO_KEY, workMs);
+        PolicyFixture policies = policies(weight, lateRatio);
+        TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
         if (relaunched) {
             policies.cancelAndRequeue(policies.start(request, policies.listEngine(1)));
         }
@@ -73,8 +73,8 @@
     @Test(dataProvider = "ages")
     public void rejectsWhatCannotBeAnsweredWhileItHasAValue(
             double overdueValueRatio, double workMs, double slowdown, double ageMs, boolean unanswerable) {
-        TestingPolicies policies = policies(1, overdueValueRatio);
-        TrackedRequest request = policies.admit(TestingPolicies.NO_KEY, workMs);
+        PolicyFixture policies = policies(1, overdueValueRatio);
+        TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
         policies.advance(ageMs);
         policies.slowDown(slowdown);
         assertThat(new AdmissionPolicy(policies.context).cannotBeInTime(request))
--- a/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
@@ -32,7 +32,7 @@
     public void mayCancelInFlight(boolean permitted, boolean cancelled, boolean ended, boolean mayCancel) {
         TestingSettings settings = new TestingSettings();
         settings.cancel = permitted;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         if (cancelled) {
             attempt.cancel(CancelCause.SLOW);
@@ -55,7 +55,7 @@
 
     @Test(dataProvider = "requestStates")
     public void isUnansweredUntilTheResponseStarts(RequestState state, boolean unanswered) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         TrackedRequest request = policies.admit();
         if (state != RequestState.QUEUED) {
             policies.start(request, policies.listEngine(1));
@@ -120,7 +120,7 @@
         settings.objective = new RequestClass.Objective(1_000, 1, 5_000, 1, lateRatio);
         settings.idempotence = repeat;
         settings.cancel = permitted;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         run.apply(attempt, policies.context.nowMs());
         policies.advance(ageMs);
--- a/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -39,7 +39,7 @@
     public void limitsThreadsByCoresAndQuota(int cores, int frontEnds, int inFlight, boolean hasCapacity) {
         TestingSettings settings = settings(frontEnds);
         settings.engineKind = new EngineKind(cores, 16_000);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         policies.fill(engine, inFlight);
         assertThat(policies.limits.hasCapacity(engine, policies.admit())).isEqualTo(hasCapacity);
@@ -64,12 +64,12 @@
     public void limitsMemoryByTheQuota(double memoryMb, int frontEnds, int inFlight, boolean hasCapacity) {
         TestingSettings settings = settings(frontEnds);
         settings.engineKind = new EngineKind(8, memoryMb);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         for (int attempt = 0; attempt < inFlight; attempt++) {
-            policies.start(policies.admit(0, TestingPolicies.NO_KEY, 200, 5_120), engine);
+            policies.start(policies.admit(0, PolicyFixture.NO_KEY, 200, 5_120), engine);
         }
-        TrackedRequest request = policies.admit(0, TestingPolicies.NO_KEY, 200, 5_120);
+        TrackedRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, 5_120);
         assertThat(policies.limits.hasCapacity(engine, request)).isEqualTo(hasCapacity);
     }
 
@@ -92,7 +92,7 @@
     public void limitsThreadsByLoadReport(double reported, int started, double ageMs, boolean hasCapacity) {
         TestingSettings settings = settings(1);
         settings.reportFields = List.of(LoadReportField.IN_FLIGHT);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         policies.reports.apply(engine, new double[] {reported});
         policies.fill(engine, started);
@@ -108,7 +108,7 @@
 
     @Test(dataProvider = "frontEnds")
     public void startsWithAnEvenQuota(int frontEnds, double quota, double unseenLoad) {
-        TestingPolicies policies = new TestingPolicies(settings(frontEnds));
+        PolicyFixture policies = new PolicyFixture(settings(frontEnds));
         assertThat(policies.limits.quota()).isCloseTo(quota, within(ROUNDING));
         assertThat(policies.limits.unseenLoadRatio()).isCloseTo(unseenLoad, within(ROUNDING));
     }
@@ -133,7 +133,7 @@
     @Test(dataProvider = "adaptations")
     public void growsTheQuotaWhileRequestsAreBlockedAndTheFleetIsCalm(
             boolean blocked, double slowdown, double intervalMs, double quota) {
-        TestingPolicies policies = new TestingPolicies(settings(100));
+        PolicyFixture policies = new PolicyFixture(settings(100));
         policies.limits.adaptQuota(true, 5_000);
         assertThat(policies.limits.quota()).isCloseTo(0.13, within(ROUNDING));
         policies.slowDown(slowdown);
@@ -167,14 +167,14 @@
             int frontEnds, int ofClass, int ofOther, double valueRatio, double sinceStartMs, boolean within) {
         TestingSettings settings = settings(frontEnds);
         settings.otherClasses.add(settings.requestClass());
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         for (int id = 2; id <= 4; id++) {
             policies.listEngine(id);
         }
         Engine engine = policies.listEngine(1);
         policies.fill(engine, ofClass);
         for (int attempt = 0; attempt < ofOther; attempt++) {
-            policies.start(policies.admit(1, TestingPolicies.NO_KEY, 200, 0), engine);
+            policies.start(policies.admit(1, PolicyFixture.NO_KEY, 200, 0), engine);
         }
         TrackedRequest request = policies.admit();
         request.type().demand().setRatios(0, valueRatio);
@@ -185,7 +185,7 @@
 
     @Test
     public void countsUsableEnginesOnly() {
-        TestingPolicies policies = new TestingPolicies(settings(20));
+        PolicyFixture policies = new PolicyFixture(settings(20));
         policies.listEngine(1);
         Engine busy = policies.listEngine(2);
         policies.fill(busy, 3);
--- a/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
@@ -40,7 +40,7 @@
             EndpointState state, boolean underMaintenance, Placement placement, boolean mayRun) {
         TestingSettings settings = new TestingSettings();
         settings.placement = placement;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1, state);
         if (underMaintenance) {
             engine.beginMaintenance();
@@ -53,13 +53,13 @@
     /** Columns: attempts in flight at an engine that has warmed up, whether it has capacity. */
     @DataProvider
     public Object[][] loads() {
-        int limit = TestingPolicies.THREAD_LIMIT;
+        int limit = PolicyFixture.THREAD_LIMIT;
         return new Object[][] {{0, true}, {limit - 1, true}, {limit, false}};
     }
 
     @Test(dataProvider = "loads")
     public void hasCapacityBelowTheThreadLimit(int attempts, boolean hasCapacity) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         Engine engine = policies.listEngine(1);
         policies.fill(engine, attempts);
         assertThat(policies.eligibility.hasCapacityNow(policies.admit(), engine))
@@ -77,9 +77,9 @@
 
     @Test(dataProvider = "slowStarts")
     public void hasCapacityWithinTheSlowStartBudget(double workMs, boolean hasCapacity) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
-        Engine engine = policies.listEngineStartedAt(1, TestingPolicies.START_MS);
-        TrackedRequest request = policies.admit(TestingPolicies.NO_KEY, workMs);
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS);
+        TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
         assertThat(policies.eligibility.hasCapacityNow(request, engine)).isEqualTo(hasCapacity);
     }
 
@@ -107,7 +107,7 @@
 
     @Test(dataProvider = "relaunchTargets")
     public void relaunchesOnAHealthyUntriedEngineWithCapacity(OtherEngine condition, boolean hasTarget) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         Engine other = policies.listEngine(2, condition == OtherEngine.GONE ? GONE : READY);
         TrackedRequest request = policies.admit();
         if (condition == OtherEngine.TRIED) {
@@ -116,8 +116,8 @@
         Attempt attempt = policies.start(request, policies.listEngine(1));
         switch (condition) {
             case EJECTED -> other.health().eject();
-            case AT_ITS_LIMIT -> policies.fill(other, TestingPolicies.THREAD_LIMIT);
-            case WITH_OVERDUE_HEALTH_CHECK -> other.load().startHealthCheck(TestingPolicies.START_MS - 1_000);
+            case AT_ITS_LIMIT -> policies.fill(other, PolicyFixture.THREAD_LIMIT);
+            case WITH_OVERDUE_HEALTH_CHECK -> other.load().startHealthCheck(PolicyFixture.START_MS - 1_000);
             default -> {}
         }
         assertThat(policies.eligibility.hasTargetForRelaunch(attempt)).isEqualTo(hasTarget);
--- a/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -36,10 +36,10 @@
 
     @Test(dataProvider = "loads")
     public void scoresThreadsMemoryAndZone(int zone, int inFlight, double memoryMb, double score) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         Engine engine = policies.listEngine(1, zone, 0);
         policies.fill(engine, inFlight);
-        TrackedRequest request = policies.admit(0, TestingPolicies.NO_KEY, 200, memoryMb);
+        TrackedRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, memoryMb);
         assertThat(policies.loadScore.score(request, engine)).isCloseTo(score, within(ROUNDING));
     }
 
@@ -57,7 +57,7 @@
     public void scoresAFreshLoadReport(double threads, double memoryInUse, double ageMs, double score) {
         TestingSettings settings = new TestingSettings();
         settings.reportFields = List.of(LoadReportField.IN_FLIGHT, LoadReportField.MEMORY);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         policies.reports.apply(engine, new double[] {threads, memoryInUse});
         policies.advance(ageMs);
@@ -80,7 +80,7 @@
         RequestClass loads = settings.requestClass();
         settings.workload = new RequestClass.Workload(false, waitsForLoads, 1);
         settings.otherClasses.add(loads);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         policies.start(policies.admitOfGroup(1, 5), engine);
         TrackedRequest request = policies.admitOfGroup(0, sameGroup ? 5 : 6);
@@ -99,9 +99,9 @@
         TestingSettings settings = new TestingSettings();
         settings.frontEnds = frontEnds;
         settings.objective = new RequestClass.Objective(2_000, 1, 5_000, 1, 0);
-        TestingPolicies policies = new TestingPolicies(settings);
-        Engine engine = policies.listEngineStartedAt(1, TestingPolicies.START_MS);
-        TrackedRequest request = policies.admit(TestingPolicies.NO_KEY, workMs);
+        PolicyFixture policies = new PolicyFixture(settings);
+        Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS);
+        TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
         assertThat(policies.loadScore.score(request, engine) == 0).isEqualTo(free);
     }
 
@@ -114,9 +114,9 @@
     @Test(dataProvider = "spreads")
     public void spreadsScoresByTheUnseenLoad(int frontEnds, double expectedScale) {
         TestingSettings settings = new TestingSettings();
-        double alone = drawSpread(new TestingPolicies(settings));
+        double alone = drawSpread(new PolicyFixture(settings));
         settings.frontEnds = frontEnds;
-        double scale = drawSpread(new TestingPolicies(settings)) / alone;
+        double scale = drawSpread(new PolicyFixture(settings)) / alone;
         assertThat(scale).isCloseTo(expectedScale, within(ROUNDING));
     }
 
@@ -138,8 +138,8 @@
         assertThat(bound - allFree).isCloseTo(SPREAD * Math.log(freeRatio), within(ROUNDING));
     }
 
-    private static TestingPolicies policiesOfTwoEngines(TestingSettings settings, double workRatio) {
-        TestingPolicies policies = new TestingPolicies(settings);
+    private static PolicyFixture policiesOfTwoEngines(TestingSettings settings, double workRatio) {
+        PolicyFixture policies = new PolicyFixture(settings);
         policies.listEngine(1);
         policies.listEngine(2);
         policies.context.requestClass(0).demand().setReachableCores(16);
@@ -149,7 +149,7 @@
         return policies;
     }
 
-    private static double drawSpread(TestingPolicies policies) {
+    private static double drawSpread(PolicyFixture policies) {
         return policies.loadScore.drawNoise(policies.context.requestClass(0), policies.listEngine(1));
     }
 }
--- a/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
@@ -15,7 +15,7 @@
     private static final double MAX_HEALTH_CHECK_MS = 25;
     private static final long NONE = 0;
 
-    private static long selected(TestingPolicies policies, TrackedRequest request) {
+    private static long selected(PolicyFixture policies, TrackedRequest request) {
         EngineSelector selector = new EngineSelector(
                 policies.context,
                 policies.limits,
@@ -44,12 +44,12 @@
 
         private static final int BUSY_ATTEMPTS = 6;
 
-        void apply(TestingPolicies policies, Engine engine, TrackedRequest request) {
+        void apply(PolicyFixture policies, Engine engine, TrackedRequest request) {
             double nowMs = policies.context.nowMs();
             switch (this) {
                 case NOT_BUSY -> {}
                 case BUSY -> policies.fill(engine, BUSY_ATTEMPTS);
-                case AT_ITS_LIMIT -> policies.fill(engine, TestingPolicies.THREAD_LIMIT);
+                case AT_ITS_LIMIT -> policies.fill(engine, PolicyFixture.THREAD_LIMIT);
                 case DRAINING -> policies.listEngine(engine.id(), EndpointState.DRAINING);
                 case UNDER_MAINTENANCE -> engine.beginMaintenance();
                 case RELEASED -> releaseLongAgo(engine);
@@ -103,7 +103,7 @@
 
     @Test(dataProvider = "engines")
     public void selectsTheEligibleEngineWithTheLeastLoad(Condition first, Condition second, long expected) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         TrackedRequest request = policies.admit();
         Engine engine1 = policies.listEngine(1);
         Engine engine2 = policies.listEngine(2);
@@ -119,7 +119,7 @@
     public void leavesAProbeToIdempotentRequests() {
         TestingSettings settings = new TestingSettings();
         settings.idempotence = Idempotence.NON_IDEMPOTENT;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
         policies.listEngine(1);
         Condition.EJECTED_AND_PROBE_DUE.apply(policies, policies.listEngine(2), request);
@@ -130,7 +130,7 @@
     public void selectsNoEngineForARequestWithoutAttemptsLeft() {
         TestingSettings settings = new TestingSettings();
         settings.maxAttempts = 1;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
         policies.listEngine(2);
         Condition.TRIED.apply(policies, policies.listEngine(1), request);
@@ -150,7 +150,7 @@
     public void pausesTheClassPastTheQuotaOfTheFleet(int inFlight, long expected, boolean paused) {
         TestingSettings settings = new TestingSettings();
         settings.frontEnds = 100;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         policies.fill(policies.listEngine(1), inFlight);
         TrackedRequest request = policies.admit();
         assertThat(selected(policies, request)).isEqualTo(expected);
--- a/src/test/java/lineward/scheduling/decision/FinalAnswerPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/FinalAnswerPolicyTest.java
@@ -27,7 +27,7 @@
 public class FinalAnswerPolicyTest {
     private static final Optional<AttemptOutcome> IN_FLIGHT = Optional.empty();
 
-    private static SchedulerAction finalAnswer(TestingPolicies policies, TrackedRequest request) {
+    private static SchedulerAction finalAnswer(PolicyFixture policies, TrackedRequest request) {
         return new FinalAnswerPolicy(policies.context, policies.retries).finalAnswer(request);
     }
 
@@ -60,7 +60,7 @@
         TestingSettings settings = new TestingSettings();
         settings.idempotence = repeat;
         settings.scope = scope;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         ended.ifPresent(outcome -> policies.end(attempt, outcome));
         Class<? extends SchedulerAction> expected =
@@ -78,7 +78,7 @@
         TestingSettings settings = new TestingSettings();
         settings.idempotence = idempotence;
         settings.scope = CELL;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         assertThat(finalAnswer(policies, policies.admit())).isInstanceOf(SchedulerAction.Reject.class);
     }
 
@@ -103,7 +103,7 @@
         settings.retryAfter = permitted;
         settings.maxRetryAfterMs = maxRetryAfterMs;
         settings.objective = new RequestClass.Objective(latencyMs, 1, 5_000, 1, 0);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
         SchedulerAction expected = new SchedulerAction.Reject(request.id(), expectedMs);
         assertThat(finalAnswer(policies, request)).isEqualTo(expected);
--- a/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
+++ b/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
@@ -12,11 +12,11 @@
     private static final long OTHER_KEY = 78;
     private static final double SETTLE_MS = 500;
 
-    private static TestingPolicies policies(boolean inOrder) {
+    private static PolicyFixture policies(boolean inOrder) {
         TestingSettings settings = new TestingSettings();
         settings.inOrder = inOrder;
         settings.settleMs = SETTLE_MS;
-        return new TestingPolicies(settings);
+        return new PolicyFixture(settings);
     }
 
     /** Columns: whether the class runs in order, keys of two requests, whether the second one may start. */
@@ -25,16 +25,16 @@
         return new Object[][] {
             {true, KEY, KEY, false},
             {true, KEY, OTHER_KEY, true},
-            {true, TestingPolicies.NO_KEY, TestingPolicies.NO_KEY, true},
+            {true, PolicyFixture.NO_KEY, PolicyFixture.NO_KEY, true},
             {false, KEY, KEY, true},
         };
     }
 
     @Test(dataProvider = "keys")
     public void runsAKeyInOrderOfArrival(boolean inOrder, long firstKey, long secondKey, boolean next) {
-        TestingPolicies policies = policies(inOrder);
-        TrackedRequest first = policies.admit(firstKey, TestingPolicies.WORK_MS);
-        TrackedRequest second = policies.admit(secondKey, TestingPolicies.WORK_MS);
+        PolicyFixture policies = policies(inOrder);
+        TrackedRequest first = policies.admit(firstKey, PolicyFixture.WORK_MS);
+        TrackedRequest second = policies.admit(secondKey, PolicyFixture.WORK_MS);
         assertThat(policies.keyOrder.isNext(first)).isTrue();
         assertThat(policies.keyOrder.isNext(second)).isEqualTo(next);
         policies.keyOrder.remove(first);
@@ -59,9 +59,9 @@
     @Test(dataProvider = "settleTimes")
     public void waitsForTheSettleTimeAfterAnIndeterminateOutcome(
             boolean indeterminate, long secondKey, double sinceMs, boolean next) {
-        TestingPolicies policies = policies(true);
-        TrackedRequest first = policies.admit(KEY, TestingPolicies.WORK_MS);
-        TrackedRequest second = policies.admit(secondKey, TestingPolicies.WORK_MS);
+        PolicyFixture policies = policies(true);
+        TrackedRequest first = policies.admit(KEY, PolicyFixture.WORK_MS);
+        TrackedRequest second = policies.admit(secondKey, PolicyFixture.WORK_MS);
         if (indeterminate) {
             policies.keyOrder.startSettleTime(first);
         }
@@ -73,8 +73,8 @@
 
     @Test
     public void retriesTheRequestWhoseOutcomeWasIndeterminateAtOnce() {
-        TestingPolicies policies = policies(true);
-        TrackedRequest request = policies.admit(KEY, TestingPolicies.WORK_MS);
+        PolicyFixture policies = policies(true);
+        TrackedRequest request = policies.admit(KEY, PolicyFixture.WORK_MS);
         policies.endAndRequeue(policies.start(request, policies.listEngine(1)), AttemptOutcome.TIMEOUT);
         policies.keyOrder.startSettleTime(request);
         assertThat(policies.keyOrder.isNext(request)).isTrue();
@@ -82,14 +82,14 @@
 
     @Test
     public void theLaterEndOfTwoSettleTimesCounts() {
-        TestingPolicies policies = policies(true);
-        TrackedRequest first = policies.admit(KEY, TestingPolicies.WORK_MS);
+        PolicyFixture policies = policies(true);
+        TrackedRequest first = policies.admit(KEY, PolicyFixture.WORK_MS);
         policies.keyOrder.startSettleTime(first);
         policies.advance(SETTLE_MS - 1);
         policies.keyOrder.startSettleTime(first);
         policies.keyOrder.remove(first);
         policies.advance(SETTLE_MS - 1);
-        assertThat(policies.keyOrder.isNext(policies.admit(KEY, TestingPolicies.WORK_MS)))
+        assertThat(policies.keyOrder.isNext(policies.admit(KEY, PolicyFixture.WORK_MS)))
                 .isFalse();
     }
 }
--- a/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
+++ b/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
@@ -24,18 +24,18 @@
         return settings;
     }
 
-    private static LoadReportPolling polling(TestingPolicies policies) {
+    private static LoadReportPolling polling(PolicyFixture policies) {
         return new LoadReportPolling(policies.context, policies.reports, policies.outliers);
     }
 
-    private static List<Long> polled(TestingPolicies policies) {
+    private static List<Long> polled(PolicyFixture policies) {
         return policies.context.endDecision().stream()
                 .filter(StartHealthCheck.class::isInstance)
                 .map(action -> ((StartHealthCheck) action).engine())
                 .toList();
     }
 
-    private static double delayMs(TestingPolicies policies) {
+    private static double delayMs(PolicyFixture policies) {
         List<ScheduleTimer> timers = policies.context.endDecision().stream()
                 .filter(ScheduleTimer.class::isInstance)
                 .map(ScheduleTimer.class::cast)
@@ -56,7 +56,7 @@
         TestingSettings settings = settings();
         settings.gossip = gossip;
         settings.reportFields = reported ? settings.reportFields : List.of();
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         polling(policies).start();
         if (starts) {
             assertThat(delayMs(policies)).isBetween(0.0, 250.0);
@@ -73,19 +73,19 @@
 
     @Test(dataProvider = "fleets")
     public void pollsUpToFourEngines(int ready, int polled) {
-        TestingPolicies policies = new TestingPolicies(settings());
+        PolicyFixture policies = new PolicyFixture(settings());
         for (int id = 1; id <= ready; id++) {
             policies.listEngine(id);
         }
         policies.listEngine(100, EndpointState.DRAINING);
-        policies.listEngine(101).load().startHealthCheck(TestingPolicies.START_MS);
+        policies.listEngine(101).load().startHealthCheck(PolicyFixture.START_MS);
         polling(policies).poll();
         assertThat(polled(policies)).hasSize(polled).doesNotContain(100L, 101L);
     }
 
     @Test
     public void pollsTheEnginesWithTheOldestReports() {
-        TestingPolicies policies = new TestingPolicies(settings());
+        PolicyFixture policies = new PolicyFixture(settings());
         for (long id = 1; id <= 6; id++) {
             Engine engine = policies.listEngine(id);
             if (id != 4) {
@@ -120,7 +120,7 @@
         TestingSettings settings = settings();
         settings.frontEnds = frontEnds;
         settings.healthCheckCost = price;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         for (int id = 1; id <= engines; id++) {
             policies.listEngine(id);
         }
@@ -147,9 +147,9 @@
 
     @Test(dataProvider = "outcomes")
     public void appliesReportsAndEjectsOnFailure(AttemptOutcome outcome, boolean applied, boolean ejected) {
-        TestingPolicies policies = new TestingPolicies(settings());
+        PolicyFixture policies = new PolicyFixture(settings());
         Engine engine = policies.listEngine(1);
-        engine.load().startHealthCheck(TestingPolicies.START_MS);
+        engine.load().startHealthCheck(PolicyFixture.START_MS);
         double[] report = applied ? REPORT : NO_REPORT;
         polling(policies).applyHealthCheck(new HealthCheckCompleted(1, outcome, 5, report), engine);
         assertThat(policies.reports.areFresh(engine)).isEqualTo(applied);
--- a/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
@@ -15,7 +15,7 @@
     /** Age in ms from which a run of 200 ms would not end before the objective at 1,200 ms. */
     private static final double MIGRATION_END_MS = 1_000;
 
-    private static boolean shouldMigrate(TestingPolicies policies, Attempt attempt) {
+    private static boolean shouldMigrate(PolicyFixture policies, Attempt attempt) {
         RetryPolicy retries = policies.retries;
         MigrationPolicy policy =
                 new MigrationPolicy(policies.context, policies.cancellation, retries, policies.eligibility);
@@ -48,7 +48,7 @@
             return settings;
         }
 
-        void apply(TestingPolicies policies, Attempt attempt) {
+        void apply(PolicyFixture policies, Attempt attempt) {
             switch (this) {
                 case IN_FLIGHT -> attempt.cancel(CancelCause.SLOW);
                 case RESPONSE_NOT_STARTED -> attempt.request().startResponse();
@@ -63,12 +63,12 @@
 
     @DataProvider
     public Object[][] conditions() {
-        return TestingPolicies.oneUnmetEach(Unmet.values());
+        return PolicyFixture.oneUnmetEach(Unmet.values());
     }
 
     @Test(dataProvider = "conditions")
     public void migratesIfEachConditionIsMet(Unmet unmet, boolean migrated) {
-        TestingPolicies policies = new TestingPolicies(unmet.settings());
+        PolicyFixture policies = new PolicyFixture(unmet.settings());
         policies.listEngine(2);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         attempt.setWaiting(true, policies.context.nowMs());
@@ -84,7 +84,7 @@
 
     @Test(dataProvider = "ages")
     public void migratesWhileItsRunWouldBeInTime(double ageMs, boolean migrated) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         policies.listEngine(2);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         attempt.setWaiting(true, policies.context.nowMs());
@@ -108,7 +108,7 @@
     public void reservesAnAttemptForARelaunch(int before, int maxAttempts, boolean migrated) {
         TestingSettings settings = new TestingSettings();
         settings.maxAttempts = maxAttempts;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         policies.listEngine(2);
         TrackedRequest request = policies.admit();
         for (int migration = 0; migration < before; migration++) {
--- a/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
@@ -21,7 +21,7 @@
         RESET,
         CONNECT_FAILURE;
 
-        void apply(TestingPolicies policies, Engine engine) {
+        void apply(PolicyFixture policies, Engine engine) {
             switch (this) {
                 case SUCCESS -> policies.outliers.recordSuccess(engine);
                 case ERROR -> policies.outliers.recordError(policies.admit(), engine);
@@ -54,7 +54,7 @@
 
     @Test(dataProvider = "answers")
     public void ejectsAfterConsecutiveFailures(List<Answer> answers, boolean ejected, boolean restarted) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         Engine engine = policies.listEngine(1);
         answers.forEach(answer -> answer.apply(policies, engine));
         assertThat(engine.health().isEjected()).isEqualTo(ejected);
@@ -72,7 +72,7 @@
 
     @Test(dataProvider = "revertedErrors")
     public void revertsTheFirstErrorOfARequestThatFailsTwice(int failures, boolean ejected, int remaining) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         Engine first = policies.listEngine(1);
         Engine second = policies.listEngine(2);
         for (int failure = 0; failure < failures; failure++) {
@@ -116,7 +116,7 @@
             double intervalMs, int running, int waiting, double ageMs, double answeredAtMs, boolean ejected) {
         TestingSettings settings = new TestingSettings();
         settings.progressIntervalMs = intervalMs;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         policies.fill(engine, running);
         for (int attempt = 0; attempt < waiting; attempt++) {
@@ -137,7 +137,7 @@
 
     @Test(dataProvider = "fleets")
     public void usesEjectedEnginesIfTooFewAreHealthy(int healthy, int allowed, boolean useEjected) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         assertThat(policies.outliers.mustUseEjected(healthy, allowed)).isEqualTo(useEjected);
     }
 
@@ -169,7 +169,7 @@
             boolean mayProbe) {
         TestingSettings settings = new TestingSettings();
         settings.idempotence = idempotence;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         if (ejected) {
             engine.health().eject();
@@ -194,7 +194,7 @@
 
     @Test(dataProvider = "earnings")
     public void earnsAProbeWithTenRequests(int admitted, boolean mayProbe) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         Engine engine = policies.listEngine(1);
         engine.health().eject();
         policies.outliers.spendRecoveryProbe(engine);
@@ -208,7 +208,7 @@
 
     @Test
     public void logsAnEjectionOnceWithItsCause() {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         Engine engine = policies.listEngine(26);
         policies.outliers.eject(engine, EjectionCause.SILENCE);
         policies.outliers.eject(engine, EjectionCause.ERRORS);
--- a/src/test/java/lineward/scheduling/decision/TestingPolicies.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -17,7 +17,7 @@
 import lineward.scheduling.state.TrackedRequest;
 
 /** The policies of one scheduler, over a state that the test builds and a clock that the test sets. */
-final class TestingPolicies {
+final class PolicyFixture {
     static final double START_MS = 100_000;
     /** Default work estimate. The objective is then 1,200 ms and the deadline 5,000 ms after admission. */
     static final double WORK_MS = 200;
@@ -47,7 +47,7 @@
     final EngineLoadScore loadScore;
     private long lastRequest;
 
-    TestingPolicies(TestingSettings settings) {
+    PolicyFixture(TestingSettings settings) {
         context = new SchedulerContext(settings.build(), SEED);
         context.beginDecision(START_MS);
         capacity = new EngineCapacity(context);
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -19,7 +19,7 @@
     private static final double ROUNDING = 1e-9;
     private static final double NO_WORK = 0;
 
-    private static SetResourceLimits limits(TestingPolicies policies, TrackedRequest request) {
+    private static SetResourceLimits limits(PolicyFixture policies, TrackedRequest request) {
         Optional<SchedulerAction> limits = policies.resources.limitsFor(request, policies.listEngine(1));
         return (SetResourceLimits) limits.orElseThrow();
     }
@@ -40,7 +40,7 @@
         TestingSettings settings = new TestingSettings();
         settings.grants = grants;
         settings.priorities = priorities;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         assertThat(policies.resources.limitsFor(policies.admit(), engine).isPresent())
                 .isEqualTo(sent);
@@ -74,8 +74,8 @@
         settings.grants = grants;
         settings.memoryShortage = shortage;
         settings.engineKind = new EngineKind(8, engineMb);
-        TestingPolicies policies = new TestingPolicies(settings);
-        TrackedRequest request = policies.admit(0, TestingPolicies.NO_KEY, 200, estimateMb);
+        PolicyFixture policies = new PolicyFixture(settings);
+        TrackedRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, estimateMb);
         assertThat(limits(policies, request).grantMb()).isEqualTo(grantMb);
         assertThat(policies.resources.expectedMemoryMb(request, policies.listEngine(1)))
                 .isEqualTo(countedMb);
@@ -105,9 +105,9 @@
             double meanWorkMs, double ageMs, boolean relaunched, boolean load, int priority) {
         TestingSettings settings = new TestingSettings();
         settings.workload = new RequestClass.Workload(load, false, 1);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         if (meanWorkMs > NO_WORK) {
-            policies.context.requestClass(0).model().addWork(meanWorkMs, TestingPolicies.START_MS);
+            policies.context.requestClass(0).model().addWork(meanWorkMs, PolicyFixture.START_MS);
         }
         TrackedRequest request = policies.admit();
         if (relaunched) {
@@ -133,7 +133,7 @@
 
     @Test(dataProvider = "needs")
     public void learnsTheGrantFactor(double before, double need, double afterNeed, double afterSpill) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         ClassState type = policies.context.requestClass(0);
         type.setGrantFactor(before);
         policies.resources.recordNeed(type, need);
--- a/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
@@ -70,7 +70,7 @@
             AttemptOutcome outcome, Idempotence idempotence, int maxAttempts, int errors, boolean mayRetry) {
         TestingSettings settings = settings(idempotence, ALL);
         settings.maxAttempts = maxAttempts;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         policies.end(attempt, outcome);
         for (int error = 0; error < errors; error++) {
@@ -101,7 +101,7 @@
             int ended, int maxAttempts, boolean inFlight, boolean completed, double ageMs, boolean expected) {
         TestingSettings settings = new TestingSettings();
         settings.maxAttempts = maxAttempts;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
         for (int attempt = 0; attempt < ended; attempt++) {
             policies.endAndRequeue(policies.start(request, policies.listEngine(1)), ERROR);
@@ -138,7 +138,7 @@
     @Test(dataProvider = "repeats")
     public void repeatsWhereTheKeyIsRecognised(
             Idempotence repeat, DeduplicationScope scope, int zone, int cell, double ageMs, boolean may) {
-        TestingPolicies policies = new TestingPolicies(settings(repeat, scope));
+        PolicyFixture policies = new PolicyFixture(settings(repeat, scope));
         Attempt first = policies.start(policies.admit(), policies.listEngine(1, 0, 0));
         policies.endAndRequeue(first, TIMEOUT);
         policies.advance(ageMs);
@@ -164,7 +164,7 @@
     @Test(dataProvider = "startLimits")
     public void limitsTheStartOfARepeat(
             Idempotence idempotence, AttemptOutcome outcome, double ageMs, double expectedMs) {
-        TestingPolicies policies = new TestingPolicies(settings(idempotence, ALL));
+        PolicyFixture policies = new PolicyFixture(settings(idempotence, ALL));
         Attempt first = policies.start(policies.admit(), policies.listEngine(1));
         policies.endAndRequeue(first, outcome);
         policies.advance(ageMs);
@@ -191,7 +191,7 @@
             int budget, int ended, int cancels, boolean mayAttempt, boolean mayRelaunch) {
         TestingSettings settings = new TestingSettings();
         settings.retryBudget = new RetryBudget(10_000, budget, 0);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
         for (int attempt = 0; attempt < ended; attempt++) {
             policies.endAndRequeue(policies.start(request, policies.listEngine(1)), ERROR);
@@ -219,7 +219,7 @@
 
     @Test(dataProvider = "keyAges")
     public void relaunchesBeforeTheKeyExpires(Idempotence idempotence, double ageMs, boolean mayRelaunch) {
-        TestingPolicies policies = new TestingPolicies(settings(idempotence, ALL));
+        PolicyFixture policies = new PolicyFixture(settings(idempotence, ALL));
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         policies.advance(ageMs);
         assertThat(policies.retries.mayRelaunch(attempt.request())).isEqualTo(mayRelaunch);
@@ -240,7 +240,7 @@
     @Test(dataProvider = "doubleRuns")
     public void mayRunTwiceIfRepeatableAnywhere(
             Idempotence idempotence, DeduplicationScope scope, boolean mayRunTwice) {
-        TestingPolicies policies = new TestingPolicies(settings(idempotence, scope));
+        PolicyFixture policies = new PolicyFixture(settings(idempotence, scope));
         assertThat(policies.retries.mayRunTwice(policies.admit())).isEqualTo(mayRunTwice);
     }
 
@@ -248,9 +248,9 @@
     public void attemptsTheFirstRequestOfAKeyOnly() {
         TestingSettings settings = new TestingSettings();
         settings.inOrder = true;
-        TestingPolicies policies = new TestingPolicies(settings);
-        TrackedRequest first = policies.admit(77, TestingPolicies.WORK_MS);
-        TrackedRequest second = policies.admit(77, TestingPolicies.WORK_MS);
+        PolicyFixture policies = new PolicyFixture(settings);
+        TrackedRequest first = policies.admit(77, PolicyFixture.WORK_MS);
+        TrackedRequest second = policies.admit(77, PolicyFixture.WORK_MS);
         assertThat(policies.retries.mayAttempt(first, policies.listEngine(1))).isTrue();
         assertThat(policies.retries.mayAttempt(second, policies.listEngine(1))).isFalse();
     }
--- a/src/test/java/lineward/scheduling/decision/SlowStartTest.java
+++ b/src/test/java/lineward/scheduling/decision/SlowStartTest.java
@@ -24,8 +24,8 @@
         return settings;
     }
 
-    private static boolean allows(TestingPolicies policies, Engine engine, double workMs) {
-        return policies.slowStart.allows(policies.admit(TestingPolicies.NO_KEY, workMs), engine);
+    private static boolean allows(PolicyFixture policies, Engine engine, double workMs) {
+        return policies.slowStart.allows(policies.admit(PolicyFixture.NO_KEY, workMs), engine);
     }
 
     /**
@@ -52,8 +52,8 @@
             int frontEnds, double overloadFactor, double ageMs, double workMs, boolean allowed) {
         TestingSettings settings = settings(frontEnds);
         settings.overloadFactor = overloadFactor;
-        TestingPolicies policies = new TestingPolicies(settings);
-        Engine engine = policies.listEngineStartedAt(1, TestingPolicies.START_MS);
+        PolicyFixture policies = new PolicyFixture(settings);
+        Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS);
         policies.advance(ageMs);
         assertThat(allows(policies, engine, workMs)).isEqualTo(allowed);
     }
@@ -66,9 +66,9 @@
 
     @Test(dataProvider = "sentWork")
     public void countsRecentWork(double agoMs, boolean allowed) {
-        TestingPolicies policies = new TestingPolicies(settings(1));
-        Engine engine = policies.listEngineStartedAt(1, TestingPolicies.START_MS);
-        TrackedRequest sent = policies.admit(TestingPolicies.NO_KEY, 2_000);
+        PolicyFixture policies = new PolicyFixture(settings(1));
+        Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS);
+        TrackedRequest sent = policies.admit(PolicyFixture.NO_KEY, 2_000);
         policies.start(sent, engine);
         policies.advance(agoMs);
         assertThat(allows(policies, engine, 1_500)).isEqualTo(allowed);
@@ -96,8 +96,8 @@
     public void assignsEachSlotToFourFrontEnds(int ordinal, double ageMs, double workMs, boolean allowed) {
         TestingSettings settings = settings(8);
         settings.ordinal = ordinal;
-        TestingPolicies policies = new TestingPolicies(settings);
-        Engine engine = policies.listEngineStartedAt(8, TestingPolicies.START_MS);
+        PolicyFixture policies = new PolicyFixture(settings);
+        Engine engine = policies.listEngineStartedAt(8, PolicyFixture.START_MS);
         policies.advance(ageMs);
         assertThat(policies.slowStart.usesSlots()).isTrue();
         assertThat(allows(policies, engine, workMs)).isEqualTo(allowed);
@@ -121,13 +121,13 @@
     @Test(dataProvider = "processStarts")
     public void skipsEnginesAfterTheStartOfThisProcess(
             double earlierMs, double sinceMs, boolean hotRestart, boolean allowed) {
-        TestingPolicies policies = new TestingPolicies(settings(1));
+        PolicyFixture policies = new PolicyFixture(settings(1));
         if (hotRestart) {
             policies.slowStart.changeQuota(0.5);
         }
-        Engine engine = policies.listEngineStartedAt(1, TestingPolicies.START_MS - earlierMs);
+        Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS - earlierMs);
         policies.advance(sinceMs);
-        assertThat(allows(policies, engine, TestingPolicies.WORK_MS)).isEqualTo(allowed);
+        assertThat(allows(policies, engine, PolicyFixture.WORK_MS)).isEqualTo(allowed);
     }
 
     /**
@@ -148,7 +148,7 @@
 
     @Test(dataProvider = "quotas")
     public void delaysALargerQuota(double before, double after, double sinceMs, double workMs, boolean may) {
-        TestingPolicies policies = new TestingPolicies(settings(1));
+        PolicyFixture policies = new PolicyFixture(settings(1));
         policies.slowStart.changeQuota(before);
         policies.advance(2 * WINDOW_MS);
         policies.slowStart.changeQuota(after);
--- a/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
@@ -16,17 +16,17 @@
 /** Requests have an estimated run time of 200 ms and a speculative timeout of 400 ms. */
 public class SpeculativeCancellationTest {
     private static final double TAU_RATIO = 2;
-    private static final double TAU_MS = TAU_RATIO * TestingPolicies.WORK_MS;
+    private static final double TAU_MS = TAU_RATIO * PolicyFixture.WORK_MS;
     private static final double PROGRESS_INTERVAL_MS = 100;
 
-    private static boolean shouldCancel(TestingPolicies policies, Attempt attempt) {
+    private static boolean shouldCancel(PolicyFixture policies, Attempt attempt) {
         return new SpeculativeCancellation(
                         policies.context, policies.cancellation, policies.retries, policies.eligibility)
                 .shouldCancel(attempt);
     }
 
-    private static TestingPolicies policiesWithTau(TestingSettings settings) {
-        TestingPolicies policies = new TestingPolicies(settings);
+    private static PolicyFixture policiesWithTau(TestingSettings settings) {
+        PolicyFixture policies = new PolicyFixture(settings);
         policies.learnUsualRunTime();
         policies.context.requestClass(0).setTauRatio(OptionalDouble.of(TAU_RATIO));
         policies.listEngine(1);
@@ -60,8 +60,8 @@
             return settings;
         }
 
-        TestingPolicies policies() {
-            TestingPolicies policies = new TestingPolicies(settings());
+        PolicyFixture policies() {
+            PolicyFixture policies = new PolicyFixture(settings());
             policies.listEngine(1);
             if (this != ENGINE_FOR_A_RELAUNCH) {
                 policies.listEngine(2);
@@ -76,12 +76,12 @@
             return policies;
         }
 
-        void apply(TestingPolicies policies, Attempt attempt) {
+        void apply(PolicyFixture policies, Attempt attempt) {
             switch (this) {
                 case NOT_YET_CANCELLED -> attempt.cancel(CancelCause.REQUEST_COMPLETED);
                 case RESPONSE_NOT_STARTED -> attempt.request().startResponse();
                 case NOT_WAITING -> attempt.setWaiting(true, policies.context.nowMs());
-                case TIME_FOR_A_RELAUNCH -> policies.advance(TestingPolicies.TIME_LEFT_MS - TAU_MS - 199);
+                case TIME_FOR_A_RELAUNCH -> policies.advance(PolicyFixture.TIME_LEFT_MS - TAU_MS - 199);
                 default -> {}
             }
         }
@@ -89,12 +89,12 @@
 
     @DataProvider
     public Object[][] conditions() {
-        return TestingPolicies.oneUnmetEach(Unmet.values());
+        return PolicyFixture.oneUnmetEach(Unmet.values());
     }
 
     @Test(dataProvider = "conditions")
     public void cancelsAtTauIfEachConditionIsMet(Unmet unmet, boolean cancelled) {
-        TestingPolicies policies = unmet.policies();
+        PolicyFixture policies = unmet.policies();
         TrackedRequest request = unmet == Unmet.NOT_EXEMPT ? policies.admitExempt() : policies.admit();
         if (unmet == Unmet.NOT_RELAUNCHED) {
             policies.cancelAndRequeue(policies.start(request, policies.listEngine(4)));
@@ -113,7 +113,7 @@
 
     @Test(dataProvider = "runTimes")
     public void cancelsFromTauUntilARelaunchCannotBeInTime(double runMs, boolean cancelled) {
-        TestingPolicies policies = policiesWithTau(new TestingSettings());
+        PolicyFixture policies = policiesWithTau(new TestingSettings());
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         policies.advance(runMs);
         assertThat(shouldCancel(policies, attempt)).isEqualTo(cancelled);
@@ -141,7 +141,7 @@
             double runMs, double ratioDone, double reportAgeMs, boolean cancelled) {
         TestingSettings settings = new TestingSettings();
         settings.progressIntervalMs = PROGRESS_INTERVAL_MS;
-        TestingPolicies policies = policiesWithTau(settings);
+        PolicyFixture policies = policiesWithTau(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         policies.advance(runMs);
         attempt.recordProgress(ratioDone, policies.context.nowMs());
@@ -159,7 +159,7 @@
     public void cancelsARelaunchThatStandsStill(double ratioDone, boolean waiting, boolean cancelled) {
         TestingSettings settings = new TestingSettings();
         settings.progressIntervalMs = PROGRESS_INTERVAL_MS;
-        TestingPolicies policies = policiesWithTau(settings);
+        PolicyFixture policies = policiesWithTau(settings);
         TrackedRequest request = policies.admit();
         policies.cancelAndRequeue(policies.start(request, policies.listEngine(3)));
         Attempt relaunch = policies.start(request, policies.listEngine(1));
@@ -181,7 +181,7 @@
     @Test(dataProvider = "ejections")
     public void cancelsOnEjectedEnginesAllButRecoveryProbesInTime(
             boolean recoveryProbe, double runMs, boolean cancelled) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         policies.listEngine(2);
         Engine ejected = policies.listEngine(1);
         if (recoveryProbe) {
@@ -195,7 +195,7 @@
 
     @Test
     public void exemptsAFiftiethOfTheRequests() {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new TestingSettings());
         SpeculativeCancellation speculation = new SpeculativeCancellation(
                 policies.context, policies.cancellation, policies.retries, policies.eligibility);
         int exempt = 0;
@@ -207,7 +207,7 @@
 
     @Test
     public void cancelsNothingThatHasEnded() {
-        TestingPolicies policies = policiesWithTau(new TestingSettings());
+        PolicyFixture policies = policiesWithTau(new TestingSettings());
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         policies.advance(TAU_MS);
         policies.end(attempt, AttemptOutcome.OK);
