--- a/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
@@ -13,7 +13,7 @@
     private static final double ROUNDING = 1e-12;
 
     private static PolicyFixture policies(double priorityWeight, double overdueValueRatio) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.objective = new RequestClass.Objective(1_000, 1, 5_000, priorityWeight, overdueValueRatio);
         return new PolicyFixture(settings);
     }
--- a/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
@@ -30,7 +30,7 @@
 
     @Test(dataProvider = "attempts")
     public void mayCancelInFlight(boolean permitted, boolean cancelled, boolean ended, boolean mayCancel) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.cancel = permitted;
         PolicyFixture policies = new PolicyFixture(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
@@ -55,7 +55,7 @@
 
     @Test(dataProvider = "requestStates")
     public void isUnansweredUntilTheResponseStarts(RequestState state, boolean unanswered) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         TrackedRequest request = policies.admit();
         if (state != RequestState.QUEUED) {
             policies.start(request, policies.listEngine(1));
@@ -116,7 +116,7 @@
     @Test(dataProvider = "runs")
     public void losesItsValueByAgeAndProgress(
             Run run, double ageMs, double lateRatio, Idempotence repeat, boolean permitted, boolean none) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.objective = new RequestClass.Objective(1_000, 1, 5_000, 1, lateRatio);
         settings.idempotence = repeat;
         settings.cancel = permitted;
--- a/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -14,8 +14,8 @@
 public class ConcurrencyLimitsTest {
     private static final double ROUNDING = 1e-9;
 
-    private static TestingSettings settings(int frontEnds) {
-        TestingSettings settings = new TestingSettings();
+    private static SettingsBuilder settings(int frontEnds) {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.frontEnds = frontEnds;
         return settings;
     }
@@ -37,7 +37,7 @@
 
     @Test(dataProvider = "threads")
     public void limitsThreadsByCoresAndQuota(int cores, int frontEnds, int inFlight, boolean hasCapacity) {
-        TestingSettings settings = settings(frontEnds);
+        SettingsBuilder settings = settings(frontEnds);
         settings.engineKind = new EngineKind(cores, 16_000);
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
@@ -62,7 +62,7 @@
 
     @Test(dataProvider = "memory")
     public void limitsMemoryByTheQuota(double memoryMb, int frontEnds, int inFlight, boolean hasCapacity) {
-        TestingSettings settings = settings(frontEnds);
+        SettingsBuilder settings = settings(frontEnds);
         settings.engineKind = new EngineKind(8, memoryMb);
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
@@ -90,7 +90,7 @@
 
     @Test(dataProvider = "reports")
     public void limitsThreadsByLoadReport(double reported, int started, double ageMs, boolean hasCapacity) {
-        TestingSettings settings = settings(1);
+        SettingsBuilder settings = settings(1);
         settings.reportFields = List.of(LoadReportField.IN_FLIGHT);
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
@@ -165,7 +165,7 @@
     @Test(dataProvider = "fleetQuotas")
     public void limitsAClassToItsValuePastTheFleetQuota(
             int frontEnds, int ofClass, int ofOther, double valueRatio, double sinceStartMs, boolean within) {
-        TestingSettings settings = settings(frontEnds);
+        SettingsBuilder settings = settings(frontEnds);
         settings.otherClasses.add(settings.requestClass());
         PolicyFixture policies = new PolicyFixture(settings);
         for (int id = 2; id <= 4; id++) {
--- a/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
@@ -38,7 +38,7 @@
     @Test(dataProvider = "engines")
     public void runsOnReadyEnginesOfItsPlacement(
             EndpointState state, boolean underMaintenance, Placement placement, boolean mayRun) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.placement = placement;
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1, state);
@@ -59,7 +59,7 @@
 
     @Test(dataProvider = "loads")
     public void hasCapacityBelowTheThreadLimit(int attempts, boolean hasCapacity) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngine(1);
         policies.fill(engine, attempts);
         assertThat(policies.eligibility.hasCapacityNow(policies.admit(), engine))
@@ -77,7 +77,7 @@
 
     @Test(dataProvider = "slowStarts")
     public void hasCapacityWithinTheSlowStartBudget(double workMs, boolean hasCapacity) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS);
         TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
         assertThat(policies.eligibility.hasCapacityNow(request, engine)).isEqualTo(hasCapacity);
@@ -107,7 +107,7 @@
 
     @Test(dataProvider = "relaunchTargets")
     public void relaunchesOnAHealthyUntriedEngineWithCapacity(OtherEngine condition, boolean hasTarget) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine other = policies.listEngine(2, condition == OtherEngine.GONE ? GONE : READY);
         TrackedRequest request = policies.admit();
         if (condition == OtherEngine.TRIED) {
--- a/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -36,7 +36,7 @@
 
     @Test(dataProvider = "loads")
     public void scoresThreadsMemoryAndZone(int zone, int inFlight, double memoryMb, double score) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngine(1, zone, 0);
         policies.fill(engine, inFlight);
         TrackedRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, memoryMb);
@@ -55,7 +55,7 @@
 
     @Test(dataProvider = "reports")
     public void scoresAFreshLoadReport(double threads, double memoryInUse, double ageMs, double score) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.reportFields = List.of(LoadReportField.IN_FLIGHT, LoadReportField.MEMORY);
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
@@ -75,7 +75,7 @@
 
     @Test(dataProvider = "conflicts")
     public void addsLoadForAConflictOfTableGroups(boolean waitsForLoads, boolean sameGroup, double added) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.workload = new RequestClass.Workload(true, false, 1);
         RequestClass loads = settings.requestClass();
         settings.workload = new RequestClass.Workload(false, waitsForLoads, 1);
@@ -96,7 +96,7 @@
 
     @Test(dataProvider = "warmingEngines")
     public void usesASlotAtAWarmingEngineIfInTime(int frontEnds, double workMs, boolean free) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.frontEnds = frontEnds;
         settings.objective = new RequestClass.Objective(2_000, 1, 5_000, 1, 0);
         PolicyFixture policies = new PolicyFixture(settings);
@@ -113,7 +113,7 @@
 
     @Test(dataProvider = "spreads")
     public void spreadsScoresByTheUnseenLoad(int frontEnds, double expectedScale) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         double alone = drawSpread(new PolicyFixture(settings));
         settings.frontEnds = frontEnds;
         double scale = drawSpread(new PolicyFixture(settings)) / alone;
@@ -131,14 +131,14 @@
 
     @Test(dataProvider = "boundClasses")
     public void leavesCoresToClassesWithFewerEngines(double workRatio, double freeRatio) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.otherClasses.add(settings.requestClass());
         double allFree = drawSpread(policiesOfTwoEngines(settings, 0));
         double bound = drawSpread(policiesOfTwoEngines(settings, workRatio));
         assertThat(bound - allFree).isCloseTo(SPREAD * Math.log(freeRatio), within(ROUNDING));
     }
 
-    private static PolicyFixture policiesOfTwoEngines(TestingSettings settings, double workRatio) {
+    private static PolicyFixture policiesOfTwoEngines(SettingsBuilder settings, double workRatio) {
         PolicyFixture policies = new PolicyFixture(settings);
         policies.listEngine(1);
         policies.listEngine(2);
--- a/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
@@ -103,7 +103,7 @@
 
     @Test(dataProvider = "engines")
     public void selectsTheEligibleEngineWithTheLeastLoad(Condition first, Condition second, long expected) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         TrackedRequest request = policies.admit();
         Engine engine1 = policies.listEngine(1);
         Engine engine2 = policies.listEngine(2);
@@ -117,7 +117,7 @@
 
     @Test
     public void leavesAProbeToIdempotentRequests() {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.idempotence = Idempotence.NON_IDEMPOTENT;
         PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
@@ -128,7 +128,7 @@
 
     @Test
     public void selectsNoEngineForARequestWithoutAttemptsLeft() {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.maxAttempts = 1;
         PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
@@ -148,7 +148,7 @@
 
     @Test(dataProvider = "quotas")
     public void pausesTheClassPastTheQuotaOfTheFleet(int inFlight, long expected, boolean paused) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.frontEnds = 100;
         PolicyFixture policies = new PolicyFixture(settings);
         policies.fill(policies.listEngine(1), inFlight);
--- a/src/test/java/lineward/scheduling/decision/FinalAnswerPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/FinalAnswerPolicyTest.java
@@ -57,7 +57,7 @@
     @Test(dataProvider = "answers")
     public void rejectsWhatNeverRanOrMayRunTwice(
             Optional<AttemptOutcome> ended, Idempotence repeat, DeduplicationScope scope, boolean rejected) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.idempotence = repeat;
         settings.scope = scope;
         PolicyFixture policies = new PolicyFixture(settings);
@@ -75,7 +75,7 @@
 
     @Test(dataProvider = "idempotence")
     public void rejectsWhatHasNoAttempt(Idempotence idempotence) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.idempotence = idempotence;
         settings.scope = CELL;
         PolicyFixture policies = new PolicyFixture(settings);
@@ -99,7 +99,7 @@
     @Test(dataProvider = "retryAfters")
     public void advisesAQuarterOfTheObjectiveWithinTheMaximum(
             boolean permitted, double maxRetryAfterMs, double latencyMs, double expectedMs) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.retryAfter = permitted;
         settings.maxRetryAfterMs = maxRetryAfterMs;
         settings.objective = new RequestClass.Objective(latencyMs, 1, 5_000, 1, 0);
--- a/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
+++ b/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
@@ -13,7 +13,7 @@
     private static final double SETTLE_MS = 500;
 
     private static PolicyFixture policies(boolean inOrder) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.inOrder = inOrder;
         settings.settleMs = SETTLE_MS;
         return new PolicyFixture(settings);
--- a/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
+++ b/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
@@ -17,8 +17,8 @@
     private static final double[] REPORT = {3};
     private static final double[] NO_REPORT = {};
 
-    private static TestingSettings settings() {
-        TestingSettings settings = new TestingSettings();
+    private static SettingsBuilder settings() {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.gossip = true;
         settings.reportFields = List.of(LoadReportField.IN_FLIGHT);
         return settings;
@@ -53,7 +53,7 @@
 
     @Test(dataProvider = "capabilities")
     public void startsWhereFrontEndsShareReports(boolean gossip, boolean reported, boolean starts) {
-        TestingSettings settings = settings();
+        SettingsBuilder settings = settings();
         settings.gossip = gossip;
         settings.reportFields = reported ? settings.reportFields : List.of();
         PolicyFixture policies = new PolicyFixture(settings);
@@ -117,7 +117,7 @@
     @Test(dataProvider = "delays")
     public void limitsPollingByItsPrice(
             int engines, int frontEnds, double price, int requests, double minMs, double maxMs) {
-        TestingSettings settings = settings();
+        SettingsBuilder settings = settings();
         settings.frontEnds = frontEnds;
         settings.healthCheckCost = price;
         PolicyFixture policies = new PolicyFixture(settings);
--- a/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
@@ -36,8 +36,8 @@
         WITHIN_RETRY_BUDGET,
         ENGINE_FOR_A_RELAUNCH;
 
-        TestingSettings settings() {
-            TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings() {
+            SettingsBuilder settings = new SettingsBuilder();
             settings.cancel = this != CANCEL_PERMITTED;
             if (this == IDEMPOTENT) {
                 settings.idempotence = Idempotence.NON_IDEMPOTENT;
@@ -84,7 +84,7 @@
 
     @Test(dataProvider = "ages")
     public void migratesWhileItsRunWouldBeInTime(double ageMs, boolean migrated) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         policies.listEngine(2);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         attempt.setWaiting(true, policies.context.nowMs());
@@ -106,7 +106,7 @@
 
     @Test(dataProvider = "migrations")
     public void reservesAnAttemptForARelaunch(int before, int maxAttempts, boolean migrated) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.maxAttempts = maxAttempts;
         PolicyFixture policies = new PolicyFixture(settings);
         policies.listEngine(2);
--- a/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
@@ -54,7 +54,7 @@
 
     @Test(dataProvider = "answers")
     public void ejectsAfterConsecutiveFailures(List<Answer> answers, boolean ejected, boolean restarted) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngine(1);
         answers.forEach(answer -> answer.apply(policies, engine));
         assertThat(engine.health().isEjected()).isEqualTo(ejected);
@@ -72,7 +72,7 @@
 
     @Test(dataProvider = "revertedErrors")
     public void revertsTheFirstErrorOfARequestThatFailsTwice(int failures, boolean ejected, int remaining) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine first = policies.listEngine(1);
         Engine second = policies.listEngine(2);
         for (int failure = 0; failure < failures; failure++) {
@@ -114,7 +114,7 @@
     @Test(dataProvider = "silences")
     public void ejectsASilentEngineWithOverdueWork(
             double intervalMs, int running, int waiting, double ageMs, double answeredAtMs, boolean ejected) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.progressIntervalMs = intervalMs;
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
@@ -137,7 +137,7 @@
 
     @Test(dataProvider = "fleets")
     public void usesEjectedEnginesIfTooFewAreHealthy(int healthy, int allowed, boolean useEjected) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         assertThat(policies.outliers.mustUseEjected(healthy, allowed)).isEqualTo(useEjected);
     }
 
@@ -167,7 +167,7 @@
             Idempotence idempotence,
             double ageMs,
             boolean mayProbe) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.idempotence = idempotence;
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
@@ -194,7 +194,7 @@
 
     @Test(dataProvider = "earnings")
     public void earnsAProbeWithTenRequests(int admitted, boolean mayProbe) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngine(1);
         engine.health().eject();
         policies.outliers.spendRecoveryProbe(engine);
@@ -208,7 +208,7 @@
 
     @Test
     public void logsAnEjectionOnceWithItsCause() {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngine(26);
         policies.outliers.eject(engine, EjectionCause.SILENCE);
         policies.outliers.eject(engine, EjectionCause.ERRORS);
--- a/src/test/java/lineward/scheduling/decision/PolicyFixture.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -47,7 +47,7 @@
     final EngineLoadScore loadScore;
     private long lastRequest;
 
-    PolicyFixture(TestingSettings settings) {
+    PolicyFixture(SettingsBuilder settings) {
         context = new SchedulerContext(settings.build(), SEED);
         context.beginDecision(START_MS);
         capacity = new EngineCapacity(context);
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -37,7 +37,7 @@
 
     @Test(dataProvider = "capabilities")
     public void sendsLimitsWhereEnginesHeedThem(boolean grants, boolean priorities, boolean sent) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.grants = grants;
         settings.priorities = priorities;
         PolicyFixture policies = new PolicyFixture(settings);
@@ -70,7 +70,7 @@
             double estimateMb,
             double grantMb,
             double countedMb) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.grants = grants;
         settings.memoryShortage = shortage;
         settings.engineKind = new EngineKind(8, engineMb);
@@ -103,7 +103,7 @@
     @Test(dataProvider = "priorities")
     public void ranksShortWorkFirstAndOverdueWorkLast(
             double meanWorkMs, double ageMs, boolean relaunched, boolean load, int priority) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.workload = new RequestClass.Workload(load, false, 1);
         PolicyFixture policies = new PolicyFixture(settings);
         if (meanWorkMs > NO_WORK) {
@@ -133,7 +133,7 @@
 
     @Test(dataProvider = "needs")
     public void learnsTheGrantFactor(double before, double need, double afterNeed, double afterSpill) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         ClassState type = policies.context.requestClass(0);
         type.setGrantFactor(before);
         policies.resources.recordNeed(type, need);
--- a/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
@@ -29,8 +29,8 @@
 public class RetryPolicyTest {
     private static final double KEY_TTL_MS = 2_000;
 
-    private static TestingSettings settings(Idempotence idempotence, DeduplicationScope scope) {
-        TestingSettings settings = new TestingSettings();
+    private static SettingsBuilder settings(Idempotence idempotence, DeduplicationScope scope) {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.idempotence = idempotence;
         settings.scope = scope;
         settings.keyTtlMs = KEY_TTL_MS;
@@ -68,7 +68,7 @@
     @Test(dataProvider = "retries")
     public void retriesByOutcomeIdempotenceAttemptsAndErrors(
             AttemptOutcome outcome, Idempotence idempotence, int maxAttempts, int errors, boolean mayRetry) {
-        TestingSettings settings = settings(idempotence, ALL);
+        SettingsBuilder settings = settings(idempotence, ALL);
         settings.maxAttempts = maxAttempts;
         PolicyFixture policies = new PolicyFixture(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
@@ -99,7 +99,7 @@
     @Test(dataProvider = "openRequests")
     public void attemptsOnlyOpenRequests(
             int ended, int maxAttempts, boolean inFlight, boolean completed, double ageMs, boolean expected) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.maxAttempts = maxAttempts;
         PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
@@ -189,7 +189,7 @@
     @Test(dataProvider = "budgets")
     public void keepsRetriesAndRelaunchesWithinTheBudget(
             int budget, int ended, int cancels, boolean mayAttempt, boolean mayRelaunch) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.retryBudget = new RetryBudget(10_000, budget, 0);
         PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
@@ -246,7 +246,7 @@
 
     @Test
     public void attemptsTheFirstRequestOfAKeyOnly() {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.inOrder = true;
         PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest first = policies.admit(77, PolicyFixture.WORK_MS);
--- a/src/test/java/lineward/scheduling/decision/TestingSettings.java
+++ b/src/test/java/lineward/scheduling/decision/SettingsBuilder.java
@@ -11,7 +11,7 @@
 import lineward.scheduling.SchedulerSettings;
 
 /** Builds settings with one class of requests and equal engines. Tests set the fields that they vary. */
-final class TestingSettings {
+final class SettingsBuilder {
     static final double NO_COST = 0;
 
     private static final boolean HEALTH_CHECKS = true;
--- a/src/test/java/lineward/scheduling/decision/SlowStartTest.java
+++ b/src/test/java/lineward/scheduling/decision/SlowStartTest.java
@@ -17,8 +17,8 @@
     /**
      * Sets a deadline so short that the prior mean work of the class, 100 ms, is less than any estimate here.
      */
-    private static TestingSettings settings(int frontEnds) {
-        TestingSettings settings = new TestingSettings();
+    private static SettingsBuilder settings(int frontEnds) {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.objective = new RequestClass.Objective(1_000, 1, 800, 1, 0);
         settings.frontEnds = frontEnds;
         return settings;
@@ -50,7 +50,7 @@
     @Test(dataProvider = "budgets")
     public void allowsWorkWithinTheBudgetOfAFrontEnd(
             int frontEnds, double overloadFactor, double ageMs, double workMs, boolean allowed) {
-        TestingSettings settings = settings(frontEnds);
+        SettingsBuilder settings = settings(frontEnds);
         settings.overloadFactor = overloadFactor;
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS);
@@ -94,7 +94,7 @@
 
     @Test(dataProvider = "slots")
     public void assignsEachSlotToFourFrontEnds(int ordinal, double ageMs, double workMs, boolean allowed) {
-        TestingSettings settings = settings(8);
+        SettingsBuilder settings = settings(8);
         settings.ordinal = ordinal;
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngineStartedAt(8, PolicyFixture.START_MS);
--- a/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
@@ -25,7 +25,7 @@
                 .shouldCancel(attempt);
     }
 
-    private static PolicyFixture policiesWithTau(TestingSettings settings) {
+    private static PolicyFixture policiesWithTau(SettingsBuilder settings) {
         PolicyFixture policies = new PolicyFixture(settings);
         policies.learnUsualRunTime();
         policies.context.requestClass(0).setTauRatio(OptionalDouble.of(TAU_RATIO));
@@ -51,8 +51,8 @@
         ENOUGH_COMPLETED_RUNS,
         TAU_KNOWN;
 
-        TestingSettings settings() {
-            TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings() {
+            SettingsBuilder settings = new SettingsBuilder();
             settings.cancel = this != CANCEL_PERMITTED;
             settings.idempotence = this == IDEMPOTENT ? Idempotence.NON_IDEMPOTENT : Idempotence.IDEMPOTENT;
             settings.maxAttempts = this == ATTEMPTS_LEFT ? 1 : 2 + (this == NOT_RELAUNCHED ? 1 : 0);
@@ -113,7 +113,7 @@
 
     @Test(dataProvider = "runTimes")
     public void cancelsFromTauUntilARelaunchCannotBeInTime(double runMs, boolean cancelled) {
-        PolicyFixture policies = policiesWithTau(new TestingSettings());
+        PolicyFixture policies = policiesWithTau(new SettingsBuilder());
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         policies.advance(runMs);
         assertThat(shouldCancel(policies, attempt)).isEqualTo(cancelled);
@@ -139,7 +139,7 @@
     @Test(dataProvider = "progress")
     public void sparesWhatIsNearlyDoneAndCancelsEarlyWhatIsFarFromIt(
             double runMs, double ratioDone, double reportAgeMs, boolean cancelled) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.progressIntervalMs = PROGRESS_INTERVAL_MS;
         PolicyFixture policies = policiesWithTau(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
@@ -157,7 +157,7 @@
 
     @Test(dataProvider = "relaunches")
     public void cancelsARelaunchThatStandsStill(double ratioDone, boolean waiting, boolean cancelled) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.progressIntervalMs = PROGRESS_INTERVAL_MS;
         PolicyFixture policies = policiesWithTau(settings);
         TrackedRequest request = policies.admit();
@@ -181,7 +181,7 @@
     @Test(dataProvider = "ejections")
     public void cancelsOnEjectedEnginesAllButRecoveryProbesInTime(
             boolean recoveryProbe, double runMs, boolean cancelled) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         policies.listEngine(2);
         Engine ejected = policies.listEngine(1);
         if (recoveryProbe) {
@@ -195,7 +195,7 @@
 
     @Test
     public void exemptsAFiftiethOfTheRequests() {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         SpeculativeCancellation speculation = new SpeculativeCancellation(
                 policies.context, policies.cancellation, policies.retries, policies.eligibility);
         int exempt = 0;
@@ -207,7 +207,7 @@
 
     @Test
     public void cancelsNothingThatHasEnded() {
-        PolicyFixture policies = policiesWithTau(new TestingSettings());
+        PolicyFixture policies = policiesWithTau(new SettingsBuilder());
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         policies.advance(TAU_MS);
         policies.end(attempt, AttemptOutcome.OK);
--- a/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
@@ -23,7 +23,7 @@
     private static final double ROUNDING = 1e-9;
 
     private static ClassState classWith(int usualRuns, int slowRuns, double slowRatio) {
-        PolicyFixture policies = new PolicyFixture(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         ClassState type = policies.context.requestClass(0);
         ServiceTimeModel model = type.model();
         for (int run = 0; run < usualRuns; run++) {
