--- a/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
@@ -63,7 +63,7 @@
 
     @DataProvider
     public Object[][] conditions() {
-        return PolicyFixture.oneUnmetEach(Unmet.values());
+        return PolicyFixture.rowPerCondition(Unmet.values());
     }
 
     @Test(dataProvider = "conditions")
--- a/src/test/java/lineward/scheduling/decision/PolicyFixture.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -68,7 +68,7 @@
      * Returns one row for each constant: the condition that is violated, and whether the decision is expected
      * to be positive. The first constant stands for no violation, so that only its row expects true.
      */
-    static Object[][] oneUnmetEach(Enum<?>[] conditions) {
+    static Object[][] rowPerCondition(Enum<?>[] conditions) {
         return Arrays.stream(conditions)
                 .map(unmet -> new Object[] {unmet, unmet == conditions[0]})
                 .toArray(Object[][]::new);
--- a/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
@@ -89,7 +89,7 @@
 
     @DataProvider
     public Object[][] conditions() {
-        return PolicyFixture.oneUnmetEach(Unmet.values());
+        return PolicyFixture.rowPerCondition(Unmet.values());
     }
 
     @Test(dataProvider = "conditions")
