--- a/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -41,7 +41,7 @@
         settings.engineKind = new EngineKind(cores, 16_000);
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
-        policies.fill(engine, inFlight);
+        policies.startAttempts(engine, inFlight);
         assertThat(policies.limits.hasCapacity(engine, policies.admit())).isEqualTo(hasCapacity);
     }
 
@@ -95,7 +95,7 @@
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         policies.reports.apply(engine, new double[] {reported});
-        policies.fill(engine, started);
+        policies.startAttempts(engine, started);
         policies.advance(ageMs);
         assertThat(policies.limits.hasCapacity(engine, policies.admit())).isEqualTo(hasCapacity);
     }
@@ -172,7 +172,7 @@
             policies.listEngine(id);
         }
         Engine engine = policies.listEngine(1);
-        policies.fill(engine, ofClass);
+        policies.startAttempts(engine, ofClass);
         for (int attempt = 0; attempt < ofOther; attempt++) {
             policies.start(policies.admit(1, PolicyFixture.NO_KEY, 200, 0), engine);
         }
@@ -188,7 +188,7 @@
         PolicyFixture policies = new PolicyFixture(settings(20));
         policies.listEngine(1);
         Engine busy = policies.listEngine(2);
-        policies.fill(busy, 3);
+        policies.startAttempts(busy, 3);
         assertThat(policies.limits.withinFleetQuota(policies.admit(), engine -> true))
                 .isFalse();
         assertThat(policies.limits.withinFleetQuota(policies.admit(), engine -> engine != busy))
--- a/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
@@ -61,7 +61,7 @@
     public void hasCapacityBelowTheThreadLimit(int attempts, boolean hasCapacity) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngine(1);
-        policies.fill(engine, attempts);
+        policies.startAttempts(engine, attempts);
         assertThat(policies.eligibility.hasCapacityNow(policies.admit(), engine))
                 .isEqualTo(hasCapacity);
     }
@@ -116,7 +116,7 @@
         Attempt attempt = policies.start(request, policies.listEngine(1));
         switch (condition) {
             case EJECTED -> other.health().eject();
-            case AT_ITS_LIMIT -> policies.fill(other, PolicyFixture.THREAD_LIMIT);
+            case AT_ITS_LIMIT -> policies.startAttempts(other, PolicyFixture.THREAD_LIMIT);
             case WITH_OVERDUE_HEALTH_CHECK -> other.load().startHealthCheck(PolicyFixture.START_MS - 1_000);
             default -> {}
         }
--- a/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -38,7 +38,7 @@
     public void scoresThreadsMemoryAndZone(int zone, int inFlight, double memoryMb, double score) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngine(1, zone, 0);
-        policies.fill(engine, inFlight);
+        policies.startAttempts(engine, inFlight);
         TrackedRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, memoryMb);
         assertThat(policies.loadScore.score(request, engine)).isCloseTo(score, within(ROUNDING));
     }
--- a/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
@@ -48,14 +48,14 @@
             double nowMs = policies.context.nowMs();
             switch (this) {
                 case NOT_BUSY -> {}
-                case BUSY -> policies.fill(engine, BUSY_ATTEMPTS);
-                case AT_ITS_LIMIT -> policies.fill(engine, PolicyFixture.THREAD_LIMIT);
+                case BUSY -> policies.startAttempts(engine, BUSY_ATTEMPTS);
+                case AT_ITS_LIMIT -> policies.startAttempts(engine, PolicyFixture.THREAD_LIMIT);
                 case DRAINING -> policies.listEngine(engine.id(), EndpointState.DRAINING);
                 case UNDER_MAINTENANCE -> engine.beginMaintenance();
                 case RELEASED -> releaseLongAgo(engine);
                 case RELEASED_AND_BUSY_NOW -> {
                     releaseLongAgo(engine);
-                    policies.fill(engine, BUSY_ATTEMPTS);
+                    policies.startAttempts(engine, BUSY_ATTEMPTS);
                 }
                 case EJECTED -> {
                     engine.health().eject();
@@ -110,7 +110,7 @@
         first.apply(policies, engine1, request);
         second.apply(policies, engine2, request);
         if (first == Condition.TRIED && second == Condition.TRIED) {
-            policies.fill(engine2, Condition.BUSY_ATTEMPTS);
+            policies.startAttempts(engine2, Condition.BUSY_ATTEMPTS);
         }
         assertThat(selected(policies, request)).isEqualTo(expected);
     }
@@ -151,7 +151,7 @@
         SettingsBuilder settings = new SettingsBuilder();
         settings.frontEnds = 100;
         PolicyFixture policies = new PolicyFixture(settings);
-        policies.fill(policies.listEngine(1), inFlight);
+        policies.startAttempts(policies.listEngine(1), inFlight);
         TrackedRequest request = policies.admit();
         assertThat(selected(policies, request)).isEqualTo(expected);
         assertThat(request.type().isDispatchPaused()).isEqualTo(paused);
--- a/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
@@ -118,7 +118,7 @@
         settings.progressIntervalMs = intervalMs;
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
-        policies.fill(engine, running);
+        policies.startAttempts(engine, running);
         for (int attempt = 0; attempt < waiting; attempt++) {
             policies.start(policies.admit(), engine).setWaiting(true, policies.context.nowMs());
         }
--- a/src/test/java/lineward/scheduling/decision/PolicyFixture.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -150,7 +150,7 @@
     }
 
     /** Starts attempts on the engine, each for a new request. */
-    void fill(Engine engine, int attempts) {
+    void startAttempts(Engine engine, int attempts) {
         for (int i = 0; i < attempts; i++) {
             start(admit(), engine);
         }
