--- a/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
@@ -76,7 +76,7 @@
         PolicyFixture policies = policies(1, overdueValueRatio);
         TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
         policies.advance(ageMs);
-        policies.slowDown(slowdown);
+        policies.addSlowRuns(slowdown);
         assertThat(new AdmissionPolicy(policies.context).cannotBeInTime(request))
                 .isEqualTo(unanswerable);
     }
--- a/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -136,7 +136,7 @@
         PolicyFixture policies = new PolicyFixture(settings(100));
         policies.limits.adaptQuota(true, 5_000);
         assertThat(policies.limits.quota()).isCloseTo(0.13, within(ROUNDING));
-        policies.slowDown(slowdown);
+        policies.addSlowRuns(slowdown);
         policies.limits.adaptQuota(blocked, intervalMs);
         assertThat(policies.limits.quota()).isCloseTo(quota, within(ROUNDING));
     }
--- a/src/test/java/lineward/scheduling/decision/PolicyFixture.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -30,7 +30,7 @@
 
     private static final long SEED = 7;
     /** Enough runs to outweigh the prior runs at the typical speed. */
-    private static final int SLOW_RUNS = 500;
+    private static final int SLOW_RUN_COUNT = 500;
 
     final SchedulerContext context;
     final EngineCapacity capacity;
@@ -182,10 +182,10 @@
     }
 
     /** Adds recent runs to all classes, slower than typical by the factor, and recomputes the models. */
-    void slowDown(double factor) {
+    void addSlowRuns(double factor) {
         double nowMs = context.nowMs();
         context.classes().forEach(type -> {
-            for (int run = 0; run < SLOW_RUNS; run++) {
+            for (int run = 0; run < SLOW_RUN_COUNT; run++) {
                 type.model().addSlowdown(Math.log(factor), nowMs);
             }
             type.model().recompute(nowMs, List.of());
