--- a/src/test/java/lineward/scheduling/decision/PolicyFixture.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -175,7 +175,7 @@
     }
 
     /** Adds the number of completed runs that the speculative timeout requires. */
-    void learnUsualRunTime() {
+    void addCompletedRuns() {
         for (int run = 0; run < ServiceTimeModel.MIN_COMPLETED_RUNS; run++) {
             context.serviceTimes().add(1);
         }
--- a/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
@@ -27,7 +27,7 @@
 
     private static PolicyFixture policiesWithTau(SettingsBuilder settings) {
         PolicyFixture policies = new PolicyFixture(settings);
-        policies.learnUsualRunTime();
+        policies.addCompletedRuns();
         policies.context.requestClass(0).setTauRatio(OptionalDouble.of(TAU_RATIO));
         policies.listEngine(1);
         policies.listEngine(2);
@@ -68,7 +68,7 @@
             }
             policies.listEngine(3).health().eject();
             if (this != ENOUGH_COMPLETED_RUNS) {
-                policies.learnUsualRunTime();
+                policies.addCompletedRuns();
             }
             if (this != TAU_KNOWN) {
                 policies.context.requestClass(0).setTauRatio(OptionalDouble.of(TAU_RATIO));
