--- a/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -82,8 +82,8 @@
         settings.otherClasses.add(loads);
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
-        policies.start(policies.admitOfGroup(1, 5), engine);
-        TrackedRequest request = policies.admitOfGroup(0, sameGroup ? 5 : 6);
+        policies.start(policies.admitWithTableGroup(1, 5), engine);
+        TrackedRequest request = policies.admitWithTableGroup(0, sameGroup ? 5 : 6);
         double score = policies.loadScore.score(request, engine);
         assertThat(score).isCloseTo(IDLE + THREAD + added, within(ROUNDING));
     }
--- a/src/test/java/lineward/scheduling/decision/PolicyFixture.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -109,20 +109,20 @@
     }
 
     /** Admits a request with a table group of its own. */
-    TrackedRequest admit(int requestClass, long key, double workMs, double memoryMb) {
+    TrackedRequest admit(int classIndex, long key, double workMs, double memoryMb) {
         lastRequest++;
-        return admit(requestClass, key, workMs, memoryMb, (int) lastRequest);
+        return admit(classIndex, key, workMs, memoryMb, (int) lastRequest);
     }
 
-    TrackedRequest admitOfGroup(int requestClass, int tableGroup) {
+    TrackedRequest admitWithTableGroup(int classIndex, int tableGroup) {
         lastRequest++;
-        return admit(requestClass, NO_KEY, WORK_MS, NO_MEMORY_ESTIMATE, tableGroup);
+        return admit(classIndex, NO_KEY, WORK_MS, NO_MEMORY_ESTIMATE, tableGroup);
     }
 
-    private TrackedRequest admit(int requestClass, long key, double workMs, double memoryMb, int tableGroup) {
+    private TrackedRequest admit(int classIndex, long key, double workMs, double memoryMb, int tableGroup) {
         TrackedRequest request = context.admit(
                 new SchedulerEvent.RequestArrived(
-                        lastRequest, requestClass, key, TIME_LEFT_MS, workMs, memoryMb, tableGroup, false, 0),
+                        lastRequest, classIndex, key, TIME_LEFT_MS, workMs, memoryMb, tableGroup, false, 0),
                 false);
         keyOrder.add(request);
         return request;
