--- a/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
@@ -10,7 +10,7 @@
 
 /** A request's objective is 1,000 ms plus its work after admission, and its deadline 5,000 ms. */
 public class AdmissionPolicyTest {
-    private static final double ROUNDING = 1e-12;
+    private static final double TOLERANCE = 1e-12;
 
     private static PolicyFixture policies(double priorityWeight, double overdueValueRatio) {
         SettingsBuilder settings = new SettingsBuilder();
@@ -47,7 +47,7 @@
         }
         policies.advance(ageMs);
         double priority = new AdmissionPolicy(policies.context).dispatchPriority(request);
-        assertThat(priority).isCloseTo(value, within(ROUNDING));
+        assertThat(priority).isCloseTo(value, within(TOLERANCE));
     }
 
     /**
--- a/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 public class ConcurrencyLimitsTest {
-    private static final double ROUNDING = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
     private static SettingsBuilder settings(int frontEnds) {
         SettingsBuilder settings = new SettingsBuilder();
@@ -109,8 +109,8 @@
     @Test(dataProvider = "frontEnds")
     public void startsWithAnEvenQuota(int frontEnds, double quota, double unseenLoad) {
         PolicyFixture policies = new PolicyFixture(settings(frontEnds));
-        assertThat(policies.limits.quota()).isCloseTo(quota, within(ROUNDING));
-        assertThat(policies.limits.unseenLoadRatio()).isCloseTo(unseenLoad, within(ROUNDING));
+        assertThat(policies.limits.quota()).isCloseTo(quota, within(TOLERANCE));
+        assertThat(policies.limits.unseenLoadRatio()).isCloseTo(unseenLoad, within(TOLERANCE));
     }
 
     /**
@@ -135,10 +135,10 @@
             boolean blocked, double slowdown, double intervalMs, double quota) {
         PolicyFixture policies = new PolicyFixture(settings(100));
         policies.limits.adaptQuota(true, 5_000);
-        assertThat(policies.limits.quota()).isCloseTo(0.13, within(ROUNDING));
+        assertThat(policies.limits.quota()).isCloseTo(0.13, within(TOLERANCE));
         policies.addSlowRuns(slowdown);
         policies.limits.adaptQuota(blocked, intervalMs);
-        assertThat(policies.limits.quota()).isCloseTo(quota, within(ROUNDING));
+        assertThat(policies.limits.quota()).isCloseTo(quota, within(TOLERANCE));
     }
 
     /**
--- a/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -14,7 +14,7 @@
 
 /** Engines have 8 cores, so a request of one thread on an idle engine scores (1 + 0.3 x 8) / 8 = 0.425. */
 public class EngineLoadScoreTest {
-    private static final double ROUNDING = 1e-9;
+    private static final double TOLERANCE = 1e-9;
     private static final double IDLE = 0.425;
     private static final double THREAD = 0.125;
     private static final double SPREAD = 0.01;
@@ -40,7 +40,7 @@
         Engine engine = policies.listEngine(1, zone, 0);
         policies.startAttempts(engine, inFlight);
         TrackedRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, memoryMb);
-        assertThat(policies.loadScore.score(request, engine)).isCloseTo(score, within(ROUNDING));
+        assertThat(policies.loadScore.score(request, engine)).isCloseTo(score, within(TOLERANCE));
     }
 
     /** Columns: threads and memory in the load report, age of the report in ms, expected score. */
@@ -61,7 +61,7 @@
         Engine engine = policies.listEngine(1);
         policies.reports.apply(engine, new double[] {threads, memoryInUse});
         policies.advance(ageMs);
-        assertThat(policies.loadScore.score(policies.admit(), engine)).isCloseTo(score, within(ROUNDING));
+        assertThat(policies.loadScore.score(policies.admit(), engine)).isCloseTo(score, within(TOLERANCE));
     }
 
     /**
@@ -85,7 +85,7 @@
         policies.start(policies.admitWithTableGroup(1, 5), engine);
         TrackedRequest request = policies.admitWithTableGroup(0, sameGroup ? 5 : 6);
         double score = policies.loadScore.score(request, engine);
-        assertThat(score).isCloseTo(IDLE + THREAD + added, within(ROUNDING));
+        assertThat(score).isCloseTo(IDLE + THREAD + added, within(TOLERANCE));
     }
 
     /** Columns: front ends, work of the request in ms, whether a warming engine scores as free. */
@@ -117,7 +117,7 @@
         double alone = drawSpread(new PolicyFixture(settings));
         settings.frontEnds = frontEnds;
         double scale = drawSpread(new PolicyFixture(settings)) / alone;
-        assertThat(scale).isCloseTo(expectedScale, within(ROUNDING));
+        assertThat(scale).isCloseTo(expectedScale, within(TOLERANCE));
     }
 
     /**
@@ -135,7 +135,7 @@
         settings.otherClasses.add(settings.requestClass());
         double allFree = drawSpread(policiesOfTwoEngines(settings, 0));
         double bound = drawSpread(policiesOfTwoEngines(settings, workRatio));
-        assertThat(bound - allFree).isCloseTo(SPREAD * Math.log(freeRatio), within(ROUNDING));
+        assertThat(bound - allFree).isCloseTo(SPREAD * Math.log(freeRatio), within(TOLERANCE));
     }
 
     private static PolicyFixture policiesOfTwoEngines(SettingsBuilder settings, double workRatio) {
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 public class ResourceLimitsTest {
-    private static final double ROUNDING = 1e-9;
+    private static final double TOLERANCE = 1e-9;
     private static final double NO_WORK = 0;
 
     private static SetResourceLimits limits(PolicyFixture policies, TrackedRequest request) {
@@ -137,9 +137,9 @@
         ClassState type = policies.context.requestClass(0);
         type.setGrantFactor(before);
         policies.resources.recordNeed(type, need);
-        assertThat(type.grantFactor()).isCloseTo(afterNeed, within(ROUNDING));
+        assertThat(type.grantFactor()).isCloseTo(afterNeed, within(TOLERANCE));
         type.setGrantFactor(before);
         policies.resources.recordSpill(type);
-        assertThat(type.grantFactor()).isCloseTo(afterSpill, within(ROUNDING));
+        assertThat(type.grantFactor()).isCloseTo(afterSpill, within(TOLERANCE));
     }
 }
--- a/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
@@ -20,7 +20,7 @@
     private static final double STRAGGLER = Math.exp(1.5);
     private static final double LEAST_STRAGGLER = Math.exp(0.75);
     private static final double NEVER = Double.POSITIVE_INFINITY;
-    private static final double ROUNDING = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
     private static ClassState classWith(int usualRuns, int slowRuns, double slowRatio) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
@@ -59,7 +59,7 @@
         if (tau == NEVER) {
             assertThat(ratio).isEmpty();
         } else {
-            assertThat(ratio).hasValueCloseTo(tau, within(ROUNDING));
+            assertThat(ratio).hasValueCloseTo(tau, within(TOLERANCE));
         }
     }
 
