--- a/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
@@ -71,7 +71,7 @@
     }
 
     @Test(dataProvider = "ages")
-    public void rejectsWhatCannotBeAnsweredWhileItHasAValue(
+    public void detectsRequestsThatCannotBeInTime(
             double overdueValueRatio, double workMs, double slowdown, double ageMs, boolean unanswerable) {
         PolicyFixture policies = policies(1, overdueValueRatio);
         TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
