--- a/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test(dataProvider = "attempts")
-    public void mayCancelInFlight(boolean permitted, boolean cancelled, boolean ended, boolean mayCancel) {
+    public void mayCancelIfRunning(boolean permitted, boolean cancelled, boolean ended, boolean mayCancel) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.cancel = permitted;
         PolicyFixture policies = new PolicyFixture(settings);
@@ -95,7 +95,7 @@
      * permitted, whether the request is to be given up.
      */
     @DataProvider
-    public Object[][] runs() {
+    public Object[][] attemptStates() {
         return new Object[][] {
             {Run.WAITING, 1_040, 0, Idempotence.IDEMPOTENT, true, false},
             {Run.WAITING, 1_041, 0, Idempotence.IDEMPOTENT, true, true},
@@ -113,8 +113,8 @@
         };
     }
 
-    @Test(dataProvider = "runs")
-    public void losesItsValueByAgeAndProgress(
+    @Test(dataProvider = "attemptStates")
+    public void givesUpByAgeAndProgress(
             Run run, double ageMs, double lateRatio, Idempotence repeat, boolean permitted, boolean none) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.objective = new RequestClass.Objective(1_000, 1, 5_000, 1, lateRatio);
