--- a/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
@@ -115,7 +115,7 @@
 
     @Test(dataProvider = "attemptStates")
     public void givesUpByAgeAndProgress(
-            Run run, double ageMs, double lateRatio, Idempotence repeat, boolean permitted, boolean none) {
+            Run run, double ageMs, double lateRatio, Idempotence repeat, boolean permitted, boolean givenUp) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.objective = new RequestClass.Objective(1_000, 1, 5_000, 1, lateRatio);
         settings.idempotence = repeat;
@@ -124,6 +124,6 @@
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         run.apply(attempt, policies.context.nowMs());
         policies.advance(ageMs);
-        assertThat(policies.cancellation.shouldGiveUp(attempt)).isEqualTo(none);
+        assertThat(policies.cancellation.shouldGiveUp(attempt)).isEqualTo(givenUp);
     }
 }
