--- a/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -107,10 +107,10 @@
     }
 
     @Test(dataProvider = "frontEnds")
-    public void startsWithAnEvenQuota(int frontEnds, double quota, double unseenLoad) {
+    public void startsWithTheMinimumQuota(int frontEnds, double quota, double unseenLoadRatio) {
         PolicyFixture policies = new PolicyFixture(settings(frontEnds));
         assertThat(policies.limits.quota()).isCloseTo(quota, within(TOLERANCE));
-        assertThat(policies.limits.unseenLoadRatio()).isCloseTo(unseenLoad, within(TOLERANCE));
+        assertThat(policies.limits.unseenLoadRatio()).isCloseTo(unseenLoadRatio, within(TOLERANCE));
     }
 
     /**
@@ -163,7 +163,7 @@
     }
 
     @Test(dataProvider = "fleetQuotas")
-    public void limitsAClassToItsValuePastTheFleetQuota(
+    public void limitsAClassByItsValueBeyondTheFleetQuota(
             int frontEnds, int ofClass, int ofOther, double valueRatio, double sinceStartMs, boolean within) {
         SettingsBuilder settings = settings(frontEnds);
         settings.otherClasses.add(settings.requestClass());
