--- a/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -15,9 +15,9 @@
 /** Engines have 8 cores, so a request of one thread on an idle engine scores (1 + 0.3 x 8) / 8 = 0.425. */
 public class EngineLoadScoreTest {
     private static final double TOLERANCE = 1e-9;
-    private static final double IDLE = 0.425;
-    private static final double THREAD = 0.125;
-    private static final double SPREAD = 0.01;
+    private static final double IDLE_SCORE = 0.425;
+    private static final double THREAD_SCORE = 0.125;
+    private static final double NOISE_SCALE = 0.01;
 
     /**
      * Columns: zone of the engine, threads in flight there, memory estimate of the request in MB, expected
@@ -26,11 +26,11 @@
     @DataProvider
     public Object[][] loads() {
         return new Object[][] {
-            {0, 0, 0, IDLE},
-            {0, 6, 0, IDLE + 6 * THREAD},
-            {1, 0, 0, IDLE + 0.02},
+            {0, 0, 0, IDLE_SCORE},
+            {0, 6, 0, IDLE_SCORE + 6 * THREAD_SCORE},
+            {1, 0, 0, IDLE_SCORE + 0.02},
             {0, 0, 5_120, 1.2 * 6_400 / 16_000},
-            {0, 6, 5_120, IDLE + 6 * THREAD},
+            {0, 6, 5_120, IDLE_SCORE + 6 * THREAD_SCORE},
         };
     }
 
@@ -47,9 +47,9 @@
     @DataProvider
     public Object[][] reports() {
         return new Object[][] {
-            {4, 0.1, 0, IDLE + 4 * THREAD},
+            {4, 0.1, 0, IDLE_SCORE + 4 * THREAD_SCORE},
             {4, 0.9, 0, 0.9 + 0.3},
-            {4, 0.9, 1_500, IDLE},
+            {4, 0.9, 1_500, IDLE_SCORE},
         };
     }
 
@@ -85,7 +85,7 @@
         policies.start(policies.admitWithTableGroup(1, 5), engine);
         TrackedRequest request = policies.admitWithTableGroup(0, sameGroup ? 5 : 6);
         double score = policies.loadScore.score(request, engine);
-        assertThat(score).isCloseTo(IDLE + THREAD + added, within(TOLERANCE));
+        assertThat(score).isCloseTo(IDLE_SCORE + THREAD_SCORE + added, within(TOLERANCE));
     }
 
     /** Columns: front ends, work of the request in ms, whether a warming engine scores as free. */
@@ -107,16 +107,16 @@
 
     /** Columns: front ends, expected scale of the random noise relative to that of a single front end. */
     @DataProvider
-    public Object[][] spreads() {
-        return new Object[][] {{1, 1}, {4, 1}, {8, 16}, {100, (0.01 + 0.3 * 0.96) / SPREAD}};
+    public Object[][] noiseScales() {
+        return new Object[][] {{1, 1}, {4, 1}, {8, 16}, {100, (0.01 + 0.3 * 0.96) / NOISE_SCALE}};
     }
 
-    @Test(dataProvider = "spreads")
-    public void spreadsScoresByTheUnseenLoad(int frontEnds, double expectedScale) {
+    @Test(dataProvider = "noiseScales")
+    public void scalesTheNoiseByTheUnseenLoad(int frontEnds, double expectedScale) {
         SettingsBuilder settings = new SettingsBuilder();
-        double alone = drawSpread(new PolicyFixture(settings));
+        double alone = drawNoise(new PolicyFixture(settings));
         settings.frontEnds = frontEnds;
-        double scale = drawSpread(new PolicyFixture(settings)) / alone;
+        double scale = drawNoise(new PolicyFixture(settings)) / alone;
         assertThat(scale).isCloseTo(expectedScale, within(TOLERANCE));
     }
 
@@ -125,17 +125,17 @@
      * of that engine's cores that counts as free for other classes.
      */
     @DataProvider
-    public Object[][] boundClasses() {
+    public Object[][] restrictedClasses() {
         return new Object[][] {{0, 1}, {0.25, 0.5}, {0.4, 0.2}, {0.9, 0.05}};
     }
 
-    @Test(dataProvider = "boundClasses")
+    @Test(dataProvider = "restrictedClasses")
     public void leavesCoresToClassesWithFewerEngines(double workRatio, double freeRatio) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.otherClasses.add(settings.requestClass());
-        double allFree = drawSpread(policiesOfTwoEngines(settings, 0));
-        double bound = drawSpread(policiesOfTwoEngines(settings, workRatio));
-        assertThat(bound - allFree).isCloseTo(SPREAD * Math.log(freeRatio), within(TOLERANCE));
+        double allFree = drawNoise(policiesOfTwoEngines(settings, 0));
+        double restricted = drawNoise(policiesOfTwoEngines(settings, workRatio));
+        assertThat(restricted - allFree).isCloseTo(NOISE_SCALE * Math.log(freeRatio), within(TOLERANCE));
     }
 
     private static PolicyFixture policiesOfTwoEngines(SettingsBuilder settings, double workRatio) {
@@ -143,13 +143,13 @@
         policies.listEngine(1);
         policies.listEngine(2);
         policies.context.requestClass(0).demand().setReachableCores(16);
-        ClassState bound = policies.context.requestClass(1);
-        bound.demand().setReachableCores(8);
-        bound.demand().setRatios(workRatio, 0);
+        ClassState restricted = policies.context.requestClass(1);
+        restricted.demand().setReachableCores(8);
+        restricted.demand().setRatios(workRatio, 0);
         return policies;
     }
 
-    private static double drawSpread(PolicyFixture policies) {
+    private static double drawNoise(PolicyFixture policies) {
         return policies.loadScore.drawNoise(policies.context.requestClass(0), policies.listEngine(1));
     }
 }
