--- a/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
@@ -13,9 +13,9 @@
 
 public class EngineSelectorTest {
     private static final double MAX_HEALTH_CHECK_MS = 25;
-    private static final long NONE = 0;
+    private static final long NO_ENGINE = 0;
 
-    private static long selected(PolicyFixture policies, TrackedRequest request) {
+    private static long selectedEngineId(PolicyFixture policies, TrackedRequest request) {
         EngineSelector selector = new EngineSelector(
                 policies.context,
                 policies.limits,
@@ -24,7 +24,7 @@
                 policies.eligibility,
                 policies.loadScore);
         Optional<Engine> engine = selector.selectEngine(request);
-        return engine.map(Engine::id).orElse(NONE);
+        return engine.map(Engine::id).orElse(NO_ENGINE);
     }
 
     /** The state of an engine, which affects whether the next attempt of a request goes to it. */
@@ -84,14 +84,14 @@
             {Condition.NOT_BUSY, Condition.BUSY, 1},
             {Condition.BUSY, Condition.NOT_BUSY, 2},
             {Condition.AT_ITS_LIMIT, Condition.BUSY, 2},
-            {Condition.AT_ITS_LIMIT, Condition.AT_ITS_LIMIT, NONE},
+            {Condition.AT_ITS_LIMIT, Condition.AT_ITS_LIMIT, NO_ENGINE},
             {Condition.DRAINING, Condition.BUSY, 2},
             {Condition.UNDER_MAINTENANCE, Condition.BUSY, 2},
             {Condition.NOT_BUSY, Condition.RELEASED, 2},
             {Condition.NOT_BUSY, Condition.RELEASED_AND_BUSY_NOW, 1},
             {Condition.EJECTED, Condition.BUSY, 2},
             {Condition.NOT_BUSY, Condition.EJECTED_AND_PROBE_DUE, 2},
-            {Condition.EJECTED, Condition.EJECTED, NONE},
+            {Condition.EJECTED, Condition.EJECTED, NO_ENGINE},
             {Condition.EJECTED, Condition.EJECTED_AND_PROBE_DUE, 2},
             {Condition.TRIED, Condition.BUSY, 2},
             {Condition.TRIED, Condition.UNDER_MAINTENANCE, 1},
@@ -102,7 +102,7 @@
     }
 
     @Test(dataProvider = "engines")
-    public void selectsTheEligibleEngineWithTheLeastLoad(Condition first, Condition second, long expected) {
+    public void selectsTheEligibleEngineWithTheLeastLoad(Condition first, Condition second, long expectedId) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         TrackedRequest request = policies.admit();
         Engine engine1 = policies.listEngine(1);
@@ -112,7 +112,7 @@
         if (first == Condition.TRIED && second == Condition.TRIED) {
             policies.startAttempts(engine2, Condition.BUSY_ATTEMPTS);
         }
-        assertThat(selected(policies, request)).isEqualTo(expected);
+        assertThat(selectedEngineId(policies, request)).isEqualTo(expectedId);
     }
 
     @Test
@@ -123,7 +123,7 @@
         TrackedRequest request = policies.admit();
         policies.listEngine(1);
         Condition.EJECTED_AND_PROBE_DUE.apply(policies, policies.listEngine(2), request);
-        assertThat(selected(policies, request)).isEqualTo(1);
+        assertThat(selectedEngineId(policies, request)).isEqualTo(1);
     }
 
     @Test
@@ -134,7 +134,7 @@
         TrackedRequest request = policies.admit();
         policies.listEngine(2);
         Condition.TRIED.apply(policies, policies.listEngine(1), request);
-        assertThat(selected(policies, request)).isEqualTo(NONE);
+        assertThat(selectedEngineId(policies, request)).isEqualTo(NO_ENGINE);
     }
 
     /**
@@ -143,17 +143,17 @@
      */
     @DataProvider
     public Object[][] quotas() {
-        return new Object[][] {{0, 1, false}, {1, NONE, true}};
+        return new Object[][] {{0, 1, false}, {1, NO_ENGINE, true}};
     }
 
     @Test(dataProvider = "quotas")
-    public void pausesTheClassPastTheQuotaOfTheFleet(int inFlight, long expected, boolean paused) {
+    public void pausesTheClassPastTheQuotaOfTheFleet(int inFlight, long expectedId, boolean paused) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.frontEnds = 100;
         PolicyFixture policies = new PolicyFixture(settings);
         policies.startAttempts(policies.listEngine(1), inFlight);
         TrackedRequest request = policies.admit();
-        assertThat(selected(policies, request)).isEqualTo(expected);
+        assertThat(selectedEngineId(policies, request)).isEqualTo(expectedId);
         assertThat(request.type().isDispatchPaused()).isEqualTo(paused);
     }
 }
