--- a/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
+++ b/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
@@ -31,12 +31,12 @@
     }
 
     @Test(dataProvider = "keys")
-    public void runsAKeyInOrderOfArrival(boolean inOrder, long firstKey, long secondKey, boolean next) {
+    public void runsAKeyInOrderOfArrival(boolean inOrder, long firstKey, long secondKey, boolean mayStart) {
         PolicyFixture policies = policies(inOrder);
         TrackedRequest first = policies.admit(firstKey, PolicyFixture.WORK_MS);
         TrackedRequest second = policies.admit(secondKey, PolicyFixture.WORK_MS);
         assertThat(policies.keyOrder.isNext(first)).isTrue();
-        assertThat(policies.keyOrder.isNext(second)).isEqualTo(next);
+        assertThat(policies.keyOrder.isNext(second)).isEqualTo(mayStart);
         policies.keyOrder.remove(first);
         assertThat(policies.keyOrder.isNext(second)).isTrue();
     }
@@ -58,7 +58,7 @@
 
     @Test(dataProvider = "settleTimes")
     public void waitsForTheSettleTimeAfterAnIndeterminateOutcome(
-            boolean indeterminate, long secondKey, double sinceMs, boolean next) {
+            boolean indeterminate, long secondKey, double sinceMs, boolean mayStart) {
         PolicyFixture policies = policies(true);
         TrackedRequest first = policies.admit(KEY, PolicyFixture.WORK_MS);
         TrackedRequest second = policies.admit(secondKey, PolicyFixture.WORK_MS);
@@ -68,7 +68,7 @@
         policies.keyOrder.remove(first);
         policies.advance(sinceMs);
         policies.keyOrder.removeSettledKeys();
-        assertThat(policies.keyOrder.isNext(second)).isEqualTo(next);
+        assertThat(policies.keyOrder.isNext(second)).isEqualTo(mayStart);
     }
 
     @Test
@@ -81,7 +81,7 @@
     }
 
     @Test
-    public void theLaterEndOfTwoSettleTimesCounts() {
+    public void waitsForTheLaterOfTwoSettleTimes() {
         PolicyFixture policies = policies(true);
         TrackedRequest first = policies.admit(KEY, PolicyFixture.WORK_MS);
         policies.keyOrder.startSettleTime(first);
