--- a/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
+++ b/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
@@ -28,14 +28,14 @@
         return new LoadReportPolling(policies.context, policies.reports, policies.outliers);
     }
 
-    private static List<Long> polled(PolicyFixture policies) {
+    private static List<Long> polledEngineIds(PolicyFixture policies) {
         return policies.context.endDecision().stream()
                 .filter(StartHealthCheck.class::isInstance)
                 .map(action -> ((StartHealthCheck) action).engine())
                 .toList();
     }
 
-    private static double delayMs(PolicyFixture policies) {
+    private static double nextPollDelayMs(PolicyFixture policies) {
         List<ScheduleTimer> timers = policies.context.endDecision().stream()
                 .filter(ScheduleTimer.class::isInstance)
                 .map(ScheduleTimer.class::cast)
@@ -59,7 +59,7 @@
         PolicyFixture policies = new PolicyFixture(settings);
         polling(policies).start();
         if (starts) {
-            assertThat(delayMs(policies)).isBetween(0.0, 250.0);
+            assertThat(nextPollDelayMs(policies)).isBetween(0.0, 250.0);
         } else {
             assertThat(policies.context.endDecision()).isEmpty();
         }
@@ -72,7 +72,7 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void pollsUpToFourEngines(int ready, int polled) {
+    public void pollsUpToFourEngines(int ready, int expectedCount) {
         PolicyFixture policies = new PolicyFixture(settings());
         for (int id = 1; id <= ready; id++) {
             policies.listEngine(id);
@@ -80,7 +80,7 @@
         policies.listEngine(100, EndpointState.DRAINING);
         policies.listEngine(101).load().startHealthCheck(PolicyFixture.START_MS);
         polling(policies).poll();
-        assertThat(polled(policies)).hasSize(polled).doesNotContain(100L, 101L);
+        assertThat(polledEngineIds(policies)).hasSize(expectedCount).doesNotContain(100L, 101L);
     }
 
     @Test
@@ -94,7 +94,7 @@
             policies.advance(1_000);
         }
         polling(policies).poll();
-        assertThat(polled(policies)).containsExactly(4L, 1L, 2L, 3L);
+        assertThat(polledEngineIds(policies)).containsExactly(4L, 1L, 2L, 3L);
     }
 
     /**
@@ -115,11 +115,11 @@
     }
 
     @Test(dataProvider = "delays")
-    public void limitsPollingByItsPrice(
-            int engines, int frontEnds, double price, int requests, double minMs, double maxMs) {
+    public void limitsPollingByItsCost(
+            int engines, int frontEnds, double healthCheckCost, int requests, double minMs, double maxMs) {
         SettingsBuilder settings = settings();
         settings.frontEnds = frontEnds;
-        settings.healthCheckCost = price;
+        settings.healthCheckCost = healthCheckCost;
         PolicyFixture policies = new PolicyFixture(settings);
         for (int id = 1; id <= engines; id++) {
             policies.listEngine(id);
@@ -130,7 +130,7 @@
         }
         policies.advance(1_000);
         polling.poll();
-        assertThat(delayMs(policies)).isBetween(minMs, maxMs);
+        assertThat(nextPollDelayMs(policies)).isBetween(minMs, maxMs);
     }
 
     /** Columns: outcome of a health check, whether its report is applied, whether the engine is ejected. */
