--- a/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
@@ -13,7 +13,7 @@
 
 public class MigrationPolicyTest {
     /** Age in ms from which a run of 200 ms would not end before the objective at 1,200 ms. */
-    private static final double MIGRATION_END_MS = 1_000;
+    private static final double TOO_LATE_MS = 1_000;
 
     private static boolean shouldMigrate(PolicyFixture policies, Attempt attempt) {
         RetryPolicy retries = policies.retries;
@@ -23,7 +23,7 @@
     }
 
     /** The conditions of a migration. A test case violates one of them, or none. */
-    private enum Unmet {
+    private enum Condition {
         NONE,
         CANCEL_PERMITTED,
         IN_FLIGHT,
@@ -54,7 +54,7 @@
                 case RESPONSE_NOT_STARTED -> attempt.request().startResponse();
                 case WAITING -> attempt.setWaiting(false, policies.context.nowMs());
                 case NO_PROGRESS -> attempt.recordProgress(0.1, policies.context.nowMs());
-                case IN_TIME_ELSEWHERE -> policies.advance(MIGRATION_END_MS);
+                case IN_TIME_ELSEWHERE -> policies.advance(TOO_LATE_MS);
                 case ENGINE_FOR_A_RELAUNCH -> policies.listEngine(2).health().eject();
                 default -> {}
             }
@@ -63,11 +63,11 @@
 
     @DataProvider
     public Object[][] conditions() {
-        return PolicyFixture.rowPerCondition(Unmet.values());
+        return PolicyFixture.rowPerCondition(Condition.values());
     }
 
     @Test(dataProvider = "conditions")
-    public void migratesIfEachConditionIsMet(Unmet unmet, boolean migrated) {
+    public void migratesIfEachConditionIsMet(Condition unmet, boolean migrated) {
         PolicyFixture policies = new PolicyFixture(unmet.settings());
         policies.listEngine(2);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
@@ -79,7 +79,7 @@
     /** Columns: time in ms since admission, whether the attempt is migrated. */
     @DataProvider
     public Object[][] ages() {
-        return new Object[][] {{0, true}, {MIGRATION_END_MS - 1, true}, {MIGRATION_END_MS, false}};
+        return new Object[][] {{0, true}, {TOO_LATE_MS - 1, true}, {TOO_LATE_MS, false}};
     }
 
     @Test(dataProvider = "ages")
@@ -105,13 +105,13 @@
     }
 
     @Test(dataProvider = "migrations")
-    public void reservesAnAttemptForARelaunch(int before, int maxAttempts, boolean migrated) {
+    public void reservesAnAttemptForARelaunch(int earlierMigrations, int maxAttempts, boolean migrated) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.maxAttempts = maxAttempts;
         PolicyFixture policies = new PolicyFixture(settings);
         policies.listEngine(2);
         TrackedRequest request = policies.admit();
-        for (int migration = 0; migration < before; migration++) {
+        for (int migration = 0; migration < earlierMigrations; migration++) {
             Attempt migratedAttempt = policies.start(request, policies.listEngine(10 + migration));
             migratedAttempt.cancel(CancelCause.MIGRATION);
             policies.endAndRequeue(migratedAttempt, AttemptOutcome.CANCELLED);
