--- a/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
@@ -15,7 +15,7 @@
 public class OutlierDetectorTest {
 
     /** The outcome of an attempt on an engine; each attempt belongs to a different request. */
-    private enum Answer {
+    private enum Outcome {
         SUCCESS,
         ERROR,
         RESET,
@@ -36,27 +36,27 @@
      * restarted.
      */
     @DataProvider
-    public Object[][] answers() {
+    public Object[][] outcomes() {
         return new Object[][] {
-            {List.of(Answer.ERROR, Answer.ERROR), false, false},
-            {List.of(Answer.ERROR, Answer.ERROR, Answer.ERROR), true, false},
-            {List.of(Answer.ERROR, Answer.ERROR, Answer.SUCCESS, Answer.ERROR), false, false},
-            {List.of(Answer.ERROR, Answer.ERROR, Answer.ERROR, Answer.SUCCESS), false, false},
-            {List.of(Answer.RESET), false, false},
-            {List.of(Answer.RESET, Answer.RESET), false, true},
-            {List.of(Answer.RESET, Answer.SUCCESS, Answer.RESET), false, false},
-            {List.of(Answer.RESET, Answer.RESET, Answer.RESET), true, true},
-            {List.of(Answer.ERROR, Answer.RESET, Answer.ERROR), true, true},
-            {List.of(Answer.CONNECT_FAILURE), true, true},
-            {List.of(Answer.CONNECT_FAILURE, Answer.SUCCESS), false, true},
+            {List.of(Outcome.ERROR, Outcome.ERROR), false, false},
+            {List.of(Outcome.ERROR, Outcome.ERROR, Outcome.ERROR), true, false},
+            {List.of(Outcome.ERROR, Outcome.ERROR, Outcome.SUCCESS, Outcome.ERROR), false, false},
+            {List.of(Outcome.ERROR, Outcome.ERROR, Outcome.ERROR, Outcome.SUCCESS), false, false},
+            {List.of(Outcome.RESET), false, false},
+            {List.of(Outcome.RESET, Outcome.RESET), false, true},
+            {List.of(Outcome.RESET, Outcome.SUCCESS, Outcome.RESET), false, false},
+            {List.of(Outcome.RESET, Outcome.RESET, Outcome.RESET), true, true},
+            {List.of(Outcome.ERROR, Outcome.RESET, Outcome.ERROR), true, true},
+            {List.of(Outcome.CONNECT_FAILURE), true, true},
+            {List.of(Outcome.CONNECT_FAILURE, Outcome.SUCCESS), false, true},
         };
     }
 
-    @Test(dataProvider = "answers")
-    public void ejectsAfterConsecutiveFailures(List<Answer> answers, boolean ejected, boolean restarted) {
+    @Test(dataProvider = "outcomes")
+    public void ejectsAfterConsecutiveFailures(List<Outcome> outcomes, boolean ejected, boolean restarted) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngine(1);
-        answers.forEach(answer -> answer.apply(policies, engine));
+        outcomes.forEach(outcome -> outcome.apply(policies, engine));
         assertThat(engine.health().isEjected()).isEqualTo(ejected);
         assertThat(engine.isStartUnannounced()).isEqualTo(restarted);
     }
@@ -76,7 +76,7 @@
         Engine first = policies.listEngine(1);
         Engine second = policies.listEngine(2);
         for (int failure = 0; failure < failures; failure++) {
-            Answer.ERROR.apply(policies, first);
+            Outcome.ERROR.apply(policies, first);
         }
         TrackedRequest request = policies.admit();
         policies.outliers.recordError(request, first);
@@ -159,7 +159,7 @@
     }
 
     @Test(dataProvider = "probes")
-    public void probesWithARequestThatCanAffordIt(
+    public void probesWithASuitableRequest(
             boolean ejected,
             double sinceProbeMs,
             int probesUsed,
