--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test(dataProvider = "capabilities")
-    public void sendsLimitsWhereEnginesHeedThem(boolean grants, boolean priorities, boolean sent) {
+    public void sendsLimitsIfEnginesSupportThem(boolean grants, boolean priorities, boolean sent) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.grants = grants;
         settings.priorities = priorities;
