--- a/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
@@ -84,7 +84,7 @@
      * completed, time in ms since admission, whether it may be attempted.
      */
     @DataProvider
-    public Object[][] openRequests() {
+    public Object[][] requestStates() {
         return new Object[][] {
             {0, 1, false, false, 0, true},
             {0, 2, true, false, 0, false},
@@ -96,8 +96,8 @@
         };
     }
 
-    @Test(dataProvider = "openRequests")
-    public void attemptsOnlyOpenRequests(
+    @Test(dataProvider = "requestStates")
+    public void attemptsOnlyReadyRequests(
             int ended, int maxAttempts, boolean inFlight, boolean completed, double ageMs, boolean expected) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.maxAttempts = maxAttempts;
