--- a/src/test/java/lineward/scheduling/decision/ServerAdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/ServerAdmissionPolicyTest.java
@@ -18,12 +18,12 @@
     }
 
     @Test(dataProvider = "phases")
-    public void admitsByPhase(ServerAdmissionPolicy.Phase phase, boolean welcomes, boolean admits) {
+    public void admitsByPhase(ServerAdmissionPolicy.Phase phase, boolean acceptsClients, boolean admits) {
         ServerAdmissionPolicy policy = new ServerAdmissionPolicy(MAX_STATEMENT_BYTES);
         assertThat(policy.phase()).isEqualTo(OPEN);
         policy.setPhase(phase);
         assertThat(policy.phase()).isEqualTo(phase);
-        assertThat(policy.acceptsClients()).isEqualTo(welcomes);
+        assertThat(policy.acceptsClients()).isEqualTo(acceptsClients);
         assertThat(policy.admitsRequests()).isEqualTo(admits);
         assertThat(policy.mayAdmit(1)).isEqualTo(admits);
     }
