--- a/src/test/java/lineward/scheduling/decision/SlowStartTest.java
+++ b/src/test/java/lineward/scheduling/decision/SlowStartTest.java
@@ -12,7 +12,7 @@
 public class SlowStartTest {
     private static final double WINDOW_MS = 1_000;
     private static final double WARMUP_MS = 15_000;
-    private static final double NO_OVERLOAD = 0;
+    private static final double UNLIMITED_WORK = 0;
 
     /**
      * Sets a deadline so short that the prior mean work of the class, 100 ms, is less than any estimate here.
@@ -43,7 +43,7 @@
             {1, 3, 8_500, 5_585, false},
             {1, 3, WARMUP_MS - 1, 50_000, false},
             {1, 3, WARMUP_MS, 50_000, true},
-            {1, NO_OVERLOAD, 0, 50_000, true},
+            {1, UNLIMITED_WORK, 0, 50_000, true},
         };
     }
 
@@ -65,7 +65,7 @@
     }
 
     @Test(dataProvider = "sentWork")
-    public void countsRecentWork(double agoMs, boolean allowed) {
+    public void countsWorkSentWithinTheWindow(double agoMs, boolean allowed) {
         PolicyFixture policies = new PolicyFixture(settings(1));
         Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS);
         TrackedRequest sent = policies.admit(PolicyFixture.NO_KEY, 2_000);
@@ -119,7 +119,7 @@
     }
 
     @Test(dataProvider = "processStarts")
-    public void skipsEnginesAfterTheStartOfThisProcess(
+    public void skipsWarmingEnginesJustAfterAProcessStart(
             double earlierMs, double sinceMs, boolean hotRestart, boolean allowed) {
         PolicyFixture policies = new PolicyFixture(settings(1));
         if (hotRestart) {
