--- a/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
@@ -15,8 +15,8 @@
 
 /** Requests have an estimated run time of 200 ms and a speculative timeout of 400 ms. */
 public class SpeculativeCancellationTest {
-    private static final double TAU_RATIO = 2;
-    private static final double TAU_MS = TAU_RATIO * PolicyFixture.WORK_MS;
+    private static final double TIMEOUT_RATIO = 2;
+    private static final double TIMEOUT_MS = TIMEOUT_RATIO * PolicyFixture.WORK_MS;
     private static final double PROGRESS_INTERVAL_MS = 100;
 
     private static boolean shouldCancel(PolicyFixture policies, Attempt attempt) {
@@ -25,17 +25,17 @@
                 .shouldCancel(attempt);
     }
 
-    private static PolicyFixture policiesWithTau(SettingsBuilder settings) {
+    private static PolicyFixture policiesWithTimeout(SettingsBuilder settings) {
         PolicyFixture policies = new PolicyFixture(settings);
         policies.addCompletedRuns();
-        policies.context.requestClass(0).setTauRatio(OptionalDouble.of(TAU_RATIO));
+        policies.context.requestClass(0).setTauRatio(OptionalDouble.of(TIMEOUT_RATIO));
         policies.listEngine(1);
         policies.listEngine(2);
         return policies;
     }
 
     /** The conditions of a cancellation at the speculative timeout. A test case violates one, or none. */
-    private enum Unmet {
+    private enum Condition {
         NONE,
         CANCEL_PERMITTED,
         NOT_YET_CANCELLED,
@@ -49,7 +49,7 @@
         NOT_WAITING,
         NOT_RELAUNCHED,
         ENOUGH_COMPLETED_RUNS,
-        TAU_KNOWN;
+        TIMEOUT_KNOWN;
 
         SettingsBuilder settings() {
             SettingsBuilder settings = new SettingsBuilder();
@@ -70,8 +70,8 @@
             if (this != ENOUGH_COMPLETED_RUNS) {
                 policies.addCompletedRuns();
             }
-            if (this != TAU_KNOWN) {
-                policies.context.requestClass(0).setTauRatio(OptionalDouble.of(TAU_RATIO));
+            if (this != TIMEOUT_KNOWN) {
+                policies.context.requestClass(0).setTauRatio(OptionalDouble.of(TIMEOUT_RATIO));
             }
             return policies;
         }
@@ -81,7 +81,7 @@
                 case NOT_YET_CANCELLED -> attempt.cancel(CancelCause.REQUEST_COMPLETED);
                 case RESPONSE_NOT_STARTED -> attempt.request().startResponse();
                 case NOT_WAITING -> attempt.setWaiting(true, policies.context.nowMs());
-                case TIME_FOR_A_RELAUNCH -> policies.advance(PolicyFixture.TIME_LEFT_MS - TAU_MS - 199);
+                case TIME_FOR_A_RELAUNCH -> policies.advance(PolicyFixture.TIME_LEFT_MS - TIMEOUT_MS - 199);
                 default -> {}
             }
         }
@@ -89,18 +89,18 @@
 
     @DataProvider
     public Object[][] conditions() {
-        return PolicyFixture.rowPerCondition(Unmet.values());
+        return PolicyFixture.rowPerCondition(Condition.values());
     }
 
     @Test(dataProvider = "conditions")
-    public void cancelsAtTauIfEachConditionIsMet(Unmet unmet, boolean cancelled) {
+    public void cancelsAtTheTimeoutIfEachConditionIsMet(Condition unmet, boolean cancelled) {
         PolicyFixture policies = unmet.policies();
-        TrackedRequest request = unmet == Unmet.NOT_EXEMPT ? policies.admitExempt() : policies.admit();
-        if (unmet == Unmet.NOT_RELAUNCHED) {
+        TrackedRequest request = unmet == Condition.NOT_EXEMPT ? policies.admitExempt() : policies.admit();
+        if (unmet == Condition.NOT_RELAUNCHED) {
             policies.cancelAndRequeue(policies.start(request, policies.listEngine(4)));
         }
         Attempt attempt = policies.start(request, policies.listEngine(1));
-        policies.advance(TAU_MS);
+        policies.advance(TIMEOUT_MS);
         unmet.apply(policies, attempt);
         assertThat(shouldCancel(policies, attempt)).isEqualTo(cancelled);
     }
@@ -108,12 +108,12 @@
     /** Columns: run time in ms of an attempt without progress reports, whether it is cancelled. */
     @DataProvider
     public Object[][] runTimes() {
-        return new Object[][] {{TAU_MS - 1, false}, {TAU_MS, true}, {4_800, true}, {4_801, false}};
+        return new Object[][] {{TIMEOUT_MS - 1, false}, {TIMEOUT_MS, true}, {4_800, true}, {4_801, false}};
     }
 
     @Test(dataProvider = "runTimes")
-    public void cancelsFromTauUntilARelaunchCannotBeInTime(double runMs, boolean cancelled) {
-        PolicyFixture policies = policiesWithTau(new SettingsBuilder());
+    public void cancelsFromTheTimeoutUntilARelaunchCannotBeInTime(double runMs, boolean cancelled) {
+        PolicyFixture policies = policiesWithTimeout(new SettingsBuilder());
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         policies.advance(runMs);
         assertThat(shouldCancel(policies, attempt)).isEqualTo(cancelled);
@@ -126,22 +126,22 @@
     @DataProvider
     public Object[][] progress() {
         return new Object[][] {
-            {TAU_MS, 0.66, 0, true},
-            {TAU_MS, 0.67, 0, false},
-            {TAU_MS, 0.67, 249, false},
-            {TAU_MS, 0.67, 250, true},
-            {TAU_MS / 2, 0.33, 0, true},
-            {TAU_MS / 2, 0.34, 0, false},
-            {TAU_MS - 251, 0.1, 250, false},
+            {TIMEOUT_MS, 0.66, 0, true},
+            {TIMEOUT_MS, 0.67, 0, false},
+            {TIMEOUT_MS, 0.67, 249, false},
+            {TIMEOUT_MS, 0.67, 250, true},
+            {TIMEOUT_MS / 2, 0.33, 0, true},
+            {TIMEOUT_MS / 2, 0.34, 0, false},
+            {TIMEOUT_MS - 251, 0.1, 250, false},
         };
     }
 
     @Test(dataProvider = "progress")
-    public void sparesWhatIsNearlyDoneAndCancelsEarlyWhatIsFarFromIt(
+    public void sparesNearlyDoneAttemptsAndCancelsVerySlowOnesEarly(
             double runMs, double ratioDone, double reportAgeMs, boolean cancelled) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.progressIntervalMs = PROGRESS_INTERVAL_MS;
-        PolicyFixture policies = policiesWithTau(settings);
+        PolicyFixture policies = policiesWithTimeout(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         policies.advance(runMs);
         attempt.recordProgress(ratioDone, policies.context.nowMs());
@@ -156,10 +156,10 @@
     }
 
     @Test(dataProvider = "relaunches")
-    public void cancelsARelaunchThatStandsStill(double ratioDone, boolean waiting, boolean cancelled) {
+    public void cancelsAStalledRelaunch(double ratioDone, boolean waiting, boolean cancelled) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.progressIntervalMs = PROGRESS_INTERVAL_MS;
-        PolicyFixture policies = policiesWithTau(settings);
+        PolicyFixture policies = policiesWithTimeout(settings);
         TrackedRequest request = policies.admit();
         policies.cancelAndRequeue(policies.start(request, policies.listEngine(3)));
         Attempt relaunch = policies.start(request, policies.listEngine(1));
@@ -207,9 +207,9 @@
 
     @Test
     public void cancelsNothingThatHasEnded() {
-        PolicyFixture policies = policiesWithTau(new SettingsBuilder());
+        PolicyFixture policies = policiesWithTimeout(new SettingsBuilder());
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
-        policies.advance(TAU_MS);
+        policies.advance(TIMEOUT_MS);
         policies.end(attempt, AttemptOutcome.OK);
         assertThat(shouldCancel(policies, attempt)).isFalse();
     }
