--- a/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
@@ -15,11 +15,11 @@
  * that ends at 2^0.2.
  */
 public class SpeculativeTimeoutTest {
-    private static final double USUAL = 1.05;
+    private static final double USUAL_RATIO = 1.05;
     private static final double USUAL_BIN_EDGE = Math.pow(2, 0.2);
-    private static final double STRAGGLER = Math.exp(1.5);
-    private static final double LEAST_STRAGGLER = Math.exp(0.75);
-    private static final double NEVER = Double.POSITIVE_INFINITY;
+    private static final double MAX_STRAGGLER_RATIO = Math.exp(1.5);
+    private static final double MIN_STRAGGLER_RATIO = Math.exp(0.75);
+    private static final double NO_TIMEOUT = Double.POSITIVE_INFINITY;
     private static final double TOLERANCE = 1e-9;
 
     private static ClassState classWith(int usualRuns, int slowRuns, double slowRatio) {
@@ -28,7 +28,7 @@
         ServiceTimeModel model = type.model();
         for (int run = 0; run < usualRuns; run++) {
             model.addToUsual(1);
-            model.addFirstRun(USUAL, true);
+            model.addFirstRun(USUAL_RATIO, true);
         }
         for (int run = 0; run < slowRuns; run++) {
             model.addFirstRun(slowRatio, true);
@@ -41,25 +41,25 @@
     @DataProvider
     public Object[][] runs() {
         return new Object[][] {
-            {4, 0, 0, NEVER},
-            {5, 0, 0, STRAGGLER},
-            {8, 1, 10, LEAST_STRAGGLER},
-            {19, 0, 0, STRAGGLER},
-            {20, 0, 0, NEVER},
+            {4, 0, 0, NO_TIMEOUT},
+            {5, 0, 0, MAX_STRAGGLER_RATIO},
+            {8, 1, 10, MIN_STRAGGLER_RATIO},
+            {19, 0, 0, MAX_STRAGGLER_RATIO},
+            {20, 0, 0, NO_TIMEOUT},
             {90, 10, 10, USUAL_BIN_EDGE},
-            {199, 1, 3, NEVER},
-            {90, 10, 1.5, NEVER},
+            {199, 1, 3, NO_TIMEOUT},
+            {90, 10, 1.5, NO_TIMEOUT},
         };
     }
 
     @Test(dataProvider = "runs")
-    public void tauCostsTheLeastLoad(int usualRuns, int slowRuns, double slowRatio, double tau) {
+    public void timeoutCostsTheLeastLoad(int usualRuns, int slowRuns, double slowRatio, double expected) {
         ClassState type = classWith(usualRuns, slowRuns, slowRatio);
         OptionalDouble ratio = SpeculativeTimeout.timeoutRatio(type, 0);
-        if (tau == NEVER) {
+        if (expected == NO_TIMEOUT) {
             assertThat(ratio).isEmpty();
         } else {
-            assertThat(ratio).hasValueCloseTo(tau, within(TOLERANCE));
+            assertThat(ratio).hasValueCloseTo(expected, within(TOLERANCE));
         }
     }
 
