--- a/src/test/java/lineward/scheduling/ErrorAttributionTest.java
+++ b/src/test/java/lineward/scheduling/ErrorAttributionTest.java
@@ -13,7 +13,7 @@
  * connection may be at fault.
  */
 public class ErrorAttributionTest {
-    private static long ejections(TestingScheduler scheduler) {
+    private static long ejectionCount(TestingScheduler scheduler) {
         return scheduler.allActions(SchedulerAction.LogMessage.class).stream()
                 .filter(log -> log.text().contains("ejected"))
                 .count();
@@ -32,24 +32,24 @@
             }
             assertEquals(attempts, 3);
         }
-        assertEquals(ejections(scheduler), 0);
+        assertEquals(ejectionCount(scheduler), 0);
     }
 
     @Test
     public void engineThatFailsWhatOthersAnswerIsRarelyUsed() {
         SchedulerSettings settings = settings(lookupClass());
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3, 4);
-        int atFaultyEngine = 0;
+        int attemptsAtFaultyEngine = 0;
         for (int id = 1; id <= 40; id++) {
             scheduler.requestArrives(id, 0);
             int attempt = 0;
             while (scheduler.lastStartedEngine() == 1) {
-                atFaultyEngine++;
+                attemptsAtFaultyEngine++;
                 scheduler.attemptEnds(id, attempt++, AttemptOutcome.ERROR);
             }
             scheduler.attemptEnds(id, attempt, AttemptOutcome.OK);
         }
-        assertTrue(atFaultyEngine <= 3, atFaultyEngine + " attempts at the faulty engine");
+        assertTrue(attemptsAtFaultyEngine <= 3, attemptsAtFaultyEngine + " attempts at the faulty engine");
     }
 
     @DataProvider
@@ -62,30 +62,30 @@
      * fails three times in a row. Its error ratio must keep requests away from it.
      */
     @Test(dataProvider = "frontEnds")
-    public void engineThatFailsHalfOfItsRequestsGetsLessThanItsQuota(int frontEnds) {
+    public void engineThatFailsHalfOfItsRequestsGetsLessThanAnEvenShare(int frontEnds) {
         SchedulerSettings settings = settings(frontEnds, lookupClass());
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3, 4);
         int requests = 300;
-        int atFaultyEngine = 0;
+        int attemptsAtFaultyEngine = 0;
         for (int id = 1; id <= requests; id++) {
             scheduler.requestArrives(id, 0);
             int attempt = 0;
-            while (scheduler.lastStartedEngine() == 1 && atFaultyEngine++ % 2 == 0) {
+            while (scheduler.lastStartedEngine() == 1 && attemptsAtFaultyEngine++ % 2 == 0) {
                 scheduler.attemptEnds(id, attempt++, AttemptOutcome.ERROR);
             }
             scheduler.advance(50);
             scheduler.attemptEnds(id, attempt, AttemptOutcome.OK);
         }
-        assertEquals(ejections(scheduler), 0);
-        String message = atFaultyEngine + " of " + requests + " at one of four engines";
-        assertTrue(atFaultyEngine < requests / 6, message);
+        assertEquals(ejectionCount(scheduler), 0);
+        String message = attemptsAtFaultyEngine + " of " + requests + " at one of four engines";
+        assertTrue(attemptsAtFaultyEngine < requests / 6, message);
     }
 
     /**
      * Returns how many of ten requests start at once after the resets: fewer if the engine counts as
      * restarted and is in slow start.
      */
-    private static int startedAfterResets(int resets) {
+    private static int startCountAfterResets(int resets) {
         TestingScheduler scheduler = new TestingScheduler(settings(lookupClass())).listEngines(1);
         scheduler.nowMs += 2000;
         for (int id = 1; id <= resets; id++) {
@@ -104,7 +104,7 @@
 
     @Test
     public void twoResetsCountAsARestartAndOneDoesNot() {
-        assertEquals(startedAfterResets(1), startedAfterResets(0));
-        assertTrue(startedAfterResets(2) < startedAfterResets(1));
+        assertEquals(startCountAfterResets(1), startCountAfterResets(0));
+        assertTrue(startCountAfterResets(2) < startCountAfterResets(1));
     }
 }
