--- a/src/test/java/lineward/scheduling/RareClassStragglerTest.java
+++ b/src/test/java/lineward/scheduling/RareClassStragglerTest.java
@@ -12,7 +12,7 @@
  * never cancelled takes up the quota of its front end.
  */
 public class RareClassStragglerTest {
-    private static final long STRAGGLER = 1000;
+    private static final long STRAGGLER_ID = 1000;
     private static final int USUAL_MS = 300;
 
     @DataProvider
@@ -20,22 +20,22 @@
         return new Object[][] {{2, 8}, {20, 30}, {100, 37}, {1024, 300}};
     }
 
-    private static TestingScheduler afterReports(int frontEnds, int engines, int reports) {
+    private static TestingScheduler schedulerAfterReports(int frontEnds, int engines, int reportCount) {
         TestingScheduler scheduler = FleetQuotaTest.frontEnd(frontEnds, 0, engines);
         for (int id = 1; id <= 40; id++) {
             scheduler.requestArrives(id, 0, 0, 200, 5000).advance(200).attemptEnds(id, 0, AttemptOutcome.OK);
         }
-        for (int id = 101; id <= 100 + reports; id++) {
+        for (int id = 101; id <= 100 + reportCount; id++) {
             scheduler.requestArrives(id, 1, 0, 900, 15_000).advance(USUAL_MS);
             scheduler.attemptEnds(id, 0, AttemptOutcome.OK);
         }
-        scheduler.requestArrives(STRAGGLER, 1, 0, 900, 15_000);
+        scheduler.requestArrives(STRAGGLER_ID, 1, 0, 900, 15_000);
         return scheduler;
     }
 
-    private static List<SchedulerAction.CancelAttempt> cancels(TestingScheduler scheduler) {
+    private static List<SchedulerAction.CancelAttempt> stragglerCancels(TestingScheduler scheduler) {
         return scheduler.allCancels().stream()
-                .filter(cancel -> cancel.request() == STRAGGLER)
+                .filter(cancel -> cancel.request() == STRAGGLER_ID)
                 .toList();
     }
 
@@ -45,25 +45,26 @@
      */
     @Test(dataProvider = "fleets")
     public void stragglerOfARareClassIsRelaunchedElsewhere(int frontEnds, int engines) {
-        TestingScheduler scheduler = afterReports(frontEnds, engines, 8).advance(2 * USUAL_MS);
-        assertEquals(cancels(scheduler).size(), 0, "a run of twice the usual time may be chance");
+        TestingScheduler scheduler =
+                schedulerAfterReports(frontEnds, engines, 8).advance(2 * USUAL_MS);
+        assertEquals(stragglerCancels(scheduler).size(), 0, "a run of twice the usual time may be chance");
         scheduler.advance(7 * USUAL_MS);
-        assertEquals(cancels(scheduler).size(), 1);
-        scheduler.attemptEnds(STRAGGLER, 0, AttemptOutcome.CANCELLED);
+        assertEquals(stragglerCancels(scheduler).size(), 1);
+        scheduler.attemptEnds(STRAGGLER_ID, 0, AttemptOutcome.CANCELLED);
         List<Long> usedEngines = scheduler.allStarts().stream()
-                .filter(start -> start.request() == STRAGGLER)
+                .filter(start -> start.request() == STRAGGLER_ID)
                 .map(SchedulerAction.StartAttempt::engine)
                 .toList();
         assertEquals(usedEngines.size(), 2, "the straggler is relaunched at once");
         assertTrue(!usedEngines.get(0).equals(usedEngines.get(1)), "the relaunch uses another engine");
         scheduler.advance(20 * USUAL_MS);
-        assertEquals(cancels(scheduler).size(), 1, "a slow relaunch is kept");
+        assertEquals(stragglerCancels(scheduler).size(), 1, "a slow relaunch is kept");
     }
 
     @Test(dataProvider = "fleets")
     public void nothingIsCancelledBeforeTheClassHasAUsualTime(int frontEnds, int engines) {
         assertEquals(
-                cancels(afterReports(frontEnds, engines, 3).advance(20 * USUAL_MS))
+                stragglerCancels(schedulerAfterReports(frontEnds, engines, 3).advance(20 * USUAL_MS))
                         .size(),
                 0);
     }
