--- a/src/test/java/lineward/scheduling/SpeculationTest.java
+++ b/src/test/java/lineward/scheduling/SpeculationTest.java
@@ -45,7 +45,7 @@
      * runs are cancelled at about 1.1 and relaunched, the mean load is little more than 1.
      */
     @Test
-    public void areasAreThoseOfTheCurve() {
+    public void areaUnderTheCurveIsTheMeanRunTime() {
         SurvivalCurve curve = new SurvivalCurve(100, -4, 5);
         for (int i = 0; i < 100; i++) {
             curve.add(i % 10 == 0 ? 10 : 1.05, true);
@@ -65,13 +65,13 @@
     }
 
     /** Completes runs of about 200 ms one after another. One in ten is a straggler, longer by the factor. */
-    private static TestingScheduler afterRuns(double stretch) {
+    private static TestingScheduler schedulerAfterRuns(double stragglerFactor) {
         SchedulerSettings settings = settings(lookupClass(), loadClass());
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3, 4);
         for (int i = 0; i < 80; i++) {
-            double runs = i % 10 == 5 ? 200 * stretch : 190 + i % 3 * 10;
+            double runMs = i % 10 == 5 ? 200 * stragglerFactor : 190 + i % 3 * 10;
             scheduler.requestArrives(i, 0);
-            scheduler.advance(Math.min(runs, 4000));
+            scheduler.advance(Math.min(runMs, 4000));
             if (scheduler.lastCancels().isEmpty()) {
                 scheduler.attemptEnds(i, 0, AttemptOutcome.OK);
             } else {
@@ -85,7 +85,7 @@
 
     @Test
     public void stragglerIsCancelledAndRelaunchedOnAnotherEngine() {
-        TestingScheduler scheduler = afterRuns(12);
+        TestingScheduler scheduler = schedulerAfterRuns(12);
         scheduler.requestArrives(1000, 0);
         long first = scheduler.lastStartedEngine();
         scheduler.allActions.clear();
@@ -109,7 +109,7 @@
 
     @Test
     public void answerThatArrivesBeforeTheCancelIsFinal() {
-        TestingScheduler scheduler = afterRuns(12);
+        TestingScheduler scheduler = schedulerAfterRuns(12);
         scheduler.requestArrives(1000, 0).advance(1500);
         assertThat(scheduler.lastCancels()).hasSize(1);
         scheduler.attemptEnds(1000, 0, AttemptOutcome.OK);
@@ -119,8 +119,8 @@
     }
 
     @Test
-    public void nothingIsCancelledWhereNoTauSavesLoad() {
-        TestingScheduler scheduler = afterRuns(1);
+    public void nothingIsCancelledIfNoTimeoutSavesLoad() {
+        TestingScheduler scheduler = schedulerAfterRuns(1);
         scheduler.allActions.clear();
         scheduler.requestArrives(1000, 0).advance(700);
         assertThat(scheduler.allCancels()).isEmpty();
@@ -135,7 +135,7 @@
 
     @Test
     public void nonIdempotentRequestIsNotCancelledForBeingSlow() {
-        TestingScheduler scheduler = afterRuns(12);
+        TestingScheduler scheduler = schedulerAfterRuns(12);
         scheduler.allActions.clear();
         scheduler.requestArrives(1000, 1, 3, 200, 20000).advance(8000);
         assertThat(scheduler.allCancels()).isEmpty();
@@ -143,7 +143,7 @@
 
     @Test
     public void nothingIsCancelledWithoutTimeForARelaunch() {
-        TestingScheduler scheduler = afterRuns(12);
+        TestingScheduler scheduler = schedulerAfterRuns(12);
         scheduler.allActions.clear();
         scheduler.requestArrives(1000, 0, 0, 200, 400).advance(390);
         assertThat(scheduler.allCancels()).isEmpty();
