--- a/src/test/java/lineward/scheduling/WaitingAttemptsTest.java
+++ b/src/test/java/lineward/scheduling/WaitingAttemptsTest.java
@@ -18,10 +18,10 @@
  * after a stall.
  */
 public class WaitingAttemptsTest {
-    private static TestingScheduler schedulerOfFourEngines(double progressIntervalMs, int attempts) {
+    private static TestingScheduler schedulerOfFourEngines(double progressIntervalMs, int maxAttempts) {
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, false),
-                new SchedulerSettings.AttemptLimits(attempts, 500, progressIntervalMs),
+                new SchedulerSettings.AttemptLimits(maxAttempts, 500, progressIntervalMs),
                 new SchedulerSettings.MemoryLimits(0.4, MemoryShortage.WAIT));
         SchedulerSettings settings = settings(limits, rules(), lookupClass(), loadClass());
         return new TestingScheduler(settings).listEngines(1, 2, 3, 4);
@@ -29,7 +29,7 @@
 
     /** An engine reports only once that an attempt waits, and is then silent until the attempt runs. */
     @Test
-    public void waitingAttemptIsNoSilence() {
+    public void waitingAttemptDoesNotEjectItsEngine() {
         TestingScheduler scheduler = schedulerOfFourEngines(500, 5);
         scheduler.requestArrives(1, 1, 0, 2000, 20000);
         long engine = scheduler.lastStartedEngine();
