--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -147,10 +147,10 @@
      */
     @Override
     public void setAdmissionPhase(ServerAdmissionPolicy.Phase next) {
-        if (admission.welcomesClients() && next != ServerAdmissionPolicy.Phase.OPEN) {
+        if (admission.acceptsClients() && next != ServerAdmissionPolicy.Phase.OPEN) {
             shutdownStartedNanos = System.nanoTime();
         }
-        admission.enter(next);
+        admission.setPhase(next);
     }
 
     /** Ignored: a statement keeps the deadline of its class. */
--- a/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
@@ -40,7 +40,7 @@
      * that its request is not relaunched. Always false if the request is not idempotent or the settings do
      * not permit cancellation.
      */
-    public boolean hasNoValue(Attempt attempt) {
+    public boolean shouldGiveUp(Attempt attempt) {
         TrackedRequest request = attempt.request();
         boolean mayCancel = context.settings().capabilities().cancellation();
         if (!mayCancel || !isUnanswered(request) || !request.isIdempotent()) {
@@ -48,9 +48,9 @@
         }
         RequestClass.Objective objective = request.type().settings().objective();
         boolean notStarted = attempt.isWaiting() && !attempt.hasProgress();
-        double earliestEndMs = context.nowMs() + AdmissionPolicy.minRunMs(request);
-        boolean queuedTooLong = notStarted && earliestEndMs > request.objectiveAtMs();
-        double noValueAtMs = request.objectiveAtMs() + OVERDUE_GRACE_RATIO * objective.latencyMs();
-        return queuedTooLong || (objective.overdueValueRatio() == 0 && context.nowMs() > noValueAtMs);
+        double earliestEndMs = context.nowMs() + AdmissionPolicy.requiredRunMs(request);
+        boolean waitedTooLong = notStarted && earliestEndMs > request.objectiveAtMs();
+        double graceEndMs = request.objectiveAtMs() + OVERDUE_GRACE_RATIO * objective.latencyMs();
+        return waitedTooLong || (objective.overdueValueRatio() == 0 && context.nowMs() > graceEndMs);
     }
 }
--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -19,23 +19,23 @@
     /**
      * Number of front ends up to which each one estimates the load of an engine from its own attempts alone.
      */
-    static final double SMALL_FLEET = 4;
+    static final double SMALL_FLEET_FRONT_ENDS = 4;
     /**
      * Minimum quota, as a multiple of an even share of the fleet among the front ends. With a smaller one, a
      * false sign of overload would reinforce itself.
      */
-    private static final double MIN_EVEN_QUOTAS = 1.3;
+    private static final double MIN_QUOTA_FACTOR = 1.3;
     /**
      * Time in which the quota grows from an even share to the whole fleet if load reports are not shared. It
      * shrinks at the same rate while the fleet is not calm.
      */
-    private static final double FULL_QUOTA_AFTER_MS = 10_000;
+    private static final double FULL_QUOTA_GROWTH_MS = 10_000;
     /** Slowdown of every class below which the fleet counts as calm if load reports are not shared. */
     private static final double CALM_SLOWDOWN = 1.3;
     /** Factor by which the quota grows or shrinks at each adaptation if load reports are shared. */
     private static final double REPORTED_GROWTH = 1.3;
     /** Divisor of the quota at each adaptation while it is not needed and the fleet is calm. */
-    private static final double UNUSED_SHRINK = 1.05;
+    private static final double UNUSED_QUOTA_DIVISOR = 1.05;
     /** Factor by which the granted fraction of an engine's memory may exceed the quota. */
     private static final double MEMORY_QUOTA_FACTOR = 1.2;
 
@@ -57,11 +57,11 @@
         this.reports = reports;
         this.grants = grants;
         this.frontEnds = context.settings().position().frontEndCount();
-        this.quota = evenQuota();
+        this.quota = minQuota();
     }
 
-    private double evenQuota() {
-        return Math.min(FULL_QUOTA, MIN_EVEN_QUOTAS / frontEnds);
+    private double minQuota() {
+        return Math.min(FULL_QUOTA, MIN_QUOTA_FACTOR / frontEnds);
     }
 
     /** Returns the fraction of all engines' threads that this front end may use now. */
@@ -74,7 +74,7 @@
      * this one.
      */
     public double unseenLoadRatio() {
-        return Math.max(0, 1 - SMALL_FLEET / frontEnds);
+        return Math.max(0, 1 - SMALL_FLEET_FRONT_ENDS / frontEnds);
     }
 
     /**
@@ -86,11 +86,11 @@
         double growth = growth(intervalMs);
         quota = requestsBlocked && calm
                 ? Math.min(FULL_QUOTA, quota * growth)
-                : Math.max(evenQuota(), quota / (calm ? UNUSED_SHRINK : growth));
+                : Math.max(minQuota(), quota / (calm ? UNUSED_QUOTA_DIVISOR : growth));
     }
 
     private double growth(double intervalMs) {
-        return reports.areShared() ? REPORTED_GROWTH : Math.pow(frontEnds, intervalMs / FULL_QUOTA_AFTER_MS);
+        return reports.areShared() ? REPORTED_GROWTH : Math.pow(frontEnds, intervalMs / FULL_QUOTA_GROWTH_MS);
     }
 
     /** Returns whether the fleet can take more load, by shared load reports or else by the slowdowns. */
@@ -124,7 +124,7 @@
         if (engine.memoryMb() <= 0 || engine.attempts().isEmpty()) {
             return true;
         }
-        double grantedMb = engine.grantedMb() + grants.grantMb(request, engine);
+        double grantedMb = engine.grantedMb() + grants.expectedMemoryMb(request, engine);
         return grantedMb <= engine.memoryMb() * Math.min(1, quota * MEMORY_QUOTA_FACTOR);
     }
 
@@ -135,47 +135,49 @@
      * of all requests.
      */
     public boolean withinFleetQuota(TrackedRequest request, Predicate<Engine> isUsable) {
-        if (reports.areShared() && frontEnds <= SMALL_FLEET) {
+        if (reports.areShared() && frontEnds <= SMALL_FLEET_FRONT_ENDS) {
             return true;
         }
         double threads = request.threads();
-        double limit = 0;
-        double inFlight = 0;
-        double ofClass = 0;
+        double fleetThreadLimit = 0;
+        double threadsInFlight = 0;
+        double classThreadsInFlight = 0;
         for (Engine engine : context.engines()) {
             if (engine.isReady() && isUsable.test(engine)) {
                 double engineLimit = threadLimit(engine);
                 if (engineLimit >= threads) {
                     return true;
                 }
-                limit += engineLimit;
-                inFlight += engine.threadsInFlight();
-                ofClass += threadsOf(request.type(), engine);
+                fleetThreadLimit += engineLimit;
+                threadsInFlight += engine.threadsInFlight();
+                classThreadsInFlight += threadsOf(request.type(), engine);
             }
         }
-        if (inFlight == 0 || inFlight + threads <= limit) {
+        if (threadsInFlight == 0 || threadsInFlight + threads <= fleetThreadLimit) {
             return true;
         }
         return withinClassQuota(
-                request, ofClass, limit * request.type().demand().valueRatio());
+                request,
+                classThreadsInFlight,
+                fleetThreadLimit * request.type().demand().valueRatio());
     }
 
     /**
      * Returns whether a request fits into the quota of its class. If that quota is less than one request, the
      * class may start single requests, at intervals that keep its mean use within the quota.
      */
-    private boolean withinClassQuota(TrackedRequest request, double inFlight, double classLimit) {
+    private boolean withinClassQuota(TrackedRequest request, double inFlight, double classThreadLimit) {
         if (inFlight > 0) {
-            return inFlight + request.threads() <= classLimit;
+            return inFlight + request.threads() <= classThreadLimit;
         }
-        return request.threads() <= classLimit || hasWaitedForQuota(request, classLimit);
+        return request.threads() <= classThreadLimit || hasWaitedForQuota(request, classThreadLimit);
     }
 
-    private boolean hasWaitedForQuota(TrackedRequest request, double classLimit) {
+    private boolean hasWaitedForQuota(TrackedRequest request, double classThreadLimit) {
         OptionalDouble lastStartedMs = request.type().lastStartedMs();
         return lastStartedMs.isEmpty()
                 || context.nowMs() - lastStartedMs.getAsDouble()
-                        >= request.expectedRunMs() * request.threads() / classLimit;
+                        >= request.expectedRunMs() * request.threads() / classThreadLimit;
     }
 
     private static double threadsOf(ClassState type, Engine engine) {
--- a/src/main/java/lineward/scheduling/decision/KeyOrder.java
+++ b/src/main/java/lineward/scheduling/decision/KeyOrder.java
@@ -34,7 +34,7 @@
      * Delays the next request of the key by the settle time in the settings, because an attempt of the given
      * request may still be running.
      */
-    public void settle(TrackedRequest request) {
+    public void startSettleTime(TrackedRequest request) {
         if (request.isOrdered()) {
             double untilMs = context.nowMs() + context.settings().rules().settleMs();
             settledAtMs.merge(request.key(), untilMs, Math::max);
@@ -59,7 +59,7 @@
     }
 
     /** Removes the settle times that have passed. */
-    public void forgetSettledKeys() {
+    public void removeSettledKeys() {
         settledAtMs.values().removeIf(atMs -> atMs <= context.nowMs());
     }
 }
--- a/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
+++ b/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
@@ -18,7 +18,7 @@
  */
 public final class LoadReportPolling {
     /** Token of the timer for the next poll. */
-    public static final int TIMER = 1;
+    public static final int POLL_TIMER = 1;
     /**
      * Maximum cost of polling per admitted request, in points of the evaluation score like
      * {@link SchedulerSettings.MessageCosts}. It is far below the cost of overload.
@@ -28,8 +28,8 @@
     private static final double MIN_INTERVAL_MS = 250;
     private static final double MAX_DELAY_MS = 10_000;
     private static final int ENGINES_PER_POLL = 4;
-    private static final double MIN_TRAFFIC_PERIOD_MS = 1_000;
-    private static final double MIN_JITTER = 0.5;
+    private static final double MIN_RATE_PERIOD_MS = 1_000;
+    private static final double MIN_DELAY_FACTOR = 0.5;
     /** Sorts an engine that has never reported before all others. */
     private static final double NEVER_REPORTED = Double.NEGATIVE_INFINITY;
 
@@ -68,9 +68,9 @@
             }
         }
         candidates.sort(Comparator.comparingDouble(Candidate::lastReportMs));
-        candidates.stream().limit(ENGINES_PER_POLL).forEach(candidate -> check(candidate.engine()));
-        double delayMs = Math.min(MAX_DELAY_MS, ENGINES_PER_POLL * intervalMs(candidates.size()));
-        scheduleTimer(delayMs * (MIN_JITTER + context.drawRandom()));
+        candidates.stream().limit(ENGINES_PER_POLL).forEach(candidate -> startCheck(candidate.engine()));
+        double delayMs = Math.min(MAX_DELAY_MS, ENGINES_PER_POLL * intervalPerEngineMs(candidates.size()));
+        scheduleTimer(delayMs * (MIN_DELAY_FACTOR + context.drawRandom()));
     }
 
     /**
@@ -88,21 +88,21 @@
      * cost budget, and that all front ends together poll each engine about once in {@value #MIN_INTERVAL_MS}
      * ms at most.
      */
-    private double intervalMs(int engines) {
+    private double intervalPerEngineMs(int engineCount) {
         SchedulerSettings.MessageCosts costs = context.settings().messageCosts();
         int frontEnds = context.settings().position().frontEndCount();
         double gossipCost = costs.gossip() * reports.gossipMessageRatio() * (frontEnds - 1);
-        double seenForMs = Math.max(MIN_TRAFFIC_PERIOD_MS, context.nowMs() - context.startedMs());
-        double requestsPerMs = Math.max(1, requestsSeen) / seenForMs;
-        double evenMs = MIN_INTERVAL_MS * frontEnds / (engines + 1);
-        return Math.max(evenMs, (costs.healthCheck() + gossipCost) / COST_BUDGET / requestsPerMs);
+        double observedMs = Math.max(MIN_RATE_PERIOD_MS, context.nowMs() - context.startedMs());
+        double requestsPerMs = Math.max(1, requestsSeen) / observedMs;
+        double evenIntervalMs = MIN_INTERVAL_MS * frontEnds / (engineCount + 1);
+        return Math.max(evenIntervalMs, (costs.healthCheck() + gossipCost) / COST_BUDGET / requestsPerMs);
     }
 
     private void scheduleTimer(double delayMs) {
-        context.emit(new SchedulerAction.ScheduleTimer(delayMs, TIMER));
+        context.emit(new SchedulerAction.ScheduleTimer(delayMs, POLL_TIMER));
     }
 
-    private void check(Engine engine) {
+    private void startCheck(Engine engine) {
         engine.load().startHealthCheck(context.nowMs());
         context.emit(new SchedulerAction.StartHealthCheck(engine.id()));
     }
@@ -111,7 +111,7 @@
      * Applies the result of a health check: the load report of a successful one is stored, a failed one
      * ejects the engine, and a rejected one has no effect.
      */
-    public void complete(SchedulerEvent.HealthCheckCompleted check, Engine engine) {
+    public void applyHealthCheck(SchedulerEvent.HealthCheckCompleted check, Engine engine) {
         engine.load().endHealthCheck();
         if (check.outcome() == AttemptOutcome.OK) {
             reports.apply(engine, check.loadReport());
--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -16,26 +16,26 @@
      * Minimum time without a response after which an engine with overdue work is ejected: longer than usual
      * pauses, far shorter than any deadline.
      */
-    static final double SILENCE_MS = 900;
+    static final double MIN_SILENCE_MS = 900;
 
     private static final int MAX_CONSECUTIVE_FAILURES = 3;
     /**
      * Minimum number of consecutive failures, the last one a reset, at which the engine's process counts as
      * ended. A single connection may break for other reasons.
      */
-    private static final int RESETS_OF_A_LOST_PROCESS = 2;
+    private static final int MIN_FAILURES_OF_LOST_PROCESS = 2;
     /**
      * Fraction of healthy engines below which ejected ones are used as well, each for one attempt in every
      * recovery probe interval. If so many engines seem faulty, the fault is more likely at this front end.
      */
     private static final double MIN_HEALTHY_RATIO = 0.34;
-    /** An attempt is overdue after this multiple of its usual run time plus {@link #SILENCE_MS}. */
+    /** An attempt is overdue after this multiple of its usual run time plus {@link #MIN_SILENCE_MS}. */
     private static final double OVERDUE_FACTOR = 3;
     /**
      * Minimum number of unanswered attempts, at least one of them overdue, at which a silent engine is
      * ejected. In a large fleet a single one may be a straggler.
      */
-    private static final int UNANSWERED_ATTEMPTS = 2;
+    private static final int MIN_UNANSWERED_ATTEMPTS = 2;
     /**
      * Number of progress intervals without a report after which a silent engine is ejected. The first report
      * may take up to 1.5 intervals.
@@ -49,15 +49,15 @@
      */
     private static final double RECOVERY_PROBES_PER_REQUEST = 0.1;
 
-    private static final double MAX_RECOVERY_PROBES = 2;
+    private static final double MAX_PROBE_BUDGET = 2;
     /**
      * A request may be a recovery probe if the time to its objective exceeds this multiple of its expected
      * run time.
      */
-    private static final double RECOVERY_PROBE_SLACK = 3;
+    private static final double RECOVERY_PROBE_SLACK_FACTOR = 3;
 
     private final SchedulerContext context;
-    private double recoveryProbes = MAX_RECOVERY_PROBES;
+    private double probeBudget = MAX_PROBE_BUDGET;
 
     /** Creates a detector over the given scheduler state. */
     public OutlierDetector(SchedulerContext context) {
@@ -66,7 +66,7 @@
 
     /** Adds to the budget the fraction of a recovery probe that an admitted request earns. */
     public void earnRecoveryProbe() {
-        recoveryProbes = Math.min(MAX_RECOVERY_PROBES, recoveryProbes + RECOVERY_PROBES_PER_REQUEST);
+        probeBudget = Math.min(MAX_PROBE_BUDGET, probeBudget + RECOVERY_PROBES_PER_REQUEST);
     }
 
     /**
@@ -75,7 +75,7 @@
      */
     public void spendRecoveryProbe(Engine engine) {
         scheduleRecoveryProbe(engine);
-        recoveryProbes = Math.max(0, recoveryProbes - 1);
+        probeBudget = Math.max(0, probeBudget - 1);
     }
 
     private void scheduleRecoveryProbe(Engine engine) {
@@ -86,13 +86,13 @@
      * Returns whether so few of the engines that a request may run on are healthy that it may use any ejected
      * engine whose next recovery probe is due.
      */
-    public boolean mustUseEjected(int healthy, int allowed) {
-        return healthy < MIN_HEALTHY_RATIO * allowed;
+    public boolean mustUseEjected(int healthyCount, int allowedCount) {
+        return healthyCount < MIN_HEALTHY_RATIO * allowedCount;
     }
 
     /** Returns whether a request may be the engine's next recovery probe. */
     public boolean mayProbe(Engine engine, TrackedRequest request) {
-        return isDueForProbe(engine) && recoveryProbes >= 1 && canAffordAProbe(request);
+        return isDueForProbe(engine) && probeBudget >= 1 && isSuitableAsProbe(request);
     }
 
     /** Returns whether an ejected engine's next recovery probe is due. */
@@ -101,17 +101,17 @@
         return health.isEjected() && context.nowMs() >= health.nextRecoveryProbeMs();
     }
 
-    private boolean canAffordAProbe(TrackedRequest request) {
+    private boolean isSuitableAsProbe(TrackedRequest request) {
         double slackMs = request.objectiveAtMs() - context.nowMs();
         return !request.isRelaunched()
                 && request.isIdempotent()
-                && slackMs > RECOVERY_PROBE_SLACK * request.expectedRunMs();
+                && slackMs > RECOVERY_PROBE_SLACK_FACTOR * request.expectedRunMs();
     }
 
     /** Ejects the engine if it has overdue work and has sent neither answers nor progress for too long. */
     public void detectSilence(Engine engine) {
         double silentMs = context.nowMs() - engine.health().lastResponseMs();
-        boolean silent = !engine.health().isEjected() && silentMs >= SILENCE_MS;
+        boolean silent = !engine.health().isEjected() && silentMs >= MIN_SILENCE_MS;
         if (silent && hasOverdueWork(engine, silentMs)) {
             eject(engine, EjectionCause.SILENCE);
         }
@@ -125,18 +125,18 @@
         double intervalMs = context.settings().attemptLimits().progressIntervalMs();
         boolean reportsProgress = intervalMs > 0;
         boolean progressIsDue = !reportsProgress || silentMs > intervalMs;
-        boolean overdue = false;
-        int unanswered = 0;
+        boolean anyOverdue = false;
+        int unansweredCount = 0;
         for (Attempt attempt : engine.attempts()) {
             // An engine reports only once that an attempt waits, and is then silent until the attempt runs.
             if (!attempt.isWaiting()) {
                 double ageMs = context.nowMs() - attempt.startedAtMs();
-                double usualMs = usualRunMs(attempt.request());
-                overdue |= ageMs > OVERDUE_FACTOR * usualMs + SILENCE_MS;
-                unanswered += ageMs > Math.max(SILENCE_MS, usualMs) ? 1 : 0;
+                double slowedRunMs = slowedRunMs(attempt.request());
+                anyOverdue |= ageMs > OVERDUE_FACTOR * slowedRunMs + MIN_SILENCE_MS;
+                unansweredCount += ageMs > Math.max(MIN_SILENCE_MS, slowedRunMs) ? 1 : 0;
                 double quietMs = Math.min(ageMs, silentMs);
                 boolean missed = reportsProgress && quietMs > intervalMs * MISSED_PROGRESS_INTERVALS;
-                if (missed || (overdue && unanswered >= UNANSWERED_ATTEMPTS && progressIsDue)) {
+                if (missed || (anyOverdue && unansweredCount >= MIN_UNANSWERED_ATTEMPTS && progressIsDue)) {
                     return true;
                 }
             }
@@ -145,7 +145,7 @@
     }
 
     /** Returns the run time to expect at the current slowdown of the class. */
-    private static double usualRunMs(TrackedRequest request) {
+    private static double slowedRunMs(TrackedRequest request) {
         return request.expectedRunMs() * request.type().model().slowdown();
     }
 
@@ -160,7 +160,7 @@
      */
     public void recordReset(Engine engine) {
         recordFailure(engine, EjectionCause.RESETS);
-        if (engine.health().consecutiveFailures() >= RESETS_OF_A_LOST_PROCESS) {
+        if (engine.health().consecutiveFailures() >= MIN_FAILURES_OF_LOST_PROCESS) {
             engine.recordConnectionLost(context.nowMs());
         }
     }
@@ -176,7 +176,7 @@
      * Records that an engine answered a request with an error. The first error of a request counts as a
      * failure of its engine; the second error reverts that failure, as the request itself may be at fault.
      */
-    public void attributeError(TrackedRequest request, Engine engine) {
+    public void recordError(TrackedRequest request, Engine engine) {
         request.recordError(engine);
         if (request.errors() == 1) {
             engine.health().recordError(context.nowMs());
@@ -216,7 +216,7 @@
     }
 
     /** Ends the ejection and clears the failures of an engine whose process has restarted. */
-    public void forgetFailures(Engine engine) {
+    public void recordRestart(Engine engine) {
         engine.health().clearFailures();
     }
 }
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -15,8 +15,8 @@
     /** The grant factor converges to this quantile of the ratio of memory needs to corrected estimates. */
     private static final double NEED_QUANTILE = 0.98;
 
-    private static final double NEED_STEP = 0.03;
-    private static final double SPILL_STEP = 1.02;
+    private static final double GRANT_STEP = 0.03;
+    private static final double SPILL_GROWTH_FACTOR = 1.02;
     /** Work is short below this fraction of the mean work of the class with the largest mean. */
     private static final double SHORT_WORK_RATIO = 0.3;
 
@@ -24,7 +24,7 @@
 
     private static final int OVERDUE_PRIORITY = 0;
     private static final int LONG_PRIORITY = 1;
-    private static final int LOAD_PRIORITY = 2;
+    private static final int LOAD_OR_RELAUNCH_PRIORITY = 2;
     private static final int SHORT_PRIORITY = 3;
 
     private final SchedulerContext context;
@@ -39,11 +39,11 @@
      * priorities.
      */
     public Optional<SchedulerAction> limitsFor(TrackedRequest request, Engine engine) {
-        SchedulerSettings.Capabilities may = context.settings().capabilities();
-        if (!may.grants() && !may.priorities()) {
+        SchedulerSettings.Capabilities capabilities = context.settings().capabilities();
+        if (!capabilities.grants() && !capabilities.priorities()) {
             return Optional.empty();
         }
-        double grantMb = may.grants() ? requestedGrantMb(request, engine) : NO_GRANT;
+        double grantMb = capabilities.grants() ? requestedGrantMb(request, engine) : NO_GRANT;
         return Optional.of(new SchedulerAction.SetResourceLimits(request.id(), grantMb, priority(request)));
     }
 
@@ -55,18 +55,18 @@
         SchedulerSettings.MemoryLimits memory = context.settings().memoryLimits();
         return memory.shortageHandling() == MemoryShortageHandling.PAGE
                 ? engine.memoryMb() * memory.maxGrantRatio()
-                : grantMb(request, engine);
+                : expectedMemoryMb(request, engine);
     }
 
     /**
      * Returns the memory that a request is expected to need on an engine. Other policies count this amount as
      * granted, even if the grant that is sent differs.
      */
-    public double grantMb(TrackedRequest request, Engine engine) {
+    public double expectedMemoryMb(TrackedRequest request, Engine engine) {
         SchedulerSettings settings = context.settings();
         double correction = request.type().model().memoryCorrection();
-        boolean learned = settings.capabilities().grants();
-        double factor = learned ? request.type().grantFactor() : ClassState.INITIAL_GRANT_FACTOR;
+        boolean supported = settings.capabilities().grants();
+        double factor = supported ? request.type().grantFactor() : ClassState.INITIAL_GRANT_FACTOR;
         double needMb = request.estimatedMemoryMb() * correction * factor;
         return engine.memoryMb() > 0
                 ? Math.min(needMb, engine.memoryMb() * settings.memoryLimits().maxGrantRatio())
@@ -82,28 +82,28 @@
         if (nowMs + request.expectedRunMs() > request.objectiveAtMs()) {
             return OVERDUE_PRIORITY;
         }
-        double largestMs = context.classes().stream()
+        double largestMeanWorkMs = context.classes().stream()
                 .mapToDouble(type -> type.model().meanWorkMs(nowMs))
                 .max()
                 .orElse(0);
-        if (request.expectedWorkMs() < largestMs * SHORT_WORK_RATIO) {
+        if (request.expectedWorkMs() < largestMeanWorkMs * SHORT_WORK_RATIO) {
             return SHORT_PRIORITY;
         }
         boolean load = request.type().settings().executionProfile().loadsTableGroup();
-        return load || request.isRelaunched() ? LOAD_PRIORITY : LONG_PRIORITY;
+        return load || request.isRelaunched() ? LOAD_OR_RELAUNCH_PRIORITY : LONG_PRIORITY;
     }
 
     /**
      * Adapts the grant factor to the memory that a request needed, as a multiple of its corrected estimate.
      */
-    public void recordNeed(ClassState type, double factor) {
-        boolean tooSmall = factor > type.grantFactor();
-        double change = tooSmall ? 1 + NEED_STEP * NEED_QUANTILE : 1 - NEED_STEP * (1 - NEED_QUANTILE);
+    public void recordNeed(ClassState type, double neededFactor) {
+        boolean tooSmall = neededFactor > type.grantFactor();
+        double change = tooSmall ? 1 + GRANT_STEP * NEED_QUANTILE : 1 - GRANT_STEP * (1 - NEED_QUANTILE);
         type.setGrantFactor(type.grantFactor() * change);
     }
 
     /** Raises the grant factor, up to its maximum, after a request has spilled to disk. */
     public void recordSpill(ClassState type) {
-        type.setGrantFactor(Math.min(MAX_GRANT_FACTOR, type.grantFactor() * SPILL_STEP));
+        type.setGrantFactor(Math.min(MAX_GRANT_FACTOR, type.grantFactor() * SPILL_GROWTH_FACTOR));
     }
 }
--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -35,7 +35,7 @@
      */
     public boolean mayAttempt(TrackedRequest request, Engine engine) {
         boolean firstAttempt = request.attempts().isEmpty();
-        return isOpen(request)
+        return isReadyForAttempt(request)
                 && keyOrder.isNext(request)
                 && mayRepeatAt(request, engine)
                 && (firstAttempt || budget.allows(1));
@@ -45,7 +45,7 @@
      * Returns whether the request may have an attempt now: it has no final answer and no attempt in flight,
      * its deadline has not passed, and it has attempts left.
      */
-    private boolean isOpen(TrackedRequest request) {
+    private boolean isReadyForAttempt(TrackedRequest request) {
         return !request.state().isCompleted()
                 && !request.hasAttemptInFlight()
                 && context.nowMs() < request.deadlineMs()
@@ -109,7 +109,7 @@
      * relaunches after cancellations in flight will use too, and within the lifetime of the request's key.
      */
     public boolean mayRelaunch(TrackedRequest request) {
-        return budget.allows(1 + cancelsInFlight()) && !mayOutliveItsKey(request);
+        return budget.allows(1 + cancelsInFlight()) && !mayExceedKeyTtl(request);
     }
 
     private long cancelsInFlight() {
@@ -123,9 +123,9 @@
      * Returns whether a relaunch might start after the key has expired. The lifetime counts from the start of
      * the first attempt, which may turn out to have run; a silent engine may delay the relaunch.
      */
-    private boolean mayOutliveItsKey(TrackedRequest request) {
+    private boolean mayExceedKeyTtl(TrackedRequest request) {
         return request.isRepeatableByKey()
-                && context.nowMs() + OutlierDetector.SILENCE_MS
+                && context.nowMs() + OutlierDetector.MIN_SILENCE_MS
                         > keyExpiryMs(request, request.attempts().get(0));
     }
 }
--- a/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
@@ -32,12 +32,12 @@
     }
 
     /** Sets the phase of the server. */
-    public void enter(Phase next) {
+    public void setPhase(Phase next) {
         phase = next;
     }
 
     /** Returns whether clients that can choose among front ends should use this one. */
-    public boolean welcomesClients() {
+    public boolean acceptsClients() {
         return phase == Phase.OPEN;
     }
 
@@ -52,8 +52,8 @@
     }
 
     /** Returns whether the server keeps a new client, given the number of clients including the new one. */
-    public static boolean mayConnect(int clients, int maxClients) {
-        return clients <= maxClients;
+    public static boolean isWithinClientLimit(int clientCount, int maxClients) {
+        return clientCount <= maxClients;
     }
 
     /** Adds the statement of an admitted request to the total size. */
--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -19,12 +19,12 @@
      * An attempt is cancelled before the speculative timeout if its predicted remaining time exceeds this
      * multiple of the expected run time of a relaunch.
      */
-    private static final double EARLY_CANCEL_RELAUNCHES = 2;
+    private static final double EARLY_CANCEL_RELAUNCH_FACTOR = 2;
     /**
      * A relaunch is stalled if its predicted remaining time exceeds this multiple of the expected run time of
      * another relaunch.
      */
-    private static final double STANDSTILL_RELAUNCHES = 4;
+    private static final double STALL_RELAUNCH_FACTOR = 4;
     /** A recovery probe may take this multiple of its expected run time plus a margin. */
     private static final double RECOVERY_PROBE_FACTOR = 2;
 
@@ -61,18 +61,18 @@
                 && cancellation.isUnanswered(attempt.request())
                 && retries.mayRunTwice(attempt.request())
                 && retries.hasAttemptsLeft(attempt.request())
-                && isDue(attempt)
+                && needsRelaunch(attempt)
                 && retries.mayRelaunch(attempt.request())
                 && eligibility.hasTargetForRelaunch(attempt);
     }
 
-    private boolean isDue(Attempt attempt) {
+    private boolean needsRelaunch(Attempt attempt) {
         double relaunchMs = expectedRelaunchMs(attempt.request());
         if (attempt.request().deadlineMs() - context.nowMs() < relaunchMs) {
             return false;
         }
-        boolean engineFails = isOnEjectedEngine(attempt) || isStandingStill(attempt, relaunchMs);
-        return engineFails || isPastTau(attempt, relaunchMs);
+        boolean engineFails = isOnEjectedEngine(attempt) || isStalled(attempt, relaunchMs);
+        return engineFails || isTooSlow(attempt, relaunchMs);
     }
 
     /** Returns the expected run time of a relaunch at the current slowdown of its class on all engines. */
@@ -95,22 +95,22 @@
      * Returns whether the attempt is a relaunch that is stalled. The speculative timeout does not apply to a
      * relaunch, but its progress may show that its engine does no work.
      */
-    private boolean isStandingStill(Attempt attempt, double relaunchMs) {
+    private boolean isStalled(Attempt attempt, double relaunchMs) {
         return attempt.request().isRelaunched()
                 && !attempt.isWaiting()
                 && hasFreshProgress(attempt)
-                && attempt.predictedRemainingMs() > STANDSTILL_RELAUNCHES * relaunchMs;
+                && attempt.predictedRemainingMs() > STALL_RELAUNCH_FACTOR * relaunchMs;
     }
 
-    private boolean isSubjectToTau(Attempt attempt) {
+    private boolean isSubjectToTimeout(Attempt attempt) {
         TrackedRequest request = attempt.request();
         if (request.isRelaunched() || request.isExemptFromCancellation() || attempt.isWaiting()) {
             return false;
         }
-        boolean nothingSaved =
+        boolean noTimeoutSavesLoad =
                 request.type().model().hasCurve() && request.type().tauRatio().isEmpty();
         boolean enoughRuns = context.serviceTimes().completedRuns() >= ServiceTimeModel.MIN_COMPLETED_RUNS;
-        return enoughRuns && !nothingSaved;
+        return enoughRuns && !noTimeoutSavesLoad;
     }
 
     /**
@@ -118,20 +118,20 @@
      * progress report, however, an attempt that would end before a relaunch is spared, and one that would
      * take far longer than a relaunch is too slow before the timeout; its predicted run time is recorded.
      */
-    private boolean isPastTau(Attempt attempt, double relaunchMs) {
-        if (!isSubjectToTau(attempt)) {
+    private boolean isTooSlow(Attempt attempt, double relaunchMs) {
+        if (!isSubjectToTimeout(attempt)) {
             return false;
         }
         TrackedRequest request = attempt.request();
         double runMs =
                 attempt.runTimeMs(context.nowMs()) / request.type().model().slowdown();
-        OptionalDouble tauRatio = request.type().tauRatio();
-        boolean past = tauRatio.isPresent() && runMs / request.workUnitMs() >= tauRatio.getAsDouble();
+        OptionalDouble timeoutRatio = request.type().tauRatio();
+        boolean past = timeoutRatio.isPresent() && runMs / request.workUnitMs() >= timeoutRatio.getAsDouble();
         if (!hasFreshProgress(attempt)) {
             return past;
         }
         double remainingMs = attempt.predictedRemainingMs();
-        boolean early = !past && remainingMs > EARLY_CANCEL_RELAUNCHES * relaunchMs;
+        boolean early = !past && remainingMs > EARLY_CANCEL_RELAUNCH_FACTOR * relaunchMs;
         attempt.recordPrediction(early ? OptionalDouble.of(runMs + remainingMs) : OptionalDouble.empty());
         return early || (past && remainingMs >= relaunchMs);
     }
--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -25,35 +25,35 @@
      * reliable curve, the timeout is limited to the bounds for a straggler, and is the upper bound if no edge
      * saves enough load.
      */
-    public static OptionalDouble tauRatio(ClassState type, double nowMs) {
+    public static OptionalDouble timeoutRatio(ClassState type, double nowMs) {
         ServiceTimeModel model = type.model();
         if (!model.hasTypicalRatio()) {
             return OptionalDouble.empty();
         }
-        OptionalDouble leastLoad = leastLoadRatio(model, nowMs);
+        OptionalDouble leastLoadRatio = leastLoadTimeoutRatio(model, nowMs);
         if (model.hasCurve()) {
-            return leastLoad;
+            return leastLoadRatio;
         }
-        return OptionalDouble.of(withinStragglerBounds(leastLoad, model.typicalRatio()));
+        return OptionalDouble.of(clampToStragglerBounds(leastLoadRatio, model.typicalRatio()));
     }
 
     /** Returns the bin edge with the least expected load; empty if no edge saves enough load. */
-    private static OptionalDouble leastLoadRatio(ServiceTimeModel model, double nowMs) {
+    private static OptionalDouble leastLoadTimeoutRatio(ServiceTimeModel model, double nowMs) {
         SurvivalCurve curve = model.firstRuns();
         double relaunchRatio = model.relaunchRatio(nowMs);
         double leastLoad = model.meanRatio() * (1 - MIN_LOAD_SAVED);
-        OptionalDouble best = OptionalDouble.empty();
+        OptionalDouble bestRatio = OptionalDouble.empty();
         for (int bin = 0; bin < curve.bins(); bin++) {
             double load = curve.areaUpTo(bin) + relaunchRatio * curve.survivalPast(bin);
             if (load < leastLoad && curve.survivalPast(bin) > 0) {
                 leastLoad = load;
-                best = OptionalDouble.of(curve.upperEdge(bin));
+                bestRatio = OptionalDouble.of(curve.upperEdge(bin));
             }
         }
-        return best;
+        return bestRatio;
     }
 
-    private static double withinStragglerBounds(OptionalDouble ratio, double typicalRatio) {
+    private static double clampToStragglerBounds(OptionalDouble ratio, double typicalRatio) {
         double upperLog = ServiceTimeModel.STRAGGLER_LOG_RATIO;
         double lowerLog = upperLog / 2;
         double log = ratio.isPresent() ? Math.log(ratio.getAsDouble() / typicalRatio) : upperLog;
--- a/src/main/java/lineward/scheduling/execution/AttemptEndHandler.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptEndHandler.java
@@ -44,7 +44,7 @@
         attempt.engine().endAttempt(attempt);
         outcomeRecorder.recordOutcome(attempt, end);
         if (end.outcome().isIndeterminate()) {
-            keyOrder.settle(request);
+            keyOrder.startSettleTime(request);
         }
         if (!request.state().isCompleted()) {
             completeOrRetry(attempt, end);
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -150,7 +150,7 @@
 
     @Override
     public void timerFired(SchedulerEvent.TimerFired timer) {
-        if (timer.token() == LoadReportPolling.TIMER) {
+        if (timer.token() == LoadReportPolling.POLL_TIMER) {
             components.polling.poll();
         } else {
             sweepScheduled = false;
@@ -161,7 +161,7 @@
     public void healthCheckCompleted(SchedulerEvent.HealthCheckCompleted check) {
         Engine engine = context.findEngine(check.engine());
         if (engine != null) {
-            components.polling.complete(check, engine);
+            components.polling.applyHealthCheck(check, engine);
         }
     }
 
@@ -188,7 +188,7 @@
         for (Endpoint endpoint : change.endpoints()) {
             boolean restarted = context.updateEngine(endpoint);
             if (restarted) {
-                components.outliers.forgetFailures(context.engine(endpoint.engine()));
+                components.outliers.recordRestart(context.engine(endpoint.engine()));
             }
         }
         context.countReadyCores();
--- a/src/main/java/lineward/scheduling/execution/Sweep.java
+++ b/src/main/java/lineward/scheduling/execution/Sweep.java
@@ -53,7 +53,7 @@
             for (Attempt attempt : new ArrayList<>(engine.attempts())) {
                 if (speculation.shouldCancel(attempt)) {
                     lifecycle.cancel(attempt, CancelCause.SLOW);
-                } else if (cancellation.hasNoValue(attempt)) {
+                } else if (cancellation.shouldGiveUp(attempt)) {
                     lifecycle.giveUp(attempt.request());
                 }
             }
@@ -65,7 +65,7 @@
      * unless attempts are in flight on them or work sent to them still counts in their slow-start budget.
      */
     void removeExpiredState() {
-        keyOrder.forgetSettledKeys();
+        keyOrder.removeSettledKeys();
         context.removeEngines(this::isRemovable);
     }
 
--- a/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
@@ -10,12 +10,12 @@
 
 /** A request's objective is 1,000 ms plus its work after admission, and its deadline 5,000 ms. */
 public class AdmissionPolicyTest {
-    private static final double ROUNDING = 1e-12;
+    private static final double TOLERANCE = 1e-12;
 
-    private static TestingPolicies policies(double priorityWeight, double overdueValueRatio) {
-        TestingSettings settings = new TestingSettings();
+    private static PolicyFixture policies(double priorityWeight, double overdueValueRatio) {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.objective = new RequestClass.Objective(1_000, 1, 5_000, priorityWeight, overdueValueRatio);
-        return new TestingPolicies(settings);
+        return new PolicyFixture(settings);
     }
 
     /**
@@ -40,14 +40,14 @@
     @Test(dataProvider = "priorities")
     public void ordersByValuePerWorkAndUrgency(
             double weight, double lateRatio, boolean relaunched, double workMs, double ageMs, double value) {
-        TestingPolicies policies = policies(weight, lateRatio);
-        TrackedRequest request = policies.admit(TestingPolicies.NO_KEY, workMs);
+        PolicyFixture policies = policies(weight, lateRatio);
+        TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
         if (relaunched) {
             policies.cancelAndRequeue(policies.start(request, policies.listEngine(1)));
         }
         policies.advance(ageMs);
         double priority = new AdmissionPolicy(policies.context).dispatchPriority(request);
-        assertThat(priority).isCloseTo(value, within(ROUNDING));
+        assertThat(priority).isCloseTo(value, within(TOLERANCE));
     }
 
     /**
@@ -71,12 +71,12 @@
     }
 
     @Test(dataProvider = "ages")
-    public void rejectsWhatCannotBeAnsweredWhileItHasAValue(
+    public void detectsRequestsThatCannotBeInTime(
             double overdueValueRatio, double workMs, double slowdown, double ageMs, boolean unanswerable) {
-        TestingPolicies policies = policies(1, overdueValueRatio);
-        TrackedRequest request = policies.admit(TestingPolicies.NO_KEY, workMs);
+        PolicyFixture policies = policies(1, overdueValueRatio);
+        TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
         policies.advance(ageMs);
-        policies.slowDown(slowdown);
+        policies.addSlowRuns(slowdown);
         assertThat(new AdmissionPolicy(policies.context).cannotBeInTime(request))
                 .isEqualTo(unanswerable);
     }
--- a/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
@@ -29,10 +29,10 @@
     }
 
     @Test(dataProvider = "attempts")
-    public void mayCancelInFlight(boolean permitted, boolean cancelled, boolean ended, boolean mayCancel) {
-        TestingSettings settings = new TestingSettings();
+    public void mayCancelIfRunning(boolean permitted, boolean cancelled, boolean ended, boolean mayCancel) {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.cancel = permitted;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         if (cancelled) {
             attempt.cancel(CancelCause.SLOW);
@@ -55,7 +55,7 @@
 
     @Test(dataProvider = "requestStates")
     public void isUnansweredUntilTheResponseStarts(RequestState state, boolean unanswered) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         TrackedRequest request = policies.admit();
         if (state != RequestState.QUEUED) {
             policies.start(request, policies.listEngine(1));
@@ -95,7 +95,7 @@
      * permitted, whether the request is to be given up.
      */
     @DataProvider
-    public Object[][] runs() {
+    public Object[][] attemptStates() {
         return new Object[][] {
             {Run.WAITING, 1_040, 0, Idempotence.IDEMPOTENT, true, false},
             {Run.WAITING, 1_041, 0, Idempotence.IDEMPOTENT, true, true},
@@ -113,17 +113,17 @@
         };
     }
 
-    @Test(dataProvider = "runs")
-    public void losesItsValueByAgeAndProgress(
-            Run run, double ageMs, double lateRatio, Idempotence repeat, boolean permitted, boolean none) {
-        TestingSettings settings = new TestingSettings();
+    @Test(dataProvider = "attemptStates")
+    public void givesUpByAgeAndProgress(
+            Run run, double ageMs, double lateRatio, Idempotence repeat, boolean permitted, boolean givenUp) {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.objective = new RequestClass.Objective(1_000, 1, 5_000, 1, lateRatio);
         settings.idempotence = repeat;
         settings.cancel = permitted;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         run.apply(attempt, policies.context.nowMs());
         policies.advance(ageMs);
-        assertThat(policies.cancellation.hasNoValue(attempt)).isEqualTo(none);
+        assertThat(policies.cancellation.shouldGiveUp(attempt)).isEqualTo(givenUp);
     }
 }
--- a/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -12,10 +12,10 @@
 import org.testng.annotations.Test;
 
 public class ConcurrencyLimitsTest {
-    private static final double ROUNDING = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
-    private static TestingSettings settings(int frontEnds) {
-        TestingSettings settings = new TestingSettings();
+    private static SettingsBuilder settings(int frontEnds) {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.frontEnds = frontEnds;
         return settings;
     }
@@ -37,11 +37,11 @@
 
     @Test(dataProvider = "threads")
     public void limitsThreadsByCoresAndQuota(int cores, int frontEnds, int inFlight, boolean hasCapacity) {
-        TestingSettings settings = settings(frontEnds);
+        SettingsBuilder settings = settings(frontEnds);
         settings.engineKind = new EngineKind(cores, 16_000);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
-        policies.fill(engine, inFlight);
+        policies.startAttempts(engine, inFlight);
         assertThat(policies.limits.hasCapacity(engine, policies.admit())).isEqualTo(hasCapacity);
     }
 
@@ -62,14 +62,14 @@
 
     @Test(dataProvider = "memory")
     public void limitsMemoryByTheQuota(double memoryMb, int frontEnds, int inFlight, boolean hasCapacity) {
-        TestingSettings settings = settings(frontEnds);
+        SettingsBuilder settings = settings(frontEnds);
         settings.engineKind = new EngineKind(8, memoryMb);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         for (int attempt = 0; attempt < inFlight; attempt++) {
-            policies.start(policies.admit(0, TestingPolicies.NO_KEY, 200, 5_120), engine);
+            policies.start(policies.admit(0, PolicyFixture.NO_KEY, 200, 5_120), engine);
         }
-        TrackedRequest request = policies.admit(0, TestingPolicies.NO_KEY, 200, 5_120);
+        TrackedRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, 5_120);
         assertThat(policies.limits.hasCapacity(engine, request)).isEqualTo(hasCapacity);
     }
 
@@ -90,12 +90,12 @@
 
     @Test(dataProvider = "reports")
     public void limitsThreadsByLoadReport(double reported, int started, double ageMs, boolean hasCapacity) {
-        TestingSettings settings = settings(1);
+        SettingsBuilder settings = settings(1);
         settings.reportFields = List.of(LoadReportField.IN_FLIGHT);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         policies.reports.apply(engine, new double[] {reported});
-        policies.fill(engine, started);
+        policies.startAttempts(engine, started);
         policies.advance(ageMs);
         assertThat(policies.limits.hasCapacity(engine, policies.admit())).isEqualTo(hasCapacity);
     }
@@ -107,10 +107,10 @@
     }
 
     @Test(dataProvider = "frontEnds")
-    public void startsWithAnEvenQuota(int frontEnds, double quota, double unseenLoad) {
-        TestingPolicies policies = new TestingPolicies(settings(frontEnds));
-        assertThat(policies.limits.quota()).isCloseTo(quota, within(ROUNDING));
-        assertThat(policies.limits.unseenLoadRatio()).isCloseTo(unseenLoad, within(ROUNDING));
+    public void startsWithTheMinimumQuota(int frontEnds, double quota, double unseenLoadRatio) {
+        PolicyFixture policies = new PolicyFixture(settings(frontEnds));
+        assertThat(policies.limits.quota()).isCloseTo(quota, within(TOLERANCE));
+        assertThat(policies.limits.unseenLoadRatio()).isCloseTo(unseenLoadRatio, within(TOLERANCE));
     }
 
     /**
@@ -133,12 +133,12 @@
     @Test(dataProvider = "adaptations")
     public void growsTheQuotaWhileRequestsAreBlockedAndTheFleetIsCalm(
             boolean blocked, double slowdown, double intervalMs, double quota) {
-        TestingPolicies policies = new TestingPolicies(settings(100));
+        PolicyFixture policies = new PolicyFixture(settings(100));
         policies.limits.adaptQuota(true, 5_000);
-        assertThat(policies.limits.quota()).isCloseTo(0.13, within(ROUNDING));
-        policies.slowDown(slowdown);
+        assertThat(policies.limits.quota()).isCloseTo(0.13, within(TOLERANCE));
+        policies.addSlowRuns(slowdown);
         policies.limits.adaptQuota(blocked, intervalMs);
-        assertThat(policies.limits.quota()).isCloseTo(quota, within(ROUNDING));
+        assertThat(policies.limits.quota()).isCloseTo(quota, within(TOLERANCE));
     }
 
     /**
@@ -163,18 +163,18 @@
     }
 
     @Test(dataProvider = "fleetQuotas")
-    public void limitsAClassToItsValuePastTheFleetQuota(
+    public void limitsAClassByItsValueBeyondTheFleetQuota(
             int frontEnds, int ofClass, int ofOther, double valueRatio, double sinceStartMs, boolean within) {
-        TestingSettings settings = settings(frontEnds);
+        SettingsBuilder settings = settings(frontEnds);
         settings.otherClasses.add(settings.requestClass());
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         for (int id = 2; id <= 4; id++) {
             policies.listEngine(id);
         }
         Engine engine = policies.listEngine(1);
-        policies.fill(engine, ofClass);
+        policies.startAttempts(engine, ofClass);
         for (int attempt = 0; attempt < ofOther; attempt++) {
-            policies.start(policies.admit(1, TestingPolicies.NO_KEY, 200, 0), engine);
+            policies.start(policies.admit(1, PolicyFixture.NO_KEY, 200, 0), engine);
         }
         TrackedRequest request = policies.admit();
         request.type().demand().setRatios(0, valueRatio);
@@ -185,10 +185,10 @@
 
     @Test
     public void countsUsableEnginesOnly() {
-        TestingPolicies policies = new TestingPolicies(settings(20));
+        PolicyFixture policies = new PolicyFixture(settings(20));
         policies.listEngine(1);
         Engine busy = policies.listEngine(2);
-        policies.fill(busy, 3);
+        policies.startAttempts(busy, 3);
         assertThat(policies.limits.withinFleetQuota(policies.admit(), engine -> true))
                 .isFalse();
         assertThat(policies.limits.withinFleetQuota(policies.admit(), engine -> engine != busy))
--- a/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
@@ -13,9 +13,9 @@
 
 public class EngineSelectorTest {
     private static final double MAX_HEALTH_CHECK_MS = 25;
-    private static final long NONE = 0;
+    private static final long NO_ENGINE = 0;
 
-    private static long selected(TestingPolicies policies, TrackedRequest request) {
+    private static long selectedEngineId(PolicyFixture policies, TrackedRequest request) {
         EngineSelector selector = new EngineSelector(
                 policies.context,
                 policies.limits,
@@ -24,7 +24,7 @@
                 policies.eligibility,
                 policies.loadScore);
         Optional<Engine> engine = selector.selectEngine(request);
-        return engine.map(Engine::id).orElse(NONE);
+        return engine.map(Engine::id).orElse(NO_ENGINE);
     }
 
     /** The state of an engine, which affects whether the next attempt of a request goes to it. */
@@ -44,18 +44,18 @@
 
         private static final int BUSY_ATTEMPTS = 6;
 
-        void apply(TestingPolicies policies, Engine engine, TrackedRequest request) {
+        void apply(PolicyFixture policies, Engine engine, TrackedRequest request) {
             double nowMs = policies.context.nowMs();
             switch (this) {
                 case NOT_BUSY -> {}
-                case BUSY -> policies.fill(engine, BUSY_ATTEMPTS);
-                case AT_ITS_LIMIT -> policies.fill(engine, TestingPolicies.THREAD_LIMIT);
+                case BUSY -> policies.startAttempts(engine, BUSY_ATTEMPTS);
+                case AT_ITS_LIMIT -> policies.startAttempts(engine, PolicyFixture.THREAD_LIMIT);
                 case DRAINING -> policies.listEngine(engine.id(), EndpointState.DRAINING);
                 case UNDER_MAINTENANCE -> engine.beginMaintenance();
                 case RELEASED -> releaseLongAgo(engine);
                 case RELEASED_AND_BUSY_NOW -> {
                     releaseLongAgo(engine);
-                    policies.fill(engine, BUSY_ATTEMPTS);
+                    policies.startAttempts(engine, BUSY_ATTEMPTS);
                 }
                 case EJECTED -> {
                     engine.health().eject();
@@ -84,14 +84,14 @@
             {Condition.NOT_BUSY, Condition.BUSY, 1},
             {Condition.BUSY, Condition.NOT_BUSY, 2},
             {Condition.AT_ITS_LIMIT, Condition.BUSY, 2},
-            {Condition.AT_ITS_LIMIT, Condition.AT_ITS_LIMIT, NONE},
+            {Condition.AT_ITS_LIMIT, Condition.AT_ITS_LIMIT, NO_ENGINE},
             {Condition.DRAINING, Condition.BUSY, 2},
             {Condition.UNDER_MAINTENANCE, Condition.BUSY, 2},
             {Condition.NOT_BUSY, Condition.RELEASED, 2},
             {Condition.NOT_BUSY, Condition.RELEASED_AND_BUSY_NOW, 1},
             {Condition.EJECTED, Condition.BUSY, 2},
             {Condition.NOT_BUSY, Condition.EJECTED_AND_PROBE_DUE, 2},
-            {Condition.EJECTED, Condition.EJECTED, NONE},
+            {Condition.EJECTED, Condition.EJECTED, NO_ENGINE},
             {Condition.EJECTED, Condition.EJECTED_AND_PROBE_DUE, 2},
             {Condition.TRIED, Condition.BUSY, 2},
             {Condition.TRIED, Condition.UNDER_MAINTENANCE, 1},
@@ -102,39 +102,39 @@
     }
 
     @Test(dataProvider = "engines")
-    public void selectsTheEligibleEngineWithTheLeastLoad(Condition first, Condition second, long expected) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+    public void selectsTheEligibleEngineWithTheLeastLoad(Condition first, Condition second, long expectedId) {
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         TrackedRequest request = policies.admit();
         Engine engine1 = policies.listEngine(1);
         Engine engine2 = policies.listEngine(2);
         first.apply(policies, engine1, request);
         second.apply(policies, engine2, request);
         if (first == Condition.TRIED && second == Condition.TRIED) {
-            policies.fill(engine2, Condition.BUSY_ATTEMPTS);
+            policies.startAttempts(engine2, Condition.BUSY_ATTEMPTS);
         }
-        assertThat(selected(policies, request)).isEqualTo(expected);
+        assertThat(selectedEngineId(policies, request)).isEqualTo(expectedId);
     }
 
     @Test
     public void leavesAProbeToIdempotentRequests() {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.idempotence = Idempotence.NON_IDEMPOTENT;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
         policies.listEngine(1);
         Condition.EJECTED_AND_PROBE_DUE.apply(policies, policies.listEngine(2), request);
-        assertThat(selected(policies, request)).isEqualTo(1);
+        assertThat(selectedEngineId(policies, request)).isEqualTo(1);
     }
 
     @Test
     public void selectsNoEngineForARequestWithoutAttemptsLeft() {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.maxAttempts = 1;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
         policies.listEngine(2);
         Condition.TRIED.apply(policies, policies.listEngine(1), request);
-        assertThat(selected(policies, request)).isEqualTo(NONE);
+        assertThat(selectedEngineId(policies, request)).isEqualTo(NO_ENGINE);
     }
 
     /**
@@ -143,17 +143,17 @@
      */
     @DataProvider
     public Object[][] quotas() {
-        return new Object[][] {{0, 1, false}, {1, NONE, true}};
+        return new Object[][] {{0, 1, false}, {1, NO_ENGINE, true}};
     }
 
     @Test(dataProvider = "quotas")
-    public void pausesTheClassPastTheQuotaOfTheFleet(int inFlight, long expected, boolean paused) {
-        TestingSettings settings = new TestingSettings();
+    public void pausesTheClassPastTheQuotaOfTheFleet(int inFlight, long expectedId, boolean paused) {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.frontEnds = 100;
-        TestingPolicies policies = new TestingPolicies(settings);
-        policies.fill(policies.listEngine(1), inFlight);
+        PolicyFixture policies = new PolicyFixture(settings);
+        policies.startAttempts(policies.listEngine(1), inFlight);
         TrackedRequest request = policies.admit();
-        assertThat(selected(policies, request)).isEqualTo(expected);
+        assertThat(selectedEngineId(policies, request)).isEqualTo(expectedId);
         assertThat(request.type().isDispatchPaused()).isEqualTo(paused);
     }
 }
--- a/src/test/java/lineward/scheduling/decision/FinalAnswerPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/FinalAnswerPolicyTest.java
@@ -27,7 +27,7 @@
 public class FinalAnswerPolicyTest {
     private static final Optional<AttemptOutcome> IN_FLIGHT = Optional.empty();
 
-    private static SchedulerAction finalAnswer(TestingPolicies policies, TrackedRequest request) {
+    private static SchedulerAction finalAnswer(PolicyFixture policies, TrackedRequest request) {
         return new FinalAnswerPolicy(policies.context, policies.retries).finalAnswer(request);
     }
 
@@ -57,10 +57,10 @@
     @Test(dataProvider = "answers")
     public void rejectsWhatNeverRanOrMayRunTwice(
             Optional<AttemptOutcome> ended, Idempotence repeat, DeduplicationScope scope, boolean rejected) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.idempotence = repeat;
         settings.scope = scope;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         ended.ifPresent(outcome -> policies.end(attempt, outcome));
         Class<? extends SchedulerAction> expected =
@@ -75,10 +75,10 @@
 
     @Test(dataProvider = "idempotence")
     public void rejectsWhatHasNoAttempt(Idempotence idempotence) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.idempotence = idempotence;
         settings.scope = CELL;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         assertThat(finalAnswer(policies, policies.admit())).isInstanceOf(SchedulerAction.Reject.class);
     }
 
@@ -99,11 +99,11 @@
     @Test(dataProvider = "retryAfters")
     public void advisesAQuarterOfTheObjectiveWithinTheMaximum(
             boolean permitted, double maxRetryAfterMs, double latencyMs, double expectedMs) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.retryAfter = permitted;
         settings.maxRetryAfterMs = maxRetryAfterMs;
         settings.objective = new RequestClass.Objective(latencyMs, 1, 5_000, 1, 0);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
         SchedulerAction expected = new SchedulerAction.Reject(request.id(), expectedMs);
         assertThat(finalAnswer(policies, request)).isEqualTo(expected);
--- a/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
+++ b/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
@@ -17,31 +17,31 @@
     private static final double[] REPORT = {3};
     private static final double[] NO_REPORT = {};
 
-    private static TestingSettings settings() {
-        TestingSettings settings = new TestingSettings();
+    private static SettingsBuilder settings() {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.gossip = true;
         settings.reportFields = List.of(LoadReportField.IN_FLIGHT);
         return settings;
     }
 
-    private static LoadReportPolling polling(TestingPolicies policies) {
+    private static LoadReportPolling polling(PolicyFixture policies) {
         return new LoadReportPolling(policies.context, policies.reports, policies.outliers);
     }
 
-    private static List<Long> polled(TestingPolicies policies) {
+    private static List<Long> polledEngineIds(PolicyFixture policies) {
         return policies.context.endDecision().stream()
                 .filter(StartHealthCheck.class::isInstance)
                 .map(action -> ((StartHealthCheck) action).engine())
                 .toList();
     }
 
-    private static double delayMs(TestingPolicies policies) {
+    private static double nextPollDelayMs(PolicyFixture policies) {
         List<ScheduleTimer> timers = policies.context.endDecision().stream()
                 .filter(ScheduleTimer.class::isInstance)
                 .map(ScheduleTimer.class::cast)
                 .toList();
         assertThat(timers).hasSize(1);
-        assertThat(timers.get(0).token()).isEqualTo(LoadReportPolling.TIMER);
+        assertThat(timers.get(0).token()).isEqualTo(LoadReportPolling.POLL_TIMER);
         return timers.get(0).delayMs();
     }
 
@@ -53,13 +53,13 @@
 
     @Test(dataProvider = "capabilities")
     public void startsWhereFrontEndsShareReports(boolean gossip, boolean reported, boolean starts) {
-        TestingSettings settings = settings();
+        SettingsBuilder settings = settings();
         settings.gossip = gossip;
         settings.reportFields = reported ? settings.reportFields : List.of();
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         polling(policies).start();
         if (starts) {
-            assertThat(delayMs(policies)).isBetween(0.0, 250.0);
+            assertThat(nextPollDelayMs(policies)).isBetween(0.0, 250.0);
         } else {
             assertThat(policies.context.endDecision()).isEmpty();
         }
@@ -72,20 +72,20 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void pollsUpToFourEngines(int ready, int polled) {
-        TestingPolicies policies = new TestingPolicies(settings());
+    public void pollsUpToFourEngines(int ready, int expectedCount) {
+        PolicyFixture policies = new PolicyFixture(settings());
         for (int id = 1; id <= ready; id++) {
             policies.listEngine(id);
         }
         policies.listEngine(100, EndpointState.DRAINING);
-        policies.listEngine(101).load().startHealthCheck(TestingPolicies.START_MS);
+        policies.listEngine(101).load().startHealthCheck(PolicyFixture.START_MS);
         polling(policies).poll();
-        assertThat(polled(policies)).hasSize(polled).doesNotContain(100L, 101L);
+        assertThat(polledEngineIds(policies)).hasSize(expectedCount).doesNotContain(100L, 101L);
     }
 
     @Test
     public void pollsTheEnginesWithTheOldestReports() {
-        TestingPolicies policies = new TestingPolicies(settings());
+        PolicyFixture policies = new PolicyFixture(settings());
         for (long id = 1; id <= 6; id++) {
             Engine engine = policies.listEngine(id);
             if (id != 4) {
@@ -94,7 +94,7 @@
             policies.advance(1_000);
         }
         polling(policies).poll();
-        assertThat(polled(policies)).containsExactly(4L, 1L, 2L, 3L);
+        assertThat(polledEngineIds(policies)).containsExactly(4L, 1L, 2L, 3L);
     }
 
     /**
@@ -115,12 +115,12 @@
     }
 
     @Test(dataProvider = "delays")
-    public void limitsPollingByItsPrice(
-            int engines, int frontEnds, double price, int requests, double minMs, double maxMs) {
-        TestingSettings settings = settings();
+    public void limitsPollingByItsCost(
+            int engines, int frontEnds, double healthCheckCost, int requests, double minMs, double maxMs) {
+        SettingsBuilder settings = settings();
         settings.frontEnds = frontEnds;
-        settings.healthCheckCost = price;
-        TestingPolicies policies = new TestingPolicies(settings);
+        settings.healthCheckCost = healthCheckCost;
+        PolicyFixture policies = new PolicyFixture(settings);
         for (int id = 1; id <= engines; id++) {
             policies.listEngine(id);
         }
@@ -130,7 +130,7 @@
         }
         policies.advance(1_000);
         polling.poll();
-        assertThat(delayMs(policies)).isBetween(minMs, maxMs);
+        assertThat(nextPollDelayMs(policies)).isBetween(minMs, maxMs);
     }
 
     /** Columns: outcome of a health check, whether its report is applied, whether the engine is ejected. */
@@ -147,11 +147,11 @@
 
     @Test(dataProvider = "outcomes")
     public void appliesReportsAndEjectsOnFailure(AttemptOutcome outcome, boolean applied, boolean ejected) {
-        TestingPolicies policies = new TestingPolicies(settings());
+        PolicyFixture policies = new PolicyFixture(settings());
         Engine engine = policies.listEngine(1);
-        engine.load().startHealthCheck(TestingPolicies.START_MS);
+        engine.load().startHealthCheck(PolicyFixture.START_MS);
         double[] report = applied ? REPORT : NO_REPORT;
-        polling(policies).complete(new HealthCheckCompleted(1, outcome, 5, report), engine);
+        polling(policies).applyHealthCheck(new HealthCheckCompleted(1, outcome, 5, report), engine);
         assertThat(policies.reports.areFresh(engine)).isEqualTo(applied);
         assertThat(engine.health().isEjected()).isEqualTo(ejected);
         assertThat(engine.load().healthCheckStartedMs()).isEmpty();
--- a/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
@@ -13,9 +13,9 @@
 
 public class MigrationPolicyTest {
     /** Age in ms from which a run of 200 ms would not end before the objective at 1,200 ms. */
-    private static final double MIGRATION_END_MS = 1_000;
+    private static final double TOO_LATE_MS = 1_000;
 
-    private static boolean shouldMigrate(TestingPolicies policies, Attempt attempt) {
+    private static boolean shouldMigrate(PolicyFixture policies, Attempt attempt) {
         RetryPolicy retries = policies.retries;
         MigrationPolicy policy =
                 new MigrationPolicy(policies.context, policies.cancellation, retries, policies.eligibility);
@@ -23,7 +23,7 @@
     }
 
     /** The conditions of a migration. A test case violates one of them, or none. */
-    private enum Unmet {
+    private enum Condition {
         NONE,
         CANCEL_PERMITTED,
         IN_FLIGHT,
@@ -36,8 +36,8 @@
         WITHIN_RETRY_BUDGET,
         ENGINE_FOR_A_RELAUNCH;
 
-        TestingSettings settings() {
-            TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings() {
+            SettingsBuilder settings = new SettingsBuilder();
             settings.cancel = this != CANCEL_PERMITTED;
             if (this == IDEMPOTENT) {
                 settings.idempotence = Idempotence.NON_IDEMPOTENT;
@@ -48,13 +48,13 @@
             return settings;
         }
 
-        void apply(TestingPolicies policies, Attempt attempt) {
+        void apply(PolicyFixture policies, Attempt attempt) {
             switch (this) {
                 case IN_FLIGHT -> attempt.cancel(CancelCause.SLOW);
                 case RESPONSE_NOT_STARTED -> attempt.request().startResponse();
                 case WAITING -> attempt.setWaiting(false, policies.context.nowMs());
                 case NO_PROGRESS -> attempt.recordProgress(0.1, policies.context.nowMs());
-                case IN_TIME_ELSEWHERE -> policies.advance(MIGRATION_END_MS);
+                case IN_TIME_ELSEWHERE -> policies.advance(TOO_LATE_MS);
                 case ENGINE_FOR_A_RELAUNCH -> policies.listEngine(2).health().eject();
                 default -> {}
             }
@@ -63,12 +63,12 @@
 
     @DataProvider
     public Object[][] conditions() {
-        return TestingPolicies.oneUnmetEach(Unmet.values());
+        return PolicyFixture.rowPerCondition(Condition.values());
     }
 
     @Test(dataProvider = "conditions")
-    public void migratesIfEachConditionIsMet(Unmet unmet, boolean migrated) {
-        TestingPolicies policies = new TestingPolicies(unmet.settings());
+    public void migratesIfEachConditionIsMet(Condition unmet, boolean migrated) {
+        PolicyFixture policies = new PolicyFixture(unmet.settings());
         policies.listEngine(2);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         attempt.setWaiting(true, policies.context.nowMs());
@@ -79,12 +79,12 @@
     /** Columns: time in ms since admission, whether the attempt is migrated. */
     @DataProvider
     public Object[][] ages() {
-        return new Object[][] {{0, true}, {MIGRATION_END_MS - 1, true}, {MIGRATION_END_MS, false}};
+        return new Object[][] {{0, true}, {TOO_LATE_MS - 1, true}, {TOO_LATE_MS, false}};
     }
 
     @Test(dataProvider = "ages")
     public void migratesWhileItsRunWouldBeInTime(double ageMs, boolean migrated) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         policies.listEngine(2);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         attempt.setWaiting(true, policies.context.nowMs());
@@ -105,13 +105,13 @@
     }
 
     @Test(dataProvider = "migrations")
-    public void reservesAnAttemptForARelaunch(int before, int maxAttempts, boolean migrated) {
-        TestingSettings settings = new TestingSettings();
+    public void reservesAnAttemptForARelaunch(int earlierMigrations, int maxAttempts, boolean migrated) {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.maxAttempts = maxAttempts;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         policies.listEngine(2);
         TrackedRequest request = policies.admit();
-        for (int migration = 0; migration < before; migration++) {
+        for (int migration = 0; migration < earlierMigrations; migration++) {
             Attempt migratedAttempt = policies.start(request, policies.listEngine(10 + migration));
             migratedAttempt.cancel(CancelCause.MIGRATION);
             policies.endAndRequeue(migratedAttempt, AttemptOutcome.CANCELLED);
--- a/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
@@ -15,16 +15,16 @@
 public class OutlierDetectorTest {
 
     /** The outcome of an attempt on an engine; each attempt belongs to a different request. */
-    private enum Answer {
+    private enum Outcome {
         SUCCESS,
         ERROR,
         RESET,
         CONNECT_FAILURE;
 
-        void apply(TestingPolicies policies, Engine engine) {
+        void apply(PolicyFixture policies, Engine engine) {
             switch (this) {
                 case SUCCESS -> policies.outliers.recordSuccess(engine);
-                case ERROR -> policies.outliers.attributeError(policies.admit(), engine);
+                case ERROR -> policies.outliers.recordError(policies.admit(), engine);
                 case RESET -> policies.outliers.recordReset(engine);
                 case CONNECT_FAILURE -> policies.outliers.recordConnectFailure(engine);
             }
@@ -36,27 +36,27 @@
      * restarted.
      */
     @DataProvider
-    public Object[][] answers() {
+    public Object[][] outcomes() {
         return new Object[][] {
-            {List.of(Answer.ERROR, Answer.ERROR), false, false},
-            {List.of(Answer.ERROR, Answer.ERROR, Answer.ERROR), true, false},
-            {List.of(Answer.ERROR, Answer.ERROR, Answer.SUCCESS, Answer.ERROR), false, false},
-            {List.of(Answer.ERROR, Answer.ERROR, Answer.ERROR, Answer.SUCCESS), false, false},
-            {List.of(Answer.RESET), false, false},
-            {List.of(Answer.RESET, Answer.RESET), false, true},
-            {List.of(Answer.RESET, Answer.SUCCESS, Answer.RESET), false, false},
-            {List.of(Answer.RESET, Answer.RESET, Answer.RESET), true, true},
-            {List.of(Answer.ERROR, Answer.RESET, Answer.ERROR), true, true},
-            {List.of(Answer.CONNECT_FAILURE), true, true},
-            {List.of(Answer.CONNECT_FAILURE, Answer.SUCCESS), false, true},
+            {List.of(Outcome.ERROR, Outcome.ERROR), false, false},
+            {List.of(Outcome.ERROR, Outcome.ERROR, Outcome.ERROR), true, false},
+            {List.of(Outcome.ERROR, Outcome.ERROR, Outcome.SUCCESS, Outcome.ERROR), false, false},
+            {List.of(Outcome.ERROR, Outcome.ERROR, Outcome.ERROR, Outcome.SUCCESS), false, false},
+            {List.of(Outcome.RESET), false, false},
+            {List.of(Outcome.RESET, Outcome.RESET), false, true},
+            {List.of(Outcome.RESET, Outcome.SUCCESS, Outcome.RESET), false, false},
+            {List.of(Outcome.RESET, Outcome.RESET, Outcome.RESET), true, true},
+            {List.of(Outcome.ERROR, Outcome.RESET, Outcome.ERROR), true, true},
+            {List.of(Outcome.CONNECT_FAILURE), true, true},
+            {List.of(Outcome.CONNECT_FAILURE, Outcome.SUCCESS), false, true},
         };
     }
 
-    @Test(dataProvider = "answers")
-    public void ejectsAfterConsecutiveFailures(List<Answer> answers, boolean ejected, boolean restarted) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+    @Test(dataProvider = "outcomes")
+    public void ejectsAfterConsecutiveFailures(List<Outcome> outcomes, boolean ejected, boolean restarted) {
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngine(1);
-        answers.forEach(answer -> answer.apply(policies, engine));
+        outcomes.forEach(outcome -> outcome.apply(policies, engine));
         assertThat(engine.health().isEjected()).isEqualTo(ejected);
         assertThat(engine.isStartUnannounced()).isEqualTo(restarted);
     }
@@ -72,16 +72,16 @@
 
     @Test(dataProvider = "revertedErrors")
     public void revertsTheFirstErrorOfARequestThatFailsTwice(int failures, boolean ejected, int remaining) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine first = policies.listEngine(1);
         Engine second = policies.listEngine(2);
         for (int failure = 0; failure < failures; failure++) {
-            Answer.ERROR.apply(policies, first);
+            Outcome.ERROR.apply(policies, first);
         }
         TrackedRequest request = policies.admit();
-        policies.outliers.attributeError(request, first);
+        policies.outliers.recordError(request, first);
         assertThat(first.health().isEjected()).isEqualTo(ejected);
-        policies.outliers.attributeError(request, second);
+        policies.outliers.recordError(request, second);
         assertThat(first.health().consecutiveFailures()).isEqualTo(remaining);
         assertThat(first.health().isEjected()).isEqualTo(remaining >= 3);
         assertThat(second.health().consecutiveFailures()).isZero();
@@ -114,11 +114,11 @@
     @Test(dataProvider = "silences")
     public void ejectsASilentEngineWithOverdueWork(
             double intervalMs, int running, int waiting, double ageMs, double answeredAtMs, boolean ejected) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.progressIntervalMs = intervalMs;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
-        policies.fill(engine, running);
+        policies.startAttempts(engine, running);
         for (int attempt = 0; attempt < waiting; attempt++) {
             policies.start(policies.admit(), engine).setWaiting(true, policies.context.nowMs());
         }
@@ -137,7 +137,7 @@
 
     @Test(dataProvider = "fleets")
     public void usesEjectedEnginesIfTooFewAreHealthy(int healthy, int allowed, boolean useEjected) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         assertThat(policies.outliers.mustUseEjected(healthy, allowed)).isEqualTo(useEjected);
     }
 
@@ -159,7 +159,7 @@
     }
 
     @Test(dataProvider = "probes")
-    public void probesWithARequestThatCanAffordIt(
+    public void probesWithASuitableRequest(
             boolean ejected,
             double sinceProbeMs,
             int probesUsed,
@@ -167,9 +167,9 @@
             Idempotence idempotence,
             double ageMs,
             boolean mayProbe) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.idempotence = idempotence;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         if (ejected) {
             engine.health().eject();
@@ -194,7 +194,7 @@
 
     @Test(dataProvider = "earnings")
     public void earnsAProbeWithTenRequests(int admitted, boolean mayProbe) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngine(1);
         engine.health().eject();
         policies.outliers.spendRecoveryProbe(engine);
@@ -208,7 +208,7 @@
 
     @Test
     public void logsAnEjectionOnceWithItsCause() {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngine(26);
         policies.outliers.eject(engine, EjectionCause.SILENCE);
         policies.outliers.eject(engine, EjectionCause.ERRORS);
--- a/src/test/java/lineward/scheduling/decision/TestingPolicies.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -17,7 +17,7 @@
 import lineward.scheduling.state.TrackedRequest;
 
 /** The policies of one scheduler, over a state that the test builds and a clock that the test sets. */
-final class TestingPolicies {
+final class PolicyFixture {
     static final double START_MS = 100_000;
     /** Default work estimate. The objective is then 1,200 ms and the deadline 5,000 ms after admission. */
     static final double WORK_MS = 200;
@@ -30,7 +30,7 @@
 
     private static final long SEED = 7;
     /** Enough runs to outweigh the prior runs at the typical speed. */
-    private static final int SLOW_RUNS = 500;
+    private static final int SLOW_RUN_COUNT = 500;
 
     final SchedulerContext context;
     final EngineCapacity capacity;
@@ -47,7 +47,7 @@
     final EngineLoadScore loadScore;
     private long lastRequest;
 
-    TestingPolicies(TestingSettings settings) {
+    PolicyFixture(SettingsBuilder settings) {
         context = new SchedulerContext(settings.build(), SEED);
         context.beginDecision(START_MS);
         capacity = new EngineCapacity(context);
@@ -68,7 +68,7 @@
      * Returns one row for each constant: the condition that is violated, and whether the decision is expected
      * to be positive. The first constant stands for no violation, so that only its row expects true.
      */
-    static Object[][] oneUnmetEach(Enum<?>[] conditions) {
+    static Object[][] rowPerCondition(Enum<?>[] conditions) {
         return Arrays.stream(conditions)
                 .map(unmet -> new Object[] {unmet, unmet == conditions[0]})
                 .toArray(Object[][]::new);
@@ -109,20 +109,20 @@
     }
 
     /** Admits a request with a table group of its own. */
-    TrackedRequest admit(int requestClass, long key, double workMs, double memoryMb) {
+    TrackedRequest admit(int classIndex, long key, double workMs, double memoryMb) {
         lastRequest++;
-        return admit(requestClass, key, workMs, memoryMb, (int) lastRequest);
+        return admit(classIndex, key, workMs, memoryMb, (int) lastRequest);
     }
 
-    TrackedRequest admitOfGroup(int requestClass, int tableGroup) {
+    TrackedRequest admitWithTableGroup(int classIndex, int tableGroup) {
         lastRequest++;
-        return admit(requestClass, NO_KEY, WORK_MS, NO_MEMORY_ESTIMATE, tableGroup);
+        return admit(classIndex, NO_KEY, WORK_MS, NO_MEMORY_ESTIMATE, tableGroup);
     }
 
-    private TrackedRequest admit(int requestClass, long key, double workMs, double memoryMb, int tableGroup) {
+    private TrackedRequest admit(int classIndex, long key, double workMs, double memoryMb, int tableGroup) {
         TrackedRequest request = context.admit(
                 new SchedulerEvent.RequestArrived(
-                        lastRequest, requestClass, key, TIME_LEFT_MS, workMs, memoryMb, tableGroup, false, 0),
+                        lastRequest, classIndex, key, TIME_LEFT_MS, workMs, memoryMb, tableGroup, false, 0),
                 false);
         keyOrder.add(request);
         return request;
@@ -139,7 +139,7 @@
 
     Attempt start(TrackedRequest request, Engine engine) {
         double nowMs = context.nowMs();
-        Attempt attempt = new Attempt(request, engine, resources.grantMb(request, engine), nowMs);
+        Attempt attempt = new Attempt(request, engine, resources.expectedMemoryMb(request, engine), nowMs);
         if (!request.attempts().isEmpty()) {
             budget.recordRetry();
         }
@@ -150,7 +150,7 @@
     }
 
     /** Starts attempts on the engine, each for a new request. */
-    void fill(Engine engine, int attempts) {
+    void startAttempts(Engine engine, int attempts) {
         for (int i = 0; i < attempts; i++) {
             start(admit(), engine);
         }
@@ -175,17 +175,17 @@
     }
 
     /** Adds the number of completed runs that the speculative timeout requires. */
-    void learnUsualRunTime() {
+    void addCompletedRuns() {
         for (int run = 0; run < ServiceTimeModel.MIN_COMPLETED_RUNS; run++) {
             context.serviceTimes().add(1);
         }
     }
 
     /** Adds recent runs to all classes, slower than typical by the factor, and recomputes the models. */
-    void slowDown(double factor) {
+    void addSlowRuns(double factor) {
         double nowMs = context.nowMs();
         context.classes().forEach(type -> {
-            for (int run = 0; run < SLOW_RUNS; run++) {
+            for (int run = 0; run < SLOW_RUN_COUNT; run++) {
                 type.model().addSlowdown(Math.log(factor), nowMs);
             }
             type.model().recompute(nowMs, List.of());
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -16,10 +16,10 @@
 import org.testng.annotations.Test;
 
 public class ResourceLimitsTest {
-    private static final double ROUNDING = 1e-9;
+    private static final double TOLERANCE = 1e-9;
     private static final double NO_WORK = 0;
 
-    private static SetResourceLimits limits(TestingPolicies policies, TrackedRequest request) {
+    private static SetResourceLimits limits(PolicyFixture policies, TrackedRequest request) {
         Optional<SchedulerAction> limits = policies.resources.limitsFor(request, policies.listEngine(1));
         return (SetResourceLimits) limits.orElseThrow();
     }
@@ -36,11 +36,11 @@
     }
 
     @Test(dataProvider = "capabilities")
-    public void sendsLimitsWhereEnginesHeedThem(boolean grants, boolean priorities, boolean sent) {
-        TestingSettings settings = new TestingSettings();
+    public void sendsLimitsIfEnginesSupportThem(boolean grants, boolean priorities, boolean sent) {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.grants = grants;
         settings.priorities = priorities;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         assertThat(policies.resources.limitsFor(policies.admit(), engine).isPresent())
                 .isEqualTo(sent);
@@ -70,14 +70,15 @@
             double estimateMb,
             double grantMb,
             double countedMb) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.grants = grants;
         settings.memoryShortage = shortage;
         settings.engineKind = new EngineKind(8, engineMb);
-        TestingPolicies policies = new TestingPolicies(settings);
-        TrackedRequest request = policies.admit(0, TestingPolicies.NO_KEY, 200, estimateMb);
+        PolicyFixture policies = new PolicyFixture(settings);
+        TrackedRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, estimateMb);
         assertThat(limits(policies, request).grantMb()).isEqualTo(grantMb);
-        assertThat(policies.resources.grantMb(request, policies.listEngine(1))).isEqualTo(countedMb);
+        assertThat(policies.resources.expectedMemoryMb(request, policies.listEngine(1)))
+                .isEqualTo(countedMb);
     }
 
     /**
@@ -102,11 +103,11 @@
     @Test(dataProvider = "priorities")
     public void ranksShortWorkFirstAndOverdueWorkLast(
             double meanWorkMs, double ageMs, boolean relaunched, boolean load, int priority) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.workload = new RequestClass.ExecutionProfile(load, false, 1);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         if (meanWorkMs > NO_WORK) {
-            policies.context.requestClass(0).model().addWork(meanWorkMs, TestingPolicies.START_MS);
+            policies.context.requestClass(0).model().addWork(meanWorkMs, PolicyFixture.START_MS);
         }
         TrackedRequest request = policies.admit();
         if (relaunched) {
@@ -132,13 +133,13 @@
 
     @Test(dataProvider = "needs")
     public void learnsTheGrantFactor(double before, double need, double afterNeed, double afterSpill) {
-        TestingPolicies policies = new TestingPolicies(new TestingSettings());
+        PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         ClassState type = policies.context.requestClass(0);
         type.setGrantFactor(before);
         policies.resources.recordNeed(type, need);
-        assertThat(type.grantFactor()).isCloseTo(afterNeed, within(ROUNDING));
+        assertThat(type.grantFactor()).isCloseTo(afterNeed, within(TOLERANCE));
         type.setGrantFactor(before);
         policies.resources.recordSpill(type);
-        assertThat(type.grantFactor()).isCloseTo(afterSpill, within(ROUNDING));
+        assertThat(type.grantFactor()).isCloseTo(afterSpill, within(TOLERANCE));
     }
 }
--- a/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
@@ -29,8 +29,8 @@
 public class RetryPolicyTest {
     private static final double KEY_TTL_MS = 2_000;
 
-    private static TestingSettings settings(Idempotence idempotence, DeduplicationScope scope) {
-        TestingSettings settings = new TestingSettings();
+    private static SettingsBuilder settings(Idempotence idempotence, DeduplicationScope scope) {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.idempotence = idempotence;
         settings.scope = scope;
         settings.keyTtlMs = KEY_TTL_MS;
@@ -68,9 +68,9 @@
     @Test(dataProvider = "retries")
     public void retriesByOutcomeIdempotenceAttemptsAndErrors(
             AttemptOutcome outcome, Idempotence idempotence, int maxAttempts, int errors, boolean mayRetry) {
-        TestingSettings settings = settings(idempotence, ALL);
+        SettingsBuilder settings = settings(idempotence, ALL);
         settings.maxAttempts = maxAttempts;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         policies.end(attempt, outcome);
         for (int error = 0; error < errors; error++) {
@@ -84,7 +84,7 @@
      * completed, time in ms since admission, whether it may be attempted.
      */
     @DataProvider
-    public Object[][] openRequests() {
+    public Object[][] requestStates() {
         return new Object[][] {
             {0, 1, false, false, 0, true},
             {0, 2, true, false, 0, false},
@@ -96,12 +96,12 @@
         };
     }
 
-    @Test(dataProvider = "openRequests")
-    public void attemptsOnlyOpenRequests(
+    @Test(dataProvider = "requestStates")
+    public void attemptsOnlyReadyRequests(
             int ended, int maxAttempts, boolean inFlight, boolean completed, double ageMs, boolean expected) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.maxAttempts = maxAttempts;
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
         for (int attempt = 0; attempt < ended; attempt++) {
             policies.endAndRequeue(policies.start(request, policies.listEngine(1)), ERROR);
@@ -138,7 +138,7 @@
     @Test(dataProvider = "repeats")
     public void repeatsWhereTheKeyIsRecognised(
             Idempotence repeat, DeduplicationScope scope, int zone, int cell, double ageMs, boolean may) {
-        TestingPolicies policies = new TestingPolicies(settings(repeat, scope));
+        PolicyFixture policies = new PolicyFixture(settings(repeat, scope));
         Attempt first = policies.start(policies.admit(), policies.listEngine(1, 0, 0));
         policies.endAndRequeue(first, TIMEOUT);
         policies.advance(ageMs);
@@ -164,7 +164,7 @@
     @Test(dataProvider = "startLimits")
     public void limitsTheStartOfARepeat(
             Idempotence idempotence, AttemptOutcome outcome, double ageMs, double expectedMs) {
-        TestingPolicies policies = new TestingPolicies(settings(idempotence, ALL));
+        PolicyFixture policies = new PolicyFixture(settings(idempotence, ALL));
         Attempt first = policies.start(policies.admit(), policies.listEngine(1));
         policies.endAndRequeue(first, outcome);
         policies.advance(ageMs);
@@ -189,9 +189,9 @@
     @Test(dataProvider = "budgets")
     public void keepsRetriesAndRelaunchesWithinTheBudget(
             int budget, int ended, int cancels, boolean mayAttempt, boolean mayRelaunch) {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.retryBudget = new RetryBudget(10_000, budget, 0);
-        TestingPolicies policies = new TestingPolicies(settings);
+        PolicyFixture policies = new PolicyFixture(settings);
         TrackedRequest request = policies.admit();
         for (int attempt = 0; attempt < ended; attempt++) {
             policies.endAndRequeue(policies.start(request, policies.listEngine(1)), ERROR);
@@ -209,7 +209,7 @@
      */
     @DataProvider
     public Object[][] keyAges() {
-        double latestMs = KEY_TTL_MS - OutlierDetector.SILENCE_MS;
+        double latestMs = KEY_TTL_MS - OutlierDetector.MIN_SILENCE_MS;
         return new Object[][] {
             {BY_KEY, latestMs, true},
             {BY_KEY, latestMs + 1, false},
@@ -219,7 +219,7 @@
 
     @Test(dataProvider = "keyAges")
     public void relaunchesBeforeTheKeyExpires(Idempotence idempotence, double ageMs, boolean mayRelaunch) {
-        TestingPolicies policies = new TestingPolicies(settings(idempotence, ALL));
+        PolicyFixture policies = new PolicyFixture(settings(idempotence, ALL));
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         policies.advance(ageMs);
         assertThat(policies.retries.mayRelaunch(attempt.request())).isEqualTo(mayRelaunch);
@@ -240,17 +240,17 @@
     @Test(dataProvider = "doubleRuns")
     public void mayRunTwiceIfRepeatableAnywhere(
             Idempotence idempotence, DeduplicationScope scope, boolean mayRunTwice) {
-        TestingPolicies policies = new TestingPolicies(settings(idempotence, scope));
+        PolicyFixture policies = new PolicyFixture(settings(idempotence, scope));
         assertThat(policies.retries.mayRunTwice(policies.admit())).isEqualTo(mayRunTwice);
     }
 
     @Test
     public void attemptsTheFirstRequestOfAKeyOnly() {
-        TestingSettings settings = new TestingSettings();
+        SettingsBuilder settings = new SettingsBuilder();
         settings.inOrder = true;
-        TestingPolicies policies = new TestingPolicies(settings);
-        TrackedRequest first = policies.admit(77, TestingPolicies.WORK_MS);
-        TrackedRequest second = policies.admit(77, TestingPolicies.WORK_MS);
+        PolicyFixture policies = new PolicyFixture(settings);
+        TrackedRequest first = policies.admit(77, PolicyFixture.WORK_MS);
+        TrackedRequest second = policies.admit(77, PolicyFixture.WORK_MS);
         assertThat(policies.retries.mayAttempt(first, policies.listEngine(1))).isTrue();
         assertThat(policies.retries.mayAttempt(second, policies.listEngine(1))).isFalse();
     }
--- a/src/test/java/lineward/scheduling/decision/SlowStartTest.java
+++ b/src/test/java/lineward/scheduling/decision/SlowStartTest.java
@@ -12,20 +12,20 @@
 public class SlowStartTest {
     private static final double WINDOW_MS = 1_000;
     private static final double WARMUP_MS = 15_000;
-    private static final double NO_OVERLOAD = 0;
+    private static final double UNLIMITED_WORK = 0;
 
     /**
      * Sets a deadline so short that the prior mean work of the class, 100 ms, is less than any estimate here.
      */
-    private static TestingSettings settings(int frontEnds) {
-        TestingSettings settings = new TestingSettings();
+    private static SettingsBuilder settings(int frontEnds) {
+        SettingsBuilder settings = new SettingsBuilder();
         settings.objective = new RequestClass.Objective(1_000, 1, 800, 1, 0);
         settings.frontEnds = frontEnds;
         return settings;
     }
 
-    private static boolean allows(TestingPolicies policies, Engine engine, double workMs) {
-        return policies.slowStart.allows(policies.admit(TestingPolicies.NO_KEY, workMs), engine);
+    private static boolean allows(PolicyFixture policies, Engine engine, double workMs) {
+        return policies.slowStart.allows(policies.admit(PolicyFixture.NO_KEY, workMs), engine);
     }
 
     /**
@@ -43,17 +43,17 @@
             {1, 3, 8_500, 5_585, false},
             {1, 3, WARMUP_MS - 1, 50_000, false},
             {1, 3, WARMUP_MS, 50_000, true},
-            {1, NO_OVERLOAD, 0, 50_000, true},
+            {1, UNLIMITED_WORK, 0, 50_000, true},
         };
     }
 
     @Test(dataProvider = "budgets")
     public void allowsWorkWithinTheBudgetOfAFrontEnd(
             int frontEnds, double overloadFactor, double ageMs, double workMs, boolean allowed) {
-        TestingSettings settings = settings(frontEnds);
+        SettingsBuilder settings = settings(frontEnds);
         settings.overloadFactor = overloadFactor;
-        TestingPolicies policies = new TestingPolicies(settings);
-        Engine engine = policies.listEngineStartedAt(1, TestingPolicies.START_MS);
+        PolicyFixture policies = new PolicyFixture(settings);
+        Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS);
         policies.advance(ageMs);
         assertThat(allows(policies, engine, workMs)).isEqualTo(allowed);
     }
@@ -65,10 +65,10 @@
     }
 
     @Test(dataProvider = "sentWork")
-    public void countsRecentWork(double agoMs, boolean allowed) {
-        TestingPolicies policies = new TestingPolicies(settings(1));
-        Engine engine = policies.listEngineStartedAt(1, TestingPolicies.START_MS);
-        TrackedRequest sent = policies.admit(TestingPolicies.NO_KEY, 2_000);
+    public void countsWorkSentWithinTheWindow(double agoMs, boolean allowed) {
+        PolicyFixture policies = new PolicyFixture(settings(1));
+        Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS);
+        TrackedRequest sent = policies.admit(PolicyFixture.NO_KEY, 2_000);
         policies.start(sent, engine);
         policies.advance(agoMs);
         assertThat(allows(policies, engine, 1_500)).isEqualTo(allowed);
@@ -94,10 +94,10 @@
 
     @Test(dataProvider = "slots")
     public void assignsEachSlotToFourFrontEnds(int ordinal, double ageMs, double workMs, boolean allowed) {
-        TestingSettings settings = settings(8);
+        SettingsBuilder settings = settings(8);
         settings.ordinal = ordinal;
-        TestingPolicies policies = new TestingPolicies(settings);
-        Engine engine = policies.listEngineStartedAt(8, TestingPolicies.START_MS);
+        PolicyFixture policies = new PolicyFixture(settings);
+        Engine engine = policies.listEngineStartedAt(8, PolicyFixture.START_MS);
         policies.advance(ageMs);
         assertThat(policies.slowStart.usesSlots()).isTrue();
         assertThat(allows(policies, engine, workMs)).isEqualTo(allowed);
@@ -119,15 +119,15 @@
     }
 
     @Test(dataProvider = "processStarts")
-    public void skipsEnginesAfterTheStartOfThisProcess(
+    public void skipsWarmingEnginesJustAfterAProcessStart(
             double earlierMs, double sinceMs, boolean hotRestart, boolean allowed) {
-        TestingPolicies policies = new TestingPolicies(settings(1));
+        PolicyFixture policies = new PolicyFixture(settings(1));
         if (hotRestart) {
             policies.slowStart.changeQuota(0.5);
         }
-        Engine engine = policies.listEngineStartedAt(1, TestingPolicies.START_MS - earlierMs);
+        Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS - earlierMs);
         policies.advance(sinceMs);
-        assertThat(allows(policies, engine, TestingPolicies.WORK_MS)).isEqualTo(allowed);
+        assertThat(allows(policies, engine, PolicyFixture.WORK_MS)).isEqualTo(allowed);
     }
 
     /**
@@ -148,7 +148,7 @@
 
     @Test(dataProvider = "quotas")
     public void delaysALargerQuota(double before, double after, double sinceMs, double workMs, boolean may) {
-        TestingPolicies policies = new TestingPolicies(settings(1));
+        PolicyFixture policies = new PolicyFixture(settings(1));
         policies.slowStart.changeQuota(before);
         policies.advance(2 * WINDOW_MS);
         policies.slowStart.changeQuota(after);
