--- a/src/main/java/lineward/scheduling/estimation/SlidingWindowCounter.java
+++ b/src/main/java/lineward/scheduling/estimation/SlidingWindowSum.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 
 /** The sum of the amounts added within a sliding time window. */
-public final class SlidingWindowCounter {
+public final class SlidingWindowSum {
     private record Entry(double addedAtMs, double amount) {}
 
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
@@ -11,7 +11,7 @@
     private double sum;
 
     /** Creates an empty window. */
-    public SlidingWindowCounter(double windowMs) {
+    public SlidingWindowSum(double windowMs) {
         this.windowMs = windowMs;
     }
 
--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -8,7 +8,7 @@
 import lineward.scheduling.EndpointState;
 import lineward.scheduling.EngineKind;
 import lineward.scheduling.estimation.DecayingMean;
-import lineward.scheduling.estimation.SlidingWindowCounter;
+import lineward.scheduling.estimation.SlidingWindowSum;
 
 /**
  * One engine: its listing in service discovery, maintenance, health, load, and attempts in flight. Times are
@@ -28,7 +28,7 @@
     private final EngineLoadState load = new EngineLoadState();
     private final DecayingMean logSlowdown = new DecayingMean(SLOWDOWN_HALF_LIFE_MS);
     /** Work of all attempts sent within the window of the slow-start rule, regardless of their outcomes. */
-    private final SlidingWindowCounter sentWork;
+    private final SlidingWindowSum sentWork;
 
     private Endpoint endpoint;
     private EndpointState listing = EndpointState.GONE;
@@ -44,7 +44,7 @@
 
     Engine(long id, double overloadWindowMs) {
         this.id = id;
-        sentWork = new SlidingWindowCounter(overloadWindowMs);
+        sentWork = new SlidingWindowSum(overloadWindowMs);
     }
 
     /** Returns the engine's id, which is the same at every front end. */
--- a/src/main/java/lineward/scheduling/state/RetryBudgetTracker.java
+++ b/src/main/java/lineward/scheduling/state/RetryBudgetTracker.java
@@ -1,21 +1,21 @@
 package lineward.scheduling.state;
 
 import lineward.scheduling.SchedulerSettings;
-import lineward.scheduling.estimation.SlidingWindowCounter;
+import lineward.scheduling.estimation.SlidingWindowSum;
 
 /** Counts admitted requests and retries within the window of the retry budget. */
 public final class RetryBudgetTracker {
     private final SchedulerContext context;
     private final SchedulerSettings.RetryBudget budget;
-    private final SlidingWindowCounter admitted;
-    private final SlidingWindowCounter retries;
+    private final SlidingWindowSum admitted;
+    private final SlidingWindowSum retries;
 
     /** Creates a tracker of the budget in the scheduler's settings. */
     public RetryBudgetTracker(SchedulerContext context) {
         this.context = context;
         this.budget = context.settings().rules().retryBudget();
-        this.admitted = new SlidingWindowCounter(budget.windowMs());
-        this.retries = new SlidingWindowCounter(budget.windowMs());
+        this.admitted = new SlidingWindowSum(budget.windowMs());
+        this.retries = new SlidingWindowSum(budget.windowMs());
     }
 
     /** Counts an admitted request, which increases the budget. */
