--- a/src/main/java/lineward/scheduling/state/FleetDemand.java
+++ b/src/main/java/lineward/scheduling/state/FleetDemand.java
@@ -29,31 +29,34 @@
     }
 
     void recompute(List<ClassState> classes, Collection<Engine> engines) {
-        double allWorkMs =
-                classes.stream().mapToDouble(type -> type.demand().workMs()).sum();
+        double allWorkMs = classes.stream()
+                .mapToDouble(requestClass -> requestClass.demand().workMs())
+                .sum();
         double allValue = classes.stream().mapToDouble(FleetDemand::value).sum();
-        for (ClassState type : classes) {
-            double workRatio = type.demand().workMs() / Math.max(MIN_WORK_MS, allWorkMs);
-            type.demand().setRatios(workRatio, value(type) / Math.max(MIN_VALUE, allValue));
-            type.demand().setReachableCores(reachableCores(type, engines));
+        for (ClassState requestClass : classes) {
+            double workRatio = requestClass.demand().workMs() / Math.max(MIN_WORK_MS, allWorkMs);
+            requestClass.demand().setRatios(workRatio, value(requestClass) / Math.max(MIN_VALUE, allValue));
+            requestClass.demand().setReachableCores(reachableCores(requestClass, engines));
         }
         double workPerThreadMs =
                 classes.stream().mapToDouble(FleetDemand::workPerThreadMs).sum();
         threadsPerRequest = allWorkMs <= 0 ? 1 : allWorkMs / workPerThreadMs;
     }
 
-    private static double value(ClassState type) {
-        return type.demand().requests() * type.settings().objective().priorityWeight();
+    private static double value(ClassState requestClass) {
+        return requestClass.demand().requests()
+                * requestClass.settings().objective().priorityWeight();
     }
 
-    private static double workPerThreadMs(ClassState type) {
-        return type.demand().workMs() / type.settings().workload().threads();
+    private static double workPerThreadMs(ClassState requestClass) {
+        return requestClass.demand().workMs()
+                / requestClass.settings().workload().threads();
     }
 
-    private static double reachableCores(ClassState type, Collection<Engine> engines) {
+    private static double reachableCores(ClassState requestClass, Collection<Engine> engines) {
         return engines.stream()
                 .filter(engine ->
-                        engine.isReady() && type.settings().placement().allows(engine.endpoint()))
+                        engine.isReady() && requestClass.settings().placement().allows(engine.endpoint()))
                 .mapToDouble(Engine::cores)
                 .sum();
     }
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -175,8 +175,8 @@
      * @param exempt whether the speculative timeout does not apply to its attempts
      */
     public TrackedRequest admit(SchedulerEvent.RequestArrived arrival, boolean exempt) {
-        ClassState type = requestClass(arrival.requestClass());
-        TrackedRequest request = new TrackedRequest(arrival, type, exempt, nowMs);
+        ClassState requestClass = requestClass(arrival.requestClass());
+        TrackedRequest request = new TrackedRequest(arrival, requestClass, exempt, nowMs);
         requests.put(request.id(), request);
         return request;
     }
