--- a/src/main/java/lineward/scheduling/state/Attempt.java
+++ b/src/main/java/lineward/scheduling/state/Attempt.java
@@ -16,7 +16,7 @@
     private final boolean recoveryProbe;
     private final boolean firstRun;
 
-    private AttemptState state = AttemptState.IN_FLIGHT;
+    private AttemptState state = AttemptState.RUNNING;
     /** Null unless cancellation was requested. */
     private CancelCause cancelCause;
     /** Null before the first progress report. */
@@ -85,7 +85,7 @@
 
     /** Returns whether the attempt has not ended and its cancellation was not requested. */
     public boolean isRunning() {
-        return state == AttemptState.IN_FLIGHT;
+        return state == AttemptState.RUNNING;
     }
 
     /** Records that cancellation was requested. */
--- a/src/main/java/lineward/scheduling/state/AttemptState.java
+++ b/src/main/java/lineward/scheduling/state/AttemptState.java
@@ -3,14 +3,14 @@
 /** The lifecycle states of an attempt. */
 public enum AttemptState {
     /** The attempt was sent to its engine, has not ended and is not being cancelled. */
-    IN_FLIGHT,
+    RUNNING,
     /** Cancellation was sent; the end of the attempt has not been reported yet. */
     CANCELLING,
     /** The end of the attempt was reported. */
     ENDED;
 
     AttemptState cancel() {
-        return this == IN_FLIGHT ? CANCELLING : this;
+        return this == RUNNING ? CANCELLING : this;
     }
 
     AttemptState end() {
--- a/src/test/java/lineward/scheduling/state/AttemptStateTest.java
+++ b/src/test/java/lineward/scheduling/state/AttemptStateTest.java
@@ -2,7 +2,7 @@
 
 import static lineward.scheduling.state.AttemptState.CANCELLING;
 import static lineward.scheduling.state.AttemptState.ENDED;
-import static lineward.scheduling.state.AttemptState.IN_FLIGHT;
+import static lineward.scheduling.state.AttemptState.RUNNING;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.testng.annotations.DataProvider;
@@ -15,7 +15,7 @@
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
-            {IN_FLIGHT, CANCELLING, ENDED},
+            {RUNNING, CANCELLING, ENDED},
             {CANCELLING, CANCELLING, ENDED},
             {ENDED, ENDED, ENDED},
         };
