--- a/src/main/java/lineward/scheduling/state/Attempt.java
+++ b/src/main/java/lineward/scheduling/state/Attempt.java
@@ -90,7 +90,7 @@
 
     /** Records that cancellation was requested. */
     public void cancel(CancelCause cause) {
-        state = state.cancel();
+        state = state.cancelled();
         cancelCause = cause;
     }
 
--- a/src/main/java/lineward/scheduling/state/AttemptState.java
+++ b/src/main/java/lineward/scheduling/state/AttemptState.java
@@ -9,7 +9,7 @@
     /** The end of the attempt was reported. */
     ENDED;
 
-    AttemptState cancel() {
+    AttemptState cancelled() {
         return this == RUNNING ? CANCELLING : this;
     }
 
--- a/src/test/java/lineward/scheduling/state/AttemptStateTest.java
+++ b/src/test/java/lineward/scheduling/state/AttemptStateTest.java
@@ -23,7 +23,7 @@
 
     @Test(dataProvider = "transitions")
     public void followsTheTable(AttemptState state, AttemptState cancelled, AttemptState ended) {
-        assertThat(state.cancel()).isEqualTo(cancelled);
+        assertThat(state.cancelled()).isEqualTo(cancelled);
         assertThat(state.end()).isEqualTo(ended);
     }
 }
