--- a/src/main/java/lineward/scheduling/state/Attempt.java
+++ b/src/main/java/lineward/scheduling/state/Attempt.java
@@ -96,7 +96,7 @@
 
     /** Records that the attempt has ended. */
     public void end() {
-        state = state.end();
+        state = state.ended();
     }
 
     /** Returns whether the attempt was cancelled to move its request to another engine. */
--- a/src/main/java/lineward/scheduling/state/AttemptState.java
+++ b/src/main/java/lineward/scheduling/state/AttemptState.java
@@ -13,7 +13,7 @@
         return this == RUNNING ? CANCELLING : this;
     }
 
-    AttemptState end() {
+    AttemptState ended() {
         return ENDED;
     }
 }
--- a/src/test/java/lineward/scheduling/state/AttemptStateTest.java
+++ b/src/test/java/lineward/scheduling/state/AttemptStateTest.java
@@ -24,6 +24,6 @@
     @Test(dataProvider = "transitions")
     public void followsTheTable(AttemptState state, AttemptState cancelled, AttemptState ended) {
         assertThat(state.cancelled()).isEqualTo(cancelled);
-        assertThat(state.end()).isEqualTo(ended);
+        assertThat(state.ended()).isEqualTo(ended);
     }
 }
