--- a/src/main/java/lineward/scheduling/execution/Sweep.java
+++ b/src/main/java/lineward/scheduling/execution/Sweep.java
@@ -52,7 +52,7 @@
         for (Engine engine : context.engines()) {
             for (Attempt attempt : new ArrayList<>(engine.attempts())) {
                 if (speculation.shouldCancel(attempt)) {
-                    lifecycle.cancel(attempt, CancelCause.SLOW);
+                    lifecycle.cancel(attempt, CancelCause.SPECULATIVE);
                 } else if (cancellation.hasNoValue(attempt)) {
                     lifecycle.giveUp(attempt.request());
                 }
--- a/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
@@ -35,7 +35,7 @@
         TestingPolicies policies = new TestingPolicies(settings);
         Attempt attempt = policies.start(policies.admit(), policies.listEngine(1));
         if (cancelled) {
-            attempt.cancel(CancelCause.SLOW);
+            attempt.cancel(CancelCause.SPECULATIVE);
         }
         if (ended) {
             policies.end(attempt, AttemptOutcome.OK);
@@ -83,7 +83,7 @@
             }
             switch (this) {
                 case WAITING_WITH_PROGRESS -> attempt.recordProgress(0.1, nowMs);
-                case CANCELLED -> attempt.cancel(CancelCause.SLOW);
+                case CANCELLED -> attempt.cancel(CancelCause.SPECULATIVE);
                 case STREAMING -> attempt.request().startResponse();
                 default -> {}
             }
--- a/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
@@ -50,7 +50,7 @@
 
         void apply(TestingPolicies policies, Attempt attempt) {
             switch (this) {
-                case IN_FLIGHT -> attempt.cancel(CancelCause.SLOW);
+                case IN_FLIGHT -> attempt.cancel(CancelCause.SPECULATIVE);
                 case RESPONSE_NOT_STARTED -> attempt.request().startResponse();
                 case WAITING -> attempt.setWaiting(false, policies.context.nowMs());
                 case NO_PROGRESS -> attempt.recordProgress(0.1, policies.context.nowMs());
--- a/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
@@ -197,7 +197,7 @@
             policies.endAndRequeue(policies.start(request, policies.listEngine(1)), ERROR);
         }
         for (int cancel = 0; cancel < cancels; cancel++) {
-            policies.start(policies.admit(), policies.listEngine(2)).cancel(CancelCause.SLOW);
+            policies.start(policies.admit(), policies.listEngine(2)).cancel(CancelCause.SPECULATIVE);
         }
         assertThat(policies.retries.mayAttempt(request, policies.listEngine(3))).isEqualTo(mayAttempt);
         assertThat(policies.retries.mayRelaunch(request)).isEqualTo(mayRelaunch);
--- a/src/test/java/lineward/scheduling/decision/TestingPolicies.java
+++ b/src/test/java/lineward/scheduling/decision/TestingPolicies.java
@@ -170,7 +170,7 @@
 
     /** Cancels an attempt as slow and queues its request again, so that the next attempt is a relaunch. */
     void cancelAndRequeue(Attempt attempt) {
-        attempt.cancel(CancelCause.SLOW);
+        attempt.cancel(CancelCause.SPECULATIVE);
         endAndRequeue(attempt, AttemptOutcome.CANCELLED);
     }
 
