--- a/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
@@ -88,7 +88,7 @@
      * would not count as a slow run, and the curve would lose its tail.
      */
     private void learnCensoredRun(Attempt attempt) {
-        if (!attempt.isFirstRun() || attempt.isMigrated()) {
+        if (!attempt.isFirstRun() || attempt.isCancelledForMigration()) {
             return;
         }
         TrackedRequest request = attempt.request();
--- a/src/main/java/lineward/scheduling/state/Attempt.java
+++ b/src/main/java/lineward/scheduling/state/Attempt.java
@@ -100,7 +100,7 @@
     }
 
     /** Returns whether the attempt was cancelled to move its request to another engine. */
-    public boolean isMigrated() {
+    public boolean isCancelledForMigration() {
         return cancelCause == CancelCause.MIGRATION;
     }
 
@@ -109,7 +109,7 @@
      * not hold for a recovery probe or an attempt cancelled for a migration.
      */
     public boolean isRelaunchedAfterCancel() {
-        return cancelCause != null && !recoveryProbe && !isMigrated();
+        return cancelCause != null && !recoveryProbe && !isCancelledForMigration();
     }
 
     /** Returns whether the attempt waits at its engine for memory or a load, by the last progress report. */
