--- a/src/main/java/lineward/scheduling/state/Attempt.java
+++ b/src/main/java/lineward/scheduling/state/Attempt.java
@@ -108,7 +108,7 @@
      * Returns whether later attempts of the request are relaunches because this one was cancelled. That does
      * not hold for a recovery probe or an attempt cancelled for a migration.
      */
-    public boolean isRelaunchedAfterCancel() {
+    public boolean isCancelledForRelaunch() {
         return cancelCause != null && !recoveryProbe && !isCancelledForMigration();
     }
 
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -248,7 +248,7 @@
 
     /** Queues the request for another attempt after the given one has ended. */
     public void requeue(Attempt ended) {
-        relaunched |= ended.isRelaunchedAfterCancel();
+        relaunched |= ended.isCancelledForRelaunch();
         triedEngines.add(ended.engine());
         state = state.requeued();
     }
