--- a/src/main/java/lineward/scheduling/state/Attempt.java
+++ b/src/main/java/lineward/scheduling/state/Attempt.java
@@ -12,7 +12,7 @@
     private final Engine engine;
     private final int index;
     private final double startedAtMs;
-    private final double grantMb;
+    private final double reservedMemoryMb;
     private final boolean recoveryProbe;
     private final boolean firstRun;
 
@@ -28,12 +28,12 @@
     private OptionalDouble slowRunPredictedMs = OptionalDouble.empty();
 
     /** Creates an attempt that is in flight from {@code nowMs}. */
-    public Attempt(TrackedRequest request, Engine engine, double grantMb, double nowMs) {
+    public Attempt(TrackedRequest request, Engine engine, double reservedMemoryMb, double nowMs) {
         this.request = request;
         this.engine = engine;
         this.index = request.attempts().size();
         this.startedAtMs = nowMs;
-        this.grantMb = grantMb;
+        this.reservedMemoryMb = reservedMemoryMb;
         this.recoveryProbe = engine.health().isEjected();
         this.firstRun = !request.isRelaunched();
     }
@@ -59,8 +59,8 @@
     }
 
     /** Returns the memory, in megabytes, that is reserved on the engine for the attempt. */
-    public double grantMb() {
-        return grantMb;
+    public double reservedMemoryMb() {
+        return reservedMemoryMb;
     }
 
     /** Returns whether the engine was ejected when the attempt started, which makes it a recovery probe. */
--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -187,7 +187,7 @@
         attempts.add(attempt);
         threadsInFlight += attempt.threads();
         load.recordSent(attempt.threads());
-        grantedMb += attempt.grantMb();
+        grantedMb += attempt.reservedMemoryMb();
         sentWork.add(nowMs, slowStartWorkMs);
     }
 
@@ -195,7 +195,7 @@
     public void endAttempt(Attempt attempt) {
         attempts.remove(attempt);
         threadsInFlight -= attempt.threads();
-        grantedMb = attempts.isEmpty() ? 0 : grantedMb - attempt.grantMb();
+        grantedMb = attempts.isEmpty() ? 0 : grantedMb - attempt.reservedMemoryMb();
     }
 
     /** Returns the work of all attempts sent within the window of the slow-start rule. */
