--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -124,7 +124,7 @@
         if (engine.memoryMb() <= 0 || engine.attempts().isEmpty()) {
             return true;
         }
-        double grantedMb = engine.grantedMb() + grants.grantMb(request, engine);
+        double grantedMb = engine.reservedMemoryMb() + grants.grantMb(request, engine);
         return grantedMb <= engine.memoryMb() * Math.min(1, quota * MEMORY_QUOTA_FACTOR);
     }
 
--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -136,7 +136,7 @@
         if (engine.memoryMb() <= 0) {
             return MEMORY_UNKNOWN;
         }
-        double grantedMb = engine.grantedMb() + resources.grantMb(request, engine);
+        double grantedMb = engine.reservedMemoryMb() + resources.grantMb(request, engine);
         double ownRatio = Math.max(limits.quota(), 1 / ConcurrencyLimits.SMALL_FLEET);
         return MEMORY_WEIGHT * grantedMb / (engine.memoryMb() * ownRatio);
     }
--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -36,7 +36,7 @@
     private int cores = 1;
     private double memoryMb;
     private int threadsInFlight;
-    private double grantedMb;
+    private double reservedMemoryMb;
     private OptionalDouble startedAtMs = OptionalDouble.empty();
     private OptionalDouble releasedAtMs = OptionalDouble.empty();
     private OptionalDouble connectionLostMs = OptionalDouble.empty();
@@ -93,8 +93,8 @@
     }
 
     /** Returns the memory that is reserved for the attempts in flight. */
-    public double grantedMb() {
-        return grantedMb;
+    public double reservedMemoryMb() {
+        return reservedMemoryMb;
     }
 
     /** Returns the engine's state with respect to new requests. */
@@ -187,7 +187,7 @@
         attempts.add(attempt);
         threadsInFlight += attempt.threads();
         load.recordSent(attempt.threads());
-        grantedMb += attempt.reservedMemoryMb();
+        reservedMemoryMb += attempt.reservedMemoryMb();
         sentWork.add(nowMs, slowStartWorkMs);
     }
 
@@ -195,7 +195,7 @@
     public void endAttempt(Attempt attempt) {
         attempts.remove(attempt);
         threadsInFlight -= attempt.threads();
-        grantedMb = attempts.isEmpty() ? 0 : grantedMb - attempt.reservedMemoryMb();
+        reservedMemoryMb = attempts.isEmpty() ? 0 : reservedMemoryMb - attempt.reservedMemoryMb();
     }
 
     /** Returns the work of all attempts sent within the window of the slow-start rule. */
