--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -121,7 +121,7 @@
     }
 
     private boolean hasMemory(Engine engine, TrackedRequest request) {
-        if (engine.memoryMb() <= 0 || engine.attempts().isEmpty()) {
+        if (engine.memoryMb() <= 0 || engine.attemptsInFlight().isEmpty()) {
             return true;
         }
         double grantedMb = engine.reservedMemoryMb() + grants.grantMb(request, engine);
@@ -179,7 +179,7 @@
     }
 
     private static double threadsOf(ClassState type, Engine engine) {
-        long attempts = engine.attempts().stream()
+        long attempts = engine.attemptsInFlight().stream()
                 .filter(attempt -> attempt.request().type() == type)
                 .count();
         return attempts * (double) type.settings().workload().threads();
--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -143,7 +143,7 @@
 
     private static boolean hasGroupConflict(TrackedRequest request, Engine engine) {
         RequestClass.Workload workload = request.type().settings().workload();
-        return engine.attempts().stream()
+        return engine.attemptsInFlight().stream()
                 .map(attempt -> attempt.request())
                 .filter(other -> other.tableGroup() == request.tableGroup())
                 .anyMatch(other -> other.type().settings().workload().conflictsWith(workload));
--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -116,7 +116,8 @@
      * show that it has recovered. While it warms up, its score would never be the lowest.
      */
     private static boolean isNeededForRecovery(Engine engine, boolean probe) {
-        boolean awaited = engine.isAwaitingFirstAnswer() && engine.attempts().isEmpty();
+        boolean awaited =
+                engine.isAwaitingFirstAnswer() && engine.attemptsInFlight().isEmpty();
         return probe || awaited;
     }
 }
--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -127,7 +127,7 @@
         boolean progressIsDue = !reportsProgress || silentMs > intervalMs;
         boolean overdue = false;
         int unanswered = 0;
-        for (Attempt attempt : engine.attempts()) {
+        for (Attempt attempt : engine.attemptsInFlight()) {
             // An engine reports only once that an attempt waits, and is then silent until the attempt runs.
             if (!attempt.isWaiting()) {
                 double ageMs = context.nowMs() - attempt.startedAtMs();
--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -114,7 +114,7 @@
 
     private long cancelsInFlight() {
         return context.engines().stream()
-                .flatMap(engine -> engine.attempts().stream())
+                .flatMap(engine -> engine.attemptsInFlight().stream())
                 .filter(attempt -> attempt.state() == AttemptState.CANCELLING)
                 .count();
     }
--- a/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
+++ b/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
@@ -53,7 +53,7 @@
         Map<ClassState, List<Double>> ratios = new LinkedHashMap<>();
         context.classes().forEach(type -> ratios.put(type, new ArrayList<>()));
         for (Engine engine : context.engines()) {
-            for (Attempt attempt : engine.attempts()) {
+            for (Attempt attempt : engine.attemptsInFlight()) {
                 if (attempt.isFirstRun() && attempt.isRunning()) {
                     TrackedRequest request = attempt.request();
                     double ratio = attempt.runTimeMs(context.nowMs()) / request.workUnitMs();
--- a/src/main/java/lineward/scheduling/execution/Sweep.java
+++ b/src/main/java/lineward/scheduling/execution/Sweep.java
@@ -50,7 +50,7 @@
     /** Cancels slow attempts, and gives up requests whose answer no longer has a value. */
     void cancelAttempts() {
         for (Engine engine : context.engines()) {
-            for (Attempt attempt : new ArrayList<>(engine.attempts())) {
+            for (Attempt attempt : new ArrayList<>(engine.attemptsInFlight())) {
                 if (speculation.shouldCancel(attempt)) {
                     lifecycle.cancel(attempt, CancelCause.SPECULATIVE);
                 } else if (cancellation.hasNoValue(attempt)) {
@@ -72,7 +72,7 @@
     private boolean isForgettable(Engine engine) {
         return engine.isGone()
                 && !engine.isUnderMaintenance()
-                && engine.attempts().isEmpty()
+                && engine.attemptsInFlight().isEmpty()
                 && engine.sentWorkMs(context.nowMs()) == 0;
     }
 
--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -22,8 +22,8 @@
     private static final int GOSSIP_ID_MASK = 0xffff;
 
     private final long id;
-    private final Set<Attempt> attempts = new LinkedHashSet<>();
-    private final Set<Attempt> attemptsView = Collections.unmodifiableSet(attempts);
+    private final Set<Attempt> attemptsInFlight = new LinkedHashSet<>();
+    private final Set<Attempt> attemptsInFlightView = Collections.unmodifiableSet(attemptsInFlight);
     private final EngineHealth health = new EngineHealth();
     private final EngineLoadState load = new EngineLoadState();
     private final DecayingMean logSlowdown = new DecayingMean(SLOWDOWN_HALF_LIFE_MS);
@@ -83,8 +83,8 @@
     }
 
     /** Returns the attempts in flight on the engine, in start order, including those being cancelled. */
-    public Set<Attempt> attempts() {
-        return attemptsView;
+    public Set<Attempt> attemptsInFlight() {
+        return attemptsInFlightView;
     }
 
     /** Returns the number of threads of the attempts in flight. */
@@ -181,10 +181,10 @@
 
     /** Adds an attempt that starts at {@code nowMs}, with its work in the slow-start budget. */
     public void startAttempt(Attempt attempt, double slowStartWorkMs, double nowMs) {
-        if (attempts.isEmpty()) {
+        if (attemptsInFlight.isEmpty()) {
             health.recordResponse(nowMs);
         }
-        attempts.add(attempt);
+        attemptsInFlight.add(attempt);
         threadsInFlight += attempt.threads();
         load.recordSent(attempt.threads());
         reservedMemoryMb += attempt.reservedMemoryMb();
@@ -193,9 +193,9 @@
 
     /** Removes an ended attempt. */
     public void endAttempt(Attempt attempt) {
-        attempts.remove(attempt);
+        attemptsInFlight.remove(attempt);
         threadsInFlight -= attempt.threads();
-        reservedMemoryMb = attempts.isEmpty() ? 0 : reservedMemoryMb - attempt.reservedMemoryMb();
+        reservedMemoryMb = attemptsInFlight.isEmpty() ? 0 : reservedMemoryMb - attempt.reservedMemoryMb();
     }
 
     /** Returns the work of all attempts sent within the window of the slow-start rule. */
