--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -117,7 +117,7 @@
      */
     private static boolean isNeededForRecovery(Engine engine, boolean probe) {
         boolean awaited =
-                engine.isAwaitingFirstAnswer() && engine.attemptsInFlight().isEmpty();
+                engine.isAwaitingFirstSuccess() && engine.attemptsInFlight().isEmpty();
         return probe || awaited;
     }
 }
--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -118,7 +118,7 @@
     }
 
     /** Returns whether the engine was released from maintenance and has had no successful attempt since. */
-    public boolean isAwaitingFirstAnswer() {
+    public boolean isAwaitingFirstSuccess() {
         return maintenance == EngineMaintenance.RELEASED;
     }
 
--- a/src/test/java/lineward/scheduling/state/EngineStateTest.java
+++ b/src/test/java/lineward/scheduling/state/EngineStateTest.java
@@ -96,9 +96,9 @@
     @Test
     public void aReleasedEngineAwaitsItsFirstAnswer() {
         Engine engine = engineAfter(Step.LIST_READY, Step.BEGIN_MAINTENANCE, Step.RELEASE);
-        assertThat(engine.isAwaitingFirstAnswer()).isTrue();
+        assertThat(engine.isAwaitingFirstSuccess()).isTrue();
         Step.ANSWER.apply(engine);
-        assertThat(engine.isAwaitingFirstAnswer()).isFalse();
+        assertThat(engine.isAwaitingFirstSuccess()).isFalse();
     }
 
     /** Announced start, lost connection, expected warm-up start (0: none), whether it is unannounced. */
