--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -141,7 +141,7 @@
     }
 
     /** Marks the engine as gone, until a full snapshot or an update lists it again. */
-    void unlist() {
+    void markGone() {
         listing = EndpointState.GONE;
     }
 
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -136,7 +136,7 @@
 
     /** Marks all engines as gone, before a full snapshot updates those that it lists. */
     public void unlistEngines() {
-        engines.values().forEach(Engine::unlist);
+        engines.values().forEach(Engine::markGone);
     }
 
     /** Applies an endpoint to its engine, and returns whether the engine's process was restarted. */
--- a/src/test/java/lineward/scheduling/state/EngineStateTest.java
+++ b/src/test/java/lineward/scheduling/state/EngineStateTest.java
@@ -29,7 +29,7 @@
                 case LIST_READY -> engine.update(listed(EndpointState.READY), KIND);
                 case LIST_DRAINING -> engine.update(listed(EndpointState.DRAINING), KIND);
                 case LIST_GONE -> engine.update(listed(EndpointState.GONE), KIND);
-                case UNLIST -> engine.unlist();
+                case UNLIST -> engine.markGone();
                 case BEGIN_MAINTENANCE -> engine.beginMaintenance();
                 case RELEASE -> engine.release(NOW_MS);
                 case EJECT -> engine.health().eject();
