--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -183,7 +183,7 @@
     @Override
     public void endpointsChanged(SchedulerEvent.EndpointsChanged change) {
         if (change.fullSnapshot()) {
-            context.unlistEngines();
+            context.markAllEnginesGone();
         }
         for (Endpoint endpoint : change.endpoints()) {
             boolean restarted = context.updateEngine(endpoint);
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -135,7 +135,7 @@
     }
 
     /** Marks all engines as gone, before a full snapshot updates those that it lists. */
-    public void unlistEngines() {
+    public void markAllEnginesGone() {
         engines.values().forEach(Engine::markGone);
     }
 
