--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -188,7 +188,7 @@
         for (Endpoint endpoint : change.endpoints()) {
             boolean restarted = context.updateEngine(endpoint);
             if (restarted) {
-                mechanisms.outliers.forgetFailures(context.engine(endpoint.engine()));
+                mechanisms.outliers.forgetFailures(context.getOrCreateEngine(endpoint.engine()));
             }
         }
         context.countReadyCores();
@@ -197,7 +197,7 @@
     /** Begins or ends maintenance, which endpoint updates never end. */
     @Override
     public void maintenanceChanged(SchedulerEvent.MaintenanceChanged change) {
-        Engine engine = context.engine(change.engine());
+        Engine engine = context.getOrCreateEngine(change.engine());
         if (change.underMaintenance()) {
             engine.beginMaintenance();
         } else {
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -129,7 +129,7 @@
     }
 
     /** Returns the engine with the given id, and creates it if it is unknown. */
-    public Engine engine(long id) {
+    public Engine getOrCreateEngine(long id) {
         double overloadWindowMs = settings.rules().slowStart().windowMs();
         return engines.computeIfAbsent(id, number -> new Engine(number, overloadWindowMs));
     }
@@ -141,7 +141,7 @@
 
     /** Applies an endpoint to its engine, and returns whether the engine's process was restarted. */
     public boolean updateEngine(Endpoint endpoint) {
-        return engine(endpoint.engine()).update(endpoint, settings.kindOf(endpoint));
+        return getOrCreateEngine(endpoint.engine()).update(endpoint, settings.kindOf(endpoint));
     }
 
     /** Removes the engines that match the predicate. */
--- a/src/test/java/lineward/scheduling/decision/TestingPolicies.java
+++ b/src/test/java/lineward/scheduling/decision/TestingPolicies.java
@@ -97,7 +97,7 @@
     private Engine list(Endpoint endpoint) {
         context.updateEngine(endpoint);
         context.countReadyCores();
-        return context.engine(endpoint.engine());
+        return context.getOrCreateEngine(endpoint.engine());
     }
 
     TrackedRequest admit() {
