--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -99,7 +99,7 @@
 
     @Override
     public void requestArrived(SchedulerEvent.RequestArrived arrival) {
-        TrackedRequest request = context.admit(arrival, mechanisms.speculation.drawExempt());
+        TrackedRequest request = context.addRequest(arrival, mechanisms.speculation.drawExempt());
         ClassState type = request.type();
         if (request.hasWorkEstimate()) {
             type.model().addWork(request.expectedWorkMs(), context.nowMs());
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -174,7 +174,7 @@
      *
      * @param exempt whether the speculative timeout does not apply to its attempts
      */
-    public TrackedRequest admit(SchedulerEvent.RequestArrived arrival, boolean exempt) {
+    public TrackedRequest addRequest(SchedulerEvent.RequestArrived arrival, boolean exempt) {
         ClassState requestClass = requestClass(arrival.requestClass());
         TrackedRequest request = new TrackedRequest(arrival, requestClass, exempt, nowMs);
         requests.put(request.id(), request);
--- a/src/test/java/lineward/scheduling/decision/TestingPolicies.java
+++ b/src/test/java/lineward/scheduling/decision/TestingPolicies.java
@@ -120,7 +120,7 @@
     }
 
     private TrackedRequest admit(int requestClass, long key, double workMs, double memoryMb, int tableGroup) {
-        TrackedRequest request = context.admit(
+        TrackedRequest request = context.addRequest(
                 new SchedulerEvent.RequestArrived(
                         lastRequest, requestClass, key, TIME_LEFT_MS, workMs, memoryMb, tableGroup, false, 0),
                 false);
@@ -131,7 +131,7 @@
     /** Admits a request that is exempt from the speculative timeout. */
     TrackedRequest admitExempt() {
         lastRequest++;
-        return context.admit(
+        return context.addRequest(
                 new SchedulerEvent.RequestArrived(
                         lastRequest, 0, NO_KEY, TIME_LEFT_MS, WORK_MS, NO_MEMORY_ESTIMATE, 0, false, 0),
                 true);
