--- a/src/main/java/lineward/scheduling/execution/RequestLifecycle.java
+++ b/src/main/java/lineward/scheduling/execution/RequestLifecycle.java
@@ -56,7 +56,7 @@
     /** Removes a completed request once it has no attempt in flight. */
     void releaseIfDone(TrackedRequest request) {
         if (request.state().isCompleted() && !request.hasAttemptInFlight()) {
-            context.release(request);
+            context.removeRequest(request);
             keyOrder.remove(request);
         }
     }
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -182,7 +182,7 @@
     }
 
     /** Removes a request that is complete and has no attempt in flight. */
-    public void release(TrackedRequest request) {
+    public void removeRequest(TrackedRequest request) {
         requests.remove(request.id());
     }
 
