--- a/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptOutcomes.java
@@ -34,7 +34,7 @@
 
     /** Handles the end of an attempt. An unknown attempt, or one that has already ended, is ignored. */
     void end(SchedulerEvent.AttemptEnded end) {
-        Attempt attempt = context.findUnendedAttempt(end.request(), end.attempt());
+        Attempt attempt = context.findAttemptInFlight(end.request(), end.attempt());
         if (attempt == null) {
             return;
         }
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -114,7 +114,7 @@
 
     @Override
     public void attemptProgressed(SchedulerEvent.AttemptProgress report) {
-        Attempt attempt = context.findUnendedAttempt(report.request(), report.attempt());
+        Attempt attempt = context.findAttemptInFlight(report.request(), report.attempt());
         if (attempt == null) {
             return;
         }
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -187,7 +187,7 @@
     }
 
     /** Returns the attempt if it is known and has not ended; else null. */
-    public Attempt findUnendedAttempt(long requestId, int attempt) {
+    public Attempt findAttemptInFlight(long requestId, int attempt) {
         TrackedRequest request = requests.get(requestId);
         if (request == null || attempt >= request.attempts().size()) {
             return null;
