--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -110,7 +110,7 @@
 
     /** Ejects the engine if it has overdue work and has sent neither answers nor progress for too long. */
     public void detectSilence(Engine engine) {
-        double silentMs = context.nowMs() - engine.health().lastResponseMs();
+        double silentMs = context.nowMs() - engine.health().lastActivityMs();
         boolean silent = !engine.health().isEjected() && silentMs >= SILENCE_MS;
         if (silent && hasOverdueWork(engine, silentMs)) {
             eject(engine, EjectionCause.SILENCE);
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -118,7 +118,7 @@
         if (attempt == null) {
             return;
         }
-        attempt.engine().health().recordResponse(context.nowMs());
+        attempt.engine().health().recordActivity(context.nowMs());
         attempt.setWaiting(report.kind().isWaiting(), context.nowMs());
         switch (report.kind()) {
             case RATIO_DONE -> attempt.recordProgress(report.amount(), context.nowMs());
--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -182,7 +182,7 @@
     /** Adds an attempt that starts at {@code nowMs}, with its work in the slow-start budget. */
     public void startAttempt(Attempt attempt, double slowStartWorkMs, double nowMs) {
         if (attemptsInFlight.isEmpty()) {
-            health.recordResponse(nowMs);
+            health.recordActivity(nowMs);
         }
         attemptsInFlight.add(attempt);
         threadsInFlight += attempt.threads();
--- a/src/main/java/lineward/scheduling/state/EngineHealth.java
+++ b/src/main/java/lineward/scheduling/state/EngineHealth.java
@@ -20,7 +20,7 @@
     private State state = State.HEALTHY;
     private int consecutiveFailures;
     private double nextRecoveryProbeMs;
-    private double lastResponseMs;
+    private double lastActivityMs;
 
     /** Returns whether the engine is ejected, so that it normally gets recovery probes only. */
     public boolean isEjected() {
@@ -41,8 +41,8 @@
      * Returns when an attempt on the engine last succeeded or reported progress, or when the idle engine last
      * got an attempt, whichever is later.
      */
-    public double lastResponseMs() {
-        return lastResponseMs;
+    public double lastActivityMs() {
+        return lastActivityMs;
     }
 
     /** Returns the fraction of recent attempts that ended with an error response of the engine. */
@@ -51,13 +51,13 @@
     }
 
     /** Sets the time from which the engine's silence is measured. */
-    public void recordResponse(double nowMs) {
-        lastResponseMs = nowMs;
+    public void recordActivity(double nowMs) {
+        lastActivityMs = nowMs;
     }
 
     /** Records a successful attempt, which also ends an ejection. */
     public void recordSuccess(double nowMs) {
-        recordResponse(nowMs);
+        recordActivity(nowMs);
         errorRatio.add(nowMs, GOOD_ANSWER);
         clearFailures();
     }
--- a/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
@@ -123,7 +123,7 @@
             policies.start(policies.admit(), engine).setWaiting(true, policies.context.nowMs());
         }
         policies.advance(answeredAtMs);
-        engine.health().recordResponse(policies.context.nowMs());
+        engine.health().recordActivity(policies.context.nowMs());
         policies.advance(ageMs - answeredAtMs);
         policies.outliers.detectSilence(engine);
         assertThat(engine.health().isEjected()).isEqualTo(ejected);
