--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -217,6 +217,6 @@
 
     /** Ends the ejection and clears the failures of an engine whose process has restarted. */
     public void forgetFailures(Engine engine) {
-        engine.health().clearFailures();
+        engine.health().markHealthy();
     }
 }
--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -160,7 +160,7 @@
     public void release(double atMs) {
         maintenance = maintenance.release();
         releasedAtMs = atMs > 0 ? OptionalDouble.of(atMs) : OptionalDouble.empty();
-        health.clearFailures();
+        health.markHealthy();
         updateWarmupStart();
     }
 
--- a/src/main/java/lineward/scheduling/state/EngineHealth.java
+++ b/src/main/java/lineward/scheduling/state/EngineHealth.java
@@ -59,7 +59,7 @@
     public void recordSuccess(double nowMs) {
         recordActivity(nowMs);
         errorRatio.add(nowMs, GOOD_ANSWER);
-        clearFailures();
+        markHealthy();
     }
 
     /** Adds an error to the error ratio. */
@@ -100,7 +100,7 @@
     }
 
     /** Ends the ejection and resets the number of consecutive failures. */
-    public void clearFailures() {
+    public void markHealthy() {
         state = State.HEALTHY;
         consecutiveFailures = 0;
     }
