--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -192,7 +192,7 @@
             return;
         }
         if (health.consecutiveFailures() == MAX_CONSECUTIVE_FAILURES) {
-            health.returnToService();
+            health.endEjection();
         }
         health.revertFailure();
     }
--- a/src/main/java/lineward/scheduling/state/EngineHealth.java
+++ b/src/main/java/lineward/scheduling/state/EngineHealth.java
@@ -95,7 +95,7 @@
     }
 
     /** Ends the ejection and keeps the number of consecutive failures. */
-    public void returnToService() {
+    public void endEjection() {
         state = State.HEALTHY;
     }
 
