--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -167,7 +167,7 @@
     /** Records that an attempt on the engine succeeded. */
     public void recordSuccess(double nowMs) {
         health.recordSuccess(nowMs);
-        maintenance = maintenance.answered();
+        maintenance = maintenance.attemptSucceeded();
     }
 
     /**
--- a/src/main/java/lineward/scheduling/state/EngineMaintenance.java
+++ b/src/main/java/lineward/scheduling/state/EngineMaintenance.java
@@ -18,7 +18,7 @@
     }
 
     /** Returns the state after a successful attempt. Attempts sent before maintenance do not end it. */
-    EngineMaintenance answered() {
+    EngineMaintenance attemptSucceeded() {
         return this == RELEASED ? NONE : this;
     }
 }
