--- a/src/main/java/lineward/scheduling/decision/SlowStart.java
+++ b/src/main/java/lineward/scheduling/decision/SlowStart.java
@@ -76,7 +76,7 @@
     }
 
     private double budgetMs(Engine engine) {
-        double factor = BUDGET_RATIO * rule.overloadFactor() * capacity.certainRatio(engine);
+        double factor = BUDGET_RATIO * rule.overloadFactor() * capacity.minCapacityRatio(engine);
         return factor * engine.cores() * rule.windowMs() * effectiveQuotaRatio();
     }
 
--- a/src/main/java/lineward/scheduling/state/EngineCapacity.java
+++ b/src/main/java/lineward/scheduling/state/EngineCapacity.java
@@ -40,7 +40,7 @@
      * slow-start window. If its last start was only inferred from a lost connection, the actual start may be
      * later, so it counts as just started.
      */
-    public double certainRatio(Engine engine) {
+    public double minCapacityRatio(Engine engine) {
         if (engine.isStartUnannounced()) {
             return rule.initialRatio();
         }
