--- a/src/main/java/lineward/scheduling/state/EngineCapacity.java
+++ b/src/main/java/lineward/scheduling/state/EngineCapacity.java
@@ -6,7 +6,7 @@
 /** Estimates the current capacity of an engine from its warm-up and its recent speed. */
 public final class EngineCapacity {
     /** Fraction of the warm-up counted in the lower bound, as engines may warm up late or unevenly. */
-    private static final double CERTAIN_WARMUP_RATIO = 0.75;
+    private static final double COUNTED_WARMUP_RATIO = 0.75;
 
     private static final double MIN_SPEED = 0.1;
     private static final double MAX_SPEED = 1.3;
@@ -45,7 +45,7 @@
             return rule.initialRatio();
         }
         double warmedUp = ratioAt(engine, context.nowMs() - rule.windowMs()) - rule.initialRatio();
-        return rule.initialRatio() + CERTAIN_WARMUP_RATIO * warmedUp;
+        return rule.initialRatio() + COUNTED_WARMUP_RATIO * warmedUp;
     }
 
     /** Returns the expected run time of a request on an engine that has just started. */
