--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -105,7 +105,7 @@
      * the counts of this front end.
      */
     public boolean hasCapacity(Engine engine, TrackedRequest request) {
-        if (reports.areFresh(engine)) {
+        if (reports.hasFreshReport(engine)) {
             double limit = SATURATION_THREADS_PER_CORE
                     * engine.cores()
                     * Math.min(FULL_SPEED, capacity.speed(engine))
--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -122,7 +122,7 @@
     }
 
     private double expectedThreads(Engine engine) {
-        if (reports.areFresh(engine)) {
+        if (reports.hasFreshReport(engine)) {
             return reports.threadsAt(engine);
         }
         double unseen = reports.threadsPerCore() * limits.unseenLoadRatio() * engine.cores();
@@ -130,7 +130,7 @@
     }
 
     private double memoryLoad(TrackedRequest request, Engine engine) {
-        if (reports.areFresh(engine) && reports.includeMemory()) {
+        if (reports.hasFreshReport(engine) && reports.includeMemory()) {
             return reports.memoryInUse(engine) + MEMORY_BASE_LOAD;
         }
         if (engine.memoryMb() <= 0) {
--- a/src/main/java/lineward/scheduling/state/LoadReports.java
+++ b/src/main/java/lineward/scheduling/state/LoadReports.java
@@ -55,7 +55,7 @@
     }
 
     /** Returns whether the engine's last report is recent enough to use. */
-    public boolean areFresh(Engine engine) {
+    public boolean hasFreshReport(Engine engine) {
         OptionalDouble reportedAtMs = engine.load().reportedAtMs();
         if (!includeLoad() || reportedAtMs.isEmpty()) {
             return false;
@@ -99,7 +99,7 @@
 
     /** Adds an engine's report to the next gossip message, if the report is fresh and fits. */
     public void collectGossip(Engine engine) {
-        if (areShared() && gossip.hasCapacity() && areFresh(engine)) {
+        if (areShared() && gossip.hasCapacity() && hasFreshReport(engine)) {
             gossip.collect(new GossipCodec.EngineReport(
                     engine.gossipId(), engine.load().values()));
         }
--- a/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
+++ b/src/test/java/lineward/scheduling/decision/LoadReportPollingTest.java
@@ -152,7 +152,7 @@
         engine.load().startHealthCheck(TestingPolicies.START_MS);
         double[] report = applied ? REPORT : NO_REPORT;
         polling(policies).complete(new HealthCheckCompleted(1, outcome, 5, report), engine);
-        assertThat(policies.reports.areFresh(engine)).isEqualTo(applied);
+        assertThat(policies.reports.hasFreshReport(engine)).isEqualTo(applied);
         assertThat(engine.health().isEjected()).isEqualTo(ejected);
         assertThat(engine.load().healthCheckStartedMs()).isEmpty();
     }
