--- a/src/main/java/lineward/scheduling/state/LoadReports.java
+++ b/src/main/java/lineward/scheduling/state/LoadReports.java
@@ -44,7 +44,7 @@
     }
 
     /** Returns whether reports include the memory in use. */
-    public boolean includeMemory() {
+    public boolean hasMemoryField() {
         return memoryField != NO_FIELD;
     }
 
