--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -131,7 +131,7 @@
 
     private double memoryLoad(TrackedRequest request, Engine engine) {
         if (reports.hasFreshReport(engine) && reports.hasMemoryField()) {
-            return reports.memoryInUse(engine) + MEMORY_BASE_LOAD;
+            return reports.memoryInUseRatio(engine) + MEMORY_BASE_LOAD;
         }
         if (engine.memoryMb() <= 0) {
             return MEMORY_UNKNOWN;
--- a/src/main/java/lineward/scheduling/state/LoadReports.java
+++ b/src/main/java/lineward/scheduling/state/LoadReports.java
@@ -78,7 +78,7 @@
     }
 
     /** Returns the fraction of an engine's memory that is in use, by its last report. */
-    public double memoryInUse(Engine engine) {
+    public double memoryInUseRatio(Engine engine) {
         return engine.load().value(memoryField);
     }
 
