--- a/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
+++ b/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
@@ -91,7 +91,7 @@
     private double intervalMs(int engines) {
         SchedulerSettings.Costs costs = context.settings().costs();
         int frontEnds = context.settings().position().frontEnds();
-        double gossipCost = costs.gossip() * reports.gossipMessageRatio() * (frontEnds - 1);
+        double gossipCost = costs.gossip() * reports.reportSizeRatio() * (frontEnds - 1);
         double seenForMs = Math.max(MIN_TRAFFIC_PERIOD_MS, context.nowMs() - context.startedMs());
         double requestsPerMs = Math.max(1, requestsSeen) / seenForMs;
         double evenMs = MIN_INTERVAL_MS * frontEnds / (engines + 1);
--- a/src/main/java/lineward/scheduling/state/LoadReports.java
+++ b/src/main/java/lineward/scheduling/state/LoadReports.java
@@ -93,7 +93,7 @@
     }
 
     /** Returns the encoded size of one report as a fraction of the maximum gossip message. */
-    public double gossipMessageRatio() {
+    public double reportSizeRatio() {
         return gossip.reportBytes() / (double) GossipCodec.MAX_PAYLOAD_BYTES;
     }
 
