--- a/src/main/java/lineward/scheduling/estimation/ClassDemand.java
+++ b/src/main/java/lineward/scheduling/estimation/ClassDemand.java
@@ -17,7 +17,7 @@
 
     /** Decays the counts of earlier requests with the half-life of {@link ServiceTimeModel}. */
     public void decay(double nowMs) {
-        double kept = ServiceTimeModel.ratioKept(nowMs - decayedAtMs);
+        double kept = ServiceTimeModel.decayFactor(nowMs - decayedAtMs);
         decayedAtMs = nowMs;
         workMs *= kept;
         requests *= kept;
--- a/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
+++ b/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
@@ -33,7 +33,7 @@
 
     /** Decays the number of completed runs. */
     public void decay(double nowMs) {
-        completedRuns *= ServiceTimeModel.ratioKept(nowMs - decayedAtMs);
+        completedRuns *= ServiceTimeModel.decayFactor(nowMs - decayedAtMs);
         decayedAtMs = nowMs;
     }
 
--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -62,7 +62,7 @@
     }
 
     /** Returns the decay factor of a measurement that is {@code agoMs} old. */
-    public static double ratioKept(double agoMs) {
+    public static double decayFactor(double agoMs) {
         return Math.pow(0.5, agoMs / HALF_LIFE_MS);
     }
 
@@ -153,7 +153,7 @@
      *     all slow would show no slowdown until they complete
      */
     public void recompute(double nowMs, List<Double> inFlight) {
-        double kept = ratioKept(nowMs - decayedAtMs);
+        double kept = decayFactor(nowMs - decayedAtMs);
         decayedAtMs = nowMs;
         firstRuns.decay(kept);
         completedRuns *= kept;
