--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -137,7 +137,7 @@
      * @return the logarithm of the run time relative to the typical one, clamped to plus or minus
      *     {@link #STRAGGLER_LOG_RATIO}
      */
-    public double addToUsual(double ratio) {
+    public double updateTypicalRatio(double ratio) {
         return typicalLogRatio.add(Math.log(Math.max(MIN_RUN_RATIO, ratio)));
     }
 
--- a/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
@@ -63,7 +63,7 @@
             model.addWork(runMs * request.threads(), nowMs);
         }
         context.serviceTimes().add(ratio);
-        double logSlowdown = model.addToUsual(runMs / request.workUnitMs());
+        double logSlowdown = model.updateTypicalRatio(runMs / request.workUnitMs());
         attempt.engine().recordSlowdown(logSlowdown, nowMs);
         model.addSlowdown(logSlowdown, nowMs);
         context.serviceTimes().addSlowdown(logSlowdown, nowMs);
--- a/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
@@ -27,7 +27,7 @@
         ClassState type = policies.context.requestClass(0);
         ServiceTimeModel model = type.model();
         for (int run = 0; run < usualRuns; run++) {
-            model.addToUsual(1);
+            model.updateTypicalRatio(1);
             model.addFirstRun(USUAL, true);
         }
         for (int run = 0; run < slowRuns; run++) {
