--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -82,7 +82,7 @@
     }
 
     /** Returns the mean work of a request, including one prior value derived from the deadline. */
-    public double usualWorkMs(double nowMs) {
+    public double meanWorkWithPriorMs(double nowMs) {
         double guess = settings.objective().deadlineMs() * FIRST_GUESS_RATIO;
         return work.mean(nowMs, FIRST_GUESS_WEIGHT, guess * settings.workload().threads());
     }
--- a/src/main/java/lineward/scheduling/state/ClassState.java
+++ b/src/main/java/lineward/scheduling/state/ClassState.java
@@ -85,6 +85,6 @@
 
     /** Returns the work by which a request counts in a slow-start budget: at least the class's mean work. */
     public double slowStartWorkMs(TrackedRequest request, double nowMs) {
-        return Math.max(request.expectedWorkMs(), model.usualWorkMs(nowMs));
+        return Math.max(request.expectedWorkMs(), model.meanWorkWithPriorMs(nowMs));
     }
 }
