--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -39,7 +39,7 @@
 
     /** Returns the bin edge with the least expected load; empty if no edge saves enough load. */
     private static OptionalDouble leastLoadRatio(ServiceTimeModel model, double nowMs) {
-        SurvivalCurve curve = model.firstRuns();
+        SurvivalCurve curve = model.firstRunCurve();
         double relaunchRatio = model.relaunchRatio(nowMs);
         double leastLoad = model.meanRatio() * (1 - MIN_LOAD_SAVED);
         OptionalDouble best = OptionalDouble.empty();
--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -40,7 +40,7 @@
     private final RobustMean memoryBias = robustMean();
     private final RequestClass settings;
     private final FleetServiceTimes fleet;
-    private final SurvivalCurve firstRuns = new SurvivalCurve(BINS, LOWEST_BIN_LOG2, BINS_PER_DOUBLING);
+    private final SurvivalCurve firstRunCurve = new SurvivalCurve(BINS, LOWEST_BIN_LOG2, BINS_PER_DOUBLING);
     private final DecayingMean relaunches = new DecayingMean(HALF_LIFE_MS);
     private final DecayingMean work = new DecayingMean(HALF_LIFE_MS);
     private final SlidingMedian recentLogSlowdown = new SlidingMedian(FleetServiceTimes.RECENT_MS);
@@ -111,8 +111,8 @@
     }
 
     /** Returns the survival curve of first runs. */
-    public SurvivalCurve firstRuns() {
-        return firstRuns;
+    public SurvivalCurve firstRunCurve() {
+        return firstRunCurve;
     }
 
     /** Adds the work of a request. */
@@ -127,7 +127,7 @@
 
     /** Adds the ratio of a first run; a run that did not complete is censored. */
     public void addFirstRun(double ratio, boolean completed) {
-        firstRuns.add(ratio, completed);
+        firstRunCurve.add(ratio, completed);
         completedRuns += completed ? 1 : 0;
     }
 
@@ -155,11 +155,11 @@
     public void recompute(double nowMs, List<Double> inFlight) {
         double kept = decayFactor(nowMs - decayedAtMs);
         decayedAtMs = nowMs;
-        firstRuns.decay(kept);
+        firstRunCurve.decay(kept);
         completedRuns *= kept;
         double logSlowdown = recentLogSlowdown.median(nowMs, PRIOR_ANSWERS, slowInFlight(inFlight));
         slowdown = Math.max(1, Math.exp(logSlowdown));
-        meanRatio = firstRuns.recompute(
+        meanRatio = firstRunCurve.recompute(
                 inFlight.stream().map(ratio -> ratio / slowdown).toList());
     }
 
