--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -41,7 +41,7 @@
     private static OptionalDouble leastLoadRatio(ServiceTimeModel model, double nowMs) {
         SurvivalCurve curve = model.firstRunCurve();
         double relaunchRatio = model.relaunchRatio(nowMs);
-        double leastLoad = model.meanRatio() * (1 - MIN_LOAD_SAVED);
+        double leastLoad = model.meanFirstRunRatio() * (1 - MIN_LOAD_SAVED);
         OptionalDouble best = OptionalDouble.empty();
         for (int bin = 0; bin < curve.bins(); bin++) {
             double load = curve.areaUpTo(bin) + relaunchRatio * curve.survivalPast(bin);
--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -46,7 +46,7 @@
     private final SlidingMedian recentLogSlowdown = new SlidingMedian(FleetServiceTimes.RECENT_MS);
     private final RobustMean typicalLogRatio = robustMean();
     private double completedRuns;
-    private double meanRatio;
+    private double meanFirstRunRatio;
     private double slowdown = 1;
     private double decayedAtMs;
 
@@ -97,7 +97,7 @@
         if (relaunches.count(nowMs) >= MIN_RUNS) {
             return relaunches.mean(nowMs, 0, 0);
         }
-        return hasCurve() ? meanRatio : typicalRatio();
+        return hasCurve() ? meanFirstRunRatio : typicalRatio();
     }
 
     /** Returns the factor by which the class currently runs slower than typical, at least 1. */
@@ -106,8 +106,8 @@
     }
 
     /** Returns the mean ratio of first runs by the curve. */
-    public double meanRatio() {
-        return meanRatio;
+    public double meanFirstRunRatio() {
+        return meanFirstRunRatio;
     }
 
     /** Returns the survival curve of first runs. */
@@ -159,7 +159,7 @@
         completedRuns *= kept;
         double logSlowdown = recentLogSlowdown.median(nowMs, PRIOR_ANSWERS, slowInFlight(inFlight));
         slowdown = Math.max(1, Math.exp(logSlowdown));
-        meanRatio = firstRunCurve.recompute(
+        meanFirstRunRatio = firstRunCurve.recompute(
                 inFlight.stream().map(ratio -> ratio / slowdown).toList());
     }
 
