--- a/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
+++ b/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
@@ -27,7 +27,7 @@
 
     /** Recomputes the slowdown of recent runs relative to the typical run times of their classes. */
     public void recomputeSlowdown(double nowMs) {
-        double median = recentLogSlowdown.median(nowMs, ServiceTimeModel.PRIOR_ANSWERS);
+        double median = recentLogSlowdown.median(nowMs, ServiceTimeModel.PRIOR_RUNS);
         slowdown = Math.max(1, Math.exp(median));
     }
 
--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -16,7 +16,7 @@
     /** Logarithm of the ratio to the typical run time from which a run is a straggler. */
     public static final double STRAGGLER_LOG_RATIO = 1.5;
     /** Number of prior runs at the typical run time, so that a few slow runs do not count as a slowdown. */
-    public static final double PRIOR_ANSWERS = 5;
+    public static final double PRIOR_RUNS = 5;
 
     /** Minimum weight of a new value in the typical run time and the biases. */
     private static final double MIN_USUAL_STEP = 0.02;
@@ -157,7 +157,7 @@
         decayedAtMs = nowMs;
         firstRunCurve.decay(kept);
         completedRuns *= kept;
-        double logSlowdown = recentLogSlowdown.median(nowMs, PRIOR_ANSWERS, slowInFlight(inFlight));
+        double logSlowdown = recentLogSlowdown.median(nowMs, PRIOR_RUNS, slowInFlight(inFlight));
         slowdown = Math.max(1, Math.exp(logSlowdown));
         meanFirstRunRatio = firstRunCurve.recompute(
                 inFlight.stream().map(ratio -> ratio / slowdown).toList());
