--- a/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
+++ b/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
@@ -15,7 +15,7 @@
     private double slowdown = 1;
 
     /** Adds the run time of a completed first run, as a multiple of its reference run time. */
-    public void add(double ratio) {
+    public void addCompletedRun(double ratio) {
         completedRuns++;
         typicalLogRatio.add(Math.log(ratio));
     }
--- a/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
@@ -62,7 +62,7 @@
         if (!request.hasWorkEstimate()) {
             model.addWork(runMs * request.threads(), nowMs);
         }
-        context.serviceTimes().add(ratio);
+        context.serviceTimes().addCompletedRun(ratio);
         double logSlowdown = model.updateTypicalRatio(runMs / request.workUnitMs());
         attempt.engine().recordSlowdown(logSlowdown, nowMs);
         model.addSlowdown(logSlowdown, nowMs);
--- a/src/test/java/lineward/scheduling/decision/TestingPolicies.java
+++ b/src/test/java/lineward/scheduling/decision/TestingPolicies.java
@@ -177,7 +177,7 @@
     /** Adds the number of completed runs that the speculative timeout requires. */
     void learnUsualRunTime() {
         for (int run = 0; run < ServiceTimeModel.MIN_COMPLETED_RUNS; run++) {
-            context.serviceTimes().add(1);
+            context.serviceTimes().addCompletedRun(1);
         }
     }
 
