--- a/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
+++ b/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
@@ -6,10 +6,10 @@
  */
 public final class FleetServiceTimes {
     /** Window of the slowdown: shorter than a typical fault, long enough for several responses. */
-    public static final double RECENT_MS = 5_000;
+    public static final double SLOWDOWN_WINDOW_MS = 5_000;
 
     private final RobustMean typicalLogRatio = ServiceTimeModel.robustMean();
-    private final SlidingMedian recentLogSlowdown = new SlidingMedian(RECENT_MS);
+    private final SlidingMedian recentLogSlowdown = new SlidingMedian(SLOWDOWN_WINDOW_MS);
     private double completedRuns;
     private double decayedAtMs;
     private double slowdown = 1;
--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -43,7 +43,7 @@
     private final SurvivalCurve firstRunCurve = new SurvivalCurve(BINS, LOWEST_BIN_LOG2, BINS_PER_DOUBLING);
     private final DecayingMean relaunches = new DecayingMean(HALF_LIFE_MS);
     private final DecayingMean work = new DecayingMean(HALF_LIFE_MS);
-    private final SlidingMedian recentLogSlowdown = new SlidingMedian(FleetServiceTimes.RECENT_MS);
+    private final SlidingMedian recentLogSlowdown = new SlidingMedian(FleetServiceTimes.SLOWDOWN_WINDOW_MS);
     private final RobustMean typicalLogRatio = robustMean();
     private double completedRuns;
     private double meanFirstRunRatio;
