--- a/src/main/java/lineward/scheduling/estimation/ClassDemand.java
+++ b/src/main/java/lineward/scheduling/estimation/ClassDemand.java
@@ -3,7 +3,7 @@
 /** The demand of one class: its arriving work, its fractions of all work and value, and usable cores. */
 public final class ClassDemand {
     private double workMs;
-    private double requests;
+    private double requestCount;
     private double decayedAtMs;
     private double workRatio;
     private double valueRatio;
@@ -12,7 +12,7 @@
     /** Counts an admitted request and its expected work. */
     public void add(double requestWorkMs) {
         workMs += requestWorkMs;
-        requests++;
+        requestCount++;
     }
 
     /** Decays the counts of earlier requests with the half-life of {@link ServiceTimeModel}. */
@@ -20,7 +20,7 @@
         double kept = ServiceTimeModel.decayFactor(nowMs - decayedAtMs);
         decayedAtMs = nowMs;
         workMs *= kept;
-        requests *= kept;
+        requestCount *= kept;
     }
 
     /** Returns the decayed sum of expected work. */
@@ -29,8 +29,8 @@
     }
 
     /** Returns the decayed number of requests. */
-    public double requests() {
-        return requests;
+    public double requestCount() {
+        return requestCount;
     }
 
     /** Returns the class's fraction of the work of all classes, in [0, 1]. */
--- a/src/main/java/lineward/scheduling/state/FleetDemand.java
+++ b/src/main/java/lineward/scheduling/state/FleetDemand.java
@@ -44,7 +44,7 @@
     }
 
     private static double value(ClassState requestClass) {
-        return requestClass.demand().requests()
+        return requestClass.demand().requestCount()
                 * requestClass.settings().objective().priorityWeight();
     }
 
