--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -43,7 +43,7 @@
         double relaunchRatio = model.relaunchRatio(nowMs);
         double leastLoad = model.meanFirstRunRatio() * (1 - MIN_LOAD_SAVED);
         OptionalDouble best = OptionalDouble.empty();
-        for (int bin = 0; bin < curve.bins(); bin++) {
+        for (int bin = 0; bin < curve.binCount(); bin++) {
             double load = curve.areaUpTo(bin) + relaunchRatio * curve.survivalPast(bin);
             if (load < leastLoad && curve.survivalPast(bin) > 0) {
                 leastLoad = load;
--- a/src/main/java/lineward/scheduling/estimation/SurvivalCurve.java
+++ b/src/main/java/lineward/scheduling/estimation/SurvivalCurve.java
@@ -19,13 +19,13 @@
     private final double[] survival;
 
     /** Creates an empty curve. The first bin also holds all run times below 2^lowestLog2. */
-    public SurvivalCurve(int bins, double lowestLog2, double binsPerDoubling) {
+    public SurvivalCurve(int binCount, double lowestLog2, double binsPerDoubling) {
         this.lowestLog2 = lowestLog2;
         this.binsPerDoubling = binsPerDoubling;
-        completed = new double[bins];
-        censored = new double[bins];
-        areas = new double[bins];
-        survival = new double[bins];
+        completed = new double[binCount];
+        censored = new double[binCount];
+        areas = new double[binCount];
+        survival = new double[binCount];
     }
 
     /** Adds a run time; a run that did not complete is censored. */
@@ -74,7 +74,7 @@
     }
 
     /** Returns the number of bins. */
-    public int bins() {
+    public int binCount() {
         return completed.length;
     }
 
