--- a/src/main/java/lineward/scheduling/state/Attempt.java
+++ b/src/main/java/lineward/scheduling/state/Attempt.java
@@ -4,7 +4,7 @@
 
 /** One attempt of a request on an engine. Times are in milliseconds of the scheduler's clock. */
 public final class Attempt {
-    private static final double MIN_AGE_MS = 0.01;
+    private static final double MIN_RUN_MS = 0.01;
 
     private record Progress(double ratioDone, double reportedAtMs) {}
 
@@ -127,7 +127,7 @@
     /** Returns how long the attempt has run, excluding the time that it waited at its engine. */
     public double runTimeMs(double nowMs) {
         double waitingNowMs = waiting ? nowMs - waitingSinceMs : 0;
-        return Math.max(MIN_AGE_MS, nowMs - startedAtMs - waitedMs - waitingNowMs);
+        return Math.max(MIN_RUN_MS, nowMs - startedAtMs - waitedMs - waitingNowMs);
     }
 
     /** Records a progress report with the completed fraction, in [0, 1]. */
