--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -17,7 +17,7 @@
 public final class Engine {
     private static final double SLOWDOWN_HALF_LIFE_MS = 3_000;
     /** Number of prior runs at the typical speed, so that a single slow run has little weight. */
-    private static final double PRIOR_ANSWERS = 2;
+    private static final double PRIOR_RUNS = 2;
 
     private static final int GOSSIP_ID_MASK = 0xffff;
 
@@ -210,7 +210,7 @@
 
     /** Returns the factor by which recent runs on the engine were slower than typical. */
     public double slowdown(double nowMs) {
-        return Math.exp(logSlowdown.mean(nowMs, PRIOR_ANSWERS, 0));
+        return Math.exp(logSlowdown.mean(nowMs, PRIOR_RUNS, 0));
     }
 
     /** Returns the start of the warm-up: the last announced start, release or lost connection, if any. */
