--- a/src/main/java/lineward/scheduling/state/EngineHealth.java
+++ b/src/main/java/lineward/scheduling/state/EngineHealth.java
@@ -11,7 +11,7 @@
 
     private static final double ERRORS_HALF_LIFE_MS = 10_000;
     /** Number of prior successes, so that a single error has little weight. */
-    private static final double PRIOR_ANSWERS = 2;
+    private static final double PRIOR_SUCCESSES = 2;
 
     private static final double ERROR = 1;
     private static final double GOOD_ANSWER = 0;
@@ -47,7 +47,7 @@
 
     /** Returns the fraction of recent attempts that ended with an error response of the engine. */
     public double errorRatio(double nowMs) {
-        return errorRatio.mean(nowMs, PRIOR_ANSWERS, 0);
+        return errorRatio.mean(nowMs, PRIOR_SUCCESSES, 0);
     }
 
     /** Sets the time from which the engine's silence is measured. */
