--- a/src/main/java/lineward/scheduling/state/EngineHealth.java
+++ b/src/main/java/lineward/scheduling/state/EngineHealth.java
@@ -14,7 +14,7 @@
     private static final double PRIOR_SUCCESSES = 2;
 
     private static final double ERROR = 1;
-    private static final double GOOD_ANSWER = 0;
+    private static final double SUCCESS = 0;
 
     private final DecayingMean errorRatio = new DecayingMean(ERRORS_HALF_LIFE_MS);
     private State state = State.HEALTHY;
@@ -58,7 +58,7 @@
     /** Records a successful attempt, which also ends an ejection. */
     public void recordSuccess(double nowMs) {
         recordActivity(nowMs);
-        errorRatio.add(nowMs, GOOD_ANSWER);
+        errorRatio.add(nowMs, SUCCESS);
         markHealthy();
     }
 
