--- a/src/main/java/lineward/scheduling/state/EngineCapacity.java
+++ b/src/main/java/lineward/scheduling/state/EngineCapacity.java
@@ -27,7 +27,7 @@
     }
 
     /** Returns the fraction of full capacity that the engine has at {@code atMs} by the slow-start rule. */
-    private double ratioAt(Engine engine, double atMs) {
+    private double capacityRatioAt(Engine engine, double atMs) {
         if (!isWarmingUp(engine)) {
             return 1;
         }
@@ -44,7 +44,7 @@
         if (engine.isStartUnannounced()) {
             return rule.initialRatio();
         }
-        double warmedUp = ratioAt(engine, context.nowMs() - rule.windowMs()) - rule.initialRatio();
+        double warmedUp = capacityRatioAt(engine, context.nowMs() - rule.windowMs()) - rule.initialRatio();
         return rule.initialRatio() + COUNTED_WARMUP_RATIO * warmedUp;
     }
 
@@ -58,6 +58,6 @@
         double nowMs = context.nowMs();
         double relative = Math.min(MAX_SPEED, context.serviceTimes().slowdown() / engine.slowdown(nowMs));
         double useful = Math.max(MIN_SPEED, relative * (1 - engine.health().errorRatio(nowMs)));
-        return useful * ratioAt(engine, nowMs);
+        return useful * capacityRatioAt(engine, nowMs);
     }
 }
