--- a/src/main/java/lineward/scheduling/state/LoadReports.java
+++ b/src/main/java/lineward/scheduling/state/LoadReports.java
@@ -39,7 +39,7 @@
         this.memoryField = fields.indexOf(LoadReportField.MEMORY);
     }
 
-    private boolean includeLoad() {
+    private boolean hasLoadField() {
         return inFlightField != NO_FIELD;
     }
 
@@ -51,13 +51,13 @@
     /** Returns whether front ends share load reports by gossip, according to the settings. */
     public boolean areShared() {
         SchedulerSettings.Capabilities may = context.settings().capabilities();
-        return may.healthChecks() && may.gossip() && includeLoad();
+        return may.healthChecks() && may.gossip() && hasLoadField();
     }
 
     /** Returns whether the engine's last report is recent enough to use. */
     public boolean hasFreshReport(Engine engine) {
         OptionalDouble reportedAtMs = engine.load().reportedAtMs();
-        if (!includeLoad() || reportedAtMs.isEmpty()) {
+        if (!hasLoadField() || reportedAtMs.isEmpty()) {
             return false;
         }
         return context.nowMs() - reportedAtMs.getAsDouble() < FRESH_FOR_MS;
@@ -84,7 +84,7 @@
 
     /** Applies a report; it is ignored if reports do not include load or if values are missing. */
     public void apply(Engine engine, double[] values) {
-        if (!includeLoad() || values.length < fieldCount) {
+        if (!hasLoadField() || values.length < fieldCount) {
             return;
         }
         double jitter = MIN_LIMIT_JITTER + 2 * (1 - MIN_LIMIT_JITTER) * context.drawRandom();
