--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -28,7 +28,7 @@
     private static final double LOWEST_BIN_LOG2 = -4;
     private static final double BINS_PER_DOUBLING = 5;
     /** Prior run time of a request, as a fraction of the deadline; it weighs as one request. */
-    private static final double FIRST_GUESS_RATIO = 0.125;
+    private static final double PRIOR_RUN_TIME_RATIO = 0.125;
 
     private static final double FIRST_GUESS_WEIGHT = 1;
     /** Prior weight that avoids a division by zero without changing the mean noticeably. */
@@ -83,7 +83,7 @@
 
     /** Returns the mean work of a request, including one prior value derived from the deadline. */
     public double meanWorkWithPriorMs(double nowMs) {
-        double guess = settings.objective().deadlineMs() * FIRST_GUESS_RATIO;
+        double guess = settings.objective().deadlineMs() * PRIOR_RUN_TIME_RATIO;
         return work.mean(nowMs, FIRST_GUESS_WEIGHT, guess * settings.workload().threads());
     }
 
