--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -30,7 +30,7 @@
     /** Prior run time of a request, as a fraction of the deadline; it weighs as one request. */
     private static final double PRIOR_RUN_TIME_RATIO = 0.125;
 
-    private static final double FIRST_GUESS_WEIGHT = 1;
+    private static final double PRIOR_WORK_WEIGHT = 1;
     /** Prior weight that avoids a division by zero without changing the mean noticeably. */
     private static final double NEGLIGIBLE_WEIGHT = 1e-9;
 
@@ -84,7 +84,7 @@
     /** Returns the mean work of a request, including one prior value derived from the deadline. */
     public double meanWorkWithPriorMs(double nowMs) {
         double guess = settings.objective().deadlineMs() * PRIOR_RUN_TIME_RATIO;
-        return work.mean(nowMs, FIRST_GUESS_WEIGHT, guess * settings.workload().threads());
+        return work.mean(nowMs, PRIOR_WORK_WEIGHT, guess * settings.workload().threads());
     }
 
     /** Returns the mean work of the requests so far, without a prior; 0 before the first one. */
