--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -19,7 +19,7 @@
     public static final double PRIOR_RUNS = 5;
 
     /** Minimum weight of a new value in the typical run time and the biases. */
-    private static final double MIN_USUAL_STEP = 0.02;
+    private static final double MIN_STEP = 0.02;
     /** Half-life of the measurements: longer than a fault, shorter than a change in traffic. */
     private static final double HALF_LIFE_MS = 60_000;
     /** Number of bins of the curve. The first one starts at 0, the others above a ratio of 1/16. */
@@ -58,7 +58,7 @@
 
     /** Creates an empty mean of logarithms of ratios. */
     static RobustMean robustMean() {
-        return new RobustMean(STRAGGLER_LOG_RATIO, MIN_USUAL_STEP);
+        return new RobustMean(STRAGGLER_LOG_RATIO, MIN_STEP);
     }
 
     /** Returns the decay factor of a measurement that is {@code agoMs} old. */
