--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -157,7 +157,7 @@
         decayedAtMs = nowMs;
         firstRunCurve.decay(kept);
         completedRuns *= kept;
-        double logSlowdown = recentLogSlowdown.median(nowMs, PRIOR_RUNS, slowInFlight(inFlight));
+        double logSlowdown = recentLogSlowdown.median(nowMs, PRIOR_RUNS, slowInFlightLogRatios(inFlight));
         slowdown = Math.max(1, Math.exp(logSlowdown));
         meanFirstRunRatio = firstRunCurve.recompute(
                 inFlight.stream().map(ratio -> ratio / slowdown).toList());
@@ -187,7 +187,7 @@
         return memoryBias.add(logRatio);
     }
 
-    private List<Double> slowInFlight(List<Double> ratios) {
+    private List<Double> slowInFlightLogRatios(List<Double> ratios) {
         double typical = typicalRatio();
         return ratios.stream()
                 .map(ratio -> Math.min(STRAGGLER_LOG_RATIO, Math.log(ratio / typical)))
