--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -42,9 +42,9 @@
     private OptionalDouble connectionLostMs = OptionalDouble.empty();
     private OptionalDouble warmupStartMs = OptionalDouble.empty();
 
-    Engine(long id, double overloadWindowMs) {
+    Engine(long id, double slowStartWindowMs) {
         this.id = id;
-        sentWork = new SlidingWindowSum(overloadWindowMs);
+        sentWork = new SlidingWindowSum(slowStartWindowMs);
     }
 
     /** Returns the engine's id, which is the same at every front end. */
--- a/src/main/java/lineward/scheduling/state/EngineLoadState.java
+++ b/src/main/java/lineward/scheduling/state/EngineLoadState.java
@@ -19,8 +19,8 @@
     }
 
     /** Returns the value at an index of the last report, of which there must be one. */
-    public double value(int field) {
-        return values[field];
+    public double value(int fieldIndex) {
+        return values[fieldIndex];
     }
 
     /** Returns the random factor that is applied to the engine's concurrency limit until the next report. */
--- a/src/main/java/lineward/scheduling/state/GossipCodec.java
+++ b/src/main/java/lineward/scheduling/state/GossipCodec.java
@@ -61,12 +61,12 @@
     /** Returns the reports of a message; an incomplete report at its end is ignored. */
     List<EngineReport> decode(byte[] payload) {
         List<EngineReport> reports = new ArrayList<>();
-        for (int at = 0; at + reportBytes() <= payload.length; at += reportBytes()) {
+        for (int offset = 0; offset + reportBytes() <= payload.length; offset += reportBytes()) {
             double[] values = new double[scales.length];
             for (int i = 0; i < values.length; i++) {
-                values[i] = Byte.toUnsignedInt(payload[at + ID_BYTES + i]) / scales[i];
+                values[i] = Byte.toUnsignedInt(payload[offset + ID_BYTES + i]) / scales[i];
             }
-            int gossipId = Byte.toUnsignedInt(payload[at]) << 8 | Byte.toUnsignedInt(payload[at + 1]);
+            int gossipId = Byte.toUnsignedInt(payload[offset]) << 8 | Byte.toUnsignedInt(payload[offset + 1]);
             reports.add(new EngineReport(gossipId, values));
         }
         return reports;
--- a/src/main/java/lineward/scheduling/state/LoadReports.java
+++ b/src/main/java/lineward/scheduling/state/LoadReports.java
@@ -50,8 +50,8 @@
 
     /** Returns whether front ends share load reports by gossip, according to the settings. */
     public boolean areShared() {
-        SchedulerSettings.Capabilities may = context.settings().capabilities();
-        return may.healthChecks() && may.gossip() && hasLoadField();
+        SchedulerSettings.Capabilities capabilities = context.settings().capabilities();
+        return capabilities.healthChecks() && capabilities.gossip() && hasLoadField();
     }
 
     /** Returns whether the engine's last report is recent enough to use. */
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -130,8 +130,8 @@
 
     /** Returns the engine with the given id, and creates it if it is unknown. */
     public Engine getOrCreateEngine(long id) {
-        double overloadWindowMs = settings.rules().slowStart().windowMs();
-        return engines.computeIfAbsent(id, number -> new Engine(number, overloadWindowMs));
+        double slowStartWindowMs = settings.rules().slowStart().windowMs();
+        return engines.computeIfAbsent(id, number -> new Engine(number, slowStartWindowMs));
     }
 
     /** Marks all engines as gone, before a full snapshot updates those that it lists. */
@@ -145,8 +145,8 @@
     }
 
     /** Removes the engines that match the predicate. */
-    public void removeEngines(Predicate<Engine> forgettable) {
-        engines.values().removeIf(forgettable);
+    public void removeEngines(Predicate<Engine> predicate) {
+        engines.values().removeIf(predicate);
     }
 
     /** Recounts the cores of the ready engines after a change in listing or maintenance. */
@@ -187,12 +187,12 @@
     }
 
     /** Returns the attempt if it is known and has not ended; else null. */
-    public Attempt findAttemptInFlight(long requestId, int attempt) {
+    public Attempt findAttemptInFlight(long requestId, int attemptIndex) {
         TrackedRequest request = requests.get(requestId);
-        if (request == null || attempt >= request.attempts().size()) {
+        if (request == null || attemptIndex >= request.attempts().size()) {
             return null;
         }
-        Attempt found = request.attempts().get(attempt);
+        Attempt found = request.attempts().get(attemptIndex);
         return found.state() == AttemptState.ENDED ? null : found;
     }
 }
