--- a/src/test/java/lineward/scheduling/FleetSlowStartTest.java
+++ b/src/test/java/lineward/scheduling/FleetSlowStartTest.java
@@ -87,15 +87,15 @@
         }
     }
 
-    private record Due(double at, long order, Runnable task) {}
+    private record ScheduledTask(double at, long order, Runnable task) {}
 
     /** A simulated fleet with one clock. */
     private static final class Fleet {
         private final int frontEnds;
         private final SchedulerSettings.Rules rules;
         private final Random random;
-        private final PriorityQueue<Due> tasks =
-                new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+        private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+                Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
         private final int enginesInSlowStart;
         private final int engines;
         private final Map<Long, Budget> budgets = new HashMap<>();
@@ -129,7 +129,7 @@
         Fleet play() {
             while (!tasks.isEmpty()
                     && tasks.peek().at < START + RULES.slowStart().durationMs()) {
-                Due due = tasks.poll();
+                ScheduledTask due = tasks.poll();
                 now = due.at;
                 due.task.run();
             }
@@ -137,7 +137,7 @@
         }
 
         private void schedule(double ms, Runnable task) {
-            tasks.add(new Due(now + ms, nextOrder++, task));
+            tasks.add(new ScheduledTask(now + ms, nextOrder++, task));
         }
 
         private List<Endpoint> list(boolean started) {
