--- a/src/test/java/lineward/scheduling/FleetSlowStartTest.java
+++ b/src/test/java/lineward/scheduling/FleetSlowStartTest.java
@@ -54,7 +54,7 @@
     private static final double FAILURE_RATIO = 0.05;
 
     /** Checks the work started on one engine within any sliding window, in requests of mean work. */
-    private static final class Budget {
+    private static final class BudgetCheck {
         private final Deque<double[]> starts = new ArrayDeque<>();
         private double used;
         double maxUsedRatio;
@@ -98,7 +98,7 @@
                 Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
         private final int enginesInSlowStart;
         private final int engines;
-        private final Map<Long, Budget> budgets = new HashMap<>();
+        private final Map<Long, BudgetCheck> budgets = new HashMap<>();
         private double now = START;
         private long nextOrder;
         private long ids;
@@ -253,7 +253,7 @@
                 retries += attempt > 0 ? 1 : 0;
                 if (start.engine() <= enginesInSlowStart) {
                     startedInSlowStart++;
-                    Budget budget = budgets.computeIfAbsent(start.engine(), id -> new Budget());
+                    BudgetCheck budget = budgets.computeIfAbsent(start.engine(), id -> new BudgetCheck());
                     budget.recordStart(now - START, work);
                 }
                 boolean fails = random.nextDouble() < FAILURE_RATIO;
@@ -311,14 +311,14 @@
 
     @Test
     public void checkFindsOneRequestTooMany() {
-        Budget budget = new Budget();
-        double meanAllowed = Budget.allowed(0);
+        BudgetCheck budget = new BudgetCheck();
+        double meanAllowed = BudgetCheck.allowed(0);
         int allowedRequests = (int) (meanAllowed + 2 * Math.sqrt(meanAllowed) + 2);
         for (int i = 0; i < allowedRequests; i++) {
             budget.recordStart(0, MEAN_WORK_MS);
         }
         assertThrows(AssertionError.class, () -> budget.recordStart(1, MEAN_WORK_MS));
-        Budget later = new Budget();
+        BudgetCheck later = new BudgetCheck();
         for (int i = 0; i < 10 * allowedRequests; i++) {
             later.recordStart(i * RULES.slowStart().windowMs() / allowedRequests * 1.01, MEAN_WORK_MS);
         }
