--- a/src/test/java/lineward/scheduling/state/AttemptStateTest.java
+++ b/src/test/java/lineward/scheduling/state/AttemptStateTest.java
@@ -22,8 +22,9 @@
     }
 
     @Test(dataProvider = "transitions")
-    public void followsTheTable(AttemptState state, AttemptState cancelled, AttemptState ended) {
-        assertThat(state.cancelled()).isEqualTo(cancelled);
-        assertThat(state.ended()).isEqualTo(ended);
+    public void transitionsLeadToTheExpectedStates(
+            AttemptState state, AttemptState afterCancel, AttemptState afterEnd) {
+        assertThat(state.cancelled()).isEqualTo(afterCancel);
+        assertThat(state.ended()).isEqualTo(afterEnd);
     }
 }
--- a/src/test/java/lineward/scheduling/state/EngineStateTest.java
+++ b/src/test/java/lineward/scheduling/state/EngineStateTest.java
@@ -22,7 +22,7 @@
         BEGIN_MAINTENANCE,
         RELEASE,
         EJECT,
-        ANSWER;
+        SUCCEED;
 
         void apply(Engine engine) {
             switch (this) {
@@ -33,7 +33,7 @@
                 case BEGIN_MAINTENANCE -> engine.beginMaintenance();
                 case RELEASE -> engine.release(NOW_MS);
                 case EJECT -> engine.health().eject();
-                case ANSWER -> engine.recordSuccess(NOW_MS);
+                case SUCCEED -> engine.recordSuccess(NOW_MS);
             }
         }
 
@@ -62,12 +62,12 @@
             {steps(Step.LIST_READY, Step.UNLIST), EngineState.GONE},
             {steps(Step.LIST_READY, Step.UNLIST, Step.LIST_READY), EngineState.READY},
             {steps(Step.LIST_READY, Step.EJECT), EngineState.EJECTED},
-            {steps(Step.LIST_READY, Step.EJECT, Step.ANSWER), EngineState.READY},
+            {steps(Step.LIST_READY, Step.EJECT, Step.SUCCEED), EngineState.READY},
             {steps(Step.LIST_READY, Step.EJECT, Step.UNLIST), EngineState.GONE},
             {steps(Step.LIST_READY, Step.EJECT, Step.UNLIST, Step.LIST_READY), EngineState.EJECTED},
             {steps(Step.LIST_READY, Step.EJECT, Step.LIST_DRAINING), EngineState.EJECTED},
             {steps(Step.LIST_READY, Step.BEGIN_MAINTENANCE), EngineState.UNDER_MAINTENANCE},
-            {steps(Step.LIST_READY, Step.BEGIN_MAINTENANCE, Step.ANSWER), EngineState.UNDER_MAINTENANCE},
+            {steps(Step.LIST_READY, Step.BEGIN_MAINTENANCE, Step.SUCCEED), EngineState.UNDER_MAINTENANCE},
             {steps(Step.LIST_READY, Step.BEGIN_MAINTENANCE, Step.LIST_READY), EngineState.UNDER_MAINTENANCE},
             {steps(Step.LIST_READY, Step.BEGIN_MAINTENANCE, Step.UNLIST), EngineState.GONE},
             {steps(Step.LIST_READY, Step.BEGIN_MAINTENANCE, Step.RELEASE), EngineState.READY},
@@ -94,10 +94,10 @@
     }
 
     @Test
-    public void aReleasedEngineAwaitsItsFirstAnswer() {
+    public void releasedEngineAwaitsItsFirstSuccess() {
         Engine engine = engineAfter(Step.LIST_READY, Step.BEGIN_MAINTENANCE, Step.RELEASE);
         assertThat(engine.isAwaitingFirstSuccess()).isTrue();
-        Step.ANSWER.apply(engine);
+        Step.SUCCEED.apply(engine);
         assertThat(engine.isAwaitingFirstSuccess()).isFalse();
     }
 
@@ -116,11 +116,11 @@
 
     @Test(dataProvider = "warmupStarts")
     public void warmupStartsAtTheLastSignOfAStart(
-            double startMs, double lostMs, double expectedMs, boolean unannounced) {
+            double startMs, double connectionLostMs, double expectedMs, boolean unannounced) {
         Engine engine = new Engine(1, 1_000);
         engine.update(new Endpoint(1, 0, 1, startMs, EndpointState.READY, 0, 0), KIND);
-        if (lostMs > 0) {
-            engine.recordConnectionLost(lostMs);
+        if (connectionLostMs > 0) {
+            engine.recordConnectionLost(connectionLostMs);
         }
         assertThat(engine.warmupStartMs().orElse(0)).isEqualTo(expectedMs);
         assertThat(engine.isStartUnannounced()).isEqualTo(unannounced);
--- a/src/test/java/lineward/scheduling/state/RequestStateTest.java
+++ b/src/test/java/lineward/scheduling/state/RequestStateTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test(dataProvider = "transitions")
-    public void followsTheTable(
+    public void transitionsLeadToTheExpectedStates(
             RequestState state,
             RequestState attemptStarted,
             RequestState responseStarted,
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void aRetryAfterTheResponseBeganIsStreamingAtOnce() {
+    public void retryAfterTheResponseStartedIsStreaming() {
         assertThat(QUEUED.attemptStarted(true)).isEqualTo(STREAMING);
     }
 }
