--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -78,7 +78,7 @@
     /** Returns the expected run time of a relaunch at the current slowdown of its class on all engines. */
     private double expectedRelaunchMs(TrackedRequest request) {
         ServiceTimeModel model = request.type().model();
-        return model.relaunchRatio(context.nowMs()) * request.workUnitMs() * model.slowdown();
+        return model.relaunchRatio(context.nowMs()) * request.referenceRunMs() * model.slowdown();
     }
 
     private boolean isOnEjectedEngine(Attempt attempt) {
@@ -126,7 +126,7 @@
         double runMs =
                 attempt.runTimeMs(context.nowMs()) / request.type().model().slowdown();
         OptionalDouble tauRatio = request.type().tauRatio();
-        boolean past = tauRatio.isPresent() && runMs / request.workUnitMs() >= tauRatio.getAsDouble();
+        boolean past = tauRatio.isPresent() && runMs / request.referenceRunMs() >= tauRatio.getAsDouble();
         if (!hasFreshProgress(attempt)) {
             return past;
         }
--- a/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
@@ -46,7 +46,7 @@
         TrackedRequest request = attempt.request();
         ServiceTimeModel model = request.type().model();
         double runMs = attempt.runTimeMs(nowMs);
-        double ratio = runMs / model.slowdown() / request.workUnitMs();
+        double ratio = runMs / model.slowdown() / request.referenceRunMs();
         if (attempt.isFirstRun()) {
             learnFirstRun(attempt, runMs, ratio);
         } else if (request.isRelaunched()) {
@@ -63,7 +63,7 @@
             model.addWork(runMs * request.threads(), nowMs);
         }
         context.serviceTimes().addCompletedRun(ratio);
-        double logSlowdown = model.updateTypicalRatio(runMs / request.workUnitMs());
+        double logSlowdown = model.updateTypicalRatio(runMs / request.referenceRunMs());
         attempt.engine().recordSlowdown(logSlowdown, nowMs);
         model.addSlowdown(logSlowdown, nowMs);
         context.serviceTimes().addSlowdown(logSlowdown, nowMs);
@@ -93,7 +93,7 @@
         }
         TrackedRequest request = attempt.request();
         ServiceTimeModel model = request.type().model();
-        double ratio = attempt.runTimeMs(context.nowMs()) / model.slowdown() / request.workUnitMs();
+        double ratio = attempt.runTimeMs(context.nowMs()) / model.slowdown() / request.referenceRunMs();
         model.addFirstRun(Math.max(ratio, leastCensoredRatio(attempt)), false);
     }
 
@@ -102,7 +102,7 @@
         if (predictedMs.isEmpty()) {
             return 0;
         }
-        double predicted = predictedMs.getAsDouble() / attempt.request().workUnitMs();
+        double predicted = predictedMs.getAsDouble() / attempt.request().referenceRunMs();
         return Math.min(attempt.request().type().tauRatio().orElse(predicted), predicted);
     }
 }
--- a/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
+++ b/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
@@ -56,7 +56,7 @@
             for (Attempt attempt : engine.attemptsInFlight()) {
                 if (attempt.isFirstRun() && attempt.isRunning()) {
                     TrackedRequest request = attempt.request();
-                    double ratio = attempt.runTimeMs(context.nowMs()) / request.workUnitMs();
+                    double ratio = attempt.runTimeMs(context.nowMs()) / request.referenceRunMs();
                     ratios.get(request.type()).add(ratio);
                 }
             }
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -24,7 +24,7 @@
     private final double admittedAtMs;
     private final double deadlineMs;
     private final double objectiveAtMs;
-    private final double workUnitMs;
+    private final double referenceRunMs;
     private final double estimatedWorkMs;
     private final double estimatedMemoryMb;
     private final boolean exemptFromCancellation;
@@ -65,9 +65,10 @@
         double estimateMs = hasWorkEstimate()
                 ? estimatedWorkMs * type.model().workCorrection() / threads()
                 : objective.latencyMs() * DEFAULT_WORK_RATIO;
-        this.workUnitMs = Math.max(1, estimateMs);
-        double runMs =
-                hasWorkEstimate() ? workUnitMs : workUnitMs * type.model().typicalRatio();
+        this.referenceRunMs = Math.max(1, estimateMs);
+        double runMs = hasWorkEstimate()
+                ? referenceRunMs
+                : referenceRunMs * type.model().typicalRatio();
         double objectiveMs = nowMs + objective.latencyMs() + objective.latencyPerWork() * runMs;
         this.objectiveAtMs = Math.min(deadlineMs, objectiveMs);
     }
@@ -111,8 +112,8 @@
      * Returns the reference run time: the corrected estimate, or a default if the request has no estimate.
      * Measured run times are compared with it.
      */
-    public double workUnitMs() {
-        return workUnitMs;
+    public double referenceRunMs() {
+        return referenceRunMs;
     }
 
     /** Returns the uncorrected estimate of the work. Requires {@link #hasWorkEstimate()}. */
@@ -140,12 +141,12 @@
 
     /** Returns the expected run time at typical speed, without the current slowdown of the class. */
     public double expectedRunMs() {
-        return workUnitMs * type.model().typicalRatio();
+        return referenceRunMs * type.model().typicalRatio();
     }
 
     /** Returns the expected work, summed over all threads. */
     public double expectedWorkMs() {
-        return (hasWorkEstimate() ? workUnitMs : expectedRunMs()) * threads();
+        return (hasWorkEstimate() ? referenceRunMs : expectedRunMs()) * threads();
     }
 
     /** Returns the number of threads that an attempt runs on. */
