--- a/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
@@ -36,7 +36,7 @@
     public double dispatchPriority(TrackedRequest request) {
         RequestClass.Objective objective = request.type().settings().objective();
         double slowedRunMs = request.expectedRunMs() * request.type().model().slowdown();
-        boolean overdue = request.objectiveAtMs() - context.nowMs() - slowedRunMs < 0;
+        boolean overdue = request.objectiveEndMs() - context.nowMs() - slowedRunMs < 0;
         double value = objective.priorityWeight() * (overdue ? objective.overdueValueRatio() : 1);
         double urgency = overdue ? 1 : urgency(request);
         double relaunch = request.isRelaunched() ? RELAUNCH_FACTOR : 1;
@@ -45,7 +45,7 @@
 
     private double urgency(TrackedRequest request) {
         double waitedMs = context.nowMs() - request.admittedAtMs();
-        return 1 + URGENCY * waitedMs / Math.max(1, request.objectiveAtMs() - request.admittedAtMs());
+        return 1 + URGENCY * waitedMs / Math.max(1, request.objectiveEndMs() - request.admittedAtMs());
     }
 
     /** Returns whether a queued request can no longer be answered while its answer has a value. */
@@ -56,7 +56,7 @@
         double slowdown = Math.min(request.type().model().slowdown(), MAX_FIT_SLOWDOWN);
         double endMs = context.nowMs() + minRunMs(request) * slowdown;
         boolean hasOverdueValue = request.type().settings().objective().overdueValueRatio() > 0;
-        return endMs > (hasOverdueValue ? request.deadlineMs() : request.objectiveAtMs());
+        return endMs > (hasOverdueValue ? request.deadlineMs() : request.objectiveEndMs());
     }
 
     /** Returns the part of the expected run time that must fit into the remaining time. */
--- a/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
@@ -49,8 +49,8 @@
         RequestClass.Objective objective = request.type().settings().objective();
         boolean notStarted = attempt.isWaiting() && !attempt.hasProgress();
         double earliestEndMs = context.nowMs() + AdmissionPolicy.minRunMs(request);
-        boolean queuedTooLong = notStarted && earliestEndMs > request.objectiveAtMs();
-        double noValueAtMs = request.objectiveAtMs() + OVERDUE_GRACE_RATIO * objective.latencyMs();
+        boolean queuedTooLong = notStarted && earliestEndMs > request.objectiveEndMs();
+        double noValueAtMs = request.objectiveEndMs() + OVERDUE_GRACE_RATIO * objective.latencyMs();
         return queuedTooLong || (objective.overdueValueRatio() == 0 && context.nowMs() > noValueAtMs);
     }
 }
--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -112,7 +112,7 @@
      */
     private boolean isFastEnoughWhileWarmingUp(TrackedRequest request, Engine engine) {
         double runMs = capacity.runMsWhenCold(request);
-        boolean inTime = context.nowMs() + runMs < request.objectiveAtMs();
+        boolean inTime = context.nowMs() + runMs < request.objectiveEndMs();
         return capacity.isWarmingUp(engine) && slowStart.usesSlots() && inTime;
     }
 
--- a/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
@@ -42,7 +42,7 @@
                 && !attempt.hasProgress()
                 && request.isIdempotent()
                 && hasMigrationsLeft(request)
-                && context.nowMs() + request.expectedRunMs() < request.objectiveAtMs()
+                && context.nowMs() + request.expectedRunMs() < request.objectiveEndMs()
                 && retries.mayRelaunch(request)
                 && eligibility.hasTargetForRelaunch(attempt);
     }
--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -102,7 +102,7 @@
     }
 
     private boolean canAffordAProbe(TrackedRequest request) {
-        double slackMs = request.objectiveAtMs() - context.nowMs();
+        double slackMs = request.objectiveEndMs() - context.nowMs();
         return !request.isRelaunched()
                 && request.isIdempotent()
                 && slackMs > RECOVERY_PROBE_SLACK * request.expectedRunMs();
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -79,7 +79,7 @@
      */
     private int priority(TrackedRequest request) {
         double nowMs = context.nowMs();
-        if (nowMs + request.expectedRunMs() > request.objectiveAtMs()) {
+        if (nowMs + request.expectedRunMs() > request.objectiveEndMs()) {
             return OVERDUE_PRIORITY;
         }
         double largestMs = context.classes().stream()
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -23,7 +23,7 @@
     private final ClassState type;
     private final double admittedAtMs;
     private final double deadlineMs;
-    private final double objectiveAtMs;
+    private final double objectiveEndMs;
     private final double referenceRunMs;
     private final double estimatedWorkMs;
     private final double estimatedMemoryMb;
@@ -70,7 +70,7 @@
                 ? referenceRunMs
                 : referenceRunMs * type.model().typicalRatio();
         double objectiveMs = nowMs + objective.latencyMs() + objective.latencyPerWork() * runMs;
-        this.objectiveAtMs = Math.min(deadlineMs, objectiveMs);
+        this.objectiveEndMs = Math.min(deadlineMs, objectiveMs);
     }
 
     /** Returns the id of the request, unique among the requests that the scheduler holds. */
@@ -104,8 +104,8 @@
     }
 
     /** Returns the end of the latency objective, after which an answer is late. */
-    public double objectiveAtMs() {
-        return objectiveAtMs;
+    public double objectiveEndMs() {
+        return objectiveEndMs;
     }
 
     /**
