--- a/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
@@ -29,7 +29,7 @@
      * is harmless; otherwise a failure.
      */
     public SchedulerAction finalAnswer(TrackedRequest request) {
-        boolean neverRan = request.firstUnansweredRun() == null && !request.hasAttemptInFlight();
+        boolean neverRan = request.firstUnsuccessfulRun() == null && !request.hasAttemptInFlight();
         return neverRan || retries.mayRunTwice(request)
                 ? new SchedulerAction.Reject(request.id(), retryAfterMs(request))
                 : new SchedulerAction.Fail(request.id());
--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -68,7 +68,7 @@
      * idempotency key, or to 0 if it has none.
      */
     public double startWithinMs(TrackedRequest request) {
-        Attempt first = request.firstUnansweredRun();
+        Attempt first = request.firstUnsuccessfulRun();
         if (first == null || request.isIdempotent()) {
             return SchedulerAction.StartAttempt.ANY_TIME;
         }
@@ -84,7 +84,7 @@
     }
 
     private boolean mayRepeatAt(TrackedRequest request, Engine engine) {
-        Attempt first = request.firstUnansweredRun();
+        Attempt first = request.firstUnsuccessfulRun();
         if (first == null || request.isIdempotent()) {
             return true;
         }
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -40,7 +40,7 @@
 
     private boolean relaunched;
     /** The first attempt that may have run and did not succeed; null if there is none. */
-    private Attempt firstUnansweredRun;
+    private Attempt firstUnsuccessfulRun;
 
     private int errors;
     /** Null before the first error. */
@@ -203,8 +203,8 @@
     }
 
     /** Returns the first attempt that may have run and did not succeed; null if there is none. */
-    public Attempt firstUnansweredRun() {
-        return firstUnansweredRun;
+    public Attempt firstUnsuccessfulRun() {
+        return firstUnsuccessfulRun;
     }
 
     /** Returns the number of attempts that ended with an error response of an engine. */
@@ -228,8 +228,8 @@
     public void endAttempt(Attempt attempt, AttemptOutcome outcome) {
         attemptsInFlight--;
         boolean mayHaveRun = outcome.mayHaveRun() && outcome != AttemptOutcome.OK;
-        if (mayHaveRun && firstUnansweredRun == null) {
-            firstUnansweredRun = attempt;
+        if (mayHaveRun && firstUnsuccessfulRun == null) {
+            firstUnsuccessfulRun = attempt;
         }
     }
 
