--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -72,7 +72,7 @@
         if (first == null || request.isIdempotent()) {
             return SchedulerAction.StartAttempt.ANY_TIME;
         }
-        return request.isRepeatableByKey() ? keyExpiryMs(request, first) - context.nowMs() : 0;
+        return request.isIdempotentByKey() ? keyExpiryMs(request, first) - context.nowMs() : 0;
     }
 
     private static double keyExpiryMs(TrackedRequest request, Attempt first) {
@@ -124,7 +124,7 @@
      * the first attempt, which may turn out to have run; a silent engine may delay the relaunch.
      */
     private boolean mayOutliveItsKey(TrackedRequest request) {
-        return request.isRepeatableByKey()
+        return request.isIdempotentByKey()
                 && context.nowMs() + OutlierDetector.SILENCE_MS
                         > keyExpiryMs(request, request.attempts().get(0));
     }
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -160,7 +160,7 @@
     }
 
     /** Returns whether engines deduplicate repeated runs by the idempotency key. */
-    public boolean isRepeatableByKey() {
+    public boolean isIdempotentByKey() {
         return type.settings().repeatability().idempotence() == Idempotence.BY_KEY;
     }
 
