--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -182,7 +182,7 @@
             engine.health().recordError(context.nowMs());
             recordFailure(engine, EjectionCause.ERRORS);
         } else if (request.errors() == 2) {
-            revertError(request.firstEngineInError().health());
+            revertError(request.firstErrorEngine().health());
         }
     }
 
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -44,7 +44,7 @@
 
     private int errors;
     /** Null before the first error. */
-    private Engine firstEngineInError;
+    private Engine firstErrorEngine;
 
     /**
      * Creates a queued request.
@@ -213,8 +213,8 @@
     }
 
     /** Returns the engine of the first error; null if there was none. */
-    public Engine firstEngineInError() {
-        return firstEngineInError;
+    public Engine firstErrorEngine() {
+        return firstErrorEngine;
     }
 
     /** Records the start of an attempt. */
@@ -242,8 +242,8 @@
     /** Records an error response of an engine. */
     public void recordError(Engine engine) {
         errors++;
-        if (firstEngineInError == null) {
-            firstEngineInError = engine;
+        if (firstErrorEngine == null) {
+            firstErrorEngine = engine;
         }
     }
 
