--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -178,10 +178,10 @@
      */
     public void attributeError(TrackedRequest request, Engine engine) {
         request.recordError(engine);
-        if (request.errors() == 1) {
+        if (request.errorCount() == 1) {
             engine.health().recordError(context.nowMs());
             recordFailure(engine, EjectionCause.ERRORS);
-        } else if (request.errors() == 2) {
+        } else if (request.errorCount() == 2) {
             revertError(request.firstErrorEngine().health());
         }
     }
--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -97,7 +97,7 @@
      * After NOT_STARTED it may not, as it was complete or its time had run out.
      */
     public boolean mayRetry(TrackedRequest request, AttemptOutcome outcome) {
-        boolean requestAtFault = request.errors() >= MAX_ERRORS_PER_REQUEST;
+        boolean requestAtFault = request.errorCount() >= MAX_ERRORS_PER_REQUEST;
         return outcome != AttemptOutcome.NOT_STARTED
                 && mayRepeat(request)
                 && hasAttemptsLeft(request)
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -42,7 +42,7 @@
     /** The first attempt that may have run and did not succeed; null if there is none. */
     private Attempt firstUnsuccessfulRun;
 
-    private int errors;
+    private int errorCount;
     /** Null before the first error. */
     private Engine firstErrorEngine;
 
@@ -208,8 +208,8 @@
     }
 
     /** Returns the number of attempts that ended with an error response of an engine. */
-    public int errors() {
-        return errors;
+    public int errorCount() {
+        return errorCount;
     }
 
     /** Returns the engine of the first error; null if there was none. */
@@ -241,7 +241,7 @@
 
     /** Records an error response of an engine. */
     public void recordError(Engine engine) {
-        errors++;
+        errorCount++;
         if (firstErrorEngine == null) {
             firstErrorEngine = engine;
         }
