--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -34,7 +34,7 @@
     private final Set<Engine> triedEngines = new HashSet<>();
 
     private RequestState state = RequestState.QUEUED;
-    private int attemptsInFlight;
+    private int inFlightCount;
     /** Stays set across retries, because the client has already received a part of a response. */
     private boolean responseStarted;
 
@@ -181,7 +181,7 @@
 
     /** Returns whether an attempt is in flight. */
     public boolean hasAttemptInFlight() {
-        return attemptsInFlight > 0;
+        return inFlightCount > 0;
     }
 
     /** Returns whether the request was requeued after an attempt on that engine. */
@@ -220,13 +220,13 @@
     /** Records the start of an attempt. */
     public void startAttempt(Attempt attempt) {
         attempts.add(attempt);
-        attemptsInFlight++;
+        inFlightCount++;
         state = state.attemptStarted(responseStarted);
     }
 
     /** Records the end of an attempt. */
     public void endAttempt(Attempt attempt, AttemptOutcome outcome) {
-        attemptsInFlight--;
+        inFlightCount--;
         boolean mayHaveRun = outcome.mayHaveRun() && outcome != AttemptOutcome.OK;
         if (mayHaveRun && firstUnsuccessfulRun == null) {
             firstUnsuccessfulRun = attempt;
