--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -13,7 +13,7 @@
 /** One admitted request: its estimates, its lifecycle and its attempts. Times are in milliseconds. */
 public final class TrackedRequest {
     /** Run time assumed without an estimate, as a fraction of the latency objective. */
-    private static final double DEFAULT_WORK_RATIO = 0.3;
+    private static final double DEFAULT_RUN_TIME_RATIO = 0.3;
 
     private static final long NO_KEY = 0;
 
@@ -64,7 +64,7 @@
         RequestClass.Objective objective = type.settings().objective();
         double estimateMs = hasWorkEstimate()
                 ? estimatedWorkMs * type.model().workCorrection() / threads()
-                : objective.latencyMs() * DEFAULT_WORK_RATIO;
+                : objective.latencyMs() * DEFAULT_RUN_TIME_RATIO;
         this.referenceRunMs = Math.max(1, estimateMs);
         double runMs = hasWorkEstimate()
                 ? referenceRunMs
