--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -132,7 +132,7 @@
         }
         double remainingMs = attempt.predictedRemainingMs();
         boolean early = !past && remainingMs > EARLY_CANCEL_RELAUNCHES * relaunchMs;
-        attempt.recordPrediction(early ? OptionalDouble.of(runMs + remainingMs) : OptionalDouble.empty());
+        attempt.setPredictedSlowRun(early ? OptionalDouble.of(runMs + remainingMs) : OptionalDouble.empty());
         return early || (past && remainingMs >= relaunchMs);
     }
 
--- a/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeLearning.java
@@ -98,7 +98,7 @@
     }
 
     private static double leastCensoredRatio(Attempt attempt) {
-        OptionalDouble predictedMs = attempt.slowRunPredictedMs();
+        OptionalDouble predictedMs = attempt.predictedSlowRunMs();
         if (predictedMs.isEmpty()) {
             return 0;
         }
--- a/src/main/java/lineward/scheduling/state/Attempt.java
+++ b/src/main/java/lineward/scheduling/state/Attempt.java
@@ -25,7 +25,7 @@
     private boolean waiting;
     private double waitingSinceMs;
     private double waitedMs;
-    private OptionalDouble slowRunPredictedMs = OptionalDouble.empty();
+    private OptionalDouble predictedSlowRunMs = OptionalDouble.empty();
 
     /** Creates an attempt that is in flight from {@code nowMs}. */
     public Attempt(TrackedRequest request, Engine engine, double reservedMemoryMb, double nowMs) {
@@ -158,15 +158,15 @@
      * Records the last prediction from progress: the total run time of the attempt if a relaunch would be so
      * much faster that the attempt should be cancelled before its speculative timeout; empty otherwise.
      */
-    public void recordPrediction(OptionalDouble slowRunMs) {
-        slowRunPredictedMs = slowRunMs;
+    public void setPredictedSlowRun(OptionalDouble slowRunMs) {
+        predictedSlowRunMs = slowRunMs;
     }
 
     /**
      * Returns the predicted total run time if the attempt should be cancelled before its speculative timeout
      * by the last prediction; empty otherwise.
      */
-    public OptionalDouble slowRunPredictedMs() {
-        return slowRunPredictedMs;
+    public OptionalDouble predictedSlowRunMs() {
+        return predictedSlowRunMs;
     }
 }
