--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -211,7 +211,7 @@
     public void eject(Engine engine, EjectionCause cause) {
         scheduleRecoveryProbe(engine);
         if (engine.health().eject()) {
-            context.log("engine ejected: engine=" + Long.toHexString(engine.id()) + " cause=" + cause);
+            context.logLimited("engine ejected: engine=" + Long.toHexString(engine.id()) + " cause=" + cause);
         }
     }
 
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -22,7 +22,7 @@
  * admission, so that decisions are reproducible for a given seed.
  */
 public final class SchedulerContext {
-    private static final double LOG_INTERVAL_MS = 1_000;
+    private static final double MIN_LOG_INTERVAL_MS = 1_000;
 
     private final SchedulerSettings settings;
     private final SplittableRandom random;
@@ -91,8 +91,8 @@
     }
 
     /** Emits a log message, or drops it if another one was emitted less than a second ago. */
-    public void log(String text) {
-        if (lastLogMs.isEmpty() || nowMs - lastLogMs.getAsDouble() >= LOG_INTERVAL_MS) {
+    public void logLimited(String text) {
+        if (lastLogMs.isEmpty() || nowMs - lastLogMs.getAsDouble() >= MIN_LOG_INTERVAL_MS) {
             lastLogMs = OptionalDouble.of(nowMs);
             emit(new SchedulerAction.LogMessage(text));
         }
