--- a/src/test/java/lineward/scheduling/FleetSlowStartTest.java
+++ b/src/test/java/lineward/scheduling/FleetSlowStartTest.java
@@ -48,7 +48,7 @@
     private static final double USABLE_CORE_RATIO = 0.85;
 
     private static final double LOAD = 0.85;
-    private static final double START = 100_000;
+    private static final double START_MS = 100_000;
     private static final double MAX_DISCOVERY_DELAY_MS = 4000;
     private static final int MAX_ENGINES = 40;
     private static final double FAILURE_RATIO = 0.05;
@@ -59,25 +59,25 @@
         private double used;
         double maxUsedRatio;
 
-        void recordStart(double age, double work) {
-            starts.add(new double[] {age, work / MEAN_WORK_MS});
-            used += work / MEAN_WORK_MS;
-            while (starts.peek()[0] <= age - RULES.slowStart().windowMs()) {
+        void recordStart(double ageMs, double workMs) {
+            starts.add(new double[] {ageMs, workMs / MEAN_WORK_MS});
+            used += workMs / MEAN_WORK_MS;
+            while (starts.peek()[0] <= ageMs - RULES.slowStart().windowMs()) {
                 used -= starts.poll()[1];
             }
-            double meanAllowed = allowed(starts.peek()[0]);
+            double meanAllowed = meanAllowedRequests(starts.peek()[0]);
             double bound = meanAllowed + 2 * Math.sqrt(meanAllowed) + 2;
             maxUsedRatio = Math.max(maxUsedRatio, used / bound);
             if (used > bound) {
-                throw new AssertionError("overloaded at age " + age + " ms: " + used + ", limit " + bound);
+                throw new AssertionError("overloaded at age " + ageMs + " ms: " + used + ", limit " + bound);
             }
         }
 
         /** Returns how many requests of mean work an engine tolerates in a window that starts at an age. */
-        static double allowed(double age) {
+        static double meanAllowedRequests(double ageMs) {
             double capacityRatio = RULES.slowStart().initialRatio()
                     + (1 - RULES.slowStart().initialRatio())
-                            * Math.min(1, age / RULES.slowStart().durationMs());
+                            * Math.min(1, ageMs / RULES.slowStart().durationMs());
             return RULES.slowStart().overloadFactor()
                     * KIND.cores()
                     * USABLE_CORE_RATIO
@@ -87,7 +87,7 @@
         }
     }
 
-    private record ScheduledTask(double at, long order, Runnable task) {}
+    private record ScheduledTask(double atMs, long order, Runnable task) {}
 
     /** A simulated fleet with one clock. */
     private static final class Fleet {
@@ -95,13 +95,13 @@
         private final SchedulerSettings.Rules rules;
         private final Random random;
         private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
-                Comparator.comparingDouble(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
+                Comparator.comparingDouble(ScheduledTask::atMs).thenComparingLong(ScheduledTask::order));
         private final int enginesInSlowStart;
         private final int engines;
-        private final Map<Long, BudgetCheck> budgets = new HashMap<>();
-        private double now = START;
+        private final Map<Long, BudgetCheck> budgetChecks = new HashMap<>();
+        private double nowMs = START_MS;
         private long nextOrder;
-        private long ids;
+        private long lastRequestId;
         private int incarnations;
         int startedInSlowStart;
         int retries;
@@ -112,7 +112,7 @@
             random = new Random(seed * 7919L + frontEnds);
             engines = Math.max(10, Math.min(MAX_ENGINES, frontEnds * 2 / 5));
             enginesInSlowStart = Math.max(3, engines / 8);
-            double perMs = LOAD * engines * KIND.cores() / MEAN_WORK_MS;
+            double requestsPerMs = LOAD * engines * KIND.cores() / MEAN_WORK_MS;
             double[] weights = random.doubles(frontEnds, 0.2, 1).toArray();
             for (int i = 0; i < frontEnds; i += 10) {
                 weights[i] *= 5;
@@ -122,68 +122,68 @@
                 weightSum += weight;
             }
             for (int i = 0; i < frontEnds; i++) {
-                new FrontEnd(i, perMs * weights[i] / weightSum).begin();
+                new FrontEnd(i, requestsPerMs * weights[i] / weightSum).begin();
             }
         }
 
-        Fleet play() {
+        Fleet run() {
             while (!tasks.isEmpty()
-                    && tasks.peek().at < START + RULES.slowStart().durationMs()) {
-                ScheduledTask due = tasks.poll();
-                now = due.at;
-                due.task.run();
+                    && tasks.peek().atMs < START_MS + RULES.slowStart().durationMs()) {
+                ScheduledTask next = tasks.poll();
+                nowMs = next.atMs;
+                next.task.run();
             }
             return this;
         }
 
-        private void schedule(double ms, Runnable task) {
-            tasks.add(new ScheduledTask(now + ms, nextOrder++, task));
+        private void schedule(double delayMs, Runnable task) {
+            tasks.add(new ScheduledTask(nowMs + delayMs, nextOrder++, task));
         }
 
-        private List<Endpoint> list(boolean started) {
-            List<Endpoint> list = new ArrayList<>();
+        private List<Endpoint> listEndpoints(boolean enginesStarted) {
+            List<Endpoint> endpoints = new ArrayList<>();
             for (int id = 1; id <= engines; id++) {
-                if (id > enginesInSlowStart || started) {
-                    double startedAtMs = id > enginesInSlowStart ? 0 : START;
-                    list.add(new Endpoint(id, 0, 1, startedAtMs, EndpointState.READY, 0, 0));
+                if (id > enginesInSlowStart || enginesStarted) {
+                    double startedAtMs = id > enginesInSlowStart ? 0 : START_MS;
+                    endpoints.add(new Endpoint(id, 0, 1, startedAtMs, EndpointState.READY, 0, 0));
                 }
             }
-            return list;
+            return endpoints;
         }
 
         /** A simulated front end with its scheduler, traffic and restarts. */
         private final class FrontEnd {
             private final int ordinal;
-            private final double perMs;
-            private final Map<Long, Double> works = new HashMap<>();
-            private final Map<Long, Integer> attempts = new HashMap<>();
+            private final double requestsPerMs;
+            private final Map<Long, Double> workByRequest = new HashMap<>();
+            private final Map<Long, Integer> attemptCounts = new HashMap<>();
             /** The index of the attempt in flight by request. */
-            private final Map<Long, Integer> inFlight = new HashMap<>();
+            private final Map<Long, Integer> attemptInFlight = new HashMap<>();
 
             private SpeculativeScheduler scheduler;
             private int incarnation;
 
-            FrontEnd(int ordinal, double perMs) {
+            FrontEnd(int ordinal, double requestsPerMs) {
                 this.ordinal = ordinal;
-                this.perMs = perMs;
+                this.requestsPerMs = requestsPerMs;
             }
 
             void begin() {
-                launch(false);
+                startProcess(false);
                 schedule(
                         random.nextDouble() * MAX_DISCOVERY_DELAY_MS,
-                        () -> receive(new SchedulerEvent.EndpointsChanged(true, list(true))));
+                        () -> receive(new SchedulerEvent.EndpointsChanged(true, listEndpoints(true))));
                 if (random.nextInt(4) == 0) {
-                    schedule(random.nextDouble() * RULES.slowStart().durationMs(), () -> launch(true));
+                    schedule(random.nextDouble() * RULES.slowStart().durationMs(), () -> startProcess(true));
                 }
-                arrive();
+                scheduleArrival();
             }
 
-            private void launch(boolean started) {
+            private void startProcess(boolean enginesStarted) {
                 incarnation = ++incarnations;
-                works.clear();
-                attempts.clear();
-                inFlight.clear();
+                workByRequest.clear();
+                attemptCounts.clear();
+                attemptInFlight.clear();
                 SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                         new SchedulerSettings.Capabilities(true, false, false, true, true, true, false),
                         new SchedulerSettings.AttemptLimits(6, 2000, 0),
@@ -200,77 +200,77 @@
                                 NO_COSTS,
                                 new SchedulerSettings.Quotas(List.of(), 1)),
                         random.nextLong());
-                receive(new SchedulerEvent.EndpointsChanged(true, list(started)));
+                receive(new SchedulerEvent.EndpointsChanged(true, listEndpoints(enginesStarted)));
             }
 
-            private void arrive() {
-                schedule(-Math.log(1 - random.nextDouble()) / perMs, () -> {
-                    int type = random.nextDouble() < REPORT_RATIO ? 1 : 0;
-                    double work = WORK_MS[type] * Math.exp(random.nextGaussian() - 0.5);
-                    long id = ++ids;
-                    works.put(id, work);
+            private void scheduleArrival() {
+                schedule(-Math.log(1 - random.nextDouble()) / requestsPerMs, () -> {
+                    int classIndex = random.nextDouble() < REPORT_RATIO ? 1 : 0;
+                    double workMs = WORK_MS[classIndex] * Math.exp(random.nextGaussian() - 0.5);
+                    long id = ++lastRequestId;
+                    workByRequest.put(id, workMs);
                     receive(new SchedulerEvent.RequestArrived(
                             id,
-                            type,
+                            classIndex,
                             0,
-                            CLASSES.get(type).objective().deadlineMs(),
-                            work * Math.exp(0.4 * random.nextGaussian()),
+                            CLASSES.get(classIndex).objective().deadlineMs(),
+                            workMs * Math.exp(0.4 * random.nextGaussian()),
                             100,
                             1,
                             false,
                             0));
-                    arrive();
+                    scheduleArrival();
                 });
             }
 
             private void receive(SchedulerEvent event) {
-                for (SchedulerAction action : scheduler.decide(now, List.of(event))) {
+                for (SchedulerAction action : scheduler.decide(nowMs, List.of(event))) {
                     if (action instanceof SchedulerAction.ScheduleTimer timer) {
                         SchedulerEvent fired = new SchedulerEvent.TimerFired(timer.token());
-                        whileRunning(timer.delayMs(), () -> receive(fired));
+                        scheduleUnlessRestarted(timer.delayMs(), () -> receive(fired));
                     } else if (action instanceof SchedulerAction.StartAttempt start) {
-                        start(start);
+                        startAttempt(start);
                     } else if (action instanceof SchedulerAction.CancelAttempt cancel) {
-                        whileRunning(6, () -> cancelled(cancel));
+                        scheduleUnlessRestarted(6, () -> cancelAttempt(cancel));
                     }
                 }
             }
 
             /** Schedules a task that is dropped if the front end restarts in the meantime. */
-            private void whileRunning(double ms, Runnable task) {
-                int due = incarnation;
-                schedule(ms, () -> {
-                    if (due == incarnation) {
+            private void scheduleUnlessRestarted(double delayMs, Runnable task) {
+                int scheduledBy = incarnation;
+                schedule(delayMs, () -> {
+                    if (scheduledBy == incarnation) {
                         task.run();
                     }
                 });
             }
 
-            private void start(SchedulerAction.StartAttempt start) {
-                double work = works.get(start.request());
-                int attempt = attempts.merge(start.request(), 1, Integer::sum) - 1;
-                inFlight.put(start.request(), attempt);
+            private void startAttempt(SchedulerAction.StartAttempt start) {
+                double workMs = workByRequest.get(start.request());
+                int attempt = attemptCounts.merge(start.request(), 1, Integer::sum) - 1;
+                attemptInFlight.put(start.request(), attempt);
                 retries += attempt > 0 ? 1 : 0;
                 if (start.engine() <= enginesInSlowStart) {
                     startedInSlowStart++;
-                    BudgetCheck budget = budgets.computeIfAbsent(start.engine(), id -> new BudgetCheck());
-                    budget.recordStart(now - START, work);
+                    BudgetCheck check = budgetChecks.computeIfAbsent(start.engine(), id -> new BudgetCheck());
+                    check.recordStart(nowMs - START_MS, workMs);
                 }
                 boolean fails = random.nextDouble() < FAILURE_RATIO;
                 AttemptOutcome outcome = fails
                         ? random.nextBoolean() ? AttemptOutcome.REJECTED : AttemptOutcome.RESET
                         : AttemptOutcome.OK;
-                whileRunning(
-                        fails ? 5 : work / (work > 1000 ? 3 : 1) * (1 + random.nextDouble()),
-                        () -> ended(start.request(), attempt, outcome));
+                scheduleUnlessRestarted(
+                        fails ? 5 : workMs / (workMs > 1000 ? 3 : 1) * (1 + random.nextDouble()),
+                        () -> endAttempt(start.request(), attempt, outcome));
             }
 
-            private void cancelled(SchedulerAction.CancelAttempt cancel) {
-                ended(cancel.request(), cancel.attempt(), AttemptOutcome.CANCELLED);
+            private void cancelAttempt(SchedulerAction.CancelAttempt cancel) {
+                endAttempt(cancel.request(), cancel.attempt(), AttemptOutcome.CANCELLED);
             }
 
-            private void ended(long request, int attempt, AttemptOutcome outcome) {
-                if (inFlight.remove(request, attempt)) {
+            private void endAttempt(long request, int attempt, AttemptOutcome outcome) {
+                if (attemptInFlight.remove(request, attempt)) {
                     receive(new SchedulerEvent.AttemptEnded(
                             request, attempt, outcome, outcome == AttemptOutcome.OK, 0, 0, new double[0]));
                 }
@@ -287,7 +287,7 @@
     public void allFrontEndsTogetherStayWithinTheBudget(int frontEnds, int seeds) {
         int startedInSlowStart = 0;
         for (int seed = 1; seed <= seeds; seed++) {
-            Fleet fleet = new Fleet(frontEnds, RULES, seed).play();
+            Fleet fleet = new Fleet(frontEnds, RULES, seed).run();
             assertTrue(fleet.retries > 0, "attempts are retried");
             startedInSlowStart += fleet.startedInSlowStart;
         }
@@ -296,8 +296,8 @@
 
     /** Verifies the check itself: front ends without a limit on slow-start work must fail it. */
     @Test
-    public void checkFindsAFleetWithoutABudget() {
-        SchedulerSettings.Rules none = new SchedulerSettings.Rules(
+    public void checkFailsWithoutALimit() {
+        SchedulerSettings.Rules rulesWithoutLimit = new SchedulerSettings.Rules(
                 RULES.drainGraceMs(),
                 new SchedulerSettings.SlowStartRule(
                         RULES.slowStart().durationMs(),
@@ -306,22 +306,22 @@
                         RULES.slowStart().windowMs()),
                 0,
                 new SchedulerSettings.RetryBudget(0, 0, 0));
-        assertThrows(AssertionError.class, () -> new Fleet(100, none, 1).play());
+        assertThrows(AssertionError.class, () -> new Fleet(100, rulesWithoutLimit, 1).run());
     }
 
     @Test
-    public void checkFindsOneRequestTooMany() {
-        BudgetCheck budget = new BudgetCheck();
-        double meanAllowed = BudgetCheck.allowed(0);
+    public void checkFailsForOneRequestTooMany() {
+        BudgetCheck check = new BudgetCheck();
+        double meanAllowed = BudgetCheck.meanAllowedRequests(0);
         int allowedRequests = (int) (meanAllowed + 2 * Math.sqrt(meanAllowed) + 2);
         for (int i = 0; i < allowedRequests; i++) {
-            budget.recordStart(0, MEAN_WORK_MS);
+            check.recordStart(0, MEAN_WORK_MS);
         }
-        assertThrows(AssertionError.class, () -> budget.recordStart(1, MEAN_WORK_MS));
-        BudgetCheck later = new BudgetCheck();
+        assertThrows(AssertionError.class, () -> check.recordStart(1, MEAN_WORK_MS));
+        BudgetCheck steadyUse = new BudgetCheck();
         for (int i = 0; i < 10 * allowedRequests; i++) {
-            later.recordStart(i * RULES.slowStart().windowMs() / allowedRequests * 1.01, MEAN_WORK_MS);
+            steadyUse.recordStart(i * RULES.slowStart().windowMs() / allowedRequests * 1.01, MEAN_WORK_MS);
         }
-        assertFalse(later.maxUsedRatio < 0.9, "used at most " + later.maxUsedRatio + " of the limit");
+        assertFalse(steadyUse.maxUsedRatio < 0.9, "used at most " + steadyUse.maxUsedRatio + " of the limit");
     }
 }
