--- a/src/test/java/lineward/scheduling/DecisionCostTest.java
+++ b/src/test/java/lineward/scheduling/DecisionCostTest.java
@@ -21,7 +21,7 @@
     /** Queued requests are considered again at every event, here at forty timer events per second. */
     @Test(dataProvider = "fleets")
     public void queuedRequestsCostAFractionOfACore(int frontEnds, int engines) {
-        TestingScheduler scheduler = FleetQuotaTest.frontEnd(frontEnds, 0, engines);
+        TestingScheduler scheduler = FleetQuotaTest.schedulerInFleet(frontEnds, 0, engines);
         for (int id = 1; id <= engines + QUEUED; id++) {
             scheduler.requestArrives(id, 1, 0, 9000, 1e6);
         }
--- a/src/test/java/lineward/scheduling/FleetQuotaTest.java
+++ b/src/test/java/lineward/scheduling/FleetQuotaTest.java
@@ -31,10 +31,10 @@
                 new RequestClass.Workload(false, false, THREADS));
     }
 
-    static TestingScheduler frontEnd(int frontEnds, int ordinal, int engines) {
-        List<Endpoint> list = new ArrayList<>();
+    static TestingScheduler schedulerInFleet(int frontEnds, int ordinal, int engines) {
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int id = 1; id <= engines; id++) {
-            list.add(new Endpoint(id, 0, 1, 0, EndpointState.READY, 0, 0));
+            endpoints.add(new Endpoint(id, 0, 1, 0, EndpointState.READY, 0, 0));
         }
         return new TestingScheduler(new SchedulerSettings(
                         List.of(lookupClass(), reportClass()),
@@ -46,10 +46,10 @@
                         new SchedulerSettings.Discovery(false, 0, false),
                         NO_COSTS,
                         new SchedulerSettings.Quotas(List.of(), 1)))
-                .receive(new SchedulerEvent.EndpointsChanged(true, list));
+                .receive(new SchedulerEvent.EndpointsChanged(true, endpoints));
     }
 
-    private static int threads(TestingScheduler scheduler) {
+    private static int reportThreads(TestingScheduler scheduler) {
         return scheduler.allStarts().size() * THREADS;
     }
 
@@ -66,39 +66,39 @@
     /** Without a fleet quota, each of a hundred front ends would start a report on every engine. */
     @Test(dataProvider = "fleets")
     public void burstOfReportsFillsTheFleetOnce(int frontEnds, int engines) {
-        int started = 0;
+        int threadCount = 0;
         for (int i = 0; i < frontEnds; i++) {
-            TestingScheduler scheduler = frontEnd(frontEnds, i, engines);
+            TestingScheduler scheduler = schedulerInFleet(frontEnds, i, engines);
             for (int id = 1; id <= engines; id++) {
                 scheduler.requestArrives(id, 1, 0, 9000, 15000);
             }
             scheduler.advance(200);
-            assertTrue(threads(scheduler) >= THREADS, "each front end starts a request");
-            started += threads(scheduler);
+            assertTrue(reportThreads(scheduler) >= THREADS, "each front end starts a request");
+            threadCount += reportThreads(scheduler);
         }
         // The quota may have grown by one step.
         double maxThreadsPerCore = MAX_THREADS_PER_CORE * Math.pow(frontEnds, 0.05);
         double maxThreads = maxThreadsPerCore * CORES * engines + THREADS * frontEnds;
-        assertTrue(started <= maxThreads, started + " threads");
-        assertTrue(started >= CORES * engines / 2, "the fleet is used: " + started + " threads");
+        assertTrue(threadCount <= maxThreads, threadCount + " threads");
+        assertTrue(threadCount >= CORES * engines / 2, "the fleet is used: " + threadCount + " threads");
     }
 
     /** A lookup starts although reports fill the quota: a class with nothing in flight may exceed it. */
     @Test(dataProvider = "largeFleets")
-    public void lookupsStartPastAFullQuota(int frontEnds, int engines) {
-        TestingScheduler scheduler = frontEnd(frontEnds, 0, engines);
+    public void lookupStartsAlthoughReportsFillTheQuota(int frontEnds, int engines) {
+        TestingScheduler scheduler = schedulerInFleet(frontEnds, 0, engines);
         for (int id = 1; id <= 3 * engines; id++) {
             scheduler.requestArrives(id, 1, 0, 9000, 15000);
         }
-        int before = scheduler.allStarts().size();
+        int startsBefore = scheduler.allStarts().size();
         scheduler.requestArrives(1000, 0, 0, 100, 5000);
-        assertEquals(scheduler.allStarts().size(), before + 1);
+        assertEquals(scheduler.allStarts().size(), startsBefore + 1);
     }
 
     /** A class may exceed a full quota only by its fraction of the value, not by a second quota. */
     @Test(dataProvider = "largeFleets")
     public void lookupsDoNotFillTheQuotaASecondTime(int frontEnds, int engines) {
-        TestingScheduler scheduler = frontEnd(frontEnds, 0, engines);
+        TestingScheduler scheduler = schedulerInFleet(frontEnds, 0, engines);
         for (int id = 1; id <= 3 * engines; id++) {
             scheduler.requestArrives(id, 1, 0, 9000, 15_000);
         }
@@ -116,8 +116,8 @@
 
     /** A report must start although lookups in flight fill the quota and more lookups keep arriving. */
     @Test(dataProvider = "crowdedFleets")
-    public void noClassStarvesBehindAnother(int frontEnds, int engines) {
-        TestingScheduler scheduler = frontEnd(frontEnds, 0, engines);
+    public void reportDoesNotStarveBehindLookups(int frontEnds, int engines) {
+        TestingScheduler scheduler = schedulerInFleet(frontEnds, 0, engines);
         for (int id = 1; id <= 200; id++) {
             scheduler.requestArrives(id, 0, 0, 100, 5000);
         }
@@ -135,7 +135,7 @@
 
     /** An engine that pages counts memory in use, not grants, so a large grant avoids a spill at no cost. */
     @Test
-    public void enginesThatPageGrantTheMaximum() {
+    public void grantIsMaximalOnEnginesThatPage() {
         for (MemoryShortage shortage : MemoryShortage.values()) {
             SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                     new SchedulerSettings.Capabilities(true, false, false, true, true, true, false),
@@ -156,7 +156,7 @@
     /** Long-running reports must keep the quota from growing even if lookups run at their typical speed. */
     @Test
     public void quotaDoesNotGrowWhileReportsAreInFlight() {
-        TestingScheduler scheduler = frontEnd(20, 0, 30);
+        TestingScheduler scheduler = schedulerInFleet(20, 0, 30);
         for (int id = 1; id <= 40; id++) {
             scheduler.requestArrives(id, 0, 0, 200, 5000).advance(100).attemptEnds(id, 0, AttemptOutcome.OK);
         }
--- a/src/test/java/lineward/scheduling/RareClassStragglerTest.java
+++ b/src/test/java/lineward/scheduling/RareClassStragglerTest.java
@@ -21,7 +21,7 @@
     }
 
     private static TestingScheduler afterReports(int frontEnds, int engines, int reports) {
-        TestingScheduler scheduler = FleetQuotaTest.frontEnd(frontEnds, 0, engines);
+        TestingScheduler scheduler = FleetQuotaTest.schedulerInFleet(frontEnds, 0, engines);
         for (int id = 1; id <= 40; id++) {
             scheduler.requestArrives(id, 0, 0, 200, 5000).advance(200).attemptEnds(id, 0, AttemptOutcome.OK);
         }
