--- a/src/test/java/lineward/scheduling/LearnedStateTest.java
+++ b/src/test/java/lineward/scheduling/LearnedStateTest.java
@@ -20,7 +20,7 @@
 /** Tests the state that a scheduler learns from load reports, gossip and the outcomes of attempts. */
 public class LearnedStateTest {
 
-    private static TestingScheduler gossiping(int frontEnds) {
+    private static TestingScheduler schedulerWithGossip(int frontEnds) {
         SchedulerSettings.Limits limits = new SchedulerSettings.Limits(
                 new SchedulerSettings.Capabilities(true, true, false, true, true, true, true),
                 new SchedulerSettings.AttemptLimits(4, 500, 2000),
@@ -41,21 +41,21 @@
     }
 
     /** Polls until gossip is sent. Engine 1 reports {@code load} requests in flight, the others one each. */
-    private static List<SchedulerAction.BroadcastGossip> pollGossip(TestingScheduler scheduler, double load) {
+    private static List<SchedulerAction.BroadcastGossip> nextGossip(TestingScheduler scheduler, double load) {
         List<SchedulerAction.BroadcastGossip> messages = new ArrayList<>();
         for (int i = 0; i < 400 && messages.isEmpty(); i++) {
             scheduler.nowMs += 25;
             scheduler.receive(new TimerFired(1));
-            List<SchedulerEvent> answers = new ArrayList<>();
+            List<SchedulerEvent> events = new ArrayList<>();
             List<SchedulerAction.StartHealthCheck> checks =
                     scheduler.lastActions(SchedulerAction.StartHealthCheck.class);
             for (SchedulerAction.StartHealthCheck check : checks) {
-                answers.add(new HealthCheckCompleted(
+                events.add(new HealthCheckCompleted(
                         check.engine(), OK, 1, new double[] {check.engine() == 1 ? load : 1, 0.2}));
             }
             scheduler.nowMs += 25;
-            answers.add(new TimerFired(0));
-            scheduler.receive(answers.toArray(new SchedulerEvent[0]));
+            events.add(new TimerFired(0));
+            scheduler.receive(events.toArray(new SchedulerEvent[0]));
             messages.addAll(scheduler.lastActions(SchedulerAction.BroadcastGossip.class));
         }
         return messages;
@@ -67,33 +67,33 @@
     }
 
     @Test(dataProvider = "frontEnds")
-    public void gossipKeepsOtherFrontEndsFromAFullEngine(int frontEnds) {
-        List<SchedulerAction.BroadcastGossip> messages = pollGossip(gossiping(frontEnds), 60);
+    public void gossipKeepsOtherFrontEndsFromAnOverloadedEngine(int frontEnds) {
+        List<SchedulerAction.BroadcastGossip> messages = nextGossip(schedulerWithGossip(frontEnds), 60);
         assertThat(messages).isNotEmpty();
         for (boolean received : new boolean[] {true, false}) {
-            int startedAtFullEngine = 0;
-            TestingScheduler scheduler = gossiping(frontEnds);
+            int startsAtOverloadedEngine = 0;
+            TestingScheduler scheduler = schedulerWithGossip(frontEnds);
             scheduler.requestArrives(1000, 0).attemptEnds(1000, 0, OK);
             if (received) {
                 scheduler.receive(new GossipReceived(1, messages.get(0).payload()));
             }
             for (int request = 0; request < 60; request++) {
                 scheduler.requestArrives(request, 0);
-                startedAtFullEngine += scheduler.lastStartedEngine() == 1 ? 1 : 0;
+                startsAtOverloadedEngine += scheduler.lastStartedEngine() == 1 ? 1 : 0;
                 scheduler.attemptEnds(request, 0, OK);
             }
-            assertThat(startedAtFullEngine == 0).as("received " + received).isEqualTo(received);
+            assertThat(startsAtOverloadedEngine == 0).as("received " + received).isEqualTo(received);
         }
     }
 
     @Test
     public void malformedStaleAndUnknownGossipIsIgnored() {
-        TestingScheduler scheduler = gossiping(50);
+        TestingScheduler scheduler = schedulerWithGossip(50);
         scheduler.receive(
                 new GossipReceived(9, new byte[] {1, 2, 3}),
                 new GossipReceived(9, new byte[256]),
                 new GossipReceived(9, new byte[0]));
-        byte[] payload = pollGossip(gossiping(50), 60).get(0).payload();
+        byte[] payload = nextGossip(schedulerWithGossip(50), 60).get(0).payload();
         scheduler.receive(new GossipReceived(1, payload));
         scheduler.advance(3000);
         long usedEngines = 0;
@@ -114,13 +114,13 @@
      */
     @Test
     public void reportedWorkCorrectsTheEstimatesOfTheClass() {
-        RequestClass stretched = new RequestClass(
+        RequestClass requestClass = new RequestClass(
                 new RequestClass.Objective(400, 2, 20_000, 1, 0),
                 new RequestClass.Repeatability(Idempotence.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
                 new RequestClass.Placement(null, null),
                 new RequestClass.Workload(false, false, 1));
         for (double reportedMs : new double[] {1150, 0}) {
-            SchedulerSettings settings = settings(limits(4), rules(), stretched);
+            SchedulerSettings settings = settings(limits(4), rules(), requestClass);
             TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3);
             for (int i = 0; i < 8; i++) {
                 scheduler.requestArrives(i, 0, 0, 400, 20_000).advance(1150);
@@ -189,7 +189,7 @@
     /** If gossip is permitted but engines report no load, gossip messages must be ignored. */
     @Test
     public void gossipIsIgnoredWhereEnginesReportNoLoad() {
-        SchedulerSettings withReports = gossiping(50).settings;
+        SchedulerSettings withReports = schedulerWithGossip(50).settings;
         SchedulerSettings withoutReports = new SchedulerSettings(
                 withReports.classes(),
                 withReports.kinds(),
