--- a/src/test/java/lineward/scheduling/MaintenanceTest.java
+++ b/src/test/java/lineward/scheduling/MaintenanceTest.java
@@ -15,17 +15,17 @@
 
 /** Tests that an engine under maintenance gets no attempts, and that a released one is in slow start. */
 public class MaintenanceTest {
-    private static Endpoint listed(EndpointState state, double startedAtMs) {
+    private static Endpoint endpoint(EndpointState state, double startedAtMs) {
         return new Endpoint(1, 0, 1, startedAtMs, state, 0, 1);
     }
 
     /** Updates from service discovery while engine 1 is under maintenance. */
     @DataProvider
     public Object[][] endpointUpdates() {
-        EndpointsChanged gone = new EndpointsChanged(false, List.of(listed(EndpointState.GONE, 0)));
+        EndpointsChanged gone = new EndpointsChanged(false, List.of(endpoint(EndpointState.GONE, 0)));
         EndpointsChanged unlisted = new EndpointsChanged(true, List.of(readyEngine(2)));
-        EndpointsChanged relisted = new EndpointsChanged(false, List.of(listed(EndpointState.READY, 0)));
-        EndpointsChanged restarted = new EndpointsChanged(false, List.of(listed(EndpointState.READY, 900)));
+        EndpointsChanged relisted = new EndpointsChanged(false, List.of(endpoint(EndpointState.READY, 0)));
+        EndpointsChanged restarted = new EndpointsChanged(false, List.of(endpoint(EndpointState.READY, 900)));
         EndpointsChanged fullSnapshot = new EndpointsChanged(true, List.of(readyEngine(1), readyEngine(2)));
         return new Object[][] {
             {List.of()},
@@ -74,18 +74,18 @@
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1, 2, 3, 4);
         scheduler.receive(new MaintenanceChanged(1, true, scheduler.nowMs)).advance(30_000);
         scheduler.receive(new MaintenanceChanged(1, false, scheduler.nowMs));
-        int atReleasedEngine = 0;
+        int engine1Starts = 0;
         for (int i = 0; i < 60; i++) {
             scheduler.requestArrives(10 + i, 0);
-            atReleasedEngine += scheduler.lastStartedEngine() == 1 ? 1 : 0;
-            assertTrue(i > 0 || atReleasedEngine == 1, "the first request must go to the released engine");
+            engine1Starts += scheduler.lastStartedEngine() == 1 ? 1 : 0;
+            assertTrue(i > 0 || engine1Starts == 1, "the first request must go to the released engine");
             if (i == 0) {
                 scheduler.attemptEnds(10, 0, AttemptOutcome.OK);
             }
         }
         // Budget ratio, overload factor, initial capacity ratio, cores, window in ms.
-        double budget = 0.4 * 3 * 0.33 * 8 * 1000;
-        assertTrue(atReleasedEngine * 200 <= budget, atReleasedEngine + " requests of 200 ms at once");
+        double budgetMs = 0.4 * 3 * 0.33 * 8 * 1000;
+        assertTrue(engine1Starts * 200 <= budgetMs, engine1Starts + " requests of 200 ms at once");
     }
 
     /** Age of the engine in ms, expected number of requests of 1,000 ms that it gets immediately. */
@@ -98,7 +98,7 @@
     public void slowStartBudgetGrowsAfterAnAnnouncedStart(int ageMs, int expectedStarts) {
         TestingScheduler scheduler = new TestingScheduler(settings(lookupClass())).listEngines();
         scheduler.nowMs += 20_000;
-        Endpoint started = listed(EndpointState.READY, scheduler.nowMs - ageMs);
+        Endpoint started = endpoint(EndpointState.READY, scheduler.nowMs - ageMs);
         scheduler.receive(new EndpointsChanged(true, List.of(started)));
         for (int i = 0; i < 40; i++) {
             scheduler.requestArrives(10 + i, 0, 0, 1000, 5000);
@@ -109,11 +109,11 @@
     @Test
     public void twoProcessesShareTheSlowStartBudget() {
         TestingScheduler alone = new TestingScheduler(settings(lookupClass()));
-        TestingScheduler both = new TestingScheduler(settings(lookupClass()));
-        both.receive(new QuotaChanged(0.5));
+        TestingScheduler sharing = new TestingScheduler(settings(lookupClass()));
+        sharing.receive(new QuotaChanged(0.5));
         long[] started = new long[2];
         for (int process = 0; process < 2; process++) {
-            TestingScheduler scheduler = process == 0 ? alone : both;
+            TestingScheduler scheduler = process == 0 ? alone : sharing;
             scheduler.listEngines(1).advance(5000).receive(new MaintenanceChanged(1, false, scheduler.nowMs));
             for (int i = 0; i < 40; i++) {
                 scheduler.requestArrives(10 + i, 0, 0, 1000, 5000);
