--- a/src/test/java/lineward/scheduling/ZoneLossTest.java
+++ b/src/test/java/lineward/scheduling/ZoneLossTest.java
@@ -24,7 +24,8 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void eachClassIsServedInAndAfterTheOutage(int frontEnds, int engines, int zones, int partition) {
+    public void eachClassIsServedDuringAndAfterTheZoneOutage(
+            int frontEnds, int engines, int zones, int partitionedZone) {
         for (int seed = 1; seed <= 2; seed++) {
             FleetDay day = new FleetDay(new FleetDay.Plan(
                             frontEnds,
@@ -33,17 +34,17 @@
                             0.65,
                             0.3,
                             0 /* failed zone */,
-                            partition,
+                            partitionedZone,
                             8 /* one in 8 engines is slow */,
                             OUTAGE_MS,
                             DAY_MS,
                             seed /* of the simulated day */))
                     .play();
-            for (int type = 0; type <= 1; type++) {
-                String message = "class " + type + ", seed " + seed + ": served ";
-                double duringOutage = day.served(type, OUTAGE_START_S, OUTAGE_END_S);
+            for (int index = 0; index <= 1; index++) {
+                String message = "class " + index + ", seed " + seed + ": served ";
+                double duringOutage = day.served(index, OUTAGE_START_S, OUTAGE_END_S);
                 assertTrue(duringOutage >= 0.3, message + duringOutage + " during the outage");
-                double afterRecovery = day.served(type, OUTAGE_END_S + RECOVERY_S, (int) (DAY_MS / 1000));
+                double afterRecovery = day.served(index, OUTAGE_END_S + RECOVERY_S, (int) (DAY_MS / 1000));
                 String when = " from " + RECOVERY_S + " s after the outage";
                 assertTrue(afterRecovery >= 0.75, message + afterRecovery + when);
             }
