--- a/src/main/java/lineward/scheduling/estimation/ClassDemand.java
+++ b/src/main/java/lineward/scheduling/estimation/ClassDemand.java
@@ -17,10 +17,10 @@
 
     /** Decays the counts of earlier requests with the half-life of {@link ServiceTimeModel}. */
     public void decay(double nowMs) {
-        double kept = ServiceTimeModel.decayFactor(nowMs - decayedAtMs);
+        double decayFactor = ServiceTimeModel.decayFactor(nowMs - decayedAtMs);
         decayedAtMs = nowMs;
-        workMs *= kept;
-        requestCount *= kept;
+        workMs *= decayFactor;
+        requestCount *= decayFactor;
     }
 
     /** Returns the decayed sum of expected work. */
--- a/src/main/java/lineward/scheduling/estimation/DecayingMean.java
+++ b/src/main/java/lineward/scheduling/estimation/DecayingMean.java
@@ -32,9 +32,9 @@
     }
 
     private void decay(double nowMs) {
-        double kept = Math.pow(0.5, (nowMs - decayedAtMs) / halfLifeMs);
-        sum *= kept;
-        count *= kept;
+        double decayFactor = Math.pow(0.5, (nowMs - decayedAtMs) / halfLifeMs);
+        sum *= decayFactor;
+        count *= decayFactor;
         decayedAtMs = nowMs;
     }
 }
--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -83,8 +83,9 @@
 
     /** Returns the mean work of a request, including one prior value derived from the deadline. */
     public double meanWorkWithPriorMs(double nowMs) {
-        double guess = settings.objective().deadlineMs() * PRIOR_RUN_TIME_RATIO;
-        return work.mean(nowMs, PRIOR_WORK_WEIGHT, guess * settings.workload().threads());
+        double priorRunMs = settings.objective().deadlineMs() * PRIOR_RUN_TIME_RATIO;
+        return work.mean(
+                nowMs, PRIOR_WORK_WEIGHT, priorRunMs * settings.workload().threads());
     }
 
     /** Returns the mean work of the requests so far, without a prior; 0 before the first one. */
@@ -149,18 +150,18 @@
     /**
      * Decays earlier measurements and recomputes the slowdown and the curve.
      *
-     * @param inFlight ratios that the first runs in flight have reached; without them a class whose runs are
+     * @param runRatios ratios that the first runs in flight have reached; without them a class whose runs are
      *     all slow would show no slowdown until they complete
      */
-    public void recompute(double nowMs, List<Double> inFlight) {
-        double kept = decayFactor(nowMs - decayedAtMs);
+    public void recompute(double nowMs, List<Double> runRatios) {
+        double decayFactor = decayFactor(nowMs - decayedAtMs);
         decayedAtMs = nowMs;
-        firstRunCurve.decay(kept);
-        completedRuns *= kept;
-        double logSlowdown = recentLogSlowdown.median(nowMs, PRIOR_RUNS, slowInFlightLogRatios(inFlight));
+        firstRunCurve.decay(decayFactor);
+        completedRuns *= decayFactor;
+        double logSlowdown = recentLogSlowdown.median(nowMs, PRIOR_RUNS, slowInFlightLogRatios(runRatios));
         slowdown = Math.max(1, Math.exp(logSlowdown));
         meanFirstRunRatio = firstRunCurve.recompute(
-                inFlight.stream().map(ratio -> ratio / slowdown).toList());
+                runRatios.stream().map(ratio -> ratio / slowdown).toList());
     }
 
     /** Returns the factor by which reported work exceeds its estimate on average. */
--- a/src/main/java/lineward/scheduling/estimation/SlidingMedian.java
+++ b/src/main/java/lineward/scheduling/estimation/SlidingMedian.java
@@ -22,27 +22,27 @@
     }
 
     /** Returns {@link #median(double, double, List)} without additional values. */
-    public double median(double nowMs, double zeros) {
-        return median(nowMs, zeros, List.of());
+    public double median(double nowMs, double priorWeight) {
+        return median(nowMs, priorWeight, List.of());
     }
 
     /**
      * Returns the median, shrunk towards 0; 0 if there are no values. Of an even number of values, the larger
      * of the two middle ones is used.
      *
-     * @param zeros weight of a prior at 0: with n values, the median is multiplied by n / (n + zeros)
-     * @param others additional values for this call only
+     * @param priorWeight weight of a prior at 0: with n values, the median is multiplied by n / (n + zeros)
+     * @param extraValues additional values for this call only
      */
-    public double median(double nowMs, double zeros, List<Double> others) {
+    public double median(double nowMs, double priorWeight, List<Double> extraValues) {
         while (!entries.isEmpty() && nowMs - entries.peek().addedAtMs() > windowMs) {
             entries.poll();
         }
         DoubleStream added = entries.stream().mapToDouble(Entry::value);
-        DoubleStream all = DoubleStream.concat(added, others.stream().mapToDouble(Double::doubleValue));
+        DoubleStream all = DoubleStream.concat(added, extraValues.stream().mapToDouble(Double::doubleValue));
         double[] sorted = all.sorted().toArray();
         if (sorted.length == 0) {
             return 0;
         }
-        return sorted[sorted.length / 2] * sorted.length / (sorted.length + zeros);
+        return sorted[sorted.length / 2] * sorted.length / (sorted.length + priorWeight);
     }
 }
--- a/src/main/java/lineward/scheduling/estimation/SurvivalCurve.java
+++ b/src/main/java/lineward/scheduling/estimation/SurvivalCurve.java
@@ -34,10 +34,10 @@
     }
 
     /** Multiplies all counts by the decay factor. */
-    public void decay(double ratioKept) {
+    public void decay(double decayFactor) {
         for (int i = 0; i < completed.length; i++) {
-            completed[i] *= ratioKept;
-            censored[i] *= ratioKept;
+            completed[i] *= decayFactor;
+            censored[i] *= decayFactor;
         }
     }
 
@@ -48,13 +48,13 @@
      * @return the area under the curve up to the longest run, which is the restricted mean run time
      */
     public double recompute(List<Double> inFlight) {
-        double[] left = censored.clone();
+        double[] censoredOrInFlight = censored.clone();
         for (double runTime : inFlight) {
-            left[binOf(runTime)] += 1;
+            censoredOrInFlight[binOf(runTime)] += 1;
         }
         double atRisk = 0;
         for (int i = 0; i < completed.length; i++) {
-            atRisk += completed[i] + left[i];
+            atRisk += completed[i] + censoredOrInFlight[i];
         }
         double surviving = 1;
         double area = 0;
@@ -64,7 +64,7 @@
             surviving = after;
             areas[i] = area;
             survival[i] = surviving;
-            atRisk -= completed[i] + left[i];
+            atRisk -= completed[i] + censoredOrInFlight[i];
             if (atRisk <= EPSILON) {
                 Arrays.fill(areas, i + 1, areas.length, area);
                 Arrays.fill(survival, i + 1, survival.length, 0);
