--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -105,7 +105,7 @@
      * the counts of this front end.
      */
     public boolean hasCapacity(Engine engine, TrackedRequest request) {
-        if (reports.areFresh(engine)) {
+        if (reports.hasFreshReport(engine)) {
             double limit = SATURATION_THREADS_PER_CORE
                     * engine.cores()
                     * Math.min(FULL_SPEED, capacity.speed(engine))
@@ -121,10 +121,10 @@
     }
 
     private boolean hasMemory(Engine engine, TrackedRequest request) {
-        if (engine.memoryMb() <= 0 || engine.attempts().isEmpty()) {
+        if (engine.memoryMb() <= 0 || engine.attemptsInFlight().isEmpty()) {
             return true;
         }
-        double grantedMb = engine.grantedMb() + grants.expectedMemoryMb(request, engine);
+        double grantedMb = engine.reservedMemoryMb() + grants.expectedMemoryMb(request, engine);
         return grantedMb <= engine.memoryMb() * Math.min(1, quota * MEMORY_QUOTA_FACTOR);
     }
 
@@ -181,7 +181,7 @@
     }
 
     private static double threadsOf(ClassState type, Engine engine) {
-        long attempts = engine.attempts().stream()
+        long attempts = engine.attemptsInFlight().stream()
                 .filter(attempt -> attempt.request().type() == type)
                 .count();
         return attempts * (double) type.settings().executionProfile().threads();
--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -113,7 +113,7 @@
      */
     private boolean isFastEnoughWhileWarmingUp(TrackedRequest request, Engine engine) {
         double runMs = capacity.runMsWhenCold(request);
-        boolean inTime = context.nowMs() + runMs < request.objectiveAtMs();
+        boolean inTime = context.nowMs() + runMs < request.objectiveEndMs();
         return capacity.isWarmingUp(engine) && slowStart.usesSlots() && inTime;
     }
 
@@ -123,7 +123,7 @@
     }
 
     private double expectedThreads(Engine engine) {
-        if (reports.areFresh(engine)) {
+        if (reports.hasFreshReport(engine)) {
             return reports.threadsAt(engine);
         }
         double unseen = reports.threadsPerCore() * limits.unseenLoadRatio() * engine.cores();
@@ -131,20 +131,20 @@
     }
 
     private double memoryLoad(TrackedRequest request, Engine engine) {
-        if (reports.areFresh(engine) && reports.includeMemory()) {
-            return reports.memoryInUse(engine) + MEMORY_BASE_LOAD;
+        if (reports.hasFreshReport(engine) && reports.hasMemoryField()) {
+            return reports.memoryInUseRatio(engine) + MEMORY_BASE_LOAD;
         }
         if (engine.memoryMb() <= 0) {
             return UNKNOWN_MEMORY_LOAD;
         }
-        double grantedMb = engine.grantedMb() + resources.expectedMemoryMb(request, engine);
+        double grantedMb = engine.reservedMemoryMb() + resources.expectedMemoryMb(request, engine);
         double ownRatio = Math.max(limits.quota(), 1 / ConcurrencyLimits.SMALL_FLEET_FRONT_ENDS);
         return MEMORY_WEIGHT * grantedMb / (engine.memoryMb() * ownRatio);
     }
 
     private static boolean hasGroupConflict(TrackedRequest request, Engine engine) {
         RequestClass.ExecutionProfile workload = request.type().settings().executionProfile();
-        return engine.attempts().stream()
+        return engine.attemptsInFlight().stream()
                 .map(attempt -> attempt.request())
                 .filter(other -> other.tableGroup() == request.tableGroup())
                 .anyMatch(other -> other.type().settings().executionProfile().conflictsWith(workload));
--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -117,7 +117,7 @@
      */
     private static boolean mustBeSelected(Engine engine, boolean probe) {
         boolean awaitsFirstAnswer =
-                engine.isAwaitingFirstAnswer() && engine.attempts().isEmpty();
+                engine.isAwaitingFirstSuccess() && engine.attemptsInFlight().isEmpty();
         return probe || awaitsFirstAnswer;
     }
 }
--- a/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
+++ b/src/main/java/lineward/scheduling/decision/LoadReportPolling.java
@@ -91,7 +91,7 @@
     private double intervalPerEngineMs(int engineCount) {
         SchedulerSettings.MessageCosts costs = context.settings().messageCosts();
         int frontEnds = context.settings().position().frontEndCount();
-        double gossipCost = costs.gossip() * reports.gossipMessageRatio() * (frontEnds - 1);
+        double gossipCost = costs.gossip() * reports.reportSizeRatio() * (frontEnds - 1);
         double observedMs = Math.max(MIN_RATE_PERIOD_MS, context.nowMs() - context.startedMs());
         double requestsPerMs = Math.max(1, requestsSeen) / observedMs;
         double evenIntervalMs = MIN_INTERVAL_MS * frontEnds / (engineCount + 1);
--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -102,7 +102,7 @@
     }
 
     private boolean isSuitableAsProbe(TrackedRequest request) {
-        double slackMs = request.objectiveAtMs() - context.nowMs();
+        double slackMs = request.objectiveEndMs() - context.nowMs();
         return !request.isRelaunched()
                 && request.isIdempotent()
                 && slackMs > RECOVERY_PROBE_SLACK_FACTOR * request.expectedRunMs();
@@ -110,7 +110,7 @@
 
     /** Ejects the engine if it has overdue work and has sent neither answers nor progress for too long. */
     public void detectSilence(Engine engine) {
-        double silentMs = context.nowMs() - engine.health().lastResponseMs();
+        double silentMs = context.nowMs() - engine.health().lastActivityMs();
         boolean silent = !engine.health().isEjected() && silentMs >= MIN_SILENCE_MS;
         if (silent && hasOverdueWork(engine, silentMs)) {
             eject(engine, EjectionCause.SILENCE);
@@ -127,7 +127,7 @@
         boolean progressIsDue = !reportsProgress || silentMs > intervalMs;
         boolean anyOverdue = false;
         int unansweredCount = 0;
-        for (Attempt attempt : engine.attempts()) {
+        for (Attempt attempt : engine.attemptsInFlight()) {
             // An engine reports only once that an attempt waits, and is then silent until the attempt runs.
             if (!attempt.isWaiting()) {
                 double ageMs = context.nowMs() - attempt.startedAtMs();
@@ -178,11 +178,11 @@
      */
     public void recordError(TrackedRequest request, Engine engine) {
         request.recordError(engine);
-        if (request.errors() == 1) {
+        if (request.errorCount() == 1) {
             engine.health().recordError(context.nowMs());
             recordFailure(engine, EjectionCause.ERRORS);
-        } else if (request.errors() == 2) {
-            revertError(request.firstEngineInError().health());
+        } else if (request.errorCount() == 2) {
+            revertError(request.firstErrorEngine().health());
         }
     }
 
@@ -192,7 +192,7 @@
             return;
         }
         if (health.consecutiveFailures() == MAX_CONSECUTIVE_FAILURES) {
-            health.returnToService();
+            health.endEjection();
         }
         health.revertFailure();
     }
@@ -211,12 +211,12 @@
     public void eject(Engine engine, EjectionCause cause) {
         scheduleRecoveryProbe(engine);
         if (engine.health().eject()) {
-            context.log("engine ejected: engine=" + Long.toHexString(engine.id()) + " cause=" + cause);
+            context.logLimited("engine ejected: engine=" + Long.toHexString(engine.id()) + " cause=" + cause);
         }
     }
 
     /** Ends the ejection and clears the failures of an engine whose process has restarted. */
     public void recordRestart(Engine engine) {
-        engine.health().clearFailures();
+        engine.health().markHealthy();
     }
 }
--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -68,11 +68,11 @@
      * idempotency key, or to 0 if it has none.
      */
     public double startWithinMs(TrackedRequest request) {
-        Attempt first = request.firstUnansweredRun();
+        Attempt first = request.firstUnsuccessfulRun();
         if (first == null || request.isIdempotent()) {
             return SchedulerAction.StartAttempt.ANY_TIME;
         }
-        return request.isRepeatableByKey() ? keyExpiryMs(request, first) - context.nowMs() : 0;
+        return request.isIdempotentByKey() ? keyExpiryMs(request, first) - context.nowMs() : 0;
     }
 
     private static double keyExpiryMs(TrackedRequest request, Attempt first) {
@@ -84,7 +84,7 @@
     }
 
     private boolean mayRepeatAt(TrackedRequest request, Engine engine) {
-        Attempt first = request.firstUnansweredRun();
+        Attempt first = request.firstUnsuccessfulRun();
         if (first == null || request.isIdempotent()) {
             return true;
         }
@@ -97,7 +97,7 @@
      * After NOT_STARTED it may not, as it was complete or its time had run out.
      */
     public boolean mayRetry(TrackedRequest request, AttemptOutcome outcome) {
-        boolean requestAtFault = request.errors() >= MAX_ERRORS_PER_REQUEST;
+        boolean requestAtFault = request.errorCount() >= MAX_ERRORS_PER_REQUEST;
         return outcome != AttemptOutcome.NOT_STARTED
                 && mayRepeat(request)
                 && hasAttemptsLeft(request)
@@ -114,7 +114,7 @@
 
     private long cancelsInFlight() {
         return context.engines().stream()
-                .flatMap(engine -> engine.attempts().stream())
+                .flatMap(engine -> engine.attemptsInFlight().stream())
                 .filter(attempt -> attempt.state() == AttemptState.CANCELLING)
                 .count();
     }
@@ -124,7 +124,7 @@
      * the first attempt, which may turn out to have run; a silent engine may delay the relaunch.
      */
     private boolean mayExceedKeyTtl(TrackedRequest request) {
-        return request.isRepeatableByKey()
+        return request.isIdempotentByKey()
                 && context.nowMs() + OutlierDetector.MIN_SILENCE_MS
                         > keyExpiryMs(request, request.attempts().get(0));
     }
--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -78,7 +78,7 @@
     /** Returns the expected run time of a relaunch at the current slowdown of its class on all engines. */
     private double expectedRelaunchMs(TrackedRequest request) {
         ServiceTimeModel model = request.type().model();
-        return model.relaunchRatio(context.nowMs()) * request.workUnitMs() * model.slowdown();
+        return model.relaunchRatio(context.nowMs()) * request.referenceRunMs() * model.slowdown();
     }
 
     private boolean isOnEjectedEngine(Attempt attempt) {
@@ -126,13 +126,13 @@
         double runMs =
                 attempt.runTimeMs(context.nowMs()) / request.type().model().slowdown();
         OptionalDouble timeoutRatio = request.type().tauRatio();
-        boolean past = timeoutRatio.isPresent() && runMs / request.workUnitMs() >= timeoutRatio.getAsDouble();
+        boolean past = timeoutRatio.isPresent() && runMs / request.referenceRunMs() >= timeoutRatio.getAsDouble();
         if (!hasFreshProgress(attempt)) {
             return past;
         }
         double remainingMs = attempt.predictedRemainingMs();
         boolean early = !past && remainingMs > EARLY_CANCEL_RELAUNCH_FACTOR * relaunchMs;
-        attempt.recordPrediction(early ? OptionalDouble.of(runMs + remainingMs) : OptionalDouble.empty());
+        attempt.setPredictedSlowRun(early ? OptionalDouble.of(runMs + remainingMs) : OptionalDouble.empty());
         return early || (past && remainingMs >= relaunchMs);
     }
 
--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -39,11 +39,11 @@
 
     /** Returns the bin edge with the least expected load; empty if no edge saves enough load. */
     private static OptionalDouble leastLoadTimeoutRatio(ServiceTimeModel model, double nowMs) {
-        SurvivalCurve curve = model.firstRuns();
+        SurvivalCurve curve = model.firstRunCurve();
         double relaunchRatio = model.relaunchRatio(nowMs);
-        double leastLoad = model.meanRatio() * (1 - MIN_LOAD_SAVED);
+        double leastLoad = model.meanFirstRunRatio() * (1 - MIN_LOAD_SAVED);
         OptionalDouble bestRatio = OptionalDouble.empty();
-        for (int bin = 0; bin < curve.bins(); bin++) {
+        for (int bin = 0; bin < curve.binCount(); bin++) {
             double load = curve.areaUpTo(bin) + relaunchRatio * curve.survivalPast(bin);
             if (load < leastLoad && curve.survivalPast(bin) > 0) {
                 leastLoad = load;
--- a/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
+++ b/src/main/java/lineward/scheduling/estimation/FleetServiceTimes.java
@@ -6,16 +6,16 @@
  */
 public final class FleetServiceTimes {
     /** Window of the slowdown: shorter than a typical fault, long enough for several responses. */
-    public static final double RECENT_MS = 5_000;
+    public static final double SLOWDOWN_WINDOW_MS = 5_000;
 
     private final RobustMean typicalLogRatio = ServiceTimeModel.robustMean();
-    private final SlidingMedian recentLogSlowdown = new SlidingMedian(RECENT_MS);
+    private final SlidingMedian recentLogSlowdown = new SlidingMedian(SLOWDOWN_WINDOW_MS);
     private double completedRuns;
     private double decayedAtMs;
     private double slowdown = 1;
 
     /** Adds the run time of a completed first run, as a multiple of its reference run time. */
-    public void add(double ratio) {
+    public void addCompletedRun(double ratio) {
         completedRuns++;
         typicalLogRatio.add(Math.log(ratio));
     }
@@ -27,13 +27,13 @@
 
     /** Recomputes the slowdown of recent runs relative to the typical run times of their classes. */
     public void recomputeSlowdown(double nowMs) {
-        double median = recentLogSlowdown.median(nowMs, ServiceTimeModel.PRIOR_ANSWERS);
+        double median = recentLogSlowdown.median(nowMs, ServiceTimeModel.PRIOR_RUNS);
         slowdown = Math.max(1, Math.exp(median));
     }
 
     /** Decays the number of completed runs. */
     public void decay(double nowMs) {
-        completedRuns *= ServiceTimeModel.ratioKept(nowMs - decayedAtMs);
+        completedRuns *= ServiceTimeModel.decayFactor(nowMs - decayedAtMs);
         decayedAtMs = nowMs;
     }
 
--- a/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
+++ b/src/main/java/lineward/scheduling/estimation/ServiceTimeModel.java
@@ -16,10 +16,10 @@
     /** Logarithm of the ratio to the typical run time from which a run is a straggler. */
     public static final double STRAGGLER_LOG_RATIO = 1.5;
     /** Number of prior runs at the typical run time, so that a few slow runs do not count as a slowdown. */
-    public static final double PRIOR_ANSWERS = 5;
+    public static final double PRIOR_RUNS = 5;
 
     /** Minimum weight of a new value in the typical run time and the biases. */
-    private static final double MIN_USUAL_STEP = 0.02;
+    private static final double MIN_STEP = 0.02;
     /** Half-life of the measurements: longer than a fault, shorter than a change in traffic. */
     private static final double HALF_LIFE_MS = 60_000;
     /** Number of bins of the curve. The first one starts at 0, the others above a ratio of 1/16. */
@@ -28,9 +28,9 @@
     private static final double LOWEST_BIN_LOG2 = -4;
     private static final double BINS_PER_DOUBLING = 5;
     /** Prior run time of a request, as a fraction of the deadline; it weighs as one request. */
-    private static final double FIRST_GUESS_RATIO = 0.125;
+    private static final double PRIOR_RUN_TIME_RATIO = 0.125;
 
-    private static final double FIRST_GUESS_WEIGHT = 1;
+    private static final double PRIOR_WORK_WEIGHT = 1;
     /** Prior weight that avoids a division by zero without changing the mean noticeably. */
     private static final double NEGLIGIBLE_WEIGHT = 1e-9;
 
@@ -40,13 +40,13 @@
     private final RobustMean memoryBias = robustMean();
     private final RequestClass settings;
     private final FleetServiceTimes fleet;
-    private final SurvivalCurve firstRuns = new SurvivalCurve(BINS, LOWEST_BIN_LOG2, BINS_PER_DOUBLING);
+    private final SurvivalCurve firstRunCurve = new SurvivalCurve(BINS, LOWEST_BIN_LOG2, BINS_PER_DOUBLING);
     private final DecayingMean relaunches = new DecayingMean(HALF_LIFE_MS);
     private final DecayingMean work = new DecayingMean(HALF_LIFE_MS);
-    private final SlidingMedian recentLogSlowdown = new SlidingMedian(FleetServiceTimes.RECENT_MS);
+    private final SlidingMedian recentLogSlowdown = new SlidingMedian(FleetServiceTimes.SLOWDOWN_WINDOW_MS);
     private final RobustMean typicalLogRatio = robustMean();
     private double completedRuns;
-    private double meanRatio;
+    private double meanFirstRunRatio;
     private double slowdown = 1;
     private double decayedAtMs;
 
@@ -58,11 +58,11 @@
 
     /** Creates an empty mean of logarithms of ratios. */
     static RobustMean robustMean() {
-        return new RobustMean(STRAGGLER_LOG_RATIO, MIN_USUAL_STEP);
+        return new RobustMean(STRAGGLER_LOG_RATIO, MIN_STEP);
     }
 
     /** Returns the decay factor of a measurement that is {@code agoMs} old. */
-    public static double ratioKept(double agoMs) {
+    public static double decayFactor(double agoMs) {
         return Math.pow(0.5, agoMs / HALF_LIFE_MS);
     }
 
@@ -82,10 +82,12 @@
     }
 
     /** Returns the mean work of a request, including one prior value derived from the deadline. */
-    public double usualWorkMs(double nowMs) {
-        double guess = settings.objective().deadlineMs() * FIRST_GUESS_RATIO;
+    public double meanWorkWithPriorMs(double nowMs) {
+        double priorRunMs = settings.objective().deadlineMs() * PRIOR_RUN_TIME_RATIO;
         return work.mean(
-                nowMs, FIRST_GUESS_WEIGHT, guess * settings.executionProfile().threads());
+                nowMs,
+                PRIOR_WORK_WEIGHT,
+                priorRunMs * settings.executionProfile().threads());
     }
 
     /** Returns the mean work of the requests so far, without a prior; 0 before the first one. */
@@ -98,7 +100,7 @@
         if (relaunches.count(nowMs) >= MIN_RUNS) {
             return relaunches.mean(nowMs, 0, 0);
         }
-        return hasCurve() ? meanRatio : typicalRatio();
+        return hasCurve() ? meanFirstRunRatio : typicalRatio();
     }
 
     /** Returns the factor by which the class currently runs slower than typical, at least 1. */
@@ -107,13 +109,13 @@
     }
 
     /** Returns the mean ratio of first runs by the curve. */
-    public double meanRatio() {
-        return meanRatio;
+    public double meanFirstRunRatio() {
+        return meanFirstRunRatio;
     }
 
     /** Returns the survival curve of first runs. */
-    public SurvivalCurve firstRuns() {
-        return firstRuns;
+    public SurvivalCurve firstRunCurve() {
+        return firstRunCurve;
     }
 
     /** Adds the work of a request. */
@@ -128,7 +130,7 @@
 
     /** Adds the ratio of a first run; a run that did not complete is censored. */
     public void addFirstRun(double ratio, boolean completed) {
-        firstRuns.add(ratio, completed);
+        firstRunCurve.add(ratio, completed);
         completedRuns += completed ? 1 : 0;
     }
 
@@ -138,7 +140,7 @@
      * @return the logarithm of the run time relative to the typical one, clamped to plus or minus
      *     {@link #STRAGGLER_LOG_RATIO}
      */
-    public double addToUsual(double ratio) {
+    public double updateTypicalRatio(double ratio) {
         return typicalLogRatio.add(Math.log(Math.max(MIN_RUN_RATIO, ratio)));
     }
 
@@ -150,18 +152,18 @@
     /**
      * Decays earlier measurements and recomputes the slowdown and the curve.
      *
-     * @param inFlight ratios that the first runs in flight have reached; without them a class whose runs are
+     * @param runRatios ratios that the first runs in flight have reached; without them a class whose runs are
      *     all slow would show no slowdown until they complete
      */
-    public void recompute(double nowMs, List<Double> inFlight) {
-        double kept = ratioKept(nowMs - decayedAtMs);
+    public void recompute(double nowMs, List<Double> runRatios) {
+        double decayFactor = decayFactor(nowMs - decayedAtMs);
         decayedAtMs = nowMs;
-        firstRuns.decay(kept);
-        completedRuns *= kept;
-        double logSlowdown = recentLogSlowdown.median(nowMs, PRIOR_ANSWERS, slowInFlight(inFlight));
+        firstRunCurve.decay(decayFactor);
+        completedRuns *= decayFactor;
+        double logSlowdown = recentLogSlowdown.median(nowMs, PRIOR_RUNS, slowInFlightLogRatios(runRatios));
         slowdown = Math.max(1, Math.exp(logSlowdown));
-        meanRatio = firstRuns.recompute(
-                inFlight.stream().map(ratio -> ratio / slowdown).toList());
+        meanFirstRunRatio = firstRunCurve.recompute(
+                runRatios.stream().map(ratio -> ratio / slowdown).toList());
     }
 
     /** Returns the factor by which reported work exceeds its estimate on average. */
@@ -188,7 +190,7 @@
         return memoryBias.add(logRatio);
     }
 
-    private List<Double> slowInFlight(List<Double> ratios) {
+    private List<Double> slowInFlightLogRatios(List<Double> ratios) {
         double typical = typicalRatio();
         return ratios.stream()
                 .map(ratio -> Math.min(STRAGGLER_LOG_RATIO, Math.log(ratio / typical)))
--- a/src/main/java/lineward/scheduling/estimation/SurvivalCurve.java
+++ b/src/main/java/lineward/scheduling/estimation/SurvivalCurve.java
@@ -19,13 +19,13 @@
     private final double[] survival;
 
     /** Creates an empty curve. The first bin also holds all run times below 2^lowestLog2. */
-    public SurvivalCurve(int bins, double lowestLog2, double binsPerDoubling) {
+    public SurvivalCurve(int binCount, double lowestLog2, double binsPerDoubling) {
         this.lowestLog2 = lowestLog2;
         this.binsPerDoubling = binsPerDoubling;
-        completed = new double[bins];
-        censored = new double[bins];
-        areas = new double[bins];
-        survival = new double[bins];
+        completed = new double[binCount];
+        censored = new double[binCount];
+        areas = new double[binCount];
+        survival = new double[binCount];
     }
 
     /** Adds a run time; a run that did not complete is censored. */
@@ -34,10 +34,10 @@
     }
 
     /** Multiplies all counts by the decay factor. */
-    public void decay(double ratioKept) {
+    public void decay(double decayFactor) {
         for (int i = 0; i < completed.length; i++) {
-            completed[i] *= ratioKept;
-            censored[i] *= ratioKept;
+            completed[i] *= decayFactor;
+            censored[i] *= decayFactor;
         }
     }
 
@@ -48,13 +48,13 @@
      * @return the area under the curve up to the longest run, which is the restricted mean run time
      */
     public double recompute(List<Double> inFlight) {
-        double[] left = censored.clone();
+        double[] censoredOrInFlight = censored.clone();
         for (double runTime : inFlight) {
-            left[binOf(runTime)] += 1;
+            censoredOrInFlight[binOf(runTime)] += 1;
         }
         double atRisk = 0;
         for (int i = 0; i < completed.length; i++) {
-            atRisk += completed[i] + left[i];
+            atRisk += completed[i] + censoredOrInFlight[i];
         }
         double surviving = 1;
         double area = 0;
@@ -64,7 +64,7 @@
             surviving = after;
             areas[i] = area;
             survival[i] = surviving;
-            atRisk -= completed[i] + left[i];
+            atRisk -= completed[i] + censoredOrInFlight[i];
             if (atRisk <= EPSILON) {
                 Arrays.fill(areas, i + 1, areas.length, area);
                 Arrays.fill(survival, i + 1, survival.length, 0);
@@ -74,7 +74,7 @@
     }
 
     /** Returns the number of bins. */
-    public int bins() {
+    public int binCount() {
         return completed.length;
     }
 
--- a/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
@@ -46,7 +46,7 @@
         TrackedRequest request = attempt.request();
         ServiceTimeModel model = request.type().model();
         double runMs = attempt.runTimeMs(nowMs);
-        double ratio = runMs / model.slowdown() / request.workUnitMs();
+        double ratio = runMs / model.slowdown() / request.referenceRunMs();
         if (attempt.isFirstRun()) {
             recordFirstRun(attempt, runMs, ratio);
         } else if (request.isRelaunched()) {
@@ -62,8 +62,8 @@
         if (!request.hasWorkEstimate()) {
             model.addWork(runMs * request.threads(), nowMs);
         }
-        context.serviceTimes().add(ratio);
-        double logSlowdown = model.addToUsual(runMs / request.workUnitMs());
+        context.serviceTimes().addCompletedRun(ratio);
+        double logSlowdown = model.updateTypicalRatio(runMs / request.referenceRunMs());
         attempt.engine().recordSlowdown(logSlowdown, nowMs);
         model.addSlowdown(logSlowdown, nowMs);
         context.serviceTimes().addSlowdown(logSlowdown, nowMs);
@@ -88,21 +88,21 @@
      * would not count as a slow run, and the curve would lose its tail.
      */
     private void recordCensoredRun(Attempt attempt) {
-        if (!attempt.isFirstRun() || attempt.isMigrated()) {
+        if (!attempt.isFirstRun() || attempt.isCancelledForMigration()) {
             return;
         }
         TrackedRequest request = attempt.request();
         ServiceTimeModel model = request.type().model();
-        double ratio = attempt.runTimeMs(context.nowMs()) / model.slowdown() / request.workUnitMs();
+        double ratio = attempt.runTimeMs(context.nowMs()) / model.slowdown() / request.referenceRunMs();
         model.addFirstRun(Math.max(ratio, minCensoredRatio(attempt)), false);
     }
 
     private static double minCensoredRatio(Attempt attempt) {
-        OptionalDouble predictedMs = attempt.slowRunPredictedMs();
+        OptionalDouble predictedMs = attempt.predictedSlowRunMs();
         if (predictedMs.isEmpty()) {
             return 0;
         }
-        double predicted = predictedMs.getAsDouble() / attempt.request().workUnitMs();
+        double predicted = predictedMs.getAsDouble() / attempt.request().referenceRunMs();
         return Math.min(attempt.request().type().tauRatio().orElse(predicted), predicted);
     }
 }
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -99,7 +99,7 @@
 
     @Override
     public void requestArrived(SchedulerEvent.RequestArrived arrival) {
-        TrackedRequest request = context.admit(arrival, components.speculation.drawExempt());
+        TrackedRequest request = context.addRequest(arrival, components.speculation.drawExempt());
         ClassState type = request.type();
         if (request.hasWorkEstimate()) {
             type.model().addWork(request.expectedWorkMs(), context.nowMs());
@@ -114,11 +114,11 @@
 
     @Override
     public void attemptProgressed(SchedulerEvent.AttemptProgress report) {
-        Attempt attempt = context.findUnendedAttempt(report.requestId(), report.attempt());
+        Attempt attempt = context.findAttemptInFlight(report.requestId(), report.attempt());
         if (attempt == null) {
             return;
         }
-        attempt.engine().health().recordResponse(context.nowMs());
+        attempt.engine().health().recordActivity(context.nowMs());
         attempt.setWaiting(report.kind().isWaiting(), context.nowMs());
         switch (report.kind()) {
             case RATIO_DONE -> attempt.recordProgress(report.amount(), context.nowMs());
@@ -183,12 +183,12 @@
     @Override
     public void endpointsChanged(SchedulerEvent.EndpointsChanged change) {
         if (change.fullSnapshot()) {
-            context.unlistEngines();
+            context.markAllEnginesGone();
         }
         for (Endpoint endpoint : change.endpoints()) {
             boolean restarted = context.updateEngine(endpoint);
             if (restarted) {
-                components.outliers.recordRestart(context.engine(endpoint.engine()));
+                components.outliers.recordRestart(context.getOrCreateEngine(endpoint.engine()));
             }
         }
         context.countReadyCores();
@@ -197,7 +197,7 @@
     /** Begins or ends maintenance, which endpoint updates never end. */
     @Override
     public void maintenanceChanged(SchedulerEvent.MaintenanceChanged change) {
-        Engine engine = context.engine(change.engine());
+        Engine engine = context.getOrCreateEngine(change.engine());
         if (change.underMaintenance()) {
             engine.beginMaintenance();
         } else {
--- a/src/main/java/lineward/scheduling/state/Attempt.java
+++ b/src/main/java/lineward/scheduling/state/Attempt.java
@@ -4,7 +4,7 @@
 
 /** One attempt of a request on an engine. Times are in milliseconds of the scheduler's clock. */
 public final class Attempt {
-    private static final double MIN_AGE_MS = 0.01;
+    private static final double MIN_RUN_MS = 0.01;
 
     private record Progress(double ratioDone, double reportedAtMs) {}
 
@@ -12,11 +12,11 @@
     private final Engine engine;
     private final int index;
     private final double startedAtMs;
-    private final double grantMb;
+    private final double reservedMemoryMb;
     private final boolean recoveryProbe;
     private final boolean firstRun;
 
-    private AttemptState state = AttemptState.IN_FLIGHT;
+    private AttemptState state = AttemptState.RUNNING;
     /** Null unless cancellation was requested. */
     private CancelCause cancelCause;
     /** Null before the first progress report. */
@@ -25,15 +25,15 @@
     private boolean waiting;
     private double waitingSinceMs;
     private double waitedMs;
-    private OptionalDouble slowRunPredictedMs = OptionalDouble.empty();
+    private OptionalDouble predictedSlowRunMs = OptionalDouble.empty();
 
     /** Creates an attempt that is in flight from {@code nowMs}. */
-    public Attempt(TrackedRequest request, Engine engine, double grantMb, double nowMs) {
+    public Attempt(TrackedRequest request, Engine engine, double reservedMemoryMb, double nowMs) {
         this.request = request;
         this.engine = engine;
         this.index = request.attempts().size();
         this.startedAtMs = nowMs;
-        this.grantMb = grantMb;
+        this.reservedMemoryMb = reservedMemoryMb;
         this.recoveryProbe = engine.health().isEjected();
         this.firstRun = !request.isRelaunched();
     }
@@ -59,8 +59,8 @@
     }
 
     /** Returns the memory, in megabytes, that is reserved on the engine for the attempt. */
-    public double grantMb() {
-        return grantMb;
+    public double reservedMemoryMb() {
+        return reservedMemoryMb;
     }
 
     /** Returns whether the engine was ejected when the attempt started, which makes it a recovery probe. */
@@ -85,22 +85,22 @@
 
     /** Returns whether the attempt has not ended and its cancellation was not requested. */
     public boolean isRunning() {
-        return state == AttemptState.IN_FLIGHT;
+        return state == AttemptState.RUNNING;
     }
 
     /** Records that cancellation was requested. */
     public void cancel(CancelCause cause) {
-        state = state.cancel();
+        state = state.cancelled();
         cancelCause = cause;
     }
 
     /** Records that the attempt has ended. */
     public void end() {
-        state = state.end();
+        state = state.ended();
     }
 
     /** Returns whether the attempt was cancelled to move its request to another engine. */
-    public boolean isMigrated() {
+    public boolean isCancelledForMigration() {
         return cancelCause == CancelCause.MIGRATION;
     }
 
@@ -108,8 +108,8 @@
      * Returns whether later attempts of the request are relaunches because this one was cancelled. That does
      * not hold for a recovery probe or an attempt cancelled for a migration.
      */
-    public boolean isRelaunchedAfterCancel() {
-        return cancelCause != null && !recoveryProbe && !isMigrated();
+    public boolean isCancelledForRelaunch() {
+        return cancelCause != null && !recoveryProbe && !isCancelledForMigration();
     }
 
     /** Returns whether the attempt waits at its engine for memory or a load, by the last progress report. */
@@ -127,7 +127,7 @@
     /** Returns how long the attempt has run, excluding the time that it waited at its engine. */
     public double runTimeMs(double nowMs) {
         double waitingNowMs = waiting ? nowMs - waitingSinceMs : 0;
-        return Math.max(MIN_AGE_MS, nowMs - startedAtMs - waitedMs - waitingNowMs);
+        return Math.max(MIN_RUN_MS, nowMs - startedAtMs - waitedMs - waitingNowMs);
     }
 
     /** Records a progress report with the completed fraction, in [0, 1]. */
@@ -158,15 +158,15 @@
      * Records the last prediction from progress: the total run time of the attempt if a relaunch would be so
      * much faster that the attempt should be cancelled before its speculative timeout; empty otherwise.
      */
-    public void recordPrediction(OptionalDouble slowRunMs) {
-        slowRunPredictedMs = slowRunMs;
+    public void setPredictedSlowRun(OptionalDouble slowRunMs) {
+        predictedSlowRunMs = slowRunMs;
     }
 
     /**
      * Returns the predicted total run time if the attempt should be cancelled before its speculative timeout
      * by the last prediction; empty otherwise.
      */
-    public OptionalDouble slowRunPredictedMs() {
-        return slowRunPredictedMs;
+    public OptionalDouble predictedSlowRunMs() {
+        return predictedSlowRunMs;
     }
 }
--- a/src/main/java/lineward/scheduling/state/Engine.java
+++ b/src/main/java/lineward/scheduling/state/Engine.java
@@ -8,7 +8,7 @@
 import lineward.scheduling.EndpointState;
 import lineward.scheduling.EngineKind;
 import lineward.scheduling.estimation.DecayingMean;
-import lineward.scheduling.estimation.SlidingWindowCounter;
+import lineward.scheduling.estimation.SlidingWindowSum;
 
 /**
  * One engine: its listing in service discovery, maintenance, health, load, and attempts in flight. Times are
@@ -17,18 +17,18 @@
 public final class Engine {
     private static final double SLOWDOWN_HALF_LIFE_MS = 3_000;
     /** Number of prior runs at the typical speed, so that a single slow run has little weight. */
-    private static final double PRIOR_ANSWERS = 2;
+    private static final double PRIOR_RUNS = 2;
 
     private static final int GOSSIP_ID_MASK = 0xffff;
 
     private final long id;
-    private final Set<Attempt> attempts = new LinkedHashSet<>();
-    private final Set<Attempt> attemptsView = Collections.unmodifiableSet(attempts);
+    private final Set<Attempt> attemptsInFlight = new LinkedHashSet<>();
+    private final Set<Attempt> attemptsInFlightView = Collections.unmodifiableSet(attemptsInFlight);
     private final EngineHealth health = new EngineHealth();
     private final EngineLoadState load = new EngineLoadState();
     private final DecayingMean logSlowdown = new DecayingMean(SLOWDOWN_HALF_LIFE_MS);
     /** Work of all attempts sent within the window of the slow-start rule, regardless of their outcomes. */
-    private final SlidingWindowCounter sentWork;
+    private final SlidingWindowSum sentWork;
 
     private Endpoint endpoint;
     private EndpointState listing = EndpointState.GONE;
@@ -36,15 +36,15 @@
     private int cores = 1;
     private double memoryMb;
     private int threadsInFlight;
-    private double grantedMb;
+    private double reservedMemoryMb;
     private OptionalDouble startedAtMs = OptionalDouble.empty();
     private OptionalDouble releasedAtMs = OptionalDouble.empty();
     private OptionalDouble connectionLostMs = OptionalDouble.empty();
     private OptionalDouble warmupStartMs = OptionalDouble.empty();
 
-    Engine(long id, double overloadWindowMs) {
+    Engine(long id, double slowStartWindowMs) {
         this.id = id;
-        sentWork = new SlidingWindowCounter(overloadWindowMs);
+        sentWork = new SlidingWindowSum(slowStartWindowMs);
     }
 
     /** Returns the engine's id, which is the same at every front end. */
@@ -83,8 +83,8 @@
     }
 
     /** Returns the attempts in flight on the engine, in start order, including those being cancelled. */
-    public Set<Attempt> attempts() {
-        return attemptsView;
+    public Set<Attempt> attemptsInFlight() {
+        return attemptsInFlightView;
     }
 
     /** Returns the number of threads of the attempts in flight. */
@@ -93,8 +93,8 @@
     }
 
     /** Returns the memory that is reserved for the attempts in flight. */
-    public double grantedMb() {
-        return grantedMb;
+    public double reservedMemoryMb() {
+        return reservedMemoryMb;
     }
 
     /** Returns the engine's state with respect to new requests. */
@@ -118,7 +118,7 @@
     }
 
     /** Returns whether the engine was released from maintenance and has had no successful attempt since. */
-    public boolean isAwaitingFirstAnswer() {
+    public boolean isAwaitingFirstSuccess() {
         return maintenance == EngineMaintenance.RELEASED;
     }
 
@@ -141,7 +141,7 @@
     }
 
     /** Marks the engine as gone, until a full snapshot or an update lists it again. */
-    void unlist() {
+    void markGone() {
         listing = EndpointState.GONE;
     }
 
@@ -160,14 +160,14 @@
     public void release(double atMs) {
         maintenance = maintenance.release();
         releasedAtMs = atMs > 0 ? OptionalDouble.of(atMs) : OptionalDouble.empty();
-        health.clearFailures();
+        health.markHealthy();
         updateWarmupStart();
     }
 
     /** Records that an attempt on the engine succeeded. */
     public void recordSuccess(double nowMs) {
         health.recordSuccess(nowMs);
-        maintenance = maintenance.answered();
+        maintenance = maintenance.attemptSucceeded();
     }
 
     /**
@@ -181,21 +181,21 @@
 
     /** Adds an attempt that starts at {@code nowMs}, with its work in the slow-start budget. */
     public void startAttempt(Attempt attempt, double slowStartWorkMs, double nowMs) {
-        if (attempts.isEmpty()) {
-            health.recordResponse(nowMs);
+        if (attemptsInFlight.isEmpty()) {
+            health.recordActivity(nowMs);
         }
-        attempts.add(attempt);
+        attemptsInFlight.add(attempt);
         threadsInFlight += attempt.threads();
         load.recordSent(attempt.threads());
-        grantedMb += attempt.grantMb();
+        reservedMemoryMb += attempt.reservedMemoryMb();
         sentWork.add(nowMs, slowStartWorkMs);
     }
 
     /** Removes an ended attempt. */
     public void endAttempt(Attempt attempt) {
-        attempts.remove(attempt);
+        attemptsInFlight.remove(attempt);
         threadsInFlight -= attempt.threads();
-        grantedMb = attempts.isEmpty() ? 0 : grantedMb - attempt.grantMb();
+        reservedMemoryMb = attemptsInFlight.isEmpty() ? 0 : reservedMemoryMb - attempt.reservedMemoryMb();
     }
 
     /** Returns the work of all attempts sent within the window of the slow-start rule. */
@@ -210,7 +210,7 @@
 
     /** Returns the factor by which recent runs on the engine were slower than typical. */
     public double slowdown(double nowMs) {
-        return Math.exp(logSlowdown.mean(nowMs, PRIOR_ANSWERS, 0));
+        return Math.exp(logSlowdown.mean(nowMs, PRIOR_RUNS, 0));
     }
 
     /** Returns the start of the warm-up: the last announced start, release or lost connection, if any. */
--- a/src/main/java/lineward/scheduling/state/EngineCapacity.java
+++ b/src/main/java/lineward/scheduling/state/EngineCapacity.java
@@ -6,7 +6,7 @@
 /** Estimates the current capacity of an engine from its warm-up and its recent speed. */
 public final class EngineCapacity {
     /** Fraction of the warm-up counted in the lower bound, as engines may warm up late or unevenly. */
-    private static final double CERTAIN_WARMUP_RATIO = 0.75;
+    private static final double COUNTED_WARMUP_RATIO = 0.75;
 
     private static final double MIN_SPEED = 0.1;
     private static final double MAX_SPEED = 1.3;
@@ -27,7 +27,7 @@
     }
 
     /** Returns the fraction of full capacity that the engine has at {@code atMs} by the slow-start rule. */
-    private double ratioAt(Engine engine, double atMs) {
+    private double capacityRatioAt(Engine engine, double atMs) {
         if (!isWarmingUp(engine)) {
             return 1;
         }
@@ -40,12 +40,12 @@
      * slow-start window. If its last start was only inferred from a lost connection, the actual start may be
      * later, so it counts as just started.
      */
-    public double certainRatio(Engine engine) {
+    public double minCapacityRatio(Engine engine) {
         if (engine.isStartUnannounced()) {
             return rule.initialRatio();
         }
-        double warmedUp = ratioAt(engine, context.nowMs() - rule.windowMs()) - rule.initialRatio();
-        return rule.initialRatio() + CERTAIN_WARMUP_RATIO * warmedUp;
+        double warmedUp = capacityRatioAt(engine, context.nowMs() - rule.windowMs()) - rule.initialRatio();
+        return rule.initialRatio() + COUNTED_WARMUP_RATIO * warmedUp;
     }
 
     /** Returns the expected run time of a request on an engine that has just started. */
@@ -58,6 +58,6 @@
         double nowMs = context.nowMs();
         double relative = Math.min(MAX_SPEED, context.serviceTimes().slowdown() / engine.slowdown(nowMs));
         double useful = Math.max(MIN_SPEED, relative * (1 - engine.health().errorRatio(nowMs)));
-        return useful * ratioAt(engine, nowMs);
+        return useful * capacityRatioAt(engine, nowMs);
     }
 }
--- a/src/main/java/lineward/scheduling/state/EngineHealth.java
+++ b/src/main/java/lineward/scheduling/state/EngineHealth.java
@@ -11,16 +11,16 @@
 
     private static final double ERRORS_HALF_LIFE_MS = 10_000;
     /** Number of prior successes, so that a single error has little weight. */
-    private static final double PRIOR_ANSWERS = 2;
+    private static final double PRIOR_SUCCESSES = 2;
 
     private static final double ERROR = 1;
-    private static final double GOOD_ANSWER = 0;
+    private static final double SUCCESS = 0;
 
     private final DecayingMean errorRatio = new DecayingMean(ERRORS_HALF_LIFE_MS);
     private State state = State.HEALTHY;
     private int consecutiveFailures;
     private double nextRecoveryProbeMs;
-    private double lastResponseMs;
+    private double lastActivityMs;
 
     /** Returns whether the engine is ejected, so that it normally gets recovery probes only. */
     public boolean isEjected() {
@@ -41,25 +41,25 @@
      * Returns when an attempt on the engine last succeeded or reported progress, or when the idle engine last
      * got an attempt, whichever is later.
      */
-    public double lastResponseMs() {
-        return lastResponseMs;
+    public double lastActivityMs() {
+        return lastActivityMs;
     }
 
     /** Returns the fraction of recent attempts that ended with an error response of the engine. */
     public double errorRatio(double nowMs) {
-        return errorRatio.mean(nowMs, PRIOR_ANSWERS, 0);
+        return errorRatio.mean(nowMs, PRIOR_SUCCESSES, 0);
     }
 
     /** Sets the time from which the engine's silence is measured. */
-    public void recordResponse(double nowMs) {
-        lastResponseMs = nowMs;
+    public void recordActivity(double nowMs) {
+        lastActivityMs = nowMs;
     }
 
     /** Records a successful attempt, which also ends an ejection. */
     public void recordSuccess(double nowMs) {
-        recordResponse(nowMs);
-        errorRatio.add(nowMs, GOOD_ANSWER);
-        clearFailures();
+        recordActivity(nowMs);
+        errorRatio.add(nowMs, SUCCESS);
+        markHealthy();
     }
 
     /** Adds an error to the error ratio. */
@@ -95,12 +95,12 @@
     }
 
     /** Ends the ejection and keeps the number of consecutive failures. */
-    public void returnToService() {
+    public void endEjection() {
         state = State.HEALTHY;
     }
 
     /** Ends the ejection and resets the number of consecutive failures. */
-    public void clearFailures() {
+    public void markHealthy() {
         state = State.HEALTHY;
         consecutiveFailures = 0;
     }
--- a/src/main/java/lineward/scheduling/state/LoadReports.java
+++ b/src/main/java/lineward/scheduling/state/LoadReports.java
@@ -39,25 +39,25 @@
         this.memoryField = fields.indexOf(LoadReportField.MEMORY);
     }
 
-    private boolean includeLoad() {
+    private boolean hasLoadField() {
         return inFlightField != NO_FIELD;
     }
 
     /** Returns whether reports include the memory in use. */
-    public boolean includeMemory() {
+    public boolean hasMemoryField() {
         return memoryField != NO_FIELD;
     }
 
     /** Returns whether front ends share load reports by gossip, according to the settings. */
     public boolean areShared() {
-        SchedulerSettings.Capabilities may = context.settings().capabilities();
-        return may.healthChecks() && may.gossip() && includeLoad();
+        SchedulerSettings.Capabilities capabilities = context.settings().capabilities();
+        return capabilities.healthChecks() && capabilities.gossip() && hasLoadField();
     }
 
     /** Returns whether the engine's last report is recent enough to use. */
-    public boolean areFresh(Engine engine) {
+    public boolean hasFreshReport(Engine engine) {
         OptionalDouble reportedAtMs = engine.load().reportedAtMs();
-        if (!includeLoad() || reportedAtMs.isEmpty()) {
+        if (!hasLoadField() || reportedAtMs.isEmpty()) {
             return false;
         }
         return context.nowMs() - reportedAtMs.getAsDouble() < FRESH_FOR_MS;
@@ -78,13 +78,13 @@
     }
 
     /** Returns the fraction of an engine's memory that is in use, by its last report. */
-    public double memoryInUse(Engine engine) {
+    public double memoryInUseRatio(Engine engine) {
         return engine.load().value(memoryField);
     }
 
     /** Applies a report; it is ignored if reports do not include load or if values are missing. */
     public void apply(Engine engine, double[] values) {
-        if (!includeLoad() || values.length < fieldCount) {
+        if (!hasLoadField() || values.length < fieldCount) {
             return;
         }
         double jitter = MIN_LIMIT_JITTER + 2 * (1 - MIN_LIMIT_JITTER) * context.drawRandom();
@@ -93,13 +93,13 @@
     }
 
     /** Returns the encoded size of one report as a fraction of the maximum gossip message. */
-    public double gossipMessageRatio() {
+    public double reportSizeRatio() {
         return gossip.reportBytes() / (double) GossipCodec.MAX_PAYLOAD_BYTES;
     }
 
     /** Adds an engine's report to the next gossip message, if the report is fresh and fits. */
     public void collectGossip(Engine engine) {
-        if (areShared() && gossip.hasCapacity() && areFresh(engine)) {
+        if (areShared() && gossip.hasCapacity() && hasFreshReport(engine)) {
             gossip.collect(new GossipCodec.EngineReport(
                     engine.gossipId(), engine.load().values()));
         }
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -22,7 +22,7 @@
  * admission, so that decisions are reproducible for a given seed.
  */
 public final class SchedulerContext {
-    private static final double LOG_INTERVAL_MS = 1_000;
+    private static final double MIN_LOG_INTERVAL_MS = 1_000;
 
     private final SchedulerSettings settings;
     private final SplittableRandom random;
@@ -91,8 +91,8 @@
     }
 
     /** Emits a log message, or drops it if another one was emitted less than a second ago. */
-    public void log(String text) {
-        if (lastLogMs.isEmpty() || nowMs - lastLogMs.getAsDouble() >= LOG_INTERVAL_MS) {
+    public void logLimited(String text) {
+        if (lastLogMs.isEmpty() || nowMs - lastLogMs.getAsDouble() >= MIN_LOG_INTERVAL_MS) {
             lastLogMs = OptionalDouble.of(nowMs);
             emit(new SchedulerAction.LogMessage(text));
         }
@@ -129,24 +129,24 @@
     }
 
     /** Returns the engine with the given id, and creates it if it is unknown. */
-    public Engine engine(long id) {
-        double overloadWindowMs = settings.rules().slowStart().windowMs();
-        return engines.computeIfAbsent(id, number -> new Engine(number, overloadWindowMs));
+    public Engine getOrCreateEngine(long id) {
+        double slowStartWindowMs = settings.rules().slowStart().windowMs();
+        return engines.computeIfAbsent(id, number -> new Engine(number, slowStartWindowMs));
     }
 
     /** Marks all engines as gone, before a full snapshot updates those that it lists. */
-    public void unlistEngines() {
-        engines.values().forEach(Engine::unlist);
+    public void markAllEnginesGone() {
+        engines.values().forEach(Engine::markGone);
     }
 
     /** Applies an endpoint to its engine, and returns whether the engine's process was restarted. */
     public boolean updateEngine(Endpoint endpoint) {
-        return engine(endpoint.engine()).update(endpoint, settings.kindOf(endpoint));
+        return getOrCreateEngine(endpoint.engine()).update(endpoint, settings.kindOf(endpoint));
     }
 
     /** Removes the engines that match the predicate. */
-    public void removeEngines(Predicate<Engine> forgettable) {
-        engines.values().removeIf(forgettable);
+    public void removeEngines(Predicate<Engine> predicate) {
+        engines.values().removeIf(predicate);
     }
 
     /** Recounts the cores of the ready engines after a change in listing or maintenance. */
@@ -174,25 +174,25 @@
      *
      * @param exempt whether the speculative timeout does not apply to its attempts
      */
-    public TrackedRequest admit(SchedulerEvent.RequestArrived arrival, boolean exempt) {
-        ClassState type = requestClass(arrival.requestClass());
-        TrackedRequest request = new TrackedRequest(arrival, type, exempt, nowMs);
+    public TrackedRequest addRequest(SchedulerEvent.RequestArrived arrival, boolean exempt) {
+        ClassState requestClass = requestClass(arrival.requestClass());
+        TrackedRequest request = new TrackedRequest(arrival, requestClass, exempt, nowMs);
         requests.put(request.id(), request);
         return request;
     }
 
     /** Removes a request that is complete and has no attempt in flight. */
-    public void release(TrackedRequest request) {
+    public void removeRequest(TrackedRequest request) {
         requests.remove(request.id());
     }
 
     /** Returns the attempt if it is known and has not ended; else null. */
-    public Attempt findUnendedAttempt(long requestId, int attempt) {
+    public Attempt findAttemptInFlight(long requestId, int attemptIndex) {
         TrackedRequest request = requests.get(requestId);
-        if (request == null || attempt >= request.attempts().size()) {
+        if (request == null || attemptIndex >= request.attempts().size()) {
             return null;
         }
-        Attempt found = request.attempts().get(attempt);
+        Attempt found = request.attempts().get(attemptIndex);
         return found.state() == AttemptState.ENDED ? null : found;
     }
 }
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -13,7 +13,7 @@
 /** One admitted request: its estimates, its lifecycle and its attempts. Times are in milliseconds. */
 public final class TrackedRequest {
     /** Run time assumed without an estimate, as a fraction of the latency objective. */
-    private static final double DEFAULT_WORK_RATIO = 0.3;
+    private static final double DEFAULT_RUN_TIME_RATIO = 0.3;
 
     private static final long NO_KEY = 0;
 
@@ -23,8 +23,8 @@
     private final ClassState type;
     private final double admittedAtMs;
     private final double deadlineMs;
-    private final double objectiveAtMs;
-    private final double workUnitMs;
+    private final double objectiveEndMs;
+    private final double referenceRunMs;
     private final double estimatedWorkMs;
     private final double estimatedMemoryMb;
     private final boolean exemptFromCancellation;
@@ -34,17 +34,17 @@
     private final Set<Engine> triedEngines = new HashSet<>();
 
     private RequestState state = RequestState.QUEUED;
-    private int attemptsInFlight;
+    private int inFlightCount;
     /** Stays set across retries, because the client has already received a part of a response. */
     private boolean responseStarted;
 
     private boolean relaunched;
     /** The first attempt that may have run and did not succeed; null if there is none. */
-    private Attempt firstUnansweredRun;
+    private Attempt firstUnsuccessfulRun;
 
-    private int errors;
+    private int errorCount;
     /** Null before the first error. */
-    private Engine firstEngineInError;
+    private Engine firstErrorEngine;
 
     /**
      * Creates a queued request.
@@ -64,12 +64,13 @@
         RequestClass.Objective objective = type.settings().objective();
         double estimateMs = hasWorkEstimate()
                 ? estimatedWorkMs * type.model().workCorrection() / threads()
-                : objective.latencyMs() * DEFAULT_WORK_RATIO;
-        this.workUnitMs = Math.max(1, estimateMs);
-        double runMs =
-                hasWorkEstimate() ? workUnitMs : workUnitMs * type.model().typicalRatio();
+                : objective.latencyMs() * DEFAULT_RUN_TIME_RATIO;
+        this.referenceRunMs = Math.max(1, estimateMs);
+        double runMs = hasWorkEstimate()
+                ? referenceRunMs
+                : referenceRunMs * type.model().typicalRatio();
         double objectiveMs = nowMs + objective.latencyMs() + objective.latencyPerRunTime() * runMs;
-        this.objectiveAtMs = Math.min(deadlineMs, objectiveMs);
+        this.objectiveEndMs = Math.min(deadlineMs, objectiveMs);
     }
 
     /** Returns the id of the request, unique among the requests that the scheduler holds. */
@@ -103,16 +104,16 @@
     }
 
     /** Returns the end of the latency objective, after which an answer is late. */
-    public double objectiveAtMs() {
-        return objectiveAtMs;
+    public double objectiveEndMs() {
+        return objectiveEndMs;
     }
 
     /**
      * Returns the reference run time: the corrected estimate, or a default if the request has no estimate.
      * Measured run times are compared with it.
      */
-    public double workUnitMs() {
-        return workUnitMs;
+    public double referenceRunMs() {
+        return referenceRunMs;
     }
 
     /** Returns the uncorrected estimate of the work. Requires {@link #hasWorkEstimate()}. */
@@ -140,12 +141,12 @@
 
     /** Returns the expected run time at typical speed, without the current slowdown of the class. */
     public double expectedRunMs() {
-        return workUnitMs * type.model().typicalRatio();
+        return referenceRunMs * type.model().typicalRatio();
     }
 
     /** Returns the expected work, summed over all threads. */
     public double expectedWorkMs() {
-        return (hasWorkEstimate() ? workUnitMs : expectedRunMs()) * threads();
+        return (hasWorkEstimate() ? referenceRunMs : expectedRunMs()) * threads();
     }
 
     /** Returns the number of threads that an attempt runs on. */
@@ -159,7 +160,7 @@
     }
 
     /** Returns whether engines deduplicate repeated runs by the idempotency key. */
-    public boolean isRepeatableByKey() {
+    public boolean isIdempotentByKey() {
         return type.settings().repeatability().idempotence() == Idempotence.BY_KEY;
     }
 
@@ -180,7 +181,7 @@
 
     /** Returns whether an attempt is in flight. */
     public boolean hasAttemptInFlight() {
-        return attemptsInFlight > 0;
+        return inFlightCount > 0;
     }
 
     /** Returns whether the request was requeued after an attempt on that engine. */
@@ -202,33 +203,33 @@
     }
 
     /** Returns the first attempt that may have run and did not succeed; null if there is none. */
-    public Attempt firstUnansweredRun() {
-        return firstUnansweredRun;
+    public Attempt firstUnsuccessfulRun() {
+        return firstUnsuccessfulRun;
     }
 
     /** Returns the number of attempts that ended with an error response of an engine. */
-    public int errors() {
-        return errors;
+    public int errorCount() {
+        return errorCount;
     }
 
     /** Returns the engine of the first error; null if there was none. */
-    public Engine firstEngineInError() {
-        return firstEngineInError;
+    public Engine firstErrorEngine() {
+        return firstErrorEngine;
     }
 
     /** Records the start of an attempt. */
     public void startAttempt(Attempt attempt) {
         attempts.add(attempt);
-        attemptsInFlight++;
+        inFlightCount++;
         state = state.attemptStarted(responseStarted);
     }
 
     /** Records the end of an attempt. */
     public void endAttempt(Attempt attempt, AttemptOutcome outcome) {
-        attemptsInFlight--;
+        inFlightCount--;
         boolean mayHaveRun = outcome.mayHaveRun() && outcome != AttemptOutcome.OK;
-        if (mayHaveRun && firstUnansweredRun == null) {
-            firstUnansweredRun = attempt;
+        if (mayHaveRun && firstUnsuccessfulRun == null) {
+            firstUnsuccessfulRun = attempt;
         }
     }
 
@@ -240,15 +241,15 @@
 
     /** Records an error response of an engine. */
     public void recordError(Engine engine) {
-        errors++;
-        if (firstEngineInError == null) {
-            firstEngineInError = engine;
+        errorCount++;
+        if (firstErrorEngine == null) {
+            firstErrorEngine = engine;
         }
     }
 
     /** Queues the request for another attempt after the given one has ended. */
     public void requeue(Attempt ended) {
-        relaunched |= ended.isRelaunchedAfterCancel();
+        relaunched |= ended.isCancelledForRelaunch();
         triedEngines.add(ended.engine());
         state = state.requeued();
     }
--- a/src/test/java/lineward/scheduling/decision/PolicyFixture.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -97,7 +97,7 @@
     private Engine list(Endpoint endpoint) {
         context.updateEngine(endpoint);
         context.countReadyCores();
-        return context.engine(endpoint.engine());
+        return context.getOrCreateEngine(endpoint.engine());
     }
 
     TrackedRequest admit() {
@@ -120,7 +120,7 @@
     }
 
     private TrackedRequest admit(int classIndex, long key, double workMs, double memoryMb, int tableGroup) {
-        TrackedRequest request = context.admit(
+        TrackedRequest request = context.addRequest(
                 new SchedulerEvent.RequestArrived(
                         lastRequest, classIndex, key, TIME_LEFT_MS, workMs, memoryMb, tableGroup, false, 0),
                 false);
@@ -131,7 +131,7 @@
     /** Admits a request that is exempt from the speculative timeout. */
     TrackedRequest admitExempt() {
         lastRequest++;
-        return context.admit(
+        return context.addRequest(
                 new SchedulerEvent.RequestArrived(
                         lastRequest, 0, NO_KEY, TIME_LEFT_MS, WORK_MS, NO_MEMORY_ESTIMATE, 0, false, 0),
                 true);
@@ -170,14 +170,14 @@
 
     /** Cancels an attempt as slow and queues its request again, so that the next attempt is a relaunch. */
     void cancelAndRequeue(Attempt attempt) {
-        attempt.cancel(CancelCause.SLOW);
+        attempt.cancel(CancelCause.SPECULATIVE);
         endAndRequeue(attempt, AttemptOutcome.CANCELLED);
     }
 
     /** Adds the number of completed runs that the speculative timeout requires. */
     void addCompletedRuns() {
         for (int run = 0; run < ServiceTimeModel.MIN_COMPLETED_RUNS; run++) {
-            context.serviceTimes().add(1);
+            context.serviceTimes().addCompletedRun(1);
         }
     }
 
--- a/src/test/java/lineward/scheduling/state/AttemptStateTest.java
+++ b/src/test/java/lineward/scheduling/state/AttemptStateTest.java
@@ -2,7 +2,7 @@
 
 import static lineward.scheduling.state.AttemptState.CANCELLING;
 import static lineward.scheduling.state.AttemptState.ENDED;
-import static lineward.scheduling.state.AttemptState.IN_FLIGHT;
+import static lineward.scheduling.state.AttemptState.RUNNING;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.testng.annotations.DataProvider;
@@ -15,15 +15,16 @@
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
-            {IN_FLIGHT, CANCELLING, ENDED},
+            {RUNNING, CANCELLING, ENDED},
             {CANCELLING, CANCELLING, ENDED},
             {ENDED, ENDED, ENDED},
         };
     }
 
     @Test(dataProvider = "transitions")
-    public void followsTheTable(AttemptState state, AttemptState cancelled, AttemptState ended) {
-        assertThat(state.cancel()).isEqualTo(cancelled);
-        assertThat(state.end()).isEqualTo(ended);
+    public void transitionsLeadToTheExpectedStates(
+            AttemptState state, AttemptState afterCancel, AttemptState afterEnd) {
+        assertThat(state.cancelled()).isEqualTo(afterCancel);
+        assertThat(state.ended()).isEqualTo(afterEnd);
     }
 }
