--- a/src/main/java/lineward/engine/EngineWarmup.java
+++ b/src/main/java/lineward/engine/EngineWarmup.java
@@ -14,7 +14,7 @@
  */
 public final class EngineWarmup {
     private static final int ATTEMPTS = 60;
-    private static final QueryAttempt.Timing TIMING = new QueryAttempt.Timing(1000, 1000);
+    private static final QueryAttempt.TimeLimits TIME_LIMITS = new QueryAttempt.TimeLimits(1000, 1000);
 
     /** Ignores all events. */
     static final ConnectionListener NO_LISTENER = new ConnectionListener() {
@@ -48,7 +48,7 @@
         for (int i = 0; i < ATTEMPTS; i++) {
             String id = String.format("%016x", i);
             QueryAttempt.Listener listener = EngineWarmup::releaseResult;
-            connection.start(new QueryAttempt(id, "warmup", statement, TIMING, 1, 1, listener));
+            connection.start(new QueryAttempt(id, "warmup", statement, TIME_LIMITS, 1, 1, listener));
             reply(channel, id, LineProtocol.FIRST_PAGE, LineProtocol.PAGE_COUNT_FIELD + "=2");
             reply(channel, id, LineProtocol.NEXT_PAGE, LineProtocol.PAGE_INDEX_FIELD + "=1");
             releaseOutbound(channel);
--- a/src/main/java/lineward/engine/QueryAttempt.java
+++ b/src/main/java/lineward/engine/QueryAttempt.java
@@ -36,7 +36,7 @@
      * @param timeoutMs how long the attempt may take
      * @param startWithinMs time after which its request must no longer be sent
      */
-    public record Timing(long timeoutMs, long startWithinMs) {}
+    public record TimeLimits(long timeoutMs, long startWithinMs) {}
 
     private final String id;
     private final String requestClass;
@@ -57,7 +57,7 @@
      * @param requestClass name of the request's class
      * @param statement the statement to run. It is retained until the attempt ends, because the request may
      *     end and release it in the same event loop run in which the connection is established
-     * @param timing how long the attempt may take, and until when its request may be sent
+     * @param timeLimits how long the attempt may take, and until when its request may be sent
      * @param memoryGrantMb memory to reserve at the engine, rounded up; 0 lets the engine decide
      * @param priority priority from 0, the lowest, to 3
      */
@@ -65,7 +65,7 @@
             String id,
             String requestClass,
             ByteBuf statement,
-            Timing timing,
+            TimeLimits timeLimits,
             double memoryGrantMb,
             int priority,
             Listener listener) {
@@ -73,8 +73,8 @@
         this.requestClass = requestClass;
         this.statement = statement.retain();
         long now = System.nanoTime();
-        long startWithinMs = Math.min(timing.startWithinMs(), timing.timeoutMs());
-        this.deadlineNanos = now + TimeUnit.MILLISECONDS.toNanos(timing.timeoutMs());
+        long startWithinMs = Math.min(timeLimits.startWithinMs(), timeLimits.timeoutMs());
+        this.deadlineNanos = now + TimeUnit.MILLISECONDS.toNanos(timeLimits.timeoutMs());
         this.startByNanos = now + TimeUnit.MILLISECONDS.toNanos(startWithinMs);
         this.memoryGrantMb = (long) Math.ceil(memoryGrantMb);
         this.priority = priority;
--- a/src/main/java/lineward/thrift/CallForwarder.java
+++ b/src/main/java/lineward/thrift/CallForwarder.java
@@ -37,7 +37,7 @@
                 call.id(),
                 call.requestClass(),
                 call.statement(),
-                new QueryAttempt.Timing(command.timeoutMs(), command.startWithinMs()),
+                new QueryAttempt.TimeLimits(command.timeoutMs(), command.startWithinMs()),
                 command.grantMb(),
                 command.priority(),
                 new AttemptListener(call, command.attempt()));
--- a/src/test/java/lineward/engine/AttemptEndTest.java
+++ b/src/test/java/lineward/engine/AttemptEndTest.java
@@ -157,7 +157,7 @@
                 "00aa",
                 "report",
                 Unpooled.copiedBuffer("select 1", StandardCharsets.US_ASCII),
-                new QueryAttempt.Timing(1000, 1000),
+                new QueryAttempt.TimeLimits(1000, 1000),
                 0,
                 1,
                 this);
--- a/src/test/java/lineward/engine/ConnectionAttemptsTest.java
+++ b/src/test/java/lineward/engine/ConnectionAttemptsTest.java
@@ -86,11 +86,11 @@
         channel.pipeline().addFirst(new ReplyDecoder());
         ByteBuf statement = statement("select 1");
         QueryAttempt.Listener ignored = (outcome, result) -> {};
-        QueryAttempt.Timing timing = new QueryAttempt.Timing(60_000, 60_000);
+        QueryAttempt.TimeLimits timeLimits = new QueryAttempt.TimeLimits(60_000, 60_000);
         for (int i = 0; i < EndedAttempts.MAX_ATTEMPTS; i++) {
             String id = String.format("%016x", i);
             assertEquals(connection.accepts(id, 10), true, "attempt " + i);
-            connection.start(new QueryAttempt(id, "report", statement, timing, 0, 1, ignored));
+            connection.start(new QueryAttempt(id, "report", statement, timeLimits, 0, 1, ignored));
             channel.writeInbound(statement(id + " SHED - 0\r\n\r\n"));
         }
         assertEquals(connection.accepts("ffff", 10), false);
@@ -106,7 +106,7 @@
                 "00aa",
                 "report",
                 statement,
-                new QueryAttempt.Timing(1000, startMs),
+                new QueryAttempt.TimeLimits(1000, startMs),
                 0,
                 1,
                 (outcome, result) -> outcomes.add(outcome));
--- a/src/test/java/lineward/engine/InFlightAttemptsTest.java
+++ b/src/test/java/lineward/engine/InFlightAttemptsTest.java
@@ -13,7 +13,7 @@
 
 /** Tests that the body of a malformed reply is released. */
 public class InFlightAttemptsTest {
-    private static final QueryAttempt.Timing TIMING = new QueryAttempt.Timing(1000, 1000);
+    private static final QueryAttempt.TimeLimits TIME_LIMITS = new QueryAttempt.TimeLimits(1000, 1000);
 
     @DataProvider
     public Object[][] malformed() {
@@ -30,7 +30,7 @@
     public void bodyOfMalformedReplyIsReleased(ReplyType type, String field, String value, String page) {
         InFlightAttempts attempts = new InFlightAttempts();
         QueryAttempt.Listener ignored = (outcome, result) -> {};
-        attempts.add(new QueryAttempt("00aa", "report", Unpooled.EMPTY_BUFFER, TIMING, 0, 1, ignored));
+        attempts.add(new QueryAttempt("00aa", "report", Unpooled.EMPTY_BUFFER, TIME_LIMITS, 0, 1, ignored));
         ByteBuf body = Unpooled.copiedBuffer(page, StandardCharsets.US_ASCII);
         Reply reply = new Reply("00aa", type, Map.of(field, value), body);
         RequestWriter writer = new RequestWriter(new EmbeddedChannel());
--- a/src/test/java/lineward/engine/ProgressReportsTest.java
+++ b/src/test/java/lineward/engine/ProgressReportsTest.java
@@ -55,9 +55,9 @@
     @Test
     public void reportAfterTheEndIsIgnored() {
         RecordingListener listener = new RecordingListener();
-        QueryAttempt.Timing timing = new QueryAttempt.Timing(1000, 1000);
+        QueryAttempt.TimeLimits timeLimits = new QueryAttempt.TimeLimits(1000, 1000);
         ByteBuf statement = Unpooled.EMPTY_BUFFER;
-        QueryAttempt attempt = new QueryAttempt("00aa", "report", statement, timing, 0, 1, listener);
+        QueryAttempt attempt = new QueryAttempt("00aa", "report", statement, timeLimits, 0, 1, listener);
         Map<String, String> fields = Map.of("n", "done", "datum", "0.5");
         Reply report = new Reply("00aa", ReplyType.PROGRESS, fields, Unpooled.EMPTY_BUFFER);
         attempt.progressed(report);
