--- a/src/main/java/lineward/engine/EngineCluster.java
+++ b/src/main/java/lineward/engine/EngineCluster.java
@@ -66,14 +66,14 @@
      * @param engineIdleTimeoutMs time after which engines close idle connections
      * @param maxAttemptsPerConnection maximum number of attempts in flight on one connection
      * @param maxConnections maximum number of connections to all engines
-     * @param loadReports whether a health check requests a load report
+     * @param requestsLoadReports whether a health check requests a load report
      */
     public record Limits(
             int connectTimeoutMs,
             double engineIdleTimeoutMs,
             int maxAttemptsPerConnection,
             int maxConnections,
-            boolean loadReports) {}
+            boolean requestsLoadReports) {}
 
     /** Notified of the answer to a health check, on the event loop. */
     @FunctionalInterface
@@ -158,8 +158,8 @@
     public void checkHealth(String engine, HealthCheckListener listener) {
         Member member = members.get(engine);
         if (member != null) {
-            boolean withReport = limits.loadReports();
-            HealthCheck.Kind kind = withReport ? HealthCheck.Kind.LOAD_REPORT : HealthCheck.Kind.PING;
+            boolean requestsLoadReport = limits.requestsLoadReports();
+            HealthCheck.Kind kind = requestsLoadReport ? HealthCheck.Kind.LOAD_REPORT : HealthCheck.Kind.PING;
             member.pool.checkHealth(kind, answer -> notifyAnswered(listener, answer));
         }
     }
