--- a/src/main/java/lineward/engine/EngineCluster.java
+++ b/src/main/java/lineward/engine/EngineCluster.java
@@ -122,7 +122,7 @@
         List.copyOf(members.values()).stream()
                 .filter(member -> !member.isReady())
                 .forEach(member -> member.pool.cancelWaiting());
-        closeIdle();
+        closeIdleConnections();
     }
 
     private void updateEndpoint(EngineEndpoint endpoint) {
@@ -196,12 +196,12 @@
     }
 
     /** Closes connections past their idle timeout, and all idle connections to engines that are gone. */
-    public void closeIdle() {
+    public void closeIdleConnections() {
         long nowNanos = System.nanoTime();
         double idleMs = limits.engineIdleTimeoutMs() * IDLE_TIMEOUT_RATIO;
         long usedBeforeNanos = nowNanos - TimeUnit.MICROSECONDS.toNanos(Math.round(idleMs * 1000));
         for (Member member : members.values()) {
-            member.pool.closeIdle(member.isGone() ? nowNanos : usedBeforeNanos);
+            member.pool.closeIdleConnections(member.isGone() ? nowNanos : usedBeforeNanos);
         }
         members.values().removeIf(member -> member.isGone() && member.pool.size() == 0);
     }
--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -223,7 +223,7 @@
                 .findFirst();
     }
 
-    void closeIdle(long usedBeforeNanos) {
+    void closeIdleConnections(long usedBeforeNanos) {
         closeAll(connection -> connection.isIdleSince(usedBeforeNanos));
     }
 
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -176,7 +176,7 @@
 
     @Override
     public void closeIdleEngineConnections() {
-        engines.closeIdle();
+        engines.closeIdleConnections();
     }
 
     @Override
