--- a/src/main/java/lineward/engine/EngineCluster.java
+++ b/src/main/java/lineward/engine/EngineCluster.java
@@ -121,7 +121,7 @@
         // A connection that is established later could lead to another engine at the same address.
         List.copyOf(members.values()).stream()
                 .filter(member -> !member.isReady())
-                .forEach(member -> member.pool.cancelWaiting());
+                .forEach(member -> member.pool.cancelWaitingAttempts());
         closeIdleConnections();
     }
 
@@ -179,10 +179,10 @@
     }
 
     /** Ends the attempts that wait for a connection to this engine as not sent. */
-    public void cancelWaiting(String engine) {
+    public void cancelWaitingAttempts(String engine) {
         Member member = members.get(engine);
         if (member != null) {
-            member.pool.cancelWaiting();
+            member.pool.cancelWaitingAttempts();
         }
     }
 
--- a/src/main/java/lineward/engine/EngineConnection.java
+++ b/src/main/java/lineward/engine/EngineConnection.java
@@ -199,7 +199,7 @@
     }
 
     /** Removes and returns the attempts that wait for the connection; the caller takes ownership. */
-    List<QueryAttempt> removeWaiting() {
+    List<QueryAttempt> removeWaitingAttempts() {
         return state.isConnecting() ? attempts.removeAll() : List.of();
     }
 
@@ -210,7 +210,7 @@
     }
 
     /** If the connection is still being established, closes it and ends its attempts as not sent. */
-    void cancelWaiting() {
+    void cancelWaitingAttempts() {
         if (state.isConnecting()) {
             release(waiting -> endAll(waiting, AttemptEnd.NOT_SENT));
             close();
--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -128,7 +128,7 @@
 
     /** Migrates attempts that wait for a slow connection to responsive ones; if there are none, they wait. */
     private void migrateWaiting(EngineConnection slow) {
-        for (QueryAttempt attempt : slow.removeWaiting()) {
+        for (QueryAttempt attempt : slow.removeWaitingAttempts()) {
             EngineConnection target = leastLoaded(other -> other.isAlive() && accepts(other, attempt));
             (target == null ? slow : target).start(attempt);
         }
@@ -141,7 +141,7 @@
             String cause = "connect timeout overdueConnections=" + faults.overdueConnections();
             LOG.info("no connection to engine yet", "engine", address, cause);
             AttemptEnd end = faults.endOfOverdue();
-            connection.removeWaiting().forEach(attempt -> attempt.end(end));
+            connection.removeWaitingAttempts().forEach(attempt -> attempt.end(end));
         }
     }
 
@@ -251,7 +251,7 @@
                 .filter(connection -> connection.openedBefore(unixMs))
                 .toList();
         stale.forEach(connection -> {
-            connection.cancelWaiting();
+            connection.cancelWaitingAttempts();
             connection.close();
         });
     }
@@ -262,8 +262,8 @@
     }
 
     /** Closes connections that are being established; the attempts that wait for them end as not sent. */
-    void cancelWaiting() {
-        List.copyOf(connections).forEach(EngineConnection::cancelWaiting);
+    void cancelWaitingAttempts() {
+        List.copyOf(connections).forEach(EngineConnection::cancelWaitingAttempts);
     }
 
     int size() {
@@ -271,7 +271,7 @@
     }
 
     void closeAll() {
-        cancelWaiting();
+        cancelWaitingAttempts();
         List.copyOf(connections).forEach(EngineConnection::close);
     }
 }
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -215,7 +215,7 @@
     public void setMaintenance(String engine, boolean underMaintenance, double sinceMs) {
         driver.setMaintenance(engine, underMaintenance, sinceMs);
         if (underMaintenance) {
-            engines.cancelWaiting(engine);
+            engines.cancelWaitingAttempts(engine);
         }
     }
 
--- a/src/test/java/lineward/engine/ConnectionAttemptsTest.java
+++ b/src/test/java/lineward/engine/ConnectionAttemptsTest.java
@@ -59,7 +59,7 @@
         ByteBuf statement = statement("select 1");
         List<AttemptOutcome> outcomes = new ArrayList<>();
         connection.start(attempt(statement, outcomes));
-        connection.cancelWaiting();
+        connection.cancelWaitingAttempts();
         assertEquals(outcomes, List.of(AttemptOutcome.REJECTED));
         assertEquals(written(connect(connection)), "");
         assertEquals(statement.refCnt(), 1, "only the request's reference is left");
