--- a/src/main/java/lineward/engine/EngineCluster.java
+++ b/src/main/java/lineward/engine/EngineCluster.java
@@ -130,8 +130,8 @@
     }
 
     /** Returns the member with this id, with a new pool if the engine is new or its address has changed. */
-    private Member memberAt(String engine, InetSocketAddress address) {
-        Member member = members.get(engine);
+    private Member memberAt(String engineId, InetSocketAddress address) {
+        Member member = members.get(engineId);
         if (member != null && member.pool.address().equals(address)) {
             return member;
         }
@@ -140,13 +140,13 @@
         }
         BooleanSupplier connectionQuota = this::acquireConnectionQuota;
         Member added = new Member(new EnginePool(bootstrap, address, limits, connectionQuota, onRequestSent));
-        members.put(engine, added);
+        members.put(engineId, added);
         return added;
     }
 
     /** Starts an attempt. Its listener is notified when it ends, possibly before this method returns. */
-    public void start(String engine, QueryAttempt attempt) {
-        Member member = members.get(engine);
+    public void start(String engineId, QueryAttempt attempt) {
+        Member member = members.get(engineId);
         if (member == null) {
             attempt.end(AttemptEnd.ENGINE_UNREACHABLE);
         } else {
@@ -155,8 +155,8 @@
     }
 
     /** Checks an engine's health. The listener is notified only if the engine answers. */
-    public void checkHealth(String engine, HealthCheckListener listener) {
-        Member member = members.get(engine);
+    public void checkHealth(String engineId, HealthCheckListener listener) {
+        Member member = members.get(engineId);
         if (member != null) {
             boolean requestsLoadReport = limits.requestsLoadReports();
             HealthCheck.Kind kind = requestsLoadReport ? HealthCheck.Kind.LOAD_REPORT : HealthCheck.Kind.PING;
@@ -171,25 +171,25 @@
     }
 
     /** Cancels an attempt without notifying its listener. */
-    public void cancel(String engine, QueryAttempt attempt) {
-        Member member = members.get(engine);
+    public void cancel(String engineId, QueryAttempt attempt) {
+        Member member = members.get(engineId);
         if (member != null) {
             member.pool.cancel(attempt);
         }
     }
 
     /** Ends the attempts that wait for a connection to this engine as not sent. */
-    public void cancelWaitingAttempts(String engine) {
-        Member member = members.get(engine);
+    public void cancelWaitingAttempts(String engineId) {
+        Member member = members.get(engineId);
         if (member != null) {
             member.pool.cancelWaitingAttempts();
         }
     }
 
     /** Sets an attempt's priority and sends it to the engine. */
-    public void changePriority(String engine, QueryAttempt attempt, int priority) {
+    public void changePriority(String engineId, QueryAttempt attempt, int priority) {
         attempt.setPriority(priority);
-        Member member = members.get(engine);
+        Member member = members.get(engineId);
         if (member != null) {
             member.pool.sendPriority(attempt);
         }
