--- a/src/main/java/lineward/engine/EngineCluster.java
+++ b/src/main/java/lineward/engine/EngineCluster.java
@@ -126,11 +126,11 @@
     }
 
     private void updateEndpoint(EngineEndpoint endpoint) {
-        memberAt(endpoint.id(), parse(endpoint.address())).update(endpoint);
+        findOrCreateMember(endpoint.id(), parse(endpoint.address())).update(endpoint);
     }
 
     /** Returns the member with this id, with a new pool if the engine is new or its address has changed. */
-    private Member memberAt(String engineId, InetSocketAddress address) {
+    private Member findOrCreateMember(String engineId, InetSocketAddress address) {
         Member member = members.get(engineId);
         if (member != null && member.pool.address().equals(address)) {
             return member;
