--- a/src/main/java/lineward/engine/EngineCluster.java
+++ b/src/main/java/lineward/engine/EngineCluster.java
@@ -138,8 +138,8 @@
         if (member != null) {
             member.pool.closeAll();
         }
-        BooleanSupplier connectionQuota = this::acquireConnectionQuota;
-        Member added = new Member(new EnginePool(bootstrap, address, limits, connectionQuota, onRequestSent));
+        BooleanSupplier ensureCapacity = this::ensureConnectionCapacity;
+        Member added = new Member(new EnginePool(bootstrap, address, limits, ensureCapacity, onRequestSent));
         members.put(engineId, added);
         return added;
     }
@@ -215,7 +215,7 @@
      * Returns whether one more connection may be opened. At the limit, the least recently used idle
      * connection is evicted; otherwise idle connections would block new ones until their idle timeout.
      */
-    private boolean acquireConnectionQuota() {
+    private boolean ensureConnectionCapacity() {
         int connections =
                 members.values().stream().mapToInt(member -> member.pool.size()).sum();
         if (connections < limits.maxConnections()) {
--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -32,7 +32,7 @@
     private final Bootstrap bootstrap;
     private final InetSocketAddress address;
     private final EngineCluster.Limits limits;
-    private final BooleanSupplier connectionQuota;
+    private final BooleanSupplier ensureClusterCapacity;
     private final Runnable onRequestSent;
     private final List<EngineConnection> connections = new ArrayList<>();
     private final FaultAttribution faults = new FaultAttribution();
@@ -40,19 +40,19 @@
     /**
      * Creates a pool without connections.
      *
-     * @param connectionQuota returns whether one more connection may be opened
+     * @param ensureClusterCapacity returns whether one more connection may be opened
      * @param onRequestSent called once the last byte of a request was written to its socket
      */
     EnginePool(
             Bootstrap bootstrap,
             InetSocketAddress address,
             EngineCluster.Limits limits,
-            BooleanSupplier connectionQuota,
+            BooleanSupplier ensureClusterCapacity,
             Runnable onRequestSent) {
         this.bootstrap = bootstrap;
         this.address = address;
         this.limits = limits;
-        this.connectionQuota = connectionQuota;
+        this.ensureClusterCapacity = ensureClusterCapacity;
         this.onRequestSent = onRequestSent;
     }
 
@@ -66,7 +66,7 @@
      */
     void start(QueryAttempt attempt) {
         EngineConnection connection = leastLoaded(candidate -> accepts(candidate, attempt));
-        if ((connection == null || connection.attemptsInFlight() > 0) && mayConnect()) {
+        if ((connection == null || connection.attemptsInFlight() > 0) && ensureCapacity()) {
             connection = connect();
         }
         if (connection == null) {
@@ -80,8 +80,8 @@
         return connection.accepts(attempt.id(), limits.maxAttemptsPerConnection());
     }
 
-    private boolean mayConnect() {
-        return connections.size() < MAX_CONNECTIONS && connectionQuota.getAsBoolean();
+    private boolean ensureCapacity() {
+        return connections.size() < MAX_CONNECTIONS && ensureClusterCapacity.getAsBoolean();
     }
 
     /** Returns the matching connection with the fewest attempts in flight; null if none matches. */
@@ -199,7 +199,7 @@
     /** Checks the engine's health on an established connection or a new one; does nothing at the limits. */
     void checkHealth(HealthCheck.Kind kind, Consumer<Reply> answerListener) {
         EngineConnection connection = leastLoaded(EngineConnection::acceptsHealthCheck);
-        if (connection == null && mayConnect()) {
+        if (connection == null && ensureCapacity()) {
             connection = connect();
         }
         if (connection != null) {
