--- a/src/main/java/lineward/engine/EngineCluster.java
+++ b/src/main/java/lineward/engine/EngineCluster.java
@@ -203,7 +203,7 @@
         for (Member member : members.values()) {
             member.pool.closeIdleConnections(member.isGone() ? nowNanos : usedBeforeNanos);
         }
-        members.values().removeIf(member -> member.isGone() && member.pool.size() == 0);
+        members.values().removeIf(member -> member.isGone() && member.pool.connectionCount() == 0);
     }
 
     /** Sends heartbeats and checks their timeouts on all connections; called ten times a second. */
@@ -216,9 +216,10 @@
      * connection is evicted; otherwise idle connections would block new ones until their idle timeout.
      */
     private boolean ensureConnectionCapacity() {
-        int connections =
-                members.values().stream().mapToInt(member -> member.pool.size()).sum();
-        if (connections < limits.maxConnections()) {
+        int connectionCount = members.values().stream()
+                .mapToInt(member -> member.pool.connectionCount())
+                .sum();
+        if (connectionCount < limits.maxConnections()) {
             return true;
         }
         EngineConnection longestIdle = members.values().stream()
--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -266,7 +266,7 @@
         List.copyOf(connections).forEach(EngineConnection::cancelWaitingAttempts);
     }
 
-    int size() {
+    int connectionCount() {
         return connections.size();
     }
 
