--- a/src/main/java/lineward/discovery/DiscoveryClient.java
+++ b/src/main/java/lineward/discovery/DiscoveryClient.java
@@ -61,8 +61,8 @@
     }
 
     /** Returns the milliseconds since the last valid response, or since the start if there was none. */
-    public long ageMs() {
-        return Math.round(policy.silentMs(clock.getAsDouble()));
+    public long lastResponseAgeMs() {
+        return Math.round(policy.lastResponseAgeMs(clock.getAsDouble()));
     }
 
     private void perform(List<PollStep> steps) {
@@ -98,7 +98,7 @@
             LOG.warn(
                     "no usable response from service discovery: address={} silentMs={} cause={}",
                     step.address(),
-                    Math.round(step.silentMs()),
+                    Math.round(step.lastResponseAgeMs()),
                     step.lastFault());
         }
     }
--- a/src/main/java/lineward/discovery/PollPolicy.java
+++ b/src/main/java/lineward/discovery/PollPolicy.java
@@ -56,7 +56,7 @@
     }
 
     /** Returns the time since the last valid response, or since the start if there was none. */
-    double silentMs(double nowMs) {
+    double lastResponseAgeMs(double nowMs) {
         return nowMs - lastResponseAtMs;
     }
 
@@ -78,9 +78,9 @@
             fileReads.beginRead();
             steps.add(new PollStep.ReadFile());
         }
-        if (silentMs(nowMs) > SILENCE_MS && nowMs >= nextWarningAtMs) {
+        if (lastResponseAgeMs(nowMs) > SILENCE_MS && nowMs >= nextWarningAtMs) {
             nextWarningAtMs = nowMs + WARNING_INTERVAL_MS;
-            steps.add(new PollStep.WarnOfSilence(address, silentMs(nowMs), lastFault));
+            steps.add(new PollStep.WarnOfSilence(address, lastResponseAgeMs(nowMs), lastFault));
         }
         return steps;
     }
--- a/src/main/java/lineward/discovery/PollStep.java
+++ b/src/main/java/lineward/discovery/PollStep.java
@@ -62,10 +62,10 @@
     /**
      * Logs a warning that no valid response was received for some time.
      *
-     * @param silentMs time since the last valid response, or since the start if there was none
+     * @param lastResponseAgeMs time since the last valid response, or since the start if there was none
      * @param lastFault the most recent fault
      */
-    record WarnOfSilence(String address, double silentMs, PollFault lastFault) implements PollStep {
+    record WarnOfSilence(String address, double lastResponseAgeMs, PollFault lastFault) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
             handler.warnOfSilence(this);
--- a/src/test/java/lineward/discovery/PollPolicyTest.java
+++ b/src/test/java/lineward/discovery/PollPolicyTest.java
@@ -97,6 +97,6 @@
         policy.connected(2, 1801);
         List<PollStep> steps = policy.responded(1, CHANGED, 2500);
         assertEquals(steps, List.of(new PollStep.Close(2), new PollStep.SendPoll(1)));
-        assertEquals(policy.silentMs(2600), 100.0);
+        assertEquals(policy.lastResponseAgeMs(2600), 100.0);
     }
 }
