--- a/src/main/java/lineward/discovery/DiscoveryClient.java
+++ b/src/main/java/lineward/discovery/DiscoveryClient.java
@@ -94,7 +94,7 @@
         }
 
         @Override
-        public void warnOfSilence(PollStep.WarnOfSilence step) {
+        public void warnNoResponse(PollStep.WarnNoResponse step) {
             LOG.warn(
                     "no usable response from service discovery: address={} silentMs={} cause={}",
                     step.address(),
--- a/src/main/java/lineward/discovery/PollPolicy.java
+++ b/src/main/java/lineward/discovery/PollPolicy.java
@@ -25,7 +25,7 @@
     /** Limit on connections; overdue ones stay open because a slow service may still respond on them. */
     static final int MAX_CONNECTIONS = 3;
     /** Time without a valid response after which a warning is logged. */
-    static final double SILENCE_MS = 2000;
+    static final double WARNING_DELAY_MS = 2000;
     /** Interval between these warnings. */
     static final double WARNING_INTERVAL_MS = 1000;
     /** An empty response sooner than this after its poll is early: the service does not hold polls. */
@@ -78,9 +78,9 @@
             fileReads.beginRead();
             steps.add(new PollStep.ReadFile());
         }
-        if (lastResponseAgeMs(nowMs) > SILENCE_MS && nowMs >= nextWarningAtMs) {
+        if (lastResponseAgeMs(nowMs) > WARNING_DELAY_MS && nowMs >= nextWarningAtMs) {
             nextWarningAtMs = nowMs + WARNING_INTERVAL_MS;
-            steps.add(new PollStep.WarnOfSilence(address, lastResponseAgeMs(nowMs), lastFault));
+            steps.add(new PollStep.WarnNoResponse(address, lastResponseAgeMs(nowMs), lastFault));
         }
         return steps;
     }
--- a/src/main/java/lineward/discovery/PollStep.java
+++ b/src/main/java/lineward/discovery/PollStep.java
@@ -21,7 +21,7 @@
         void readFile(ReadFile step);
 
         /** Logs that no valid response was received for some time. */
-        void warnOfSilence(WarnOfSilence step);
+        void warnNoResponse(WarnNoResponse step);
     }
 
     /** Opens a connection to the address, identified by the given number. */
@@ -65,10 +65,10 @@
      * @param lastResponseAgeMs time since the last valid response, or since the start if there was none
      * @param lastFault the most recent fault
      */
-    record WarnOfSilence(String address, double lastResponseAgeMs, PollFault lastFault) implements PollStep {
+    record WarnNoResponse(String address, double lastResponseAgeMs, PollFault lastFault) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
-            handler.warnOfSilence(this);
+            handler.warnNoResponse(this);
         }
     }
 }
--- a/src/test/java/lineward/discovery/DiscoverySimulation.java
+++ b/src/test/java/lineward/discovery/DiscoverySimulation.java
@@ -199,7 +199,7 @@
     }
 
     @Override
-    public void warnOfSilence(PollStep.WarnOfSilence step) {
+    public void warnNoResponse(PollStep.WarnNoResponse step) {
         warningsAtMs.add(nowMs);
     }
 
