--- a/src/main/java/lineward/discovery/DiscoveryClient.java
+++ b/src/main/java/lineward/discovery/DiscoveryClient.java
@@ -113,7 +113,7 @@
             if (!address.equals(policy.address())) {
                 LOG.info("service discovery address changed: address={}", address);
             }
-            perform(policy.fileRead(address, clock.getAsDouble()));
+            perform(policy.fileReadSucceeded(address, clock.getAsDouble()));
         }
 
         @Override
@@ -122,7 +122,7 @@
                 lastReason = reason;
                 LOG.warn("configuration not reloaded: cause={}", reason);
             }
-            policy.fileUnreadable(clock.getAsDouble());
+            policy.fileReadFailed(clock.getAsDouble());
         }
     }
 
--- a/src/main/java/lineward/discovery/PollPolicy.java
+++ b/src/main/java/lineward/discovery/PollPolicy.java
@@ -140,11 +140,11 @@
     }
 
     /** Handles the address read from the file: if it differs, replaces all connections. */
-    List<PollStep> fileRead(String addressRead, double nowMs) {
+    List<PollStep> fileReadSucceeded(String newAddress, double nowMs) {
         List<PollStep> steps = new ArrayList<>(MAX_CONNECTIONS);
         fileReads.readSucceeded(nowMs, isFailing());
-        if (!addressRead.equals(address)) {
-            address = addressRead;
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             connections.forEach(connection -> steps.add(new PollStep.Close(connection.number())));
             connections.clear();
             connectNotBeforeMs = nowMs;
@@ -155,7 +155,7 @@
     }
 
     /** Handles a failed read: the file is missing, truncated or invalid, and the address is kept. */
-    void fileUnreadable(double nowMs) {
+    void fileReadFailed(double nowMs) {
         fileReads.readFailed(nowMs, isFailing());
     }
 
--- a/src/main/java/lineward/discovery/PollStep.java
+++ b/src/main/java/lineward/discovery/PollStep.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Reads the configuration file and reports the result by {@link PollPolicy#fileRead} or {@link
-     * PollPolicy#fileUnreadable}. The policy requests no other read before that report.
+     * Reads the configuration file and reports the result by {@link PollPolicy#fileReadSucceeded} or {@link
+     * PollPolicy#fileReadFailed}. The policy requests no other read before that report.
      */
     record ReadFile() implements PollStep {
         @Override
--- a/src/test/java/lineward/discovery/DiscoverySimulation.java
+++ b/src/test/java/lineward/discovery/DiscoverySimulation.java
@@ -191,9 +191,9 @@
         String content = file;
         at(nowMs + 1 + random.nextInt(10), () -> {
             if (content == null) {
-                policy.fileUnreadable(nowMs);
+                policy.fileReadFailed(nowMs);
             } else {
-                perform(policy.fileRead(content, nowMs));
+                perform(policy.fileReadSucceeded(content, nowMs));
             }
         });
     }
