--- a/src/main/java/lineward/discovery/DiscoveryClient.java
+++ b/src/main/java/lineward/discovery/DiscoveryClient.java
@@ -74,18 +74,18 @@
     private final class StepHandler implements PollStep.Handler {
         @Override
         public void connect(PollStep.Connect step) {
-            transport.connect(step.connection(), step.address());
+            transport.connect(step.connectionNumber(), step.address());
         }
 
         @Override
         public void sendPoll(PollStep.SendPoll step) {
             String uri = JournalFormat.pollUri(list.lastEventNumber(), PollPolicy.LONG_POLL_TIMEOUT_MS);
-            transport.get(step.connection(), uri);
+            transport.get(step.connectionNumber(), uri);
         }
 
         @Override
         public void close(PollStep.Close step) {
-            transport.close(step.connection());
+            transport.close(step.connectionNumber());
         }
 
         @Override
@@ -128,18 +128,18 @@
 
     private final class TransportListener implements PollTransport.Listener {
         @Override
-        public void connected(int number) {
-            perform(policy.connected(number, clock.getAsDouble()));
+        public void connected(int connectionNumber) {
+            perform(policy.connected(connectionNumber, clock.getAsDouble()));
         }
 
         @Override
-        public void responded(int number, FullHttpResponse response) throws IOException {
-            if (!policy.isOpen(number)) {
+        public void responded(int connectionNumber, FullHttpResponse response) throws IOException {
+            if (!policy.isOpen(connectionNumber)) {
                 return;
             }
             if (!response.status().equals(HttpResponseStatus.OK)) {
                 String status = response.status().toString();
-                transport.abort(number, PollFault.httpStatus(status));
+                transport.abort(connectionNumber, PollFault.httpStatus(status));
                 return;
             }
             long lastEventBefore = list.lastEventNumber();
@@ -148,12 +148,12 @@
             }
             boolean changed = list.lastEventNumber() != lastEventBefore;
             PollResponse summary = new PollResponse(changed, !HttpUtil.isKeepAlive(response));
-            perform(policy.responded(number, summary, clock.getAsDouble()));
+            perform(policy.responded(connectionNumber, summary, clock.getAsDouble()));
         }
 
         @Override
-        public void failed(int number, PollFault fault) {
-            policy.failed(number, fault, clock.getAsDouble());
+        public void failed(int connectionNumber, PollFault fault) {
+            policy.failed(connectionNumber, fault, clock.getAsDouble());
         }
     }
 }
--- a/src/main/java/lineward/discovery/PollPolicy.java
+++ b/src/main/java/lineward/discovery/PollPolicy.java
@@ -39,7 +39,7 @@
 
     private final FileReadSchedule fileReads = new FileReadSchedule();
     private String address;
-    private int lastNumber;
+    private int lastConnectionNumber;
     private double connectNotBeforeMs;
     private double lastResponseAtMs;
     /** Time of the first fault since a valid response or new address; {@link #NEVER} if there was none. */
@@ -86,11 +86,11 @@
     }
 
     /** Handles an established connection: polls on it, or closes it if it is no longer in use. */
-    List<PollStep> connected(int number, double nowMs) {
+    List<PollStep> connected(int connectionNumber, double nowMs) {
         List<PollStep> steps = new ArrayList<>(1);
-        PollConnection connection = find(number);
+        PollConnection connection = find(connectionNumber);
         if (connection == null) {
-            steps.add(new PollStep.Close(number));
+            steps.add(new PollStep.Close(connectionNumber));
         } else {
             poll(connection, nowMs, steps);
         }
@@ -98,14 +98,14 @@
     }
 
     /** Returns whether the connection is in use; the caller ignores responses on other connections. */
-    boolean isOpen(int number) {
-        return find(number) != null;
+    boolean isOpen(int connectionNumber) {
+        return find(connectionNumber) != null;
     }
 
     /** Handles a valid response: closes all other connections and continues to poll. */
-    List<PollStep> responded(int number, PollResponse response, double nowMs) {
+    List<PollStep> responded(int connectionNumber, PollResponse response, double nowMs) {
         List<PollStep> steps = new ArrayList<>(2);
-        PollConnection connection = find(number);
+        PollConnection connection = find(connectionNumber);
         if (connection == null) {
             return steps;
         }
@@ -114,7 +114,7 @@
         nextWarningAtMs = nowMs;
         closeAllExcept(connection, steps);
         if (response.closesConnection()) {
-            steps.add(new PollStep.Close(number));
+            steps.add(new PollStep.Close(connectionNumber));
             remove(connection, nowMs);
         } else if (!response.changed() && nowMs - connection.waitingSinceMs() < EARLY_RESPONSE_MS) {
             // An immediate poll would cause a busy loop with a service that does not hold polls.
@@ -126,8 +126,8 @@
     }
 
     /** Handles a connection that was closed, not established, or aborted after an invalid response. */
-    void failed(int number, PollFault fault, double nowMs) {
-        PollConnection connection = find(number);
+    void failed(int connectionNumber, PollFault fault, double nowMs) {
+        PollConnection connection = find(connectionNumber);
         if (connection != null) {
             remove(connection, nowMs);
             recordFault(fault, nowMs);
@@ -173,9 +173,9 @@
         if (connections.size() == MAX_CONNECTIONS) {
             steps.add(new PollStep.Close(connections.remove(0).number()));
         }
-        lastNumber++;
-        connections.add(new PollConnection(lastNumber, nowMs));
-        steps.add(new PollStep.Connect(lastNumber, address));
+        lastConnectionNumber++;
+        connections.add(new PollConnection(lastConnectionNumber, nowMs));
+        steps.add(new PollStep.Connect(lastConnectionNumber, address));
     }
 
     private static void poll(PollConnection connection, double nowMs, List<PollStep> steps) {
@@ -212,9 +212,9 @@
         return connections.get(connections.size() - 1);
     }
 
-    private PollConnection find(int number) {
+    private PollConnection find(int connectionNumber) {
         for (PollConnection connection : connections) {
-            if (connection.number() == number) {
+            if (connection.number() == connectionNumber) {
                 return connection;
             }
         }
--- a/src/main/java/lineward/discovery/PollStep.java
+++ b/src/main/java/lineward/discovery/PollStep.java
@@ -25,7 +25,7 @@
     }
 
     /** Opens a connection to the address, identified by the given number. */
-    record Connect(int connection, String address) implements PollStep {
+    record Connect(int connectionNumber, String address) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
             handler.connect(this);
@@ -33,7 +33,7 @@
     }
 
     /** Sends a poll on an established connection. */
-    record SendPoll(int connection) implements PollStep {
+    record SendPoll(int connectionNumber) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
             handler.sendPoll(this);
@@ -41,7 +41,7 @@
     }
 
     /** Closes a connection; later events of it are ignored. */
-    record Close(int connection) implements PollStep {
+    record Close(int connectionNumber) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
             handler.close(this);
--- a/src/main/java/lineward/discovery/PollTransport.java
+++ b/src/main/java/lineward/discovery/PollTransport.java
@@ -39,17 +39,17 @@
     /** Receives the events of the connections, on the event loop. */
     interface Listener {
         /** A connection has been established. */
-        void connected(int number);
+        void connected(int connectionNumber);
 
         /**
          * A complete response was received; its content is released when the method returns.
          *
          * @throws IOException if the content can't be read; the connection is then closed as failed
          */
-        void responded(int number, FullHttpResponse response) throws IOException;
+        void responded(int connectionNumber, FullHttpResponse response) throws IOException;
 
         /** A connection was closed, was not established or failed; may be called repeatedly for one. */
-        void failed(int number, PollFault fault);
+        void failed(int connectionNumber, PollFault fault);
     }
 
     private record Connection(Channel channel, String address) {}
@@ -65,7 +65,7 @@
     }
 
     /** Opens a connection to {@code host:port}. */
-    void connect(int number, String address) {
+    void connect(int connectionNumber, String address) {
         int colon = address.lastIndexOf(':');
         String host = address.substring(0, colon);
         int port = Integer.parseInt(address.substring(colon + 1));
@@ -74,19 +74,19 @@
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .handler(new PipelineInitializer(number))
+                .handler(new PipelineInitializer(connectionNumber))
                 .connect(new InetSocketAddress(host, port));
-        connections.put(number, new Connection(connecting.channel(), address));
+        connections.put(connectionNumber, new Connection(connecting.channel(), address));
         connecting.addListener(done -> {
             if (!done.isSuccess()) {
-                fail(number, PollFault.connectFailed(done.cause()));
+                fail(connectionNumber, PollFault.connectFailed(done.cause()));
             }
         });
     }
 
     /** Sends a GET request for this URI if the connection still exists. */
-    void get(int number, String uri) {
-        Connection connection = connections.get(number);
+    void get(int connectionNumber, String uri) {
+        Connection connection = connections.get(connectionNumber);
         if (connection != null) {
             HttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
             request.headers().set(HttpHeaderNames.HOST, connection.address());
@@ -95,25 +95,25 @@
     }
 
     /** Closes a connection if it still exists. */
-    void close(int number) {
-        Connection connection = connections.remove(number);
+    void close(int connectionNumber) {
+        Connection connection = connections.remove(connectionNumber);
         if (connection != null) {
             close(connection.channel());
         }
     }
 
     /** Closes a connection after an invalid response, and reports the fault to the listener. */
-    void abort(int number, PollFault fault) {
-        Connection connection = connections.get(number);
-        fail(number, fault);
+    void abort(int connectionNumber, PollFault fault) {
+        Connection connection = connections.get(connectionNumber);
+        fail(connectionNumber, fault);
         if (connection != null) {
             close(connection.channel());
         }
     }
 
-    private void fail(int number, PollFault fault) {
-        connections.remove(number);
-        listener.failed(number, fault);
+    private void fail(int connectionNumber, PollFault fault) {
+        connections.remove(connectionNumber);
+        listener.failed(connectionNumber, fault);
     }
 
     private static void close(Channel channel) {
@@ -126,10 +126,10 @@
     }
 
     private final class PipelineInitializer extends ChannelInitializer<Channel> {
-        private final int number;
+        private final int connectionNumber;
 
-        PipelineInitializer(int number) {
-            this.number = number;
+        PipelineInitializer(int connectionNumber) {
+            this.connectionNumber = connectionNumber;
         }
 
         @Override
@@ -138,36 +138,36 @@
                     .addLast(
                             new HttpClientCodec(),
                             new HttpObjectAggregator(MAX_RESPONSE_BYTES),
-                            new ResponseHandler(number));
+                            new ResponseHandler(connectionNumber));
         }
     }
 
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final int number;
+        private final int connectionNumber;
 
-        ResponseHandler(int number) {
-            this.number = number;
+        ResponseHandler(int connectionNumber) {
+            this.connectionNumber = connectionNumber;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            listener.connected(number);
+            listener.connected(connectionNumber);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) throws IOException {
-            listener.responded(number, response);
+            listener.responded(connectionNumber, response);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            fail(number, PollFault.invalidResponse(cause));
+            fail(connectionNumber, PollFault.invalidResponse(cause));
             close(ctx.channel());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            fail(number, PollFault.CONNECTION_CLOSED);
+            fail(connectionNumber, PollFault.CONNECTION_CLOSED);
         }
     }
 }
--- a/src/test/java/lineward/discovery/DiscoverySimulation.java
+++ b/src/test/java/lineward/discovery/DiscoverySimulation.java
@@ -168,21 +168,21 @@
     @Override
     public void connect(PollStep.Connect step) {
         connects++;
-        connections.put(step.connection(), step.address());
-        at(nowMs + 1 + random.nextInt(20), () -> arrive(step.connection(), step.address()));
+        connections.put(step.connectionNumber(), step.address());
+        at(nowMs + 1 + random.nextInt(20), () -> arrive(step.connectionNumber(), step.address()));
     }
 
     @Override
     public void sendPoll(PollStep.SendPoll step) {
-        polling.put(step.connection(), true);
+        polling.put(step.connectionNumber(), true);
         double delayMs = answersAtOnce ? 5 : PollPolicy.LONG_POLL_TIMEOUT_MS;
-        at(nowMs + delayMs, () -> answer(step.connection()));
+        at(nowMs + delayMs, () -> answer(step.connectionNumber()));
     }
 
     @Override
     public void close(PollStep.Close step) {
-        String address = connections.remove(step.connection());
-        services.get(address).open.remove(step.connection());
+        String address = connections.remove(step.connectionNumber());
+        services.get(address).open.remove(step.connectionNumber());
     }
 
     @Override
