--- a/src/main/java/lineward/discovery/PollPolicy.java
+++ b/src/main/java/lineward/discovery/PollPolicy.java
@@ -115,7 +115,7 @@
         closeAllExcept(connection, steps);
         if (response.closesConnection()) {
             steps.add(new PollStep.Close(connectionNumber));
-            remove(connection, nowMs);
+            removeAndDelayConnect(connection, nowMs);
         } else if (!response.changed() && nowMs - connection.waitingSinceMs() < EARLY_RESPONSE_MS) {
             // An immediate poll would cause a busy loop with a service that does not hold polls.
             connection.pause(nowMs + PAUSE_MS);
@@ -129,7 +129,7 @@
     void failed(int connectionNumber, PollFault fault, double nowMs) {
         PollConnection connection = find(connectionNumber);
         if (connection != null) {
-            remove(connection, nowMs);
+            removeAndDelayConnect(connection, nowMs);
             recordFault(fault, nowMs);
         }
     }
@@ -192,7 +192,7 @@
         connections.removeIf(connection -> connection != retained);
     }
 
-    private void remove(PollConnection connection, double nowMs) {
+    private void removeAndDelayConnect(PollConnection connection, double nowMs) {
         connections.remove(connection);
         connectNotBeforeMs = nowMs + PAUSE_MS;
     }
