--- a/src/main/java/lineward/discovery/FileReadSchedule.java
+++ b/src/main/java/lineward/discovery/FileReadSchedule.java
@@ -11,10 +11,10 @@
 final class FileReadSchedule {
     /** Time from the first fault of the service to a read of the file, and interval of further reads. */
     static final double FAULT_READ_INTERVAL_MS = 250;
-    /** Retry interval for the first {@link #SHORT_RETRIES_MS} after SIGHUP. */
-    static final double RETRY_INTERVAL_MS = 50;
-    /** Time after SIGHUP in which retries use {@link #RETRY_INTERVAL_MS}. */
-    static final double SHORT_RETRIES_MS = 4000;
+    /** Retry interval for the first {@link #SHORT_RETRY_PERIOD_MS} after SIGHUP. */
+    static final double SHORT_RETRY_INTERVAL_MS = 50;
+    /** Time after SIGHUP in which retries use {@link #SHORT_RETRY_INTERVAL_MS}. */
+    static final double SHORT_RETRY_PERIOD_MS = 4000;
     /** Retry interval after that time. */
     static final double LONG_RETRY_INTERVAL_MS = 1000;
 
@@ -87,8 +87,8 @@
     void readFailed(double nowMs, boolean serviceFailing) {
         endRead(nowMs, serviceFailing);
         if (reloadRequestedAtMs < PollPolicy.NEVER) {
-            boolean shortly = nowMs - reloadRequestedAtMs < SHORT_RETRIES_MS;
-            double retryIntervalMs = shortly ? RETRY_INTERVAL_MS : LONG_RETRY_INTERVAL_MS;
+            boolean inShortRetryPeriod = nowMs - reloadRequestedAtMs < SHORT_RETRY_PERIOD_MS;
+            double retryIntervalMs = inShortRetryPeriod ? SHORT_RETRY_INTERVAL_MS : LONG_RETRY_INTERVAL_MS;
             nextReadAtMs = Math.min(nextReadAtMs, nowMs + retryIntervalMs);
         }
     }
--- a/src/test/java/lineward/discovery/FileReadScheduleTest.java
+++ b/src/test/java/lineward/discovery/FileReadScheduleTest.java
@@ -89,10 +89,10 @@
         schedule.requestReload(0);
         schedule.beginRead();
         schedule.readFailed(10, false);
-        assertNextReadAt(schedule, 10 + FileReadSchedule.RETRY_INTERVAL_MS, HEALTHY);
+        assertNextReadAt(schedule, 10 + FileReadSchedule.SHORT_RETRY_INTERVAL_MS, HEALTHY);
         schedule.beginRead();
-        schedule.readFailed(FileReadSchedule.SHORT_RETRIES_MS, false);
-        double dueAtMs = FileReadSchedule.SHORT_RETRIES_MS + FileReadSchedule.LONG_RETRY_INTERVAL_MS;
+        schedule.readFailed(FileReadSchedule.SHORT_RETRY_PERIOD_MS, false);
+        double dueAtMs = FileReadSchedule.SHORT_RETRY_PERIOD_MS + FileReadSchedule.LONG_RETRY_INTERVAL_MS;
         assertNextReadAt(schedule, dueAtMs, HEALTHY);
     }
 
