--- a/src/main/java/lineward/discovery/AddressFileReader.java
+++ b/src/main/java/lineward/discovery/AddressFileReader.java
@@ -26,18 +26,18 @@
     }
 
     private final EventLoop loop;
-    private final Supplier<String> file;
+    private final Supplier<String> addressSupplier;
     private final ThreadPoolExecutor executor;
 
     /**
      * Creates a reader.
      *
-     * @param file reads the file and returns the address; throws a runtime exception with a
+     * @param addressSupplier reads the file and returns the address; throws a runtime exception with a
      *     one-line message on failure
      */
-    AddressFileReader(EventLoop loop, Supplier<String> file) {
+    AddressFileReader(EventLoop loop, Supplier<String> addressSupplier) {
         this.loop = loop;
-        this.file = file;
+        this.addressSupplier = addressSupplier;
         BlockingQueue<Runnable> reads = new LinkedBlockingQueue<>();
         ThreadFactory threads = AddressFileReader::newThread;
         executor = new ThreadPoolExecutor(1, 1, THREAD_KEEP_ALIVE_S, TimeUnit.SECONDS, reads, threads);
@@ -49,7 +49,7 @@
         executor.execute(() -> {
             String address;
             try {
-                address = file.get();
+                address = addressSupplier.get();
             } catch (RuntimeException e) {
                 String reason = String.valueOf(e.getMessage());
                 loop.execute(() -> listener.readFailed(reason));
