--- a/src/main/java/lineward/discovery/DiscoveryClient.java
+++ b/src/main/java/lineward/discovery/DiscoveryClient.java
@@ -80,7 +80,7 @@
         @Override
         public void sendPoll(PollStep.SendPoll step) {
             String uri = JournalFormat.pollUri(list.lastEventNumber(), PollPolicy.LONG_POLL_TIMEOUT_MS);
-            transport.get(step.connectionNumber(), uri);
+            transport.sendRequest(step.connectionNumber(), uri);
         }
 
         @Override
--- a/src/main/java/lineward/discovery/PollTransport.java
+++ b/src/main/java/lineward/discovery/PollTransport.java
@@ -69,15 +69,15 @@
         int colon = address.lastIndexOf(':');
         String host = address.substring(0, colon);
         int port = Integer.parseInt(address.substring(colon + 1));
-        ChannelFuture connecting = new Bootstrap()
+        ChannelFuture connectFuture = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new PipelineInitializer(connectionNumber))
                 .connect(new InetSocketAddress(host, port));
-        connections.put(connectionNumber, new Connection(connecting.channel(), address));
-        connecting.addListener(done -> {
+        connections.put(connectionNumber, new Connection(connectFuture.channel(), address));
+        connectFuture.addListener(done -> {
             if (!done.isSuccess()) {
                 fail(connectionNumber, PollFault.connectFailed(done.cause()));
             }
@@ -85,7 +85,7 @@
     }
 
     /** Sends a GET request for this URI if the connection still exists. */
-    void get(int connectionNumber, String uri) {
+    void sendRequest(int connectionNumber, String uri) {
         Connection connection = connections.get(connectionNumber);
         if (connection != null) {
             HttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
@@ -117,10 +117,10 @@
     }
 
     private static void close(Channel channel) {
-        channel.close().addListener(closed -> {
-            if (!closed.isSuccess()) {
+        channel.close().addListener(result -> {
+            if (!result.isSuccess()) {
                 SocketAddress address = channel.remoteAddress();
-                LOG.debug("service discovery connection not closed: address={}", address, closed.cause());
+                LOG.debug("service discovery connection not closed: address={}", address, result.cause());
             }
         });
     }
