--- a/src/main/java/lineward/discovery/DiscoveryClient.java
+++ b/src/main/java/lineward/discovery/DiscoveryClient.java
@@ -142,13 +142,13 @@
                 transport.abort(connectionNumber, PollFault.httpStatus(status));
                 return;
             }
-            long lastEventBefore = list.lastEventNumber();
+            long previousEventNumber = list.lastEventNumber();
             try (InputStream content = new ByteBufInputStream(response.content())) {
                 list.apply(JSON.readTree(content));
             }
-            boolean changed = list.lastEventNumber() != lastEventBefore;
-            PollResponse summary = new PollResponse(changed, !HttpUtil.isKeepAlive(response));
-            perform(policy.responded(connectionNumber, summary, clock.getAsDouble()));
+            boolean hasNewEvent = list.lastEventNumber() != previousEventNumber;
+            PollResponse pollResponse = new PollResponse(hasNewEvent, !HttpUtil.isKeepAlive(response));
+            perform(policy.responded(connectionNumber, pollResponse, clock.getAsDouble()));
         }
 
         @Override
--- a/src/main/java/lineward/discovery/PollPolicy.java
+++ b/src/main/java/lineward/discovery/PollPolicy.java
@@ -116,7 +116,7 @@
         if (response.closesConnection()) {
             steps.add(new PollStep.Close(connectionNumber));
             removeAndDelayConnect(connection, nowMs);
-        } else if (!response.changed() && nowMs - connection.waitingSinceMs() < EARLY_RESPONSE_MS) {
+        } else if (!response.hasNewEvent() && nowMs - connection.waitingSinceMs() < EARLY_RESPONSE_MS) {
             // An immediate poll would cause a busy loop with a service that does not hold polls.
             connection.pause(nowMs + PAUSE_MS);
         } else {
--- a/src/main/java/lineward/discovery/PollResponse.java
+++ b/src/main/java/lineward/discovery/PollResponse.java
@@ -3,7 +3,7 @@
 /**
  * The properties of a valid response on which {@link PollPolicy} decides.
  *
- * @param changed whether it contained a new event
+ * @param hasNewEvent whether it contained a new event
  * @param closesConnection whether the service closes the connection after this response
  */
-record PollResponse(boolean changed, boolean closesConnection) {}
+record PollResponse(boolean hasNewEvent, boolean closesConnection) {}
--- a/src/test/java/lineward/discovery/PollPolicyTest.java
+++ b/src/test/java/lineward/discovery/PollPolicyTest.java
@@ -14,7 +14,7 @@
  */
 public class PollPolicyTest {
     private static final double MAX_UNPOLLED_MS = 2000;
-    private static final PollResponse CHANGED = new PollResponse(true, false);
+    private static final PollResponse RESPONSE_WITH_EVENT = new PollResponse(true, false);
 
     /** Returns a schedule of reloads and faults at seeded times; every third starts with a faulty service. */
     private static DiscoverySimulation seededSchedule(int seed) {
@@ -95,7 +95,7 @@
         policy.connected(1, 1);
         policy.tick(1800);
         policy.connected(2, 1801);
-        List<PollStep> steps = policy.responded(1, CHANGED, 2500);
+        List<PollStep> steps = policy.responded(1, RESPONSE_WITH_EVENT, 2500);
         assertEquals(steps, List.of(new PollStep.Close(2), new PollStep.SendPoll(1)));
         assertEquals(policy.lastResponseAgeMs(2600), 100.0);
     }
