--- a/src/main/java/lineward/discovery/EndpointList.java
+++ b/src/main/java/lineward/discovery/EndpointList.java
@@ -34,11 +34,11 @@
     /**
      * Creates an empty list.
      *
-     * @param kinds names of the engine kinds, in the order of the settings
+     * @param engineKinds names of the engine kinds, in the order of the settings
      * @param zones names of the zones, in the order of the settings
      */
-    public EndpointList(List<String> kinds, List<String> zones, Listener listener) {
-        this.format = new JournalFormat(kinds, zones);
+    public EndpointList(List<String> engineKinds, List<String> zones, Listener listener) {
+        this.format = new JournalFormat(engineKinds, zones);
         this.listener = listener;
     }
 
@@ -55,12 +55,12 @@
      */
     public void apply(JsonNode response) {
         for (JsonNode event : JournalFormat.events(response)) {
-            long number = JournalFormat.eventNumber(event);
-            if (number > lastEventNumber) {
+            long eventNumber = JournalFormat.eventNumber(event);
+            if (eventNumber > lastEventNumber) {
                 if (JournalFormat.hasEndpointUpdate(event)) {
                     applyUpdate(JournalFormat.endpointUpdate(event));
                 }
-                lastEventNumber = number;
+                lastEventNumber = eventNumber;
             }
         }
     }
@@ -68,13 +68,13 @@
     private void applyUpdate(JsonNode update) {
         boolean fullSnapshot = JournalFormat.isFullSnapshot(update, entriesById.isEmpty());
         Map<String, ObjectNode> merged = new HashMap<>(fullSnapshot ? Map.of() : entriesById);
-        List<EngineEndpoint> changed = new ArrayList<>();
+        List<EngineEndpoint> changedEndpoints = new ArrayList<>();
         for (JsonNode entry : JournalFormat.entries(update)) {
-            changed.add(mergeEntry(entry, merged));
+            changedEndpoints.add(mergeEntry(entry, merged));
         }
         entriesById.clear();
         entriesById.putAll(merged);
-        listener.changed(fullSnapshot, changed);
+        listener.changed(fullSnapshot, changedEndpoints);
     }
 
     /** Merges an entry, which may contain only the changed fields; the other fields keep their values. */
@@ -84,7 +84,7 @@
         if (merged.containsKey(id)) {
             complete = merged.get(id).deepCopy().setAll(complete);
         }
-        EngineEndpoint endpoint = format.endpoint(id, complete);
+        EngineEndpoint endpoint = format.parseEndpoint(id, complete);
         if (endpoint.state() == EndpointState.GONE) {
             merged.remove(id);
         } else {
--- a/src/main/java/lineward/discovery/JournalFormat.java
+++ b/src/main/java/lineward/discovery/JournalFormat.java
@@ -36,12 +36,12 @@
     private static final long NO_NUMBER = -1;
     private static final Pattern HOST_AND_PORT = Pattern.compile("[^\\s:]+:[0-9]{1,5}");
 
-    private final List<String> kinds;
+    private final List<String> engineKinds;
     private final List<String> zones;
 
     /** Creates a format with the names of the engine kinds and zones, in the order of the settings. */
-    JournalFormat(List<String> kinds, List<String> zones) {
-        this.kinds = kinds;
+    JournalFormat(List<String> engineKinds, List<String> zones) {
+        this.engineKinds = engineKinds;
         this.zones = zones;
     }
 
@@ -102,7 +102,7 @@
     }
 
     /** Parses a complete entry into an endpoint. */
-    EngineEndpoint endpoint(String id, JsonNode entry) {
+    EngineEndpoint parseEndpoint(String id, JsonNode entry) {
         String address = entry.path(ADDRESS).asText("");
         if (!HOST_AND_PORT.matcher(address).matches()) {
             throw invalid("address of " + id + " can't be used");
@@ -110,15 +110,15 @@
         return new EngineEndpoint(
                 id,
                 address,
-                indexOrFirst(kinds, entry.path(KIND)),
+                indexOrFirst(engineKinds, entry.path(KIND)),
                 entry.path(WEIGHT).asDouble(DEFAULT_WEIGHT),
                 entry.path(STARTED_AT).asDouble(0),
-                state(id, entry),
+                parseState(id, entry),
                 indexOrFirst(zones, entry.path(ZONE)),
                 entry.path(CELL).asInt(0));
     }
 
-    private static EndpointState state(String id, JsonNode entry) {
+    private static EndpointState parseState(String id, JsonNode entry) {
         return switch (entry.path(STATE).asText("")) {
             case "ready" -> EndpointState.READY;
             case "draining" -> EndpointState.DRAINING;
