--- a/src/main/java/lineward/discovery/AddressFileReader.java
+++ b/src/main/java/lineward/discovery/AddressFileReader.java
@@ -38,9 +38,9 @@
     AddressFileReader(EventLoop loop, Supplier<String> addressSupplier) {
         this.loop = loop;
         this.addressSupplier = addressSupplier;
-        BlockingQueue<Runnable> reads = new LinkedBlockingQueue<>();
-        ThreadFactory threads = AddressFileReader::newThread;
-        executor = new ThreadPoolExecutor(1, 1, THREAD_KEEP_ALIVE_S, TimeUnit.SECONDS, reads, threads);
+        BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
+        ThreadFactory threadFactory = AddressFileReader::newThread;
+        executor = new ThreadPoolExecutor(1, 1, THREAD_KEEP_ALIVE_S, TimeUnit.SECONDS, queue, threadFactory);
         executor.allowCoreThreadTimeOut(true);
     }
 
--- a/src/main/java/lineward/discovery/DiscoveryClient.java
+++ b/src/main/java/lineward/discovery/DiscoveryClient.java
@@ -105,11 +105,11 @@
 
     private final class FileListener implements AddressFileReader.Listener {
         /** Reason of the last failed read, so that its retries do not log it again; null after a success. */
-        private String lastReason;
+        private String lastFailureReason;
 
         @Override
         public void addressRead(String address) {
-            lastReason = null;
+            lastFailureReason = null;
             if (!address.equals(policy.address())) {
                 LOG.info("service discovery address changed: address={}", address);
             }
@@ -118,8 +118,8 @@
 
         @Override
         public void readFailed(String reason) {
-            if (!reason.equals(lastReason)) {
-                lastReason = reason;
+            if (!reason.equals(lastFailureReason)) {
+                lastFailureReason = reason;
                 LOG.warn("configuration not reloaded: cause={}", reason);
             }
             policy.fileReadFailed(clock.getAsDouble());
