--- a/src/main/java/lineward/engine/ConnectionState.java
+++ b/src/main/java/lineward/engine/ConnectionState.java
@@ -17,7 +17,7 @@
      * Established; an attempt was cancelled and no reply was received since. As the connection may be broken,
      * it accepts no attempts before the next reply.
      */
-    AWAITING_RESPONSE,
+    HEARTBEAT_PENDING_AFTER_CANCEL,
     /** Closed, or about to be closed. */
     CLOSED;
 
@@ -38,7 +38,7 @@
 
     /** An attempt whose request was written was cancelled, and a heartbeat is pending. */
     ConnectionState attemptCancelled() {
-        return isUp() ? AWAITING_RESPONSE : this;
+        return isUp() ? HEARTBEAT_PENDING_AFTER_CANCEL : this;
     }
 
     /** A reply of any kind was received. */
@@ -63,7 +63,7 @@
 
     /** Returns whether no reply was received since a heartbeat was sent. */
     boolean isHeartbeatPending() {
-        return this == HEARTBEAT_PENDING || this == AWAITING_RESPONSE;
+        return this == HEARTBEAT_PENDING || this == HEARTBEAT_PENDING_AFTER_CANCEL;
     }
 
     /** Returns whether new attempts may be started on the connection. */
--- a/src/test/java/lineward/engine/ConnectionStateTest.java
+++ b/src/test/java/lineward/engine/ConnectionStateTest.java
@@ -11,7 +11,7 @@
     private static final ConnectionState OVERDUE = ConnectionState.CONNECT_OVERDUE;
     private static final ConnectionState READY = ConnectionState.READY;
     private static final ConnectionState PENDING = ConnectionState.HEARTBEAT_PENDING;
-    private static final ConnectionState AWAITING = ConnectionState.AWAITING_RESPONSE;
+    private static final ConnectionState AFTER_CANCEL = ConnectionState.HEARTBEAT_PENDING_AFTER_CANCEL;
     private static final ConnectionState CLOSED = ConnectionState.CLOSED;
 
     /**
@@ -23,9 +23,9 @@
         return new Object[][] {
             {CONNECTING, OVERDUE, READY, CONNECTING, CONNECTING, CONNECTING, CLOSED},
             {OVERDUE, OVERDUE, READY, OVERDUE, OVERDUE, OVERDUE, CLOSED},
-            {READY, READY, READY, PENDING, AWAITING, READY, CLOSED},
-            {PENDING, PENDING, PENDING, PENDING, AWAITING, READY, CLOSED},
-            {AWAITING, AWAITING, AWAITING, AWAITING, AWAITING, READY, CLOSED},
+            {READY, READY, READY, PENDING, AFTER_CANCEL, READY, CLOSED},
+            {PENDING, PENDING, PENDING, PENDING, AFTER_CANCEL, READY, CLOSED},
+            {AFTER_CANCEL, AFTER_CANCEL, AFTER_CANCEL, AFTER_CANCEL, AFTER_CANCEL, READY, CLOSED},
             {CLOSED, CLOSED, CLOSED, CLOSED, CLOSED, CLOSED, CLOSED}
         };
     }
@@ -54,7 +54,7 @@
             {OVERDUE, true, false, false, false},
             {READY, false, true, false, true},
             {PENDING, false, true, true, true},
-            {AWAITING, false, true, true, false},
+            {AFTER_CANCEL, false, true, true, false},
             {CLOSED, false, false, false, false}
         };
     }
