--- a/src/main/java/lineward/engine/EngineConnection.java
+++ b/src/main/java/lineward/engine/EngineConnection.java
@@ -20,7 +20,7 @@
     /** A heartbeat is sent after this time without activity while attempts are in flight. */
     private static final long HEARTBEAT_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
     /** A connection counts as responsive for this time after it was established, and after each reply. */
-    private static final long ALIVE_WITHIN_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long RESPONSIVE_WITHIN_NANOS = TimeUnit.SECONDS.toNanos(1);
     /**
      * Calls of {@link #keepAlive} after which an unanswered heartbeat has timed out. The timeout exceeds the
      * half second for which an engine may pause. It is not measured in time because after a pause of this
@@ -60,8 +60,8 @@
     }
 
     /** Returns whether it is up and a reply was received recently; sockets to failed machines stay open. */
-    boolean isAlive() {
-        return isUp() && System.nanoTime() - lastReplyNanos < ALIVE_WITHIN_NANOS;
+    boolean isResponsive() {
+        return isUp() && System.nanoTime() - lastReplyNanos < RESPONSIVE_WITHIN_NANOS;
     }
 
     /** Sets the channel, which is being connected. */
@@ -72,17 +72,17 @@
 
     /** Returns whether an attempt with this id may be started, given the maximum in flight. */
     boolean accepts(String id, int maxAttempts) {
-        boolean channelIsUsable = isReadable() && isWritable();
+        boolean channelIsUsable = isInboundStreamIntact() && canWriteOrQueue();
         return state.acceptsAttempts() && channelIsUsable && attempts.accepts(id, maxAttempts);
     }
 
     /** Returns false if there is a partial reply but no attempt in flight: the stream may be corrupt. */
-    private boolean isReadable() {
+    private boolean isInboundStreamIntact() {
         return !attempts.isEmpty() || decoder == null || !decoder.hasPartialReply();
     }
 
     /** Returns whether a request can be written now, or can wait for the connection to be established. */
-    private boolean isWritable() {
+    private boolean canWriteOrQueue() {
         return !isUp() || (channel.isOpen() && channel.isWritable());
     }
 
@@ -162,8 +162,8 @@
     }
 
     private boolean needsHeartbeat(long nowNanos) {
-        boolean isSilent = !attempts.isEmpty() && nowNanos - lastUsedNanos > HEARTBEAT_AFTER_NANOS;
-        return isSilent || !isReadable();
+        boolean isInactive = !attempts.isEmpty() && nowNanos - lastUsedNanos > HEARTBEAT_AFTER_NANOS;
+        return isInactive || !isInboundStreamIntact();
     }
 
     /** Sends a heartbeat, unless one is pending, to detect a connection that is broken but still open. */
--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -129,7 +129,7 @@
     /** Migrates attempts that wait for a slow connection to responsive ones; if there are none, they wait. */
     private void migrateWaiting(EngineConnection slow) {
         for (QueryAttempt attempt : slow.removeWaitingAttempts()) {
-            EngineConnection target = leastLoaded(other -> other.isAlive() && accepts(other, attempt));
+            EngineConnection target = leastLoaded(other -> other.isResponsive() && accepts(other, attempt));
             (target == null ? slow : target).start(attempt);
         }
     }
