--- a/src/main/java/lineward/engine/EngineConnection.java
+++ b/src/main/java/lineward/engine/EngineConnection.java
@@ -37,7 +37,7 @@
     private final long openedAtUnixMs = System.currentTimeMillis();
     private final ConnectionListener listener;
     private ConnectionState state = ConnectionState.CONNECTING;
-    /** Null until {@link #connecting} is called, like the writer. */
+    /** Null until {@link #setChannel} is called, like the writer. */
     private Channel channel;
 
     private RequestWriter writer;
@@ -65,7 +65,7 @@
     }
 
     /** Sets the channel, which is being connected. */
-    void connecting(Channel connectingChannel) {
+    void setChannel(Channel connectingChannel) {
         channel = connectingChannel;
         writer = new RequestWriter(connectingChannel);
     }
@@ -178,7 +178,7 @@
     private void closeUnresponsive() {
         LOG.info("engine connection closed", "engine", channel.remoteAddress(), "heartbeat timeout");
         closeChannel();
-        release(listener::attemptsLost);
+        markClosed(listener::attemptsLost);
     }
 
     /** Closes the channel. The attempts are handled once the channel reports the close. */
@@ -195,7 +195,7 @@
     /** Closes an idle connection, and removes it from the pool without waiting for the close. */
     void evict() {
         close();
-        release(none -> {});
+        markClosed(none -> {});
     }
 
     /** Removes and returns the attempts that wait for the connection; the caller takes ownership. */
@@ -204,7 +204,7 @@
     }
 
     /** Records that the connect timeout has passed; returns whether it is still being established. */
-    boolean setConnectOverdue() {
+    boolean markConnectOverdue() {
         state = state.connectOverdue();
         return state == ConnectionState.CONNECT_OVERDUE;
     }
@@ -212,7 +212,7 @@
     /** If the connection is still being established, closes it and ends its attempts as not sent. */
     void cancelWaitingAttempts() {
         if (state.isConnecting()) {
-            release(waiting -> endAll(waiting, AttemptEnd.NOT_SENT));
+            markClosed(waiting -> endAll(waiting, AttemptEnd.NOT_SENT));
             close();
         }
     }
@@ -260,7 +260,7 @@
         LOG.info("engine connection failed", "engine", context.channel().remoteAddress(), cause);
         if (cause instanceof MalformedReplyException || cause.getCause() instanceof MalformedReplyException) {
             // The delay lets the engine see the close before a retry arrives.
-            release(lost -> {
+            markClosed(lost -> {
                 Runnable endLost = () -> endAll(lost, AttemptEnd.MALFORMED_REPLY);
                 context.executor()
                         .schedule(endLost, CLOSE_DELAY_MS, TimeUnit.MILLISECONDS)
@@ -270,26 +270,26 @@
         context.close().addListener(FailureLog.CHANNEL);
     }
 
-    private static void endAll(List<QueryAttempt> ended, AttemptEnd end) {
-        ended.forEach(attempt -> attempt.end(end));
+    private static void endAll(List<QueryAttempt> attemptsToEnd, AttemptEnd end) {
+        attemptsToEnd.forEach(attempt -> attempt.end(end));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        release(listener::attemptsLost);
+        markClosed(listener::attemptsLost);
     }
 
     /** Handles a failure to connect: none of the attempts was sent. */
     void connectFailed(Throwable cause) {
-        release(waiting -> listener.attemptsNotSent(waiting, cause));
+        markClosed(waiting -> listener.attemptsNotSent(waiting, cause));
     }
 
     /** Marks the connection as closed and hands over its attempts; only the first call has an effect. */
-    private void release(Consumer<List<QueryAttempt>> successor) {
+    private void markClosed(Consumer<List<QueryAttempt>> attemptsHandler) {
         if (state != ConnectionState.CLOSED) {
             state = state.closed();
             listener.closed(this);
-            successor.accept(attempts.removeAll());
+            attemptsHandler.accept(attempts.removeAll());
         }
     }
 }
--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -97,7 +97,7 @@
         connections.add(connection);
         ChannelFuture connecting =
                 bootstrap.clone().handler(initializer(connection)).connect(address);
-        connection.connecting(connecting.channel());
+        connection.setChannel(connecting.channel());
         connecting.addListener(done -> {
             if (!done.isSuccess()) {
                 connection.connectFailed(done.cause());
@@ -136,7 +136,7 @@
 
     /** Ends the attempts that wait for a connection that is not established by its connect timeout. */
     private void endOverdue(EngineConnection connection) {
-        if (connection.setConnectOverdue()) {
+        if (connection.markConnectOverdue()) {
             faults.connectOverdue();
             String cause = "connect timeout overdueConnections=" + faults.overdueConnections();
             LOG.info("no connection to engine yet", "engine", address, cause);
--- a/src/main/java/lineward/engine/EngineWarmup.java
+++ b/src/main/java/lineward/engine/EngineWarmup.java
@@ -43,7 +43,7 @@
     public static void run() {
         EngineConnection connection = new EngineConnection(NO_LISTENER);
         EmbeddedChannel channel = new EmbeddedChannel(new ReplyDecoder(), connection);
-        connection.connecting(channel);
+        connection.setChannel(channel);
         ByteBuf statement = Unpooled.copiedBuffer("select 1", StandardCharsets.US_ASCII);
         for (int i = 0; i < ATTEMPTS; i++) {
             String id = String.format("%016x", i);
--- a/src/test/java/lineward/engine/AttemptEndTest.java
+++ b/src/test/java/lineward/engine/AttemptEndTest.java
@@ -76,7 +76,7 @@
 
     private static EmbeddedChannel channel(EngineConnection connection) {
         EmbeddedChannel channel = new EmbeddedChannel(new ReplyDecoder());
-        connection.connecting(channel);
+        connection.setChannel(channel);
         channel.pipeline().addLast(connection);
         connection.channelActive(channel.pipeline().context(connection));
         return channel;
--- a/src/test/java/lineward/engine/ConnectionAttemptsTest.java
+++ b/src/test/java/lineward/engine/ConnectionAttemptsTest.java
@@ -117,7 +117,7 @@
             @Override
             public void handlerAdded(ChannelHandlerContext ctx) {
                 Channel channel = ctx.channel();
-                connection.connecting(channel);
+                connection.setChannel(channel);
             }
         };
         return new EmbeddedChannel(connector, connection);
--- a/src/test/java/lineward/engine/HealthCheckTest.java
+++ b/src/test/java/lineward/engine/HealthCheckTest.java
@@ -20,7 +20,7 @@
         received.clear();
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_LISTENER);
         EmbeddedChannel channel = new EmbeddedChannel(new ReplyDecoder());
-        connection.connecting(channel);
+        connection.setChannel(channel);
         channel.pipeline().addLast(connection);
         connection.checkHealth(kind, reply -> {
             String load = Arrays.toString(reply.numbers("l"));
