--- a/src/main/java/lineward/engine/EngineConnection.java
+++ b/src/main/java/lineward/engine/EngineConnection.java
@@ -31,7 +31,7 @@
     private static final String HEARTBEAT_TAG_PREFIX = "t";
     private static final String HEALTH_CHECK_TAG_PREFIX = "p";
     /** Delay before the attempts of a closed connection end, so that no retry overtakes the close. */
-    static final int CLOSE_DELAY_MS = 6;
+    static final int ATTEMPT_END_DELAY_MS = 6;
 
     private final InFlightAttempts attempts = new InFlightAttempts();
     private final long openedAtUnixMs = System.currentTimeMillis();
@@ -86,7 +86,7 @@
         return !isUp() || (channel.isOpen() && channel.isWritable());
     }
 
-    int attemptsInFlight() {
+    int inFlightCount() {
         return attempts.size();
     }
 
@@ -102,7 +102,7 @@
         return openedAtUnixMs < unixMs;
     }
 
-    boolean carries(QueryAttempt attempt) {
+    boolean hasAttempt(QueryAttempt attempt) {
         return attempts.contains(attempt);
     }
 
@@ -263,7 +263,7 @@
             markClosed(lost -> {
                 Runnable endLost = () -> endAll(lost, AttemptEnd.MALFORMED_REPLY);
                 context.executor()
-                        .schedule(endLost, CLOSE_DELAY_MS, TimeUnit.MILLISECONDS)
+                        .schedule(endLost, ATTEMPT_END_DELAY_MS, TimeUnit.MILLISECONDS)
                         .addListener(FailureLog.TASK);
             });
         }
--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -66,7 +66,7 @@
      */
     void start(QueryAttempt attempt) {
         EngineConnection connection = leastLoaded(candidate -> accepts(candidate, attempt));
-        if ((connection == null || connection.attemptsInFlight() > 0) && ensureCapacity()) {
+        if ((connection == null || connection.inFlightCount() > 0) && ensureCapacity()) {
             connection = connect();
         }
         if (connection == null) {
@@ -88,7 +88,7 @@
     private EngineConnection leastLoaded(Predicate<EngineConnection> condition) {
         return connections.stream()
                 .filter(condition)
-                .min(Comparator.comparingInt(EngineConnection::attemptsInFlight))
+                .min(Comparator.comparingInt(EngineConnection::inFlightCount))
                 .orElse(null);
     }
 
@@ -170,7 +170,7 @@
     public void attemptsLost(List<QueryAttempt> attempts) {
         if (!attempts.isEmpty()) {
             faults.connectionLost();
-            schedule(() -> endLost(attempts), EngineConnection.CLOSE_DELAY_MS);
+            schedule(() -> endLost(attempts), EngineConnection.ATTEMPT_END_DELAY_MS);
         }
     }
 
@@ -219,7 +219,7 @@
 
     private Optional<EngineConnection> connectionOf(QueryAttempt attempt) {
         return connections.stream()
-                .filter(connection -> connection.carries(attempt))
+                .filter(connection -> connection.hasAttempt(attempt))
                 .findFirst();
     }
 
