--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -24,7 +24,7 @@
     /** Maximum number of connections to one engine; at the limit, attempts share connections. */
     private static final int MAX_CONNECTIONS = 16;
     /** Waiting attempts migrate to a responsive connection after the connect timeout divided by this. */
-    private static final int MIGRATE_AFTER_DIVISOR = 4;
+    private static final int MIGRATION_DELAY_DIVISOR = 4;
     /** Connecting is abandoned after this multiple of the connect timeout. */
     static final int CONNECT_ABANDON_FACTOR = 8;
 
@@ -95,15 +95,15 @@
     private EngineConnection connect() {
         EngineConnection connection = new EngineConnection(this);
         connections.add(connection);
-        ChannelFuture connecting =
+        ChannelFuture connectFuture =
                 bootstrap.clone().handler(initializer(connection)).connect(address);
-        connection.setChannel(connecting.channel());
-        connecting.addListener(done -> {
+        connection.setChannel(connectFuture.channel());
+        connectFuture.addListener(done -> {
             if (!done.isSuccess()) {
                 connection.connectFailed(done.cause());
             }
         });
-        schedule(() -> migrateWaiting(connection), limits.connectTimeoutMs() / MIGRATE_AFTER_DIVISOR);
+        schedule(() -> migrateWaiting(connection), limits.connectTimeoutMs() / MIGRATION_DELAY_DIVISOR);
         schedule(() -> endOverdue(connection), limits.connectTimeoutMs());
         return connection;
     }
@@ -244,11 +244,11 @@
      * process. The attempts that wait for them end too: they were meant for the earlier process, not for one
      * in slow start.
      *
-     * @param unixMs start time of the engine's process
+     * @param startedAtUnixMs start time of the engine's process
      */
-    void engineStarted(double unixMs) {
+    void engineStarted(double startedAtUnixMs) {
         List<EngineConnection> stale = connections.stream()
-                .filter(connection -> connection.openedBefore(unixMs))
+                .filter(connection -> connection.openedBefore(startedAtUnixMs))
                 .toList();
         stale.forEach(connection -> {
             connection.cancelWaitingAttempts();
