--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -138,7 +138,7 @@
     private void endOverdue(EngineConnection connection) {
         if (connection.markConnectOverdue()) {
             faults.connectOverdue();
-            String cause = "connect timeout overdueConnections=" + faults.overdueConnections();
+            String cause = "connect timeout overdueConnections=" + faults.overdueConnectionCount();
             LOG.info("no connection to engine yet", "engine", address, cause);
             AttemptEnd end = faults.endOfOverdue();
             connection.removeWaitingAttempts().forEach(attempt -> attempt.end(end));
--- a/src/main/java/lineward/engine/FaultAttribution.java
+++ b/src/main/java/lineward/engine/FaultAttribution.java
@@ -10,42 +10,42 @@
  */
 final class FaultAttribution {
     /** Number of lost or failed connections, without a reply between them, that are the engine's fault. */
-    static final int REPEATED_FAILURES = 4;
+    static final int FAILURE_THRESHOLD = 4;
     /** Number of consecutive overdue connections at which the engine counts as unreachable. */
-    static final int REPEATED_OVERDUE = 2;
+    static final int OVERDUE_THRESHOLD = 2;
 
-    private int failedConnections;
-    private int overdueConnections;
+    private int failedConnectionCount;
+    private int overdueConnectionCount;
 
     /** Records that a connection was established. */
     void connected() {
-        overdueConnections = 0;
+        overdueConnectionCount = 0;
     }
 
     /** Records that a reply was received. */
     void replyReceived() {
-        failedConnections = 0;
-        overdueConnections = 0;
+        failedConnectionCount = 0;
+        overdueConnectionCount = 0;
     }
 
     /** Records that a connection with attempts in flight broke. */
     void connectionLost() {
-        failedConnections++;
+        failedConnectionCount++;
     }
 
     /** Records an overdue connection. Nothing was sent on it, and the cause may be the network. */
     void connectOverdue() {
-        overdueConnections++;
+        overdueConnectionCount++;
     }
 
     /** Returns the number of overdue connections since the last established one or reply. */
-    int overdueConnections() {
-        return overdueConnections;
+    int overdueConnectionCount() {
+        return overdueConnectionCount;
     }
 
     /** Returns how attempts that waited for an overdue connection end. */
     AttemptEnd endOfOverdue() {
-        boolean isUnreachable = overdueConnections >= REPEATED_OVERDUE;
+        boolean isUnreachable = overdueConnectionCount >= OVERDUE_THRESHOLD;
         return isUnreachable ? AttemptEnd.ENGINE_UNREACHABLE : AttemptEnd.NOT_SENT;
     }
 
@@ -55,9 +55,9 @@
      * @return whether the engine is at fault: it refused the connection, or failures have repeated
      */
     boolean connectFailed(Throwable cause) {
-        failedConnections++;
+        failedConnectionCount++;
         boolean wasRefused = cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
-        return wasRefused || isRepeated();
+        return wasRefused || hasRepeatedFailures();
     }
 
     /**
@@ -67,10 +67,10 @@
      * @param otherIsUp whether another connection to the engine is up
      */
     AttemptEnd endOfLost(boolean otherIsUp) {
-        return otherIsUp && !isRepeated() ? AttemptEnd.CONNECTION_BROKEN : AttemptEnd.ENGINE_LOST;
+        return otherIsUp && !hasRepeatedFailures() ? AttemptEnd.CONNECTION_BROKEN : AttemptEnd.ENGINE_LOST;
     }
 
-    private boolean isRepeated() {
-        return failedConnections >= REPEATED_FAILURES;
+    private boolean hasRepeatedFailures() {
+        return failedConnectionCount >= FAILURE_THRESHOLD;
     }
 }
--- a/src/test/java/lineward/engine/FaultAttributionTest.java
+++ b/src/test/java/lineward/engine/FaultAttributionTest.java
@@ -16,8 +16,8 @@
             {new ConnectException("refused"), 0, true},
             {new ConnectTimeoutException("timeout"), 0, false},
             {new IOException("reset"), 0, false},
-            {new IOException("reset"), FaultAttribution.REPEATED_FAILURES - 2, false},
-            {new IOException("reset"), FaultAttribution.REPEATED_FAILURES - 1, true}
+            {new IOException("reset"), FaultAttribution.FAILURE_THRESHOLD - 2, false},
+            {new IOException("reset"), FaultAttribution.FAILURE_THRESHOLD - 1, true}
         };
     }
 
@@ -33,7 +33,7 @@
     @Test
     public void lostConnectionIsTheEnginesFaultWhenNoOtherIsUpOrWhenItRepeats() {
         FaultAttribution faults = new FaultAttribution();
-        for (int i = 1; i < FaultAttribution.REPEATED_FAILURES; i++) {
+        for (int i = 1; i < FaultAttribution.FAILURE_THRESHOLD; i++) {
             faults.connectionLost();
             assertEquals(faults.endOfLost(true), AttemptEnd.CONNECTION_BROKEN);
             assertEquals(faults.endOfLost(false), AttemptEnd.ENGINE_LOST);
