--- a/src/main/java/lineward/engine/QueryAttempt.java
+++ b/src/main/java/lineward/engine/QueryAttempt.java
@@ -43,7 +43,7 @@
     private final ByteBuf statement;
     private final long memoryGrantMb;
     private final long deadlineNanos;
-    private final long startByNanos;
+    private final long startDeadlineNanos;
     private final Listener listener;
     private int priority;
     private QueryAttemptState state = QueryAttemptState.WAITING;
@@ -75,7 +75,7 @@
         long now = System.nanoTime();
         long startWithinMs = Math.min(timeLimits.startWithinMs(), timeLimits.timeoutMs());
         this.deadlineNanos = now + TimeUnit.MILLISECONDS.toNanos(timeLimits.timeoutMs());
-        this.startByNanos = now + TimeUnit.MILLISECONDS.toNanos(startWithinMs);
+        this.startDeadlineNanos = now + TimeUnit.MILLISECONDS.toNanos(startWithinMs);
         this.memoryGrantMb = (long) Math.ceil(memoryGrantMb);
         this.priority = priority;
         this.listener = listener;
@@ -107,8 +107,8 @@
     }
 
     /** Sets the priority; the caller notifies the engine. */
-    void setPriority(int next) {
-        priority = next;
+    void setPriority(int newPriority) {
+        priority = newPriority;
     }
 
     /** Records that the request was passed to the channel. */
@@ -138,7 +138,7 @@
 
     /** Returns whether the request must no longer be sent. */
     boolean isPastStartDeadline(long nowNanos) {
-        return startByNanos - nowNanos < 0;
+        return startDeadlineNanos - nowNanos < 0;
     }
 
     /** Returns whether the timeout has passed, after which the request is not retried. */
@@ -201,7 +201,7 @@
 
     /** Ends the attempt and notifies the listener; no effect if it has already ended. */
     void end(AttemptEnd end) {
-        if (!endOnce()) {
+        if (!markEnded()) {
             return;
         }
         ByteBuf result = null;
@@ -222,13 +222,13 @@
 
     /** Ends the attempt without notifying the listener. */
     void discard() {
-        if (endOnce()) {
+        if (markEnded()) {
             releasePages();
         }
     }
 
     /** Ends the attempt; returns false if it has already ended. */
-    private boolean endOnce() {
+    private boolean markEnded() {
         if (state == QueryAttemptState.ENDED) {
             return false;
         }
