--- a/src/main/java/lineward/engine/Rows.java
+++ b/src/main/java/lineward/engine/PageValidator.java
@@ -7,22 +7,22 @@
  * Checks that a page consists of complete rows of three tab-separated columns, without other control
  * characters and bytes that never occur in UTF-8, so that no corrupt data is sent to clients.
  */
-final class Rows implements ByteProcessor {
+final class PageValidator implements ByteProcessor {
     private static final int TABS_PER_ROW = 2;
     // Bytes that never occur in UTF-8: two lead bytes of overlong encodings, and all from the third value on.
-    private static final int OVERLONG = 0xc0;
-    private static final int OVERLONG_ASCII = 0xc1;
-    private static final int BEYOND_UNICODE = 0xf5;
+    private static final int MIN_OVERLONG_LEAD_BYTE = 0xc0;
+    private static final int MAX_OVERLONG_LEAD_BYTE = 0xc1;
+    private static final int FIRST_BYTE_BEYOND_UNICODE = 0xf5;
 
     private int tabs;
     private boolean inRow;
 
-    private Rows() {}
+    private PageValidator() {}
 
     /** Returns whether the page consists only of complete rows without invalid bytes. */
-    static boolean areComplete(ByteBuf page) {
-        Rows rows = new Rows();
-        return page.forEachByte(rows) < 0 && !rows.inRow;
+    static boolean isValid(ByteBuf page) {
+        PageValidator validator = new PageValidator();
+        return page.forEachByte(validator) < 0 && !validator.inRow;
     }
 
     @Override
@@ -42,7 +42,7 @@
     }
 
     private static boolean isTextByte(int unsigned) {
-        boolean overlong = unsigned == OVERLONG || unsigned == OVERLONG_ASCII;
-        return unsigned >= ' ' && unsigned < BEYOND_UNICODE && !overlong;
+        boolean overlong = unsigned == MIN_OVERLONG_LEAD_BYTE || unsigned == MAX_OVERLONG_LEAD_BYTE;
+        return unsigned >= ' ' && unsigned < FIRST_BYTE_BEYOND_UNICODE && !overlong;
     }
 }
--- a/src/main/java/lineward/engine/ResultPages.java
+++ b/src/main/java/lineward/engine/ResultPages.java
@@ -53,7 +53,7 @@
         int bytes = page.readableBytes();
         boolean inRange = index >= 0 && index < pages.length;
         boolean withinBounds = bytes <= MAX_PAGE_BYTES && receivedBytes + bytes <= MAX_RESULT_BYTES;
-        return inRange && withinBounds && Rows.areComplete(page);
+        return inRange && withinBounds && PageValidator.isValid(page);
     }
 
     /** Adds a missing page that is acceptable, and takes ownership of it. */
