--- a/src/main/java/lineward/engine/QueryAttempt.java
+++ b/src/main/java/lineward/engine/QueryAttempt.java
@@ -196,7 +196,7 @@
 
     /** Returns the number of pages of the result; the first page must have been received. */
     int pageCount() {
-        return pages.count();
+        return pages.pageCount();
     }
 
     /** Ends the attempt and notifies the listener; no effect if it has already ended. */
--- a/src/main/java/lineward/engine/ResultPages.java
+++ b/src/main/java/lineward/engine/ResultPages.java
@@ -15,12 +15,12 @@
     private static final int MAX_PAGES = 1024;
 
     private final ByteBuf[] pages;
-    private int missingPages;
+    private int missingPageCount;
     private int receivedBytes;
 
     private ResultPages(int count) {
         pages = new ByteBuf[count];
-        missingPages = count;
+        missingPageCount = count;
     }
 
     /**
@@ -35,12 +35,12 @@
         return new ResultPages(count);
     }
 
-    int count() {
+    int pageCount() {
         return pages.length;
     }
 
     boolean isComplete() {
-        return missingPages == 0;
+        return missingPageCount == 0;
     }
 
     /** Returns whether the page at this index was added. */
@@ -60,7 +60,7 @@
     void add(int index, ByteBuf page) {
         pages[index] = page;
         receivedBytes += page.readableBytes();
-        missingPages--;
+        missingPageCount--;
     }
 
     /** Returns all pages of a complete result in one buffer, which the caller owns. */
