--- a/src/main/java/lineward/engine/ProgressReports.java
+++ b/src/main/java/lineward/engine/ProgressReports.java
@@ -12,18 +12,18 @@
     private static final Pattern AMOUNT = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,18})?");
 
     // Amounts that state what a waiting query waits for.
-    private static final int WAITING_FOR_MEMORY = 1;
-    private static final int WAITING_FOR_LOAD = 2;
+    private static final int MEMORY_WAIT_CODE = 1;
+    private static final int LOAD_WAIT_CODE = 2;
 
     private ProgressReports() {}
 
     /** Notifies the listener of the report in these fields if its kind is known and its amount is valid. */
-    static void notify(Map<String, String> fields, Listener listener) {
-        String text = fields.getOrDefault(LineProtocol.PROGRESS_AMOUNT_FIELD, "");
-        if (!AMOUNT.matcher(text).matches()) {
+    static void notifyListener(Map<String, String> fields, Listener listener) {
+        String amountText = fields.getOrDefault(LineProtocol.PROGRESS_AMOUNT_FIELD, "");
+        if (!AMOUNT.matcher(amountText).matches()) {
             return;
         }
-        double amount = Double.parseDouble(text);
+        double amount = Double.parseDouble(amountText);
         String kind = fields.getOrDefault(LineProtocol.PROGRESS_KIND_FIELD, "");
         parseKind(kind, amount).ifPresent(known -> listener.progressed(known, amount));
     }
@@ -33,15 +33,15 @@
             case LineProtocol.PROGRESS_DONE ->
                 Optional.of(ProgressKind.RATIO_DONE).filter(known -> amount <= 1);
             case LineProtocol.PROGRESS_SPILLING -> Optional.of(ProgressKind.SPILLING);
-            case LineProtocol.PROGRESS_WAITING -> parseBlockingResource(amount);
+            case LineProtocol.PROGRESS_WAITING -> parseWaitingKind(amount);
             default -> Optional.empty();
         };
     }
 
-    private static Optional<ProgressKind> parseBlockingResource(double amount) {
-        if (amount == WAITING_FOR_MEMORY) {
+    private static Optional<ProgressKind> parseWaitingKind(double amount) {
+        if (amount == MEMORY_WAIT_CODE) {
             return Optional.of(ProgressKind.WAITING_FOR_MEMORY);
         }
-        return amount == WAITING_FOR_LOAD ? Optional.of(ProgressKind.WAITING_FOR_LOAD) : Optional.empty();
+        return amount == LOAD_WAIT_CODE ? Optional.of(ProgressKind.WAITING_FOR_LOAD) : Optional.empty();
     }
 }
--- a/src/main/java/lineward/engine/QueryAttempt.java
+++ b/src/main/java/lineward/engine/QueryAttempt.java
@@ -216,7 +216,7 @@
     /** Notifies the listener of a progress report; no effect if the attempt has ended. */
     void progressed(Reply report) {
         if (state != QueryAttemptState.ENDED) {
-            ProgressReports.notify(report.fields(), listener);
+            ProgressReports.notifyListener(report.fields(), listener);
         }
     }
 
--- a/src/test/java/lineward/engine/ProgressReportsTest.java
+++ b/src/test/java/lineward/engine/ProgressReportsTest.java
@@ -47,7 +47,7 @@
             fields.put("datum", amount);
         }
         RecordingListener listener = new RecordingListener();
-        ProgressReports.notify(fields, listener);
+        ProgressReports.notifyListener(fields, listener);
         assertEquals(listener.events, expected == null ? List.of() : List.of(expected + " " + value));
     }
 
