--- a/src/main/java/lineward/engine/EngineConnection.java
+++ b/src/main/java/lineward/engine/EngineConnection.java
@@ -143,7 +143,7 @@
         healthCheck = new HealthCheck(kind, HEALTH_CHECK_TAG_PREFIX + System.nanoTime(), answerListener);
         lastUsedNanos = System.nanoTime();
         if (isUp()) {
-            writer.healthCheck(healthCheck);
+            writer.checkHealth(healthCheck);
         }
     }
 
@@ -227,7 +227,7 @@
         attempts.sendAll(writer, listener::requestSent);
         listener.connected(this);
         if (healthCheck != null) {
-            writer.healthCheck(healthCheck);
+            writer.checkHealth(healthCheck);
         }
     }
 
--- a/src/main/java/lineward/engine/InFlightAttempts.java
+++ b/src/main/java/lineward/engine/InFlightAttempts.java
@@ -113,8 +113,8 @@
 
     private void addFirstPage(QueryAttempt attempt, Reply reply, RequestWriter writer) {
         attempt.addFirstPage(reply.integer(LineProtocol.PAGE_COUNT_FIELD), reply.body());
-        for (int page = 1; page < attempt.pageCount(); page++) {
-            writer.readPage(attempt.id(), page);
+        for (int pageIndex = 1; pageIndex < attempt.pageCount(); pageIndex++) {
+            writer.readPage(attempt.id(), pageIndex);
         }
         completeIfAllPages(attempt, writer);
     }
--- a/src/main/java/lineward/engine/ReplyDecoder.java
+++ b/src/main/java/lineward/engine/ReplyDecoder.java
@@ -63,9 +63,9 @@
         if (newlineOffset < 1 || in.getByte(in.readerIndex() + newlineOffset - 1) != '\r') {
             throw new MalformedReplyException("header line does not end with CRLF");
         }
-        CharSequence header = in.readCharSequence(newlineOffset - 1, StandardCharsets.ISO_8859_1);
+        CharSequence headerLine = in.readCharSequence(newlineOffset - 1, StandardCharsets.ISO_8859_1);
         in.skipBytes(LINE_TERMINATOR_BYTES);
-        return parseHeader(header.toString());
+        return parseHeader(headerLine.toString());
     }
 
     private static Header parseHeader(String text) {
--- a/src/main/java/lineward/engine/RequestWriter.java
+++ b/src/main/java/lineward/engine/RequestWriter.java
@@ -52,8 +52,8 @@
         send(LineProtocol.CHANGE_PRIORITY, id, priority);
     }
 
-    void readPage(String id, int page) {
-        send(LineProtocol.READ_PAGE, id, page);
+    void readPage(String id, int pageIndex) {
+        send(LineProtocol.READ_PAGE, id, pageIndex);
     }
 
     void closeResult(String id) {
@@ -64,7 +64,7 @@
         send(LineProtocol.PING, tag);
     }
 
-    void healthCheck(HealthCheck check) {
+    void checkHealth(HealthCheck check) {
         send(check.kind().token(), check.tag());
     }
 
