--- a/src/main/java/lineward/engine/EngineWarmup.java
+++ b/src/main/java/lineward/engine/EngineWarmup.java
@@ -13,11 +13,11 @@
  * request. Called once, on the event loop.
  */
 public final class EngineWarmup {
-    private static final int ATTEMPTS = 60;
+    private static final int ATTEMPT_COUNT = 60;
     private static final QueryAttempt.TimeLimits TIME_LIMITS = new QueryAttempt.TimeLimits(1000, 1000);
 
     /** Ignores all events. */
-    static final ConnectionListener NO_LISTENER = new ConnectionListener() {
+    static final ConnectionListener NO_OP_LISTENER = new ConnectionListener() {
         @Override
         public void closed(EngineConnection connection) {}
 
@@ -41,23 +41,23 @@
 
     /** Runs the attempts, each with a result of two pages. */
     public static void run() {
-        EngineConnection connection = new EngineConnection(NO_LISTENER);
+        EngineConnection connection = new EngineConnection(NO_OP_LISTENER);
         EmbeddedChannel channel = new EmbeddedChannel(new ReplyDecoder(), connection);
         connection.setChannel(channel);
         ByteBuf statement = Unpooled.copiedBuffer("select 1", StandardCharsets.US_ASCII);
-        for (int i = 0; i < ATTEMPTS; i++) {
+        for (int i = 0; i < ATTEMPT_COUNT; i++) {
             String id = String.format("%016x", i);
             QueryAttempt.Listener listener = EngineWarmup::releaseResult;
             connection.start(new QueryAttempt(id, "warmup", statement, TIME_LIMITS, 1, 1, listener));
-            reply(channel, id, LineProtocol.FIRST_PAGE, LineProtocol.PAGE_COUNT_FIELD + "=2");
-            reply(channel, id, LineProtocol.NEXT_PAGE, LineProtocol.PAGE_INDEX_FIELD + "=1");
+            writeReply(channel, id, LineProtocol.FIRST_PAGE, LineProtocol.PAGE_COUNT_FIELD + "=2");
+            writeReply(channel, id, LineProtocol.NEXT_PAGE, LineProtocol.PAGE_INDEX_FIELD + "=1");
             releaseOutbound(channel);
         }
         channel.close().addListener(FailureLog.CHANNEL);
         statement.release();
     }
 
-    private static void reply(EmbeddedChannel channel, String id, String type, String fields) {
+    private static void writeReply(EmbeddedChannel channel, String id, String type, String fields) {
         String page = "a\tb\tc\n";
         String header = String.join(" ", id, type, fields, String.valueOf(page.length()));
         String reply = header + LineProtocol.LINE_TERMINATOR + page + LineProtocol.LINE_TERMINATOR;
--- a/src/test/java/lineward/engine/AttemptEndTest.java
+++ b/src/test/java/lineward/engine/AttemptEndTest.java
@@ -64,7 +64,7 @@
     @Test(dataProvider = "replies")
     public void replyEndsTheAttemptWithItsOutcome(String reply, AttemptOutcome outcome) {
         RecordingListener listener = new RecordingListener();
-        EngineConnection connection = new EngineConnection(EngineWarmup.NO_LISTENER);
+        EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
         EmbeddedChannel channel = channel(connection);
         connection.start(listener.attempt);
         channel.writeInbound(Unpooled.copiedBuffer(reply, StandardCharsets.US_ASCII));
@@ -91,7 +91,7 @@
     @Test(dataProvider = "writes")
     public void requestCountsAsSentOnceTheSocketHasItsLastByte(int succeedingWrites, boolean sent) {
         RecordingListener listener = new RecordingListener();
-        EngineConnection connection = new EngineConnection(EngineWarmup.NO_LISTENER);
+        EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
         EmbeddedChannel channel = channel(connection);
         channel.pipeline().addFirst(new ChannelOutboundHandlerAdapter() {
             private int writes;
