--- a/src/test/java/lineward/engine/ConnectionStateTest.java
+++ b/src/test/java/lineward/engine/ConnectionStateTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test(dataProvider = "transitions")
-    public void eachTransitionLeadsToItsTarget(
+    public void eachEventLeadsToTheNextState(
             ConnectionState state,
             ConnectionState overdue,
             ConnectionState connected,
