--- a/src/test/java/lineward/engine/QueryAttemptStateTest.java
+++ b/src/test/java/lineward/engine/QueryAttemptStateTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test(dataProvider = "transitions")
-    public void eachTransitionLeadsToItsTarget(
+    public void eachEventLeadsToTheNextState(
             QueryAttemptState state,
             QueryAttemptState written,
             QueryAttemptState sent,
