--- a/src/test/java/lineward/engine/FaultAttributionTest.java
+++ b/src/test/java/lineward/engine/FaultAttributionTest.java
@@ -22,12 +22,12 @@
     }
 
     @Test(dataProvider = "connectFailures")
-    public void refusedOrRepeatedFailureIsTheEnginesFault(Throwable cause, int earlier, boolean fault) {
+    public void refusedOrRepeatedFailureIsTheEnginesFault(Throwable cause, int losses, boolean engineFault) {
         FaultAttribution faults = new FaultAttribution();
-        for (int i = 0; i < earlier; i++) {
+        for (int i = 0; i < losses; i++) {
             faults.connectionLost();
         }
-        assertEquals(faults.connectFailed(cause), fault);
+        assertEquals(faults.connectFailed(cause), engineFault);
     }
 
     @Test
