--- a/src/test/java/lineward/engine/HealthCheckTest.java
+++ b/src/test/java/lineward/engine/HealthCheckTest.java
@@ -16,7 +16,7 @@
 public class HealthCheckTest {
     private final List<String> received = new ArrayList<>();
 
-    private EmbeddedChannel channelWithCheck(HealthCheck.Kind kind) {
+    private EmbeddedChannel startCheck(HealthCheck.Kind kind) {
         received.clear();
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
         EmbeddedChannel channel = new EmbeddedChannel(new ReplyDecoder());
@@ -30,11 +30,11 @@
         return channel;
     }
 
-    private static String tag(EmbeddedChannel channel, String verb) {
+    private static String readTag(EmbeddedChannel channel, String token) {
         ByteBuf request = channel.readOutbound();
         String[] parts = request.toString(StandardCharsets.US_ASCII).split("[ \r]", -1);
         request.release();
-        assertEquals(parts[0], verb);
+        assertEquals(parts[0], token);
         return parts[1];
     }
 
@@ -56,9 +56,9 @@
     /** Each reply is sent twice; the duplicate, and replies of another tag or type, are ignored. */
     @Test(dataProvider = "answers")
     public void onlyTheFirstAnswerWithItsTagCounts(
-            HealthCheck.Kind kind, String verb, String answer, List<String> expected) {
-        EmbeddedChannel channel = channelWithCheck(kind);
-        String reply = tag(channel, verb) + answer + "\r\n\r\n";
+            HealthCheck.Kind kind, String token, String answer, List<String> expected) {
+        EmbeddedChannel channel = startCheck(kind);
+        String reply = readTag(channel, token) + answer + "\r\n\r\n";
         channel.writeInbound(Unpooled.copiedBuffer(reply + reply, StandardCharsets.US_ASCII));
         assertEquals(received, expected);
         channel.finishAndReleaseAll();
