--- a/src/test/java/lineward/engine/ReplyDecoderTest.java
+++ b/src/test/java/lineward/engine/ReplyDecoderTest.java
@@ -51,10 +51,10 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void malformedReplyFailsTheDecoding(String bytes) {
+    public void malformedReplyFailsTheDecoding(String reply) {
         EmbeddedChannel channel = new EmbeddedChannel(new ReplyDecoder());
         assertThrows(
                 MalformedReplyException.class,
-                () -> channel.writeInbound(Unpooled.copiedBuffer(bytes, StandardCharsets.UTF_8)));
+                () -> channel.writeInbound(Unpooled.copiedBuffer(reply, StandardCharsets.UTF_8)));
     }
 }
--- a/src/test/java/lineward/engine/RequestWriterTest.java
+++ b/src/test/java/lineward/engine/RequestWriterTest.java
@@ -40,14 +40,14 @@
     }
 
     @Test(dataProvider = "grants")
-    public void queryCarriesItsFieldsAndItsStatement(double grantMb, String expectedField) {
+    public void queryContainsItsFieldsAndItsStatement(double grantMb, String expectedField) {
         ByteBuf statement = Unpooled.copiedBuffer("select 1", StandardCharsets.US_ASCII);
         QueryAttempt.TimeLimits timeLimits = new QueryAttempt.TimeLimits(60_000, 60_000);
         QueryAttempt.Listener ignored = (outcome, result) -> {};
         QueryAttempt attempt = new QueryAttempt("00aa", "report", statement, timeLimits, grantMb, 2, ignored);
         String request = written(writer -> writer.startQuery(attempt, () -> {}));
-        String head = "want 00aa sort=report,patience=[0-9]+" + expectedField + ",band=2 8";
-        assertTrue(request.matches(head + "\r\nselect 1\r\n"), request);
+        String header = "want 00aa sort=report,patience=[0-9]+" + expectedField + ",band=2 8";
+        assertTrue(request.matches(header + "\r\nselect 1\r\n"), request);
         attempt.discard();
         statement.release();
         assertEquals(statement.refCnt(), 0);
