--- a/src/test/java/lineward/discovery/DiscoveryClientTest.java
+++ b/src/test/java/lineward/discovery/DiscoveryClientTest.java
@@ -48,19 +48,19 @@
     private static final class Service implements AutoCloseable {
         final ServerSocket server;
         final List<Socket> sockets = new CopyOnWriteArrayList<>();
-        final AtomicInteger answers = new AtomicInteger();
-        final int event;
+        final AtomicInteger responseCount = new AtomicInteger();
+        final int eventNumber;
         volatile Behaviour behaviour;
 
-        Service(int event, Behaviour behaviour) throws IOException {
+        Service(int eventNumber, Behaviour behaviour) throws IOException {
             server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-            this.event = event;
+            this.eventNumber = eventNumber;
             this.behaviour = behaviour;
-            thread(() -> {
+            startThread(() -> {
                 while (true) {
                     Socket socket = server.accept();
                     sockets.add(socket);
-                    thread(() -> serve(socket, this.behaviour));
+                    startThread(() -> serve(socket, this.behaviour));
                 }
             });
         }
@@ -69,7 +69,7 @@
             void run() throws IOException;
         }
 
-        private static void thread(Task task) {
+        private static void startThread(Task task) {
             Thread thread = new Thread(
                     () -> {
                         try {
@@ -95,22 +95,22 @@
             Reader input = new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII);
             BufferedReader reader = new BufferedReader(input);
             OutputStream output = socket.getOutputStream();
-            for (String header = reader.readLine(); header != null; header = reader.readLine()) {
-                if (!header.isEmpty() || behaviourAtAccept == Behaviour.STAYS_SILENT) {
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+                if (!line.isEmpty() || behaviourAtAccept == Behaviour.STAYS_SILENT) {
                     continue;
                 }
                 String body = behaviourAtAccept == Behaviour.ANSWERS_MALFORMED
                         ? "{"
-                        : "{\"pos\":" + event + ",\"entries\":[{\"pos\":" + event
+                        : "{\"pos\":" + eventNumber + ",\"entries\":[{\"pos\":" + eventNumber
                                 + ",\"hosts\":{\"reset\":true,\"instances\":[]}}]}";
-                byte[] answer = ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                byte[] response = ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.US_ASCII);
-                for (int i = 0; behaviourAtAccept == Behaviour.SENDS_SLOWLY && i < answer.length - 1; i++) {
-                    output.write(answer, i, 1);
+                for (int i = 0; behaviourAtAccept == Behaviour.SENDS_SLOWLY && i < response.length - 1; i++) {
+                    output.write(response, i, 1);
                     pause(100);
                 }
-                output.write(answer);
-                answers.incrementAndGet();
+                output.write(response);
+                responseCount.incrementAndGet();
             }
         }
 
@@ -137,18 +137,18 @@
     private EndpointList list;
     private Path file;
     private DiscoveryClient client;
-    private Future<?> ticks;
+    private Future<?> tickTask;
 
     @BeforeMethod
-    public void makeFile() throws IOException {
+    public void createFile() throws IOException {
         file = Files.createTempFile("discovery", ".txt");
         list = new EndpointList(List.of(), List.of(), (fullSnapshot, endpoints) -> {});
     }
 
     @AfterMethod
     public void closeAll() throws IOException {
-        if (ticks != null) {
-            ticks.cancel(false);
+        if (tickTask != null) {
+            tickTask.cancel(false);
         }
         for (Service service : services) {
             service.close();
@@ -157,18 +157,18 @@
         Files.deleteIfExists(file);
     }
 
-    private Service service(int event, Behaviour behaviour) throws IOException {
-        Service service = new Service(event, behaviour);
+    private Service service(int eventNumber, Behaviour behaviour) throws IOException {
+        Service service = new Service(eventNumber, behaviour);
         services.add(service);
         return service;
     }
 
     /** Writes the file. A complete file contains an address and an end marker. */
-    private void write(String text) throws IOException {
+    private void writeFile(String text) throws IOException {
         Files.writeString(file, text);
     }
 
-    private String read() {
+    private String readFile() {
         try {
             String text = Files.readString(file);
             if (!text.endsWith(";")) {
@@ -180,9 +180,9 @@
         }
     }
 
-    private void start(String address) {
-        client = new DiscoveryClient(loop, address, list, this::read, new MonotonicClock());
-        ticks = loop.scheduleWithFixedDelay(client::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+    private void startClient(String address) {
+        client = new DiscoveryClient(loop, address, list, this::readFile, new MonotonicClock());
+        tickTask = loop.scheduleWithFixedDelay(client::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
     private void signalReload() {
@@ -193,9 +193,9 @@
         return loop.submit(list::lastEventNumber).syncUninterruptibly().getNow();
     }
 
-    private void awaitEvent(int event) {
+    private void awaitEvent(int eventNumber) {
         long start = System.nanoTime();
-        Program.await("event " + event, () -> lastEventNumber() == event);
+        Program.await("event " + eventNumber, () -> lastEventNumber() == eventNumber);
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
         assertTrue(tookMs < 4000, "applied after " + tookMs + " ms");
     }
@@ -211,10 +211,10 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aServiceThatFailsAtTheStartIsFollowedOnceItAnswers(Behaviour fault) throws IOException {
+    public void aServiceThatFailsAtTheStartIsPolledOnceItRecovers(Behaviour fault) throws IOException {
         Service service = service(3, fault);
-        write(service.address() + ';');
-        start(service.address());
+        writeFile(service.address() + ';');
+        startClient(service.address());
         Program.await("a connection", () -> !service.sockets.isEmpty());
         service.behaviour = Behaviour.ANSWERS;
         awaitEvent(3);
@@ -225,63 +225,63 @@
     public void aServiceThatFailsLaterIsReplacedByTheOneInTheFile(Behaviour fault) throws IOException {
         Service old = service(3, Behaviour.ANSWERS);
         Service next = service(4, Behaviour.ANSWERS);
-        write(old.address() + ';');
-        start(old.address());
+        writeFile(old.address() + ';');
+        startClient(old.address());
         awaitEvent(3);
         old.behaviour = fault;
         for (Socket socket : old.sockets) {
             socket.close();
         }
-        write(next.address() + ';');
+        writeFile(next.address() + ';');
         awaitEvent(4);
     }
 
     @Test
-    public void aConnectionRefusedAtTheStartIsRetried() throws IOException {
-        Service gone = service(1, Behaviour.ANSWERS);
-        gone.close();
-        write("");
-        start(gone.address());
+    public void aConnectionRefusedAtTheStartCausesReadsOfTheFile() throws IOException {
+        Service stopped = service(1, Behaviour.ANSWERS);
+        stopped.close();
+        writeFile("");
+        startClient(stopped.address());
         Service next = service(2, Behaviour.ANSWERS);
-        write(next.address() + ';');
+        writeFile(next.address() + ';');
         awaitEvent(2);
     }
 
     @Test
-    public void anIncompleteFileIsRetriedUntilItIsComplete() throws IOException {
+    public void anIncompleteFileIsReadAgainUntilItIsComplete() throws IOException {
         Service first = service(1, Behaviour.ANSWERS);
-        write(first.address() + ';');
-        start(first.address());
+        writeFile(first.address() + ';');
+        startClient(first.address());
         awaitEvent(1);
         int length = first.address().length();
-        for (int keptLength = 0; keptLength <= length; keptLength++) {
-            Service next = service(keptLength + 2, Behaviour.ANSWERS);
+        for (int writtenLength = 0; writtenLength <= length; writtenLength++) {
+            Service next = service(writtenLength + 2, Behaviour.ANSWERS);
             String complete = next.address() + ';';
-            write(complete.substring(0, Math.min(keptLength, complete.length() - 1)));
+            writeFile(complete.substring(0, Math.min(writtenLength, complete.length() - 1)));
             signalReload();
-            if (keptLength % 2 == 0) {
+            if (writtenLength % 2 == 0) {
                 signalReload();
             }
-            write(complete);
-            awaitEvent(keptLength + 2);
+            writeFile(complete);
+            awaitEvent(writtenLength + 2);
         }
     }
 
     @Test
-    public void afterReloadsInQuickSuccessionTheLastAddressIsFollowed() throws IOException {
+    public void afterReloadsInQuickSuccessionTheLastAddressIsPolled() throws IOException {
         Service first = service(1, Behaviour.ANSWERS);
-        write(first.address() + ';');
-        start(first.address());
+        writeFile(first.address() + ';');
+        startClient(first.address());
         Service last = first;
         for (int i = 0; i < 20; i++) {
             last = service(i + 2, Behaviour.ANSWERS);
-            write(last.address() + ';');
+            writeFile(last.address() + ';');
             signalReload();
         }
         awaitEvent(21);
-        int answersBefore = last.answers.get();
-        Service followed = last;
-        Program.await("polls at the last address", () -> followed.answers.get() > answersBefore + 2);
+        int responsesBefore = last.responseCount.get();
+        Service polled = last;
+        Program.await("polls at the last address", () -> polled.responseCount.get() > responsesBefore + 2);
         assertEquals(lastEventNumber(), 21);
     }
 }
