--- a/src/test/java/lineward/discovery/EndpointListTest.java
+++ b/src/test/java/lineward/discovery/EndpointListTest.java
@@ -30,7 +30,7 @@
         return fullSnapshot + " " + endpoint.id() + " " + endpoint.zone() + " " + state;
     }
 
-    private static JsonNode json(String text) throws JsonProcessingException {
+    private static JsonNode parseJson(String text) throws JsonProcessingException {
         return new ObjectMapper().readTree(text.replace('\'', '"'));
     }
 
@@ -41,9 +41,9 @@
 
     @Test
     public void incrementalUpdatesAreMergedAndEachEventIsAppliedOnce() throws JsonProcessingException {
-        list.apply(json(response(1, true, ENTRY)));
-        list.apply(json(response(1, true, ENTRY)));
-        list.apply(json(response(2, false, "{'instanceId':'s-1','lifecycle':'draining'}")));
+        list.apply(parseJson(response(1, true, ENTRY)));
+        list.apply(parseJson(response(1, true, ENTRY)));
+        list.apply(parseJson(response(2, false, "{'instanceId':'s-1','lifecycle':'draining'}")));
         assertEquals(list.lastEventNumber(), 2);
         assertEquals(changes, List.of("true s-1 1 READY 7.0", "false s-1 1 DRAINING 7.0"));
     }
@@ -64,9 +64,9 @@
 
     @Test(dataProvider = "malformed")
     public void aMalformedResponseLeavesTheListUnchanged(String text) throws JsonProcessingException {
-        long before = list.lastEventNumber();
-        JsonNode response = json(text);
+        long previousEventNumber = list.lastEventNumber();
+        JsonNode response = parseJson(text);
         assertThrows(DiscoveryFormatException.class, () -> list.apply(response));
-        assertEquals(list.lastEventNumber(), before);
+        assertEquals(list.lastEventNumber(), previousEventNumber);
     }
 }
