--- a/src/test/java/lineward/discovery/FileReadScheduleTest.java
+++ b/src/test/java/lineward/discovery/FileReadScheduleTest.java
@@ -11,7 +11,7 @@
 
 /** Tests the state transitions of file reads, and when the next read is due. */
 public class FileReadScheduleTest {
-    private static final double HEALTHY = Double.POSITIVE_INFINITY;
+    private static final double NOT_FAILING = Double.POSITIVE_INFINITY;
 
     private enum Event {
         RELOAD,
@@ -29,7 +29,7 @@
         }
     }
 
-    private static FileReadSchedule in(State state) {
+    private static FileReadSchedule scheduleIn(State state) {
         FileReadSchedule schedule = new FileReadSchedule();
         if (state != State.IDLE) {
             schedule.beginRead();
@@ -60,8 +60,8 @@
 
     /** If the state after the event is null, the transition is invalid. */
     @Test(dataProvider = "transitions")
-    public void eachEventLeadsToTheStateOfTheTable(State before, Event event, State after) {
-        FileReadSchedule schedule = in(before);
+    public void eachEventLeadsToTheNextState(State before, Event event, State after) {
+        FileReadSchedule schedule = scheduleIn(before);
         if (after == null) {
             assertThrows(IllegalStateException.class, () -> event.applyTo(schedule));
             assertEquals(schedule.state(), before);
@@ -77,10 +77,10 @@
     }
 
     @Test
-    public void aReloadDuringAReadIsFollowedByOneMore() {
-        FileReadSchedule schedule = in(State.READING_STALE);
+    public void aReloadDuringAReadCausesAnotherRead() {
+        FileReadSchedule schedule = scheduleIn(State.READING_STALE);
         schedule.readSucceeded(100, false);
-        assertNextReadAt(schedule, 100, HEALTHY);
+        assertNextReadAt(schedule, 100, NOT_FAILING);
     }
 
     @Test
@@ -89,17 +89,17 @@
         schedule.requestReload(0);
         schedule.beginRead();
         schedule.readFailed(10, false);
-        assertNextReadAt(schedule, 10 + FileReadSchedule.SHORT_RETRY_INTERVAL_MS, HEALTHY);
+        assertNextReadAt(schedule, 10 + FileReadSchedule.SHORT_RETRY_INTERVAL_MS, NOT_FAILING);
         schedule.beginRead();
         schedule.readFailed(FileReadSchedule.SHORT_RETRY_PERIOD_MS, false);
         double dueAtMs = FileReadSchedule.SHORT_RETRY_PERIOD_MS + FileReadSchedule.LONG_RETRY_INTERVAL_MS;
-        assertNextReadAt(schedule, dueAtMs, HEALTHY);
+        assertNextReadAt(schedule, dueAtMs, NOT_FAILING);
     }
 
     @Test
     public void readsAreScheduledWhileTheServiceFails() {
         FileReadSchedule schedule = new FileReadSchedule();
-        assertFalse(schedule.isReadDue(1e9, HEALTHY));
+        assertFalse(schedule.isReadDue(1e9, NOT_FAILING));
         assertNextReadAt(schedule, 300 + FileReadSchedule.FAULT_READ_INTERVAL_MS, 300);
         schedule.beginRead();
         schedule.readSucceeded(600, true);
