--- a/src/test/java/lineward/discovery/PollConnectionTest.java
+++ b/src/test/java/lineward/discovery/PollConnectionTest.java
@@ -23,7 +23,7 @@
         }
     }
 
-    private static PollConnection in(State state) {
+    private static PollConnection connectionIn(State state) {
         PollConnection connection = new PollConnection(1, 0);
         if (state != State.CONNECTING) {
             connection.poll(0);
@@ -48,8 +48,8 @@
 
     /** If the state after the event is null, the transition is invalid. */
     @Test(dataProvider = "transitions")
-    public void eachEventLeadsToTheStateOfTheTable(State before, Event event, State after) {
-        PollConnection connection = in(before);
+    public void eachEventLeadsToTheNextState(State before, Event event, State after) {
+        PollConnection connection = connectionIn(before);
         if (after == null) {
             assertThrows(IllegalStateException.class, () -> event.applyTo(connection));
             assertEquals(connection.state(), before);
@@ -68,15 +68,15 @@
     }
 
     @Test(dataProvider = "limits")
-    public void anOverdueConnectionIsOneBeyondItsLimit(State state, double limitMs) {
-        PollConnection connection = in(state);
+    public void aConnectionIsOverdueBeyondItsLimit(State state, double limitMs) {
+        PollConnection connection = connectionIn(state);
         assertFalse(connection.isOverdue(limitMs));
         assertTrue(connection.isOverdue(limitMs + 1));
     }
 
     @Test
     public void aPauseIsNeverOverdueAndEndsAtItsTime() {
-        PollConnection connection = in(State.PAUSED);
+        PollConnection connection = connectionIn(State.PAUSED);
         assertFalse(connection.isOverdue(1e9));
         assertFalse(connection.isResumeDue(49));
         assertTrue(connection.isResumeDue(50));
