--- a/src/test/java/lineward/discovery/PollPolicyTest.java
+++ b/src/test/java/lineward/discovery/PollPolicyTest.java
@@ -49,15 +49,15 @@
             simulation.run(50_000);
             assertPolledInTime(simulation, seed);
             longestUnpolledMs = Math.max(longestUnpolledMs, simulation.longestUnpolledMs);
-            int work = simulation.connects + simulation.fileReads;
-            assertTrue(work < 1500, "seed " + seed + ": " + work + " connections and file reads");
+            int ioCount = simulation.connects + simulation.fileReads;
+            assertTrue(ioCount < 1500, "seed " + seed + ": " + ioCount + " connections and file reads");
         }
         assertTrue(longestUnpolledMs > 500, "the schedules contain faults");
     }
 
     /** Without SIGHUP, the file is read again once the old service has stopped responding. */
     @Test
-    public void aFileReplacedWithoutASignalIsReadOnceTheOldServiceIsSilent() {
+    public void aFileReplacedWithoutASignalIsReadOnceTheOldServiceStopsResponding() {
         for (int seed = 0; seed < 20; seed++) {
             DiscoverySimulation simulation = new DiscoverySimulation(seed, false);
             simulation.reload(3000, false);
