--- a/src/test/java/lineward/discovery/DiscoveryClientTest.java
+++ b/src/test/java/lineward/discovery/DiscoveryClientTest.java
@@ -36,12 +36,12 @@
 public class DiscoveryClientTest {
     private static final int TICK_MS = 5;
 
-    private enum Behaviour {
-        ANSWERS,
-        STAYS_SILENT,
-        CLOSES_AT_ONCE,
+    private enum Behavior {
+        HEALTHY,
+        NEVER_RESPONDS,
+        CLOSES_IMMEDIATELY,
         SENDS_SLOWLY,
-        ANSWERS_MALFORMED
+        SENDS_INVALID_RESPONSE
     }
 
     /** A service that responds to each poll at once with its only event, or fails in the given way. */
@@ -50,17 +50,17 @@
         final List<Socket> sockets = new CopyOnWriteArrayList<>();
         final AtomicInteger responseCount = new AtomicInteger();
         final int eventNumber;
-        volatile Behaviour behaviour;
+        volatile Behavior behavior;
 
-        Service(int eventNumber, Behaviour behaviour) throws IOException {
+        Service(int eventNumber, Behavior behavior) throws IOException {
             server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
             this.eventNumber = eventNumber;
-            this.behaviour = behaviour;
+            this.behavior = behavior;
             startThread(() -> {
                 while (true) {
                     Socket socket = server.accept();
                     sockets.add(socket);
-                    startThread(() -> serve(socket, this.behaviour));
+                    startThread(() -> serve(socket, this.behavior));
                 }
             });
         }
@@ -87,8 +87,8 @@
             return "127.0.0.1:" + server.getLocalPort();
         }
 
-        private void serve(Socket socket, Behaviour behaviourAtAccept) throws IOException {
-            if (behaviourAtAccept == Behaviour.CLOSES_AT_ONCE) {
+        private void serve(Socket socket, Behavior behaviorAtAccept) throws IOException {
+            if (behaviorAtAccept == Behavior.CLOSES_IMMEDIATELY) {
                 socket.close();
                 return;
             }
@@ -96,16 +96,16 @@
             BufferedReader reader = new BufferedReader(input);
             OutputStream output = socket.getOutputStream();
             for (String line = reader.readLine(); line != null; line = reader.readLine()) {
-                if (!line.isEmpty() || behaviourAtAccept == Behaviour.STAYS_SILENT) {
+                if (!line.isEmpty() || behaviorAtAccept == Behavior.NEVER_RESPONDS) {
                     continue;
                 }
-                String body = behaviourAtAccept == Behaviour.ANSWERS_MALFORMED
+                String body = behaviorAtAccept == Behavior.SENDS_INVALID_RESPONSE
                         ? "{"
                         : "{\"pos\":" + eventNumber + ",\"entries\":[{\"pos\":" + eventNumber
                                 + ",\"hosts\":{\"reset\":true,\"instances\":[]}}]}";
                 byte[] response = ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.US_ASCII);
-                for (int i = 0; behaviourAtAccept == Behaviour.SENDS_SLOWLY && i < response.length - 1; i++) {
+                for (int i = 0; behaviorAtAccept == Behavior.SENDS_SLOWLY && i < response.length - 1; i++) {
                     output.write(response, i, 1);
                     pause(100);
                 }
@@ -157,8 +157,8 @@
         Files.deleteIfExists(file);
     }
 
-    private Service service(int eventNumber, Behaviour behaviour) throws IOException {
-        Service service = new Service(eventNumber, behaviour);
+    private Service service(int eventNumber, Behavior behavior) throws IOException {
+        Service service = new Service(eventNumber, behavior);
         services.add(service);
         return service;
     }
@@ -203,32 +203,32 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {Behaviour.STAYS_SILENT},
-            {Behaviour.CLOSES_AT_ONCE},
-            {Behaviour.SENDS_SLOWLY},
-            {Behaviour.ANSWERS_MALFORMED}
+            {Behavior.NEVER_RESPONDS},
+            {Behavior.CLOSES_IMMEDIATELY},
+            {Behavior.SENDS_SLOWLY},
+            {Behavior.SENDS_INVALID_RESPONSE}
         };
     }
 
     @Test(dataProvider = "faults")
-    public void aServiceThatFailsAtTheStartIsPolledOnceItRecovers(Behaviour fault) throws IOException {
+    public void aServiceThatFailsAtTheStartIsPolledOnceItRecovers(Behavior fault) throws IOException {
         Service service = service(3, fault);
         writeFile(service.address() + ';');
         startClient(service.address());
         Program.await("a connection", () -> !service.sockets.isEmpty());
-        service.behaviour = Behaviour.ANSWERS;
+        service.behavior = Behavior.HEALTHY;
         awaitEvent(3);
     }
 
     /** Without SIGHUP, the failure of the old service causes a read of the file with the new address. */
     @Test(dataProvider = "faults")
-    public void aServiceThatFailsLaterIsReplacedByTheOneInTheFile(Behaviour fault) throws IOException {
-        Service old = service(3, Behaviour.ANSWERS);
-        Service next = service(4, Behaviour.ANSWERS);
+    public void aServiceThatFailsLaterIsReplacedByTheOneInTheFile(Behavior fault) throws IOException {
+        Service old = service(3, Behavior.HEALTHY);
+        Service next = service(4, Behavior.HEALTHY);
         writeFile(old.address() + ';');
         startClient(old.address());
         awaitEvent(3);
-        old.behaviour = fault;
+        old.behavior = fault;
         for (Socket socket : old.sockets) {
             socket.close();
         }
@@ -238,24 +238,24 @@
 
     @Test
     public void aConnectionRefusedAtTheStartCausesReadsOfTheFile() throws IOException {
-        Service stopped = service(1, Behaviour.ANSWERS);
+        Service stopped = service(1, Behavior.HEALTHY);
         stopped.close();
         writeFile("");
         startClient(stopped.address());
-        Service next = service(2, Behaviour.ANSWERS);
+        Service next = service(2, Behavior.HEALTHY);
         writeFile(next.address() + ';');
         awaitEvent(2);
     }
 
     @Test
     public void anIncompleteFileIsReadAgainUntilItIsComplete() throws IOException {
-        Service first = service(1, Behaviour.ANSWERS);
+        Service first = service(1, Behavior.HEALTHY);
         writeFile(first.address() + ';');
         startClient(first.address());
         awaitEvent(1);
         int length = first.address().length();
         for (int writtenLength = 0; writtenLength <= length; writtenLength++) {
-            Service next = service(writtenLength + 2, Behaviour.ANSWERS);
+            Service next = service(writtenLength + 2, Behavior.HEALTHY);
             String complete = next.address() + ';';
             writeFile(complete.substring(0, Math.min(writtenLength, complete.length() - 1)));
             signalReload();
@@ -269,12 +269,12 @@
 
     @Test
     public void afterReloadsInQuickSuccessionTheLastAddressIsPolled() throws IOException {
-        Service first = service(1, Behaviour.ANSWERS);
+        Service first = service(1, Behavior.HEALTHY);
         writeFile(first.address() + ';');
         startClient(first.address());
         Service last = first;
         for (int i = 0; i < 20; i++) {
-            last = service(i + 2, Behaviour.ANSWERS);
+            last = service(i + 2, Behavior.HEALTHY);
             writeFile(last.address() + ';');
             signalReload();
         }
--- a/src/test/java/lineward/discovery/DiscoverySimulation.java
+++ b/src/test/java/lineward/discovery/DiscoverySimulation.java
@@ -18,11 +18,11 @@
     private static final List<String> ADDRESSES = List.of("a:1", "b:1", "c:1");
     private static final double STEP_MS = 5;
 
-    enum Behaviour {
+    enum Behavior {
         HEALTHY,
         REFUSES_CONNECTIONS,
-        STAYS_SILENT,
-        CLOSES_AT_ONCE,
+        NEVER_RESPONDS,
+        CLOSES_IMMEDIATELY,
         SENDS_SLOWLY
     }
 
@@ -31,8 +31,8 @@
      * connection is closed.
      */
     static final class Service {
-        Behaviour behaviour = Behaviour.HEALTHY;
-        final Map<Integer, Behaviour> open = new HashMap<>();
+        Behavior behavior = Behavior.HEALTHY;
+        final Map<Integer, Behavior> open = new HashMap<>();
     }
 
     final Random random;
@@ -65,9 +65,9 @@
         return ADDRESSES.get(random.nextInt(ADDRESSES.size()));
     }
 
-    /** Returns a random behaviour other than {@link Behaviour#HEALTHY}. */
-    Behaviour randomFault() {
-        Behaviour[] all = Behaviour.values();
+    /** Returns a random behaviour other than {@link Behavior#HEALTHY}. */
+    Behavior randomFault() {
+        Behavior[] all = Behavior.values();
         return all[1 + random.nextInt(all.length - 1)];
     }
 
@@ -91,18 +91,18 @@
         at(atMs + brokenMs, () -> {
             String old = file == null ? policy.address() : file;
             file = target;
-            services.get(target).behaviour = Behaviour.HEALTHY;
+            services.get(target).behavior = Behavior.HEALTHY;
             if (!old.equals(target)) {
-                fault(old, Behaviour.STAYS_SILENT);
+                fault(old, Behavior.NEVER_RESPONDS);
                 at(nowMs + 1500, () -> closeAll(old));
             }
         });
     }
 
-    void fault(String name, Behaviour behaviour) {
-        services.get(name).behaviour = behaviour;
-        services.get(name).open.replaceAll((connection, was) -> behaviour);
-        if (behaviour == Behaviour.REFUSES_CONNECTIONS || behaviour == Behaviour.CLOSES_AT_ONCE) {
+    void fault(String name, Behavior behavior) {
+        services.get(name).behavior = behavior;
+        services.get(name).open.replaceAll((connection, was) -> behavior);
+        if (behavior == Behavior.REFUSES_CONNECTIONS || behavior == Behavior.CLOSES_IMMEDIATELY) {
             closeAll(name);
         }
     }
@@ -110,7 +110,7 @@
     /** Makes the service healthy if the file has its address; otherwise it has moved and stays faulty. */
     void heal(String name) {
         if (name.equals(file)) {
-            services.get(name).behaviour = Behaviour.HEALTHY;
+            services.get(name).behavior = Behavior.HEALTHY;
         }
     }
 
@@ -145,7 +145,7 @@
      * received in that time.
      */
     private void measure() {
-        boolean available = file != null && services.get(file).behaviour == Behaviour.HEALTHY;
+        boolean available = file != null && services.get(file).behavior == Behavior.HEALTHY;
         boolean polled = available && connections.keySet().stream().anyMatch(this::isPollAtNamedService);
         availableSinceMs = available ? availableSinceMs : nowMs;
         polledAtMs = polled ? nowMs : polledAtMs;
@@ -155,7 +155,7 @@
     private boolean isPollAtNamedService(int connection) {
         return connections.get(connection).equals(file)
                 && polling.getOrDefault(connection, false)
-                && services.get(file).open.get(connection) == Behaviour.HEALTHY;
+                && services.get(file).open.get(connection) == Behavior.HEALTHY;
     }
 
     void perform(List<PollStep> steps) {
@@ -208,20 +208,20 @@
         if (!policy.isOpen(connection)) {
             return;
         }
-        if (service.behaviour == Behaviour.REFUSES_CONNECTIONS) {
+        if (service.behavior == Behavior.REFUSES_CONNECTIONS) {
             end(address, connection);
             return;
         }
-        service.open.put(connection, service.behaviour);
+        service.open.put(connection, service.behavior);
         perform(policy.connected(connection, nowMs));
-        if (service.behaviour == Behaviour.CLOSES_AT_ONCE) {
+        if (service.behavior == Behavior.CLOSES_IMMEDIATELY) {
             end(address, connection);
         }
     }
 
     private void answer(int connection) {
         String address = connections.get(connection);
-        if (address != null && services.get(address).open.get(connection) == Behaviour.HEALTHY) {
+        if (address != null && services.get(address).open.get(connection) == Behavior.HEALTHY) {
             polling.put(connection, false);
             perform(policy.responded(connection, new PollResponse(false, false), nowMs));
         }
--- a/src/test/java/lineward/discovery/PollPolicyTest.java
+++ b/src/test/java/lineward/discovery/PollPolicyTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
-import lineward.discovery.DiscoverySimulation.Behaviour;
+import lineward.discovery.DiscoverySimulation.Behavior;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -20,7 +20,7 @@
     private static DiscoverySimulation seededSchedule(int seed) {
         DiscoverySimulation simulation = new DiscoverySimulation(seed, seed % 5 == 0);
         if (seed % 3 == 0) {
-            simulation.services.get("a:1").behaviour = simulation.randomFault();
+            simulation.services.get("a:1").behavior = simulation.randomFault();
             simulation.at(500 + simulation.random.nextInt(4000), () -> simulation.heal("a:1"));
         }
         for (double atMs = 1000; atMs < 40_000; atMs += 1000 + simulation.random.nextInt(6000)) {
@@ -28,7 +28,7 @@
                 simulation.reload(atMs, true);
             } else {
                 String address = simulation.randomAddress();
-                Behaviour fault = simulation.randomFault();
+                Behavior fault = simulation.randomFault();
                 simulation.at(atMs, () -> simulation.fault(address, fault));
                 simulation.at(atMs + simulation.random.nextInt(5000), () -> simulation.heal(address));
             }
@@ -70,15 +70,15 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {Behaviour.REFUSES_CONNECTIONS},
-            {Behaviour.STAYS_SILENT},
-            {Behaviour.CLOSES_AT_ONCE},
-            {Behaviour.SENDS_SLOWLY}
+            {Behavior.REFUSES_CONNECTIONS},
+            {Behavior.NEVER_RESPONDS},
+            {Behavior.CLOSES_IMMEDIATELY},
+            {Behavior.SENDS_SLOWLY}
         };
     }
 
     @Test(dataProvider = "faults")
-    public void faultsAreLoggedEachSecondAndTheFileIsRead(Behaviour fault) {
+    public void faultsAreLoggedEachSecondAndTheFileIsRead(Behavior fault) {
         DiscoverySimulation simulation = new DiscoverySimulation(1, false);
         simulation.at(1000, () -> simulation.fault("a:1", fault));
         simulation.run(10_000);
