--- a/src/test/java/lineward/discovery/DiscoverySimulation.java
+++ b/src/test/java/lineward/discovery/DiscoverySimulation.java
@@ -16,7 +16,7 @@
  */
 final class DiscoverySimulation implements PollStep.Handler {
     private static final List<String> ADDRESSES = List.of("a:1", "b:1", "c:1");
-    private static final double STEP_MS = 5;
+    private static final double TICK_MS = 5;
 
     enum Behavior {
         HEALTHY,
@@ -32,7 +32,7 @@
      */
     static final class Service {
         Behavior behavior = Behavior.HEALTHY;
-        final Map<Integer, Behavior> open = new HashMap<>();
+        final Map<Integer, Behavior> openConnections = new HashMap<>();
     }
 
     final Random random;
@@ -41,23 +41,23 @@
     final PollPolicy policy;
     final Map<Integer, String> connections = new HashMap<>();
     final Map<Integer, Boolean> polling = new HashMap<>();
-    final boolean answersAtOnce;
-    String file;
+    final boolean respondsImmediately;
+    String addressInFile;
     double nowMs;
     double availableSinceMs;
-    double polledAtMs;
+    double lastPolledAtMs;
     double longestUnpolledMs;
-    int connects;
-    int fileReads;
+    int connectCount;
+    int fileReadCount;
     final List<Double> warningsAtMs = new ArrayList<>();
 
-    DiscoverySimulation(long seed, boolean answersAtOnce) {
+    DiscoverySimulation(long seed, boolean respondsImmediately) {
         random = new Random(seed);
-        this.answersAtOnce = answersAtOnce;
-        for (String name : ADDRESSES) {
-            services.put(name, new Service());
+        this.respondsImmediately = respondsImmediately;
+        for (String address : ADDRESSES) {
+            services.put(address, new Service());
         }
-        file = "a:1";
+        addressInFile = "a:1";
         policy = new PollPolicy("a:1", 0);
     }
 
@@ -80,57 +80,57 @@
      * that is another one, the old service stops responding and closes its connections 1.5 s later. SIGHUP,
      * if it is sent, comes at the given time or up to 200 ms earlier.
      */
-    void reload(double atMs, boolean signalled) {
-        String target = randomAddress();
-        double brokenMs = random.nextInt(3) == 0 ? random.nextDouble() * 3000 : 0;
+    void reload(double atMs, boolean sendsSignal) {
+        String newAddress = randomAddress();
+        double missingFileMs = random.nextInt(3) == 0 ? random.nextDouble() * 3000 : 0;
         double signalAtMs = atMs + (random.nextInt(4) == 0 ? -200 * random.nextDouble() : 0);
-        at(atMs - 1, () -> file = null);
-        if (signalled) {
+        at(atMs - 1, () -> addressInFile = null);
+        if (sendsSignal) {
             at(signalAtMs, () -> policy.reloadAddress(nowMs));
         }
-        at(atMs + brokenMs, () -> {
-            String old = file == null ? policy.address() : file;
-            file = target;
-            services.get(target).behavior = Behavior.HEALTHY;
-            if (!old.equals(target)) {
-                fault(old, Behavior.NEVER_RESPONDS);
+        at(atMs + missingFileMs, () -> {
+            String old = addressInFile == null ? policy.address() : addressInFile;
+            addressInFile = newAddress;
+            services.get(newAddress).behavior = Behavior.HEALTHY;
+            if (!old.equals(newAddress)) {
+                startFault(old, Behavior.NEVER_RESPONDS);
                 at(nowMs + 1500, () -> closeAll(old));
             }
         });
     }
 
-    void fault(String name, Behavior behavior) {
-        services.get(name).behavior = behavior;
-        services.get(name).open.replaceAll((connection, was) -> behavior);
+    void startFault(String address, Behavior behavior) {
+        services.get(address).behavior = behavior;
+        services.get(address).openConnections.replaceAll((connection, was) -> behavior);
         if (behavior == Behavior.REFUSES_CONNECTIONS || behavior == Behavior.CLOSES_IMMEDIATELY) {
-            closeAll(name);
+            closeAll(address);
         }
     }
 
     /** Makes the service healthy if the file has its address; otherwise it has moved and stays faulty. */
-    void heal(String name) {
-        if (name.equals(file)) {
-            services.get(name).behavior = Behavior.HEALTHY;
+    void recover(String address) {
+        if (address.equals(addressInFile)) {
+            services.get(address).behavior = Behavior.HEALTHY;
         }
     }
 
-    private void closeAll(String name) {
-        for (int connection : List.copyOf(services.get(name).open.keySet())) {
-            end(name, connection);
+    private void closeAll(String address) {
+        for (int connection : List.copyOf(services.get(address).openConnections.keySet())) {
+            closeConnection(address, connection);
         }
     }
 
-    private void end(String name, int connection) {
-        services.get(name).open.remove(connection);
+    private void closeConnection(String address, int connection) {
+        services.get(address).openConnections.remove(connection);
         connections.remove(connection);
         policy.failed(connection, PollFault.CONNECTION_CLOSED, nowMs);
     }
 
     void run(double endMs) {
-        for (nowMs = 0; nowMs < endMs; nowMs += STEP_MS) {
+        for (nowMs = 0; nowMs < endMs; nowMs += TICK_MS) {
             runDueTasks();
             perform(policy.tick(nowMs));
-            measure();
+            measureUnpolledTime();
         }
     }
 
@@ -144,18 +144,18 @@
      * Updates the longest time without a poll at the service in the file while it is healthy. No event can be
      * received in that time.
      */
-    private void measure() {
-        boolean available = file != null && services.get(file).behavior == Behavior.HEALTHY;
-        boolean polled = available && connections.keySet().stream().anyMatch(this::isPollAtNamedService);
+    private void measureUnpolledTime() {
+        boolean available = addressInFile != null && services.get(addressInFile).behavior == Behavior.HEALTHY;
+        boolean polled = available && connections.keySet().stream().anyMatch(this::isPollAtServiceInFile);
         availableSinceMs = available ? availableSinceMs : nowMs;
-        polledAtMs = polled ? nowMs : polledAtMs;
-        longestUnpolledMs = Math.max(longestUnpolledMs, nowMs - Math.max(polledAtMs, availableSinceMs));
+        lastPolledAtMs = polled ? nowMs : lastPolledAtMs;
+        longestUnpolledMs = Math.max(longestUnpolledMs, nowMs - Math.max(lastPolledAtMs, availableSinceMs));
     }
 
-    private boolean isPollAtNamedService(int connection) {
-        return connections.get(connection).equals(file)
+    private boolean isPollAtServiceInFile(int connection) {
+        return connections.get(connection).equals(addressInFile)
                 && polling.getOrDefault(connection, false)
-                && services.get(file).open.get(connection) == Behavior.HEALTHY;
+                && services.get(addressInFile).openConnections.get(connection) == Behavior.HEALTHY;
     }
 
     void perform(List<PollStep> steps) {
@@ -167,28 +167,28 @@
 
     @Override
     public void connect(PollStep.Connect step) {
-        connects++;
+        connectCount++;
         connections.put(step.connectionNumber(), step.address());
-        at(nowMs + 1 + random.nextInt(20), () -> arrive(step.connectionNumber(), step.address()));
+        at(nowMs + 1 + random.nextInt(20), () -> establish(step.connectionNumber(), step.address()));
     }
 
     @Override
     public void sendPoll(PollStep.SendPoll step) {
         polling.put(step.connectionNumber(), true);
-        double delayMs = answersAtOnce ? 5 : PollPolicy.LONG_POLL_TIMEOUT_MS;
-        at(nowMs + delayMs, () -> answer(step.connectionNumber()));
+        double delayMs = respondsImmediately ? 5 : PollPolicy.LONG_POLL_TIMEOUT_MS;
+        at(nowMs + delayMs, () -> respond(step.connectionNumber()));
     }
 
     @Override
     public void close(PollStep.Close step) {
         String address = connections.remove(step.connectionNumber());
-        services.get(address).open.remove(step.connectionNumber());
+        services.get(address).openConnections.remove(step.connectionNumber());
     }
 
     @Override
     public void readFile(PollStep.ReadFile step) {
-        fileReads++;
-        String content = file;
+        fileReadCount++;
+        String content = addressInFile;
         at(nowMs + 1 + random.nextInt(10), () -> {
             if (content == null) {
                 policy.fileReadFailed(nowMs);
@@ -203,25 +203,25 @@
         warningsAtMs.add(nowMs);
     }
 
-    private void arrive(int connection, String address) {
+    private void establish(int connection, String address) {
         Service service = services.get(address);
         if (!policy.isOpen(connection)) {
             return;
         }
         if (service.behavior == Behavior.REFUSES_CONNECTIONS) {
-            end(address, connection);
+            closeConnection(address, connection);
             return;
         }
-        service.open.put(connection, service.behavior);
+        service.openConnections.put(connection, service.behavior);
         perform(policy.connected(connection, nowMs));
         if (service.behavior == Behavior.CLOSES_IMMEDIATELY) {
-            end(address, connection);
+            closeConnection(address, connection);
         }
     }
 
-    private void answer(int connection) {
+    private void respond(int connection) {
         String address = connections.get(connection);
-        if (address != null && services.get(address).open.get(connection) == Behavior.HEALTHY) {
+        if (address != null && services.get(address).openConnections.get(connection) == Behavior.HEALTHY) {
             polling.put(connection, false);
             perform(policy.responded(connection, new PollResponse(false, false), nowMs));
         }
--- a/src/test/java/lineward/discovery/PollPolicyTest.java
+++ b/src/test/java/lineward/discovery/PollPolicyTest.java
@@ -21,7 +21,7 @@
         DiscoverySimulation simulation = new DiscoverySimulation(seed, seed % 5 == 0);
         if (seed % 3 == 0) {
             simulation.services.get("a:1").behavior = simulation.randomFault();
-            simulation.at(500 + simulation.random.nextInt(4000), () -> simulation.heal("a:1"));
+            simulation.at(500 + simulation.random.nextInt(4000), () -> simulation.recover("a:1"));
         }
         for (double atMs = 1000; atMs < 40_000; atMs += 1000 + simulation.random.nextInt(6000)) {
             if (simulation.random.nextBoolean()) {
@@ -29,8 +29,8 @@
             } else {
                 String address = simulation.randomAddress();
                 Behavior fault = simulation.randomFault();
-                simulation.at(atMs, () -> simulation.fault(address, fault));
-                simulation.at(atMs + simulation.random.nextInt(5000), () -> simulation.heal(address));
+                simulation.at(atMs, () -> simulation.startFault(address, fault));
+                simulation.at(atMs + simulation.random.nextInt(5000), () -> simulation.recover(address));
             }
         }
         return simulation;
@@ -49,7 +49,7 @@
             simulation.run(50_000);
             assertPolledInTime(simulation, seed);
             longestUnpolledMs = Math.max(longestUnpolledMs, simulation.longestUnpolledMs);
-            int ioCount = simulation.connects + simulation.fileReads;
+            int ioCount = simulation.connectCount + simulation.fileReadCount;
             assertTrue(ioCount < 1500, "seed " + seed + ": " + ioCount + " connections and file reads");
         }
         assertTrue(longestUnpolledMs > 500, "the schedules contain faults");
@@ -80,11 +80,11 @@
     @Test(dataProvider = "faults")
     public void faultsAreLoggedEachSecondAndTheFileIsRead(Behavior fault) {
         DiscoverySimulation simulation = new DiscoverySimulation(1, false);
-        simulation.at(1000, () -> simulation.fault("a:1", fault));
+        simulation.at(1000, () -> simulation.startFault("a:1", fault));
         simulation.run(10_000);
         List<Double> warningsAtMs = simulation.warningsAtMs;
         assertTrue(warningsAtMs.size() >= 7 && warningsAtMs.size() <= 8, warningsAtMs.toString());
-        int fileReads = simulation.fileReads;
+        int fileReads = simulation.fileReadCount;
         assertTrue(fileReads > 20 && fileReads < 50, fileReads + " reads of the file");
     }
 
