--- a/src/test/java/lineward/engine/AttemptEndTest.java
+++ b/src/test/java/lineward/engine/AttemptEndTest.java
@@ -41,7 +41,7 @@
             AttemptEnd.PARTIALLY_SENT);
 
     @Test
-    public void endsProveWhetherTheRequestMayHaveRun() {
+    public void eachEndTellsWhetherTheRequestMayHaveRun() {
         for (AttemptEnd end : AttemptEnd.values()) {
             assertEquals(end.outcome().mayHaveRun(), !NEVER_RAN.contains(end), end.name());
         }
@@ -65,7 +65,7 @@
     public void replyEndsTheAttemptWithItsOutcome(String reply, AttemptOutcome outcome) {
         RecordingListener listener = new RecordingListener();
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
-        EmbeddedChannel channel = channel(connection);
+        EmbeddedChannel channel = openChannel(connection);
         connection.start(listener.attempt);
         channel.writeInbound(Unpooled.copiedBuffer(reply, StandardCharsets.US_ASCII));
         channel.advanceTimeBy(1, TimeUnit.SECONDS);
@@ -74,7 +74,7 @@
         channel.finishAndReleaseAll();
     }
 
-    private static EmbeddedChannel channel(EngineConnection connection) {
+    private static EmbeddedChannel openChannel(EngineConnection connection) {
         EmbeddedChannel channel = new EmbeddedChannel(new ReplyDecoder());
         connection.setChannel(channel);
         channel.pipeline().addLast(connection);
@@ -83,16 +83,16 @@
     }
 
     @DataProvider
-    public Object[][] writes() {
+    public Object[][] writeCounts() {
         return new Object[][] {{0, false}, {1, false}, {2, false}, {3, true}};
     }
 
     /** A request is written in three parts; it counts as sent once the last one was written to the socket. */
-    @Test(dataProvider = "writes")
-    public void requestCountsAsSentOnceTheSocketHasItsLastByte(int succeedingWrites, boolean sent) {
+    @Test(dataProvider = "writeCounts")
+    public void requestIsSentOnceItsLastPartIsWritten(int succeedingWrites, boolean sent) {
         RecordingListener listener = new RecordingListener();
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
-        EmbeddedChannel channel = channel(connection);
+        EmbeddedChannel channel = openChannel(connection);
         channel.pipeline().addFirst(new ChannelOutboundHandlerAdapter() {
             private int writes;
 
@@ -112,12 +112,12 @@
     }
 
     @DataProvider
-    public Object[][] breaks() {
+    public Object[][] lostConnections() {
         return new Object[][] {{false, AttemptOutcome.REJECTED}, {true, AttemptOutcome.RESET}};
     }
 
-    @Test(dataProvider = "breaks")
-    public void brokenConnectionProvesNothingOnceTheRequestWasSent(boolean sent, AttemptOutcome outcome)
+    @Test(dataProvider = "lostConnections")
+    public void lostConnectionEndsAnAttemptAsResetOnlyIfItWasSent(boolean sent, AttemptOutcome outcome)
             throws IOException {
         RecordingListener listener = new RecordingListener();
         listener.attempt.requestWritten();
@@ -129,7 +129,7 @@
     }
 
     @Test
-    public void refusedConnectionProvesThatNothingRan() throws IOException {
+    public void refusedConnectionEndsTheAttemptAsConnectFailed() throws IOException {
         RecordingListener listener = new RecordingListener();
         withPool(pool -> pool.start(listener.attempt), listener);
         assertEquals(listener.outcomes, List.of(AttemptOutcome.CONNECT_FAILED));
