--- a/src/test/java/lineward/engine/ConnectionAttemptsTest.java
+++ b/src/test/java/lineward/engine/ConnectionAttemptsTest.java
@@ -17,7 +17,7 @@
 
 /** Tests the lifecycle of attempts on one connection to an engine. */
 public class ConnectionAttemptsTest {
-    private static ByteBuf statement(String text) {
+    private static ByteBuf buffer(String text) {
         return PooledByteBufAllocator.DEFAULT.buffer(64).writeBytes(text.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -38,25 +38,25 @@
     @Test
     public void attemptRetainsItsStatementWhenItsRequestEnds() {
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
-        ByteBuf statement = statement("select 1");
+        ByteBuf statement = buffer("select 1");
         List<AttemptOutcome> outcomes = new ArrayList<>();
         QueryAttempt attempt = attempt(statement, outcomes);
         connection.start(attempt);
         statement.release();
-        ByteBuf later = statement("delete 2");
+        ByteBuf otherStatement = buffer("delete 2");
         EmbeddedChannel channel = connect(connection);
         assertEquals(written(channel).lines().skip(1).findFirst().orElse(""), "select 1");
         connection.cancel(attempt);
         assertEquals(statement.refCnt(), 0, "the statement is released when its attempt is cancelled");
-        assertEquals(later.refCnt(), 1);
-        later.release();
+        assertEquals(otherStatement.refCnt(), 1);
+        otherStatement.release();
         channel.close().addListener(FailureLog.CHANNEL);
     }
 
     @Test
     public void cancelledAttemptThatWaitsForAConnectionIsNeverSent() {
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
-        ByteBuf statement = statement("select 1");
+        ByteBuf statement = buffer("select 1");
         List<AttemptOutcome> outcomes = new ArrayList<>();
         connection.start(attempt(statement, outcomes));
         connection.cancelWaitingAttempts();
@@ -70,7 +70,7 @@
     @Test
     public void attemptPastItsStartDeadlineIsNotSent() {
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
-        ByteBuf statement = statement("select 1");
+        ByteBuf statement = buffer("select 1");
         List<AttemptOutcome> outcomes = new ArrayList<>();
         connection.start(attempt(statement, outcomes, 0));
         assertEquals(written(connect(connection)), "");
@@ -80,18 +80,18 @@
 
     /** If an engine rejects every request, the ids of ended attempts must not accumulate without bound. */
     @Test
-    public void numberOfRememberedEndedAttemptsIsBounded() {
+    public void numberOfEndedAttemptIdsIsBounded() {
         EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
         EmbeddedChannel channel = connect(connection);
         channel.pipeline().addFirst(new ReplyDecoder());
-        ByteBuf statement = statement("select 1");
+        ByteBuf statement = buffer("select 1");
         QueryAttempt.Listener ignored = (outcome, result) -> {};
         QueryAttempt.TimeLimits timeLimits = new QueryAttempt.TimeLimits(60_000, 60_000);
         for (int i = 0; i < EndedAttempts.MAX_ATTEMPTS; i++) {
             String id = String.format("%016x", i);
             assertEquals(connection.accepts(id, 10), true, "attempt " + i);
             connection.start(new QueryAttempt(id, "report", statement, timeLimits, 0, 1, ignored));
-            channel.writeInbound(statement(id + " SHED - 0\r\n\r\n"));
+            channel.writeInbound(buffer(id + " SHED - 0\r\n\r\n"));
         }
         assertEquals(connection.accepts("ffff", 10), false);
         statement.release();
@@ -101,12 +101,12 @@
         return attempt(statement, outcomes, 1000);
     }
 
-    private static QueryAttempt attempt(ByteBuf statement, List<AttemptOutcome> outcomes, long startMs) {
+    private static QueryAttempt attempt(ByteBuf statement, List<AttemptOutcome> outcomes, long startLimitMs) {
         return new QueryAttempt(
                 "00aa",
                 "report",
                 statement,
-                new QueryAttempt.TimeLimits(1000, startMs),
+                new QueryAttempt.TimeLimits(1000, startLimitMs),
                 0,
                 1,
                 (outcome, result) -> outcomes.add(outcome));
