--- a/src/main/java/lineward/discovery/DiscoveryClient.java
+++ b/src/main/java/lineward/discovery/DiscoveryClient.java
@@ -61,8 +61,8 @@
     }
 
     /** Returns the milliseconds since the last valid response, or since the start if there was none. */
-    public long ageMs() {
-        return Math.round(policy.silentMs(clock.getAsDouble()));
+    public long lastResponseAgeMs() {
+        return Math.round(policy.lastResponseAgeMs(clock.getAsDouble()));
     }
 
     private void perform(List<PollStep> steps) {
@@ -74,18 +74,18 @@
     private final class StepHandler implements PollStep.Handler {
         @Override
         public void connect(PollStep.Connect step) {
-            transport.connect(step.connection(), step.address());
+            transport.connect(step.connectionNumber(), step.address());
         }
 
         @Override
         public void sendPoll(PollStep.SendPoll step) {
             String uri = JournalFormat.pollUri(list.lastEventNumber(), PollPolicy.LONG_POLL_TIMEOUT_MS);
-            transport.get(step.connection(), uri);
+            transport.sendRequest(step.connectionNumber(), uri);
         }
 
         @Override
         public void close(PollStep.Close step) {
-            transport.close(step.connection());
+            transport.close(step.connectionNumber());
         }
 
         @Override
@@ -94,66 +94,66 @@
         }
 
         @Override
-        public void warnOfSilence(PollStep.WarnOfSilence step) {
+        public void warnNoResponse(PollStep.WarnNoResponse step) {
             LOG.warn(
                     "no usable response from service discovery: address={} silentMs={} cause={}",
                     step.address(),
-                    Math.round(step.silentMs()),
+                    Math.round(step.lastResponseAgeMs()),
                     step.lastFault());
         }
     }
 
     private final class FileListener implements AddressFileReader.Listener {
         /** Reason of the last failed read, so that its retries do not log it again; null after a success. */
-        private String lastReason;
+        private String lastFailureReason;
 
         @Override
         public void addressRead(String address) {
-            lastReason = null;
+            lastFailureReason = null;
             if (!address.equals(policy.address())) {
                 LOG.info("service discovery address changed: address={}", address);
             }
-            perform(policy.fileRead(address, clock.getAsDouble()));
+            perform(policy.fileReadSucceeded(address, clock.getAsDouble()));
         }
 
         @Override
         public void readFailed(String reason) {
-            if (!reason.equals(lastReason)) {
-                lastReason = reason;
+            if (!reason.equals(lastFailureReason)) {
+                lastFailureReason = reason;
                 LOG.warn("configuration not reloaded: cause={}", reason);
             }
-            policy.fileUnreadable(clock.getAsDouble());
+            policy.fileReadFailed(clock.getAsDouble());
         }
     }
 
     private final class TransportListener implements PollTransport.Listener {
         @Override
-        public void connected(int number) {
-            perform(policy.connected(number, clock.getAsDouble()));
+        public void connected(int connectionNumber) {
+            perform(policy.connected(connectionNumber, clock.getAsDouble()));
         }
 
         @Override
-        public void responded(int number, FullHttpResponse response) throws IOException {
-            if (!policy.isOpen(number)) {
+        public void responded(int connectionNumber, FullHttpResponse response) throws IOException {
+            if (!policy.isOpen(connectionNumber)) {
                 return;
             }
             if (!response.status().equals(HttpResponseStatus.OK)) {
                 String status = response.status().toString();
-                transport.abort(number, PollFault.httpStatus(status));
+                transport.abort(connectionNumber, PollFault.httpStatus(status));
                 return;
             }
-            long lastEventBefore = list.lastEventNumber();
+            long previousEventNumber = list.lastEventNumber();
             try (InputStream content = new ByteBufInputStream(response.content())) {
                 list.apply(JSON.readTree(content));
             }
-            boolean changed = list.lastEventNumber() != lastEventBefore;
-            PollResponse summary = new PollResponse(changed, !HttpUtil.isKeepAlive(response));
-            perform(policy.responded(number, summary, clock.getAsDouble()));
+            boolean hasNewEvent = list.lastEventNumber() != previousEventNumber;
+            PollResponse pollResponse = new PollResponse(hasNewEvent, !HttpUtil.isKeepAlive(response));
+            perform(policy.responded(connectionNumber, pollResponse, clock.getAsDouble()));
         }
 
         @Override
-        public void failed(int number, PollFault fault) {
-            policy.failed(number, fault, clock.getAsDouble());
+        public void failed(int connectionNumber, PollFault fault) {
+            policy.failed(connectionNumber, fault, clock.getAsDouble());
         }
     }
 }
--- a/src/main/java/lineward/discovery/PollPolicy.java
+++ b/src/main/java/lineward/discovery/PollPolicy.java
@@ -25,7 +25,7 @@
     /** Limit on connections; overdue ones stay open because a slow service may still respond on them. */
     static final int MAX_CONNECTIONS = 3;
     /** Time without a valid response after which a warning is logged. */
-    static final double SILENCE_MS = 2000;
+    static final double WARNING_DELAY_MS = 2000;
     /** Interval between these warnings. */
     static final double WARNING_INTERVAL_MS = 1000;
     /** An empty response sooner than this after its poll is early: the service does not hold polls. */
@@ -39,7 +39,7 @@
 
     private final FileReadSchedule fileReads = new FileReadSchedule();
     private String address;
-    private int lastNumber;
+    private int lastConnectionNumber;
     private double connectNotBeforeMs;
     private double lastResponseAtMs;
     /** Time of the first fault since a valid response or new address; {@link #NEVER} if there was none. */
@@ -56,7 +56,7 @@
     }
 
     /** Returns the time since the last valid response, or since the start if there was none. */
-    double silentMs(double nowMs) {
+    double lastResponseAgeMs(double nowMs) {
         return nowMs - lastResponseAtMs;
     }
 
@@ -78,19 +78,19 @@
             fileReads.beginRead();
             steps.add(new PollStep.ReadFile());
         }
-        if (silentMs(nowMs) > SILENCE_MS && nowMs >= nextWarningAtMs) {
+        if (lastResponseAgeMs(nowMs) > WARNING_DELAY_MS && nowMs >= nextWarningAtMs) {
             nextWarningAtMs = nowMs + WARNING_INTERVAL_MS;
-            steps.add(new PollStep.WarnOfSilence(address, silentMs(nowMs), lastFault));
+            steps.add(new PollStep.WarnNoResponse(address, lastResponseAgeMs(nowMs), lastFault));
         }
         return steps;
     }
 
     /** Handles an established connection: polls on it, or closes it if it is no longer in use. */
-    List<PollStep> connected(int number, double nowMs) {
+    List<PollStep> connected(int connectionNumber, double nowMs) {
         List<PollStep> steps = new ArrayList<>(1);
-        PollConnection connection = find(number);
+        PollConnection connection = find(connectionNumber);
         if (connection == null) {
-            steps.add(new PollStep.Close(number));
+            steps.add(new PollStep.Close(connectionNumber));
         } else {
             poll(connection, nowMs, steps);
         }
@@ -98,14 +98,14 @@
     }
 
     /** Returns whether the connection is in use; the caller ignores responses on other connections. */
-    boolean isOpen(int number) {
-        return find(number) != null;
+    boolean isOpen(int connectionNumber) {
+        return find(connectionNumber) != null;
     }
 
     /** Handles a valid response: closes all other connections and continues to poll. */
-    List<PollStep> responded(int number, PollResponse response, double nowMs) {
+    List<PollStep> responded(int connectionNumber, PollResponse response, double nowMs) {
         List<PollStep> steps = new ArrayList<>(2);
-        PollConnection connection = find(number);
+        PollConnection connection = find(connectionNumber);
         if (connection == null) {
             return steps;
         }
@@ -114,9 +114,9 @@
         nextWarningAtMs = nowMs;
         closeAllExcept(connection, steps);
         if (response.closesConnection()) {
-            steps.add(new PollStep.Close(number));
-            remove(connection, nowMs);
-        } else if (!response.changed() && nowMs - connection.waitingSinceMs() < EARLY_RESPONSE_MS) {
+            steps.add(new PollStep.Close(connectionNumber));
+            removeAndDelayConnect(connection, nowMs);
+        } else if (!response.hasNewEvent() && nowMs - connection.waitingSinceMs() < EARLY_RESPONSE_MS) {
             // An immediate poll would cause a busy loop with a service that does not hold polls.
             connection.pause(nowMs + PAUSE_MS);
         } else {
@@ -126,10 +126,10 @@
     }
 
     /** Handles a connection that was closed, not established, or aborted after an invalid response. */
-    void failed(int number, PollFault fault, double nowMs) {
-        PollConnection connection = find(number);
+    void failed(int connectionNumber, PollFault fault, double nowMs) {
+        PollConnection connection = find(connectionNumber);
         if (connection != null) {
-            remove(connection, nowMs);
+            removeAndDelayConnect(connection, nowMs);
             recordFault(fault, nowMs);
         }
     }
@@ -140,11 +140,11 @@
     }
 
     /** Handles the address read from the file: if it differs, replaces all connections. */
-    List<PollStep> fileRead(String addressRead, double nowMs) {
+    List<PollStep> fileReadSucceeded(String newAddress, double nowMs) {
         List<PollStep> steps = new ArrayList<>(MAX_CONNECTIONS);
         fileReads.readSucceeded(nowMs, isFailing());
-        if (!addressRead.equals(address)) {
-            address = addressRead;
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             connections.forEach(connection -> steps.add(new PollStep.Close(connection.number())));
             connections.clear();
             connectNotBeforeMs = nowMs;
@@ -155,7 +155,7 @@
     }
 
     /** Handles a failed read: the file is missing, truncated or invalid, and the address is kept. */
-    void fileUnreadable(double nowMs) {
+    void fileReadFailed(double nowMs) {
         fileReads.readFailed(nowMs, isFailing());
     }
 
@@ -173,9 +173,9 @@
         if (connections.size() == MAX_CONNECTIONS) {
             steps.add(new PollStep.Close(connections.remove(0).number()));
         }
-        lastNumber++;
-        connections.add(new PollConnection(lastNumber, nowMs));
-        steps.add(new PollStep.Connect(lastNumber, address));
+        lastConnectionNumber++;
+        connections.add(new PollConnection(lastConnectionNumber, nowMs));
+        steps.add(new PollStep.Connect(lastConnectionNumber, address));
     }
 
     private static void poll(PollConnection connection, double nowMs, List<PollStep> steps) {
@@ -192,7 +192,7 @@
         connections.removeIf(connection -> connection != retained);
     }
 
-    private void remove(PollConnection connection, double nowMs) {
+    private void removeAndDelayConnect(PollConnection connection, double nowMs) {
         connections.remove(connection);
         connectNotBeforeMs = nowMs + PAUSE_MS;
     }
@@ -212,9 +212,9 @@
         return connections.get(connections.size() - 1);
     }
 
-    private PollConnection find(int number) {
+    private PollConnection find(int connectionNumber) {
         for (PollConnection connection : connections) {
-            if (connection.number() == number) {
+            if (connection.number() == connectionNumber) {
                 return connection;
             }
         }
--- a/src/main/java/lineward/discovery/PollStep.java
+++ b/src/main/java/lineward/discovery/PollStep.java
@@ -21,11 +21,11 @@
         void readFile(ReadFile step);
 
         /** Logs that no valid response was received for some time. */
-        void warnOfSilence(WarnOfSilence step);
+        void warnNoResponse(WarnNoResponse step);
     }
 
     /** Opens a connection to the address, identified by the given number. */
-    record Connect(int connection, String address) implements PollStep {
+    record Connect(int connectionNumber, String address) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
             handler.connect(this);
@@ -33,7 +33,7 @@
     }
 
     /** Sends a poll on an established connection. */
-    record SendPoll(int connection) implements PollStep {
+    record SendPoll(int connectionNumber) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
             handler.sendPoll(this);
@@ -41,7 +41,7 @@
     }
 
     /** Closes a connection; later events of it are ignored. */
-    record Close(int connection) implements PollStep {
+    record Close(int connectionNumber) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
             handler.close(this);
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Reads the configuration file and reports the result by {@link PollPolicy#fileRead} or {@link
-     * PollPolicy#fileUnreadable}. The policy requests no other read before that report.
+     * Reads the configuration file and reports the result by {@link PollPolicy#fileReadSucceeded} or {@link
+     * PollPolicy#fileReadFailed}. The policy requests no other read before that report.
      */
     record ReadFile() implements PollStep {
         @Override
@@ -62,13 +62,13 @@
     /**
      * Logs a warning that no valid response was received for some time.
      *
-     * @param silentMs time since the last valid response, or since the start if there was none
+     * @param lastResponseAgeMs time since the last valid response, or since the start if there was none
      * @param lastFault the most recent fault
      */
-    record WarnOfSilence(String address, double silentMs, PollFault lastFault) implements PollStep {
+    record WarnNoResponse(String address, double lastResponseAgeMs, PollFault lastFault) implements PollStep {
         @Override
         public void dispatchTo(Handler handler) {
-            handler.warnOfSilence(this);
+            handler.warnNoResponse(this);
         }
     }
 }
--- a/src/main/java/lineward/engine/EngineCluster.java
+++ b/src/main/java/lineward/engine/EngineCluster.java
@@ -66,14 +66,14 @@
      * @param engineIdleTimeoutMs time after which engines close idle connections
      * @param maxAttemptsPerConnection maximum number of attempts in flight on one connection
      * @param maxConnections maximum number of connections to all engines
-     * @param loadReports whether a health check requests a load report
+     * @param requestsLoadReports whether a health check requests a load report
      */
     public record Limits(
             int connectTimeoutMs,
             double engineIdleTimeoutMs,
             int maxAttemptsPerConnection,
             int maxConnections,
-            boolean loadReports) {}
+            boolean requestsLoadReports) {}
 
     /** Notified of the answer to a health check, on the event loop. */
     @FunctionalInterface
@@ -121,32 +121,32 @@
         // A connection that is established later could lead to another engine at the same address.
         List.copyOf(members.values()).stream()
                 .filter(member -> !member.isReady())
-                .forEach(member -> member.pool.cancelWaiting());
-        closeIdle();
+                .forEach(member -> member.pool.cancelWaitingAttempts());
+        closeIdleConnections();
     }
 
     private void updateEndpoint(EngineEndpoint endpoint) {
-        memberAt(endpoint.id(), parse(endpoint.address())).update(endpoint);
+        findOrCreateMember(endpoint.id(), parse(endpoint.address())).update(endpoint);
     }
 
     /** Returns the member with this id, with a new pool if the engine is new or its address has changed. */
-    private Member memberAt(String engine, InetSocketAddress address) {
-        Member member = members.get(engine);
+    private Member findOrCreateMember(String engineId, InetSocketAddress address) {
+        Member member = members.get(engineId);
         if (member != null && member.pool.address().equals(address)) {
             return member;
         }
         if (member != null) {
             member.pool.closeAll();
         }
-        BooleanSupplier connectionQuota = this::acquireConnectionQuota;
-        Member added = new Member(new EnginePool(bootstrap, address, limits, connectionQuota, onRequestSent));
-        members.put(engine, added);
+        BooleanSupplier ensureCapacity = this::ensureConnectionCapacity;
+        Member added = new Member(new EnginePool(bootstrap, address, limits, ensureCapacity, onRequestSent));
+        members.put(engineId, added);
         return added;
     }
 
     /** Starts an attempt. Its listener is notified when it ends, possibly before this method returns. */
-    public void start(String engine, QueryAttempt attempt) {
-        Member member = members.get(engine);
+    public void start(String engineId, QueryAttempt attempt) {
+        Member member = members.get(engineId);
         if (member == null) {
             attempt.end(AttemptEnd.ENGINE_UNREACHABLE);
         } else {
@@ -155,11 +155,11 @@
     }
 
     /** Checks an engine's health. The listener is notified only if the engine answers. */
-    public void checkHealth(String engine, HealthCheckListener listener) {
-        Member member = members.get(engine);
+    public void checkHealth(String engineId, HealthCheckListener listener) {
+        Member member = members.get(engineId);
         if (member != null) {
-            boolean withReport = limits.loadReports();
-            HealthCheck.Kind kind = withReport ? HealthCheck.Kind.LOAD_REPORT : HealthCheck.Kind.PING;
+            boolean requestsLoadReport = limits.requestsLoadReports();
+            HealthCheck.Kind kind = requestsLoadReport ? HealthCheck.Kind.LOAD_REPORT : HealthCheck.Kind.PING;
             member.pool.checkHealth(kind, answer -> notifyAnswered(listener, answer));
         }
     }
@@ -171,39 +171,39 @@
     }
 
     /** Cancels an attempt without notifying its listener. */
-    public void cancel(String engine, QueryAttempt attempt) {
-        Member member = members.get(engine);
+    public void cancel(String engineId, QueryAttempt attempt) {
+        Member member = members.get(engineId);
         if (member != null) {
             member.pool.cancel(attempt);
         }
     }
 
     /** Ends the attempts that wait for a connection to this engine as not sent. */
-    public void cancelWaiting(String engine) {
-        Member member = members.get(engine);
+    public void cancelWaitingAttempts(String engineId) {
+        Member member = members.get(engineId);
         if (member != null) {
-            member.pool.cancelWaiting();
+            member.pool.cancelWaitingAttempts();
         }
     }
 
     /** Sets an attempt's priority and sends it to the engine. */
-    public void changePriority(String engine, QueryAttempt attempt, int priority) {
+    public void changePriority(String engineId, QueryAttempt attempt, int priority) {
         attempt.setPriority(priority);
-        Member member = members.get(engine);
+        Member member = members.get(engineId);
         if (member != null) {
             member.pool.sendPriority(attempt);
         }
     }
 
     /** Closes connections past their idle timeout, and all idle connections to engines that are gone. */
-    public void closeIdle() {
+    public void closeIdleConnections() {
         long nowNanos = System.nanoTime();
         double idleMs = limits.engineIdleTimeoutMs() * IDLE_TIMEOUT_RATIO;
         long usedBeforeNanos = nowNanos - TimeUnit.MICROSECONDS.toNanos(Math.round(idleMs * 1000));
         for (Member member : members.values()) {
-            member.pool.closeIdle(member.isGone() ? nowNanos : usedBeforeNanos);
+            member.pool.closeIdleConnections(member.isGone() ? nowNanos : usedBeforeNanos);
         }
-        members.values().removeIf(member -> member.isGone() && member.pool.size() == 0);
+        members.values().removeIf(member -> member.isGone() && member.pool.connectionCount() == 0);
     }
 
     /** Sends heartbeats and checks their timeouts on all connections; called ten times a second. */
@@ -215,10 +215,11 @@
      * Returns whether one more connection may be opened. At the limit, the least recently used idle
      * connection is evicted; otherwise idle connections would block new ones until their idle timeout.
      */
-    private boolean acquireConnectionQuota() {
-        int connections =
-                members.values().stream().mapToInt(member -> member.pool.size()).sum();
-        if (connections < limits.maxConnections()) {
+    private boolean ensureConnectionCapacity() {
+        int connectionCount = members.values().stream()
+                .mapToInt(member -> member.pool.connectionCount())
+                .sum();
+        if (connectionCount < limits.maxConnections()) {
             return true;
         }
         EngineConnection longestIdle = members.values().stream()
--- a/src/main/java/lineward/engine/EngineConnection.java
+++ b/src/main/java/lineward/engine/EngineConnection.java
@@ -20,7 +20,7 @@
     /** A heartbeat is sent after this time without activity while attempts are in flight. */
     private static final long HEARTBEAT_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
     /** A connection counts as responsive for this time after it was established, and after each reply. */
-    private static final long ALIVE_WITHIN_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long RESPONSIVE_WITHIN_NANOS = TimeUnit.SECONDS.toNanos(1);
     /**
      * Calls of {@link #keepAlive} after which an unanswered heartbeat has timed out. The timeout exceeds the
      * half second for which an engine may pause. It is not measured in time because after a pause of this
@@ -31,13 +31,13 @@
     private static final String HEARTBEAT_TAG_PREFIX = "t";
     private static final String HEALTH_CHECK_TAG_PREFIX = "p";
     /** Delay before the attempts of a closed connection end, so that no retry overtakes the close. */
-    static final int CLOSE_DELAY_MS = 6;
+    static final int ATTEMPT_END_DELAY_MS = 6;
 
     private final InFlightAttempts attempts = new InFlightAttempts();
     private final long openedAtUnixMs = System.currentTimeMillis();
     private final ConnectionListener listener;
     private ConnectionState state = ConnectionState.CONNECTING;
-    /** Null until {@link #connecting} is called, like the writer. */
+    /** Null until {@link #setChannel} is called, like the writer. */
     private Channel channel;
 
     private RequestWriter writer;
@@ -60,33 +60,33 @@
     }
 
     /** Returns whether it is up and a reply was received recently; sockets to failed machines stay open. */
-    boolean isAlive() {
-        return isUp() && System.nanoTime() - lastReplyNanos < ALIVE_WITHIN_NANOS;
+    boolean isResponsive() {
+        return isUp() && System.nanoTime() - lastReplyNanos < RESPONSIVE_WITHIN_NANOS;
     }
 
     /** Sets the channel, which is being connected. */
-    void connecting(Channel connectingChannel) {
+    void setChannel(Channel connectingChannel) {
         channel = connectingChannel;
         writer = new RequestWriter(connectingChannel);
     }
 
     /** Returns whether an attempt with this id may be started, given the maximum in flight. */
     boolean accepts(String id, int maxAttempts) {
-        boolean channelIsUsable = isReadable() && isWritable();
+        boolean channelIsUsable = isInboundStreamIntact() && canWriteOrQueue();
         return state.acceptsAttempts() && channelIsUsable && attempts.accepts(id, maxAttempts);
     }
 
     /** Returns false if there is a partial reply but no attempt in flight: the stream may be corrupt. */
-    private boolean isReadable() {
+    private boolean isInboundStreamIntact() {
         return !attempts.isEmpty() || decoder == null || !decoder.hasPartialReply();
     }
 
     /** Returns whether a request can be written now, or can wait for the connection to be established. */
-    private boolean isWritable() {
+    private boolean canWriteOrQueue() {
         return !isUp() || (channel.isOpen() && channel.isWritable());
     }
 
-    int attemptsInFlight() {
+    int inFlightCount() {
         return attempts.size();
     }
 
@@ -102,7 +102,7 @@
         return openedAtUnixMs < unixMs;
     }
 
-    boolean carries(QueryAttempt attempt) {
+    boolean hasAttempt(QueryAttempt attempt) {
         return attempts.contains(attempt);
     }
 
@@ -143,7 +143,7 @@
         healthCheck = new HealthCheck(kind, HEALTH_CHECK_TAG_PREFIX + System.nanoTime(), answerListener);
         lastUsedNanos = System.nanoTime();
         if (isUp()) {
-            writer.healthCheck(healthCheck);
+            writer.checkHealth(healthCheck);
         }
     }
 
@@ -162,8 +162,8 @@
     }
 
     private boolean needsHeartbeat(long nowNanos) {
-        boolean isSilent = !attempts.isEmpty() && nowNanos - lastUsedNanos > HEARTBEAT_AFTER_NANOS;
-        return isSilent || !isReadable();
+        boolean isInactive = !attempts.isEmpty() && nowNanos - lastUsedNanos > HEARTBEAT_AFTER_NANOS;
+        return isInactive || !isInboundStreamIntact();
     }
 
     /** Sends a heartbeat, unless one is pending, to detect a connection that is broken but still open. */
@@ -178,7 +178,7 @@
     private void closeUnresponsive() {
         LOG.info("engine connection closed", "engine", channel.remoteAddress(), "heartbeat timeout");
         closeChannel();
-        release(listener::attemptsLost);
+        markClosed(listener::attemptsLost);
     }
 
     /** Closes the channel. The attempts are handled once the channel reports the close. */
@@ -195,24 +195,24 @@
     /** Closes an idle connection, and removes it from the pool without waiting for the close. */
     void evict() {
         close();
-        release(none -> {});
+        markClosed(none -> {});
     }
 
     /** Removes and returns the attempts that wait for the connection; the caller takes ownership. */
-    List<QueryAttempt> removeWaiting() {
+    List<QueryAttempt> removeWaitingAttempts() {
         return state.isConnecting() ? attempts.removeAll() : List.of();
     }
 
     /** Records that the connect timeout has passed; returns whether it is still being established. */
-    boolean setConnectOverdue() {
+    boolean markConnectOverdue() {
         state = state.connectOverdue();
         return state == ConnectionState.CONNECT_OVERDUE;
     }
 
     /** If the connection is still being established, closes it and ends its attempts as not sent. */
-    void cancelWaiting() {
+    void cancelWaitingAttempts() {
         if (state.isConnecting()) {
-            release(waiting -> endAll(waiting, AttemptEnd.NOT_SENT));
+            markClosed(waiting -> endAll(waiting, AttemptEnd.NOT_SENT));
             close();
         }
     }
@@ -227,7 +227,7 @@
         attempts.sendAll(writer, listener::requestSent);
         listener.connected(this);
         if (healthCheck != null) {
-            writer.healthCheck(healthCheck);
+            writer.checkHealth(healthCheck);
         }
     }
 
@@ -260,36 +260,36 @@
         LOG.info("engine connection failed", "engine", context.channel().remoteAddress(), cause);
         if (cause instanceof MalformedReplyException || cause.getCause() instanceof MalformedReplyException) {
             // The delay lets the engine see the close before a retry arrives.
-            release(lost -> {
+            markClosed(lost -> {
                 Runnable endLost = () -> endAll(lost, AttemptEnd.MALFORMED_REPLY);
                 context.executor()
-                        .schedule(endLost, CLOSE_DELAY_MS, TimeUnit.MILLISECONDS)
+                        .schedule(endLost, ATTEMPT_END_DELAY_MS, TimeUnit.MILLISECONDS)
                         .addListener(FailureLog.TASK);
             });
         }
         context.close().addListener(FailureLog.CHANNEL);
     }
 
-    private static void endAll(List<QueryAttempt> ended, AttemptEnd end) {
-        ended.forEach(attempt -> attempt.end(end));
+    private static void endAll(List<QueryAttempt> attemptsToEnd, AttemptEnd end) {
+        attemptsToEnd.forEach(attempt -> attempt.end(end));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        release(listener::attemptsLost);
+        markClosed(listener::attemptsLost);
     }
 
     /** Handles a failure to connect: none of the attempts was sent. */
     void connectFailed(Throwable cause) {
-        release(waiting -> listener.attemptsNotSent(waiting, cause));
+        markClosed(waiting -> listener.attemptsNotSent(waiting, cause));
     }
 
     /** Marks the connection as closed and hands over its attempts; only the first call has an effect. */
-    private void release(Consumer<List<QueryAttempt>> successor) {
+    private void markClosed(Consumer<List<QueryAttempt>> attemptsHandler) {
         if (state != ConnectionState.CLOSED) {
             state = state.closed();
             listener.closed(this);
-            successor.accept(attempts.removeAll());
+            attemptsHandler.accept(attempts.removeAll());
         }
     }
 }
--- a/src/main/java/lineward/engine/EnginePool.java
+++ b/src/main/java/lineward/engine/EnginePool.java
@@ -24,7 +24,7 @@
     /** Maximum number of connections to one engine; at the limit, attempts share connections. */
     private static final int MAX_CONNECTIONS = 16;
     /** Waiting attempts migrate to a responsive connection after the connect timeout divided by this. */
-    private static final int MIGRATE_AFTER_DIVISOR = 4;
+    private static final int MIGRATION_DELAY_DIVISOR = 4;
     /** Connecting is abandoned after this multiple of the connect timeout. */
     static final int CONNECT_ABANDON_FACTOR = 8;
 
@@ -32,7 +32,7 @@
     private final Bootstrap bootstrap;
     private final InetSocketAddress address;
     private final EngineCluster.Limits limits;
-    private final BooleanSupplier connectionQuota;
+    private final BooleanSupplier ensureClusterCapacity;
     private final Runnable onRequestSent;
     private final List<EngineConnection> connections = new ArrayList<>();
     private final FaultAttribution faults = new FaultAttribution();
@@ -40,19 +40,19 @@
     /**
      * Creates a pool without connections.
      *
-     * @param connectionQuota returns whether one more connection may be opened
+     * @param ensureClusterCapacity returns whether one more connection may be opened
      * @param onRequestSent called once the last byte of a request was written to its socket
      */
     EnginePool(
             Bootstrap bootstrap,
             InetSocketAddress address,
             EngineCluster.Limits limits,
-            BooleanSupplier connectionQuota,
+            BooleanSupplier ensureClusterCapacity,
             Runnable onRequestSent) {
         this.bootstrap = bootstrap;
         this.address = address;
         this.limits = limits;
-        this.connectionQuota = connectionQuota;
+        this.ensureClusterCapacity = ensureClusterCapacity;
         this.onRequestSent = onRequestSent;
     }
 
@@ -66,7 +66,7 @@
      */
     void start(QueryAttempt attempt) {
         EngineConnection connection = leastLoaded(candidate -> accepts(candidate, attempt));
-        if ((connection == null || connection.attemptsInFlight() > 0) && mayConnect()) {
+        if ((connection == null || connection.inFlightCount() > 0) && ensureCapacity()) {
             connection = connect();
         }
         if (connection == null) {
@@ -80,30 +80,30 @@
         return connection.accepts(attempt.id(), limits.maxAttemptsPerConnection());
     }
 
-    private boolean mayConnect() {
-        return connections.size() < MAX_CONNECTIONS && connectionQuota.getAsBoolean();
+    private boolean ensureCapacity() {
+        return connections.size() < MAX_CONNECTIONS && ensureClusterCapacity.getAsBoolean();
     }
 
     /** Returns the matching connection with the fewest attempts in flight; null if none matches. */
     private EngineConnection leastLoaded(Predicate<EngineConnection> condition) {
         return connections.stream()
                 .filter(condition)
-                .min(Comparator.comparingInt(EngineConnection::attemptsInFlight))
+                .min(Comparator.comparingInt(EngineConnection::inFlightCount))
                 .orElse(null);
     }
 
     private EngineConnection connect() {
         EngineConnection connection = new EngineConnection(this);
         connections.add(connection);
-        ChannelFuture connecting =
+        ChannelFuture connectFuture =
                 bootstrap.clone().handler(initializer(connection)).connect(address);
-        connection.connecting(connecting.channel());
-        connecting.addListener(done -> {
+        connection.setChannel(connectFuture.channel());
+        connectFuture.addListener(done -> {
             if (!done.isSuccess()) {
                 connection.connectFailed(done.cause());
             }
         });
-        schedule(() -> migrateWaiting(connection), limits.connectTimeoutMs() / MIGRATE_AFTER_DIVISOR);
+        schedule(() -> migrateWaiting(connection), limits.connectTimeoutMs() / MIGRATION_DELAY_DIVISOR);
         schedule(() -> endOverdue(connection), limits.connectTimeoutMs());
         return connection;
     }
@@ -128,20 +128,20 @@
 
     /** Migrates attempts that wait for a slow connection to responsive ones; if there are none, they wait. */
     private void migrateWaiting(EngineConnection slow) {
-        for (QueryAttempt attempt : slow.removeWaiting()) {
-            EngineConnection target = leastLoaded(other -> other.isAlive() && accepts(other, attempt));
+        for (QueryAttempt attempt : slow.removeWaitingAttempts()) {
+            EngineConnection target = leastLoaded(other -> other.isResponsive() && accepts(other, attempt));
             (target == null ? slow : target).start(attempt);
         }
     }
 
     /** Ends the attempts that wait for a connection that is not established by its connect timeout. */
     private void endOverdue(EngineConnection connection) {
-        if (connection.setConnectOverdue()) {
+        if (connection.markConnectOverdue()) {
             faults.connectOverdue();
-            String cause = "connect timeout overdueConnections=" + faults.overdueConnections();
+            String cause = "connect timeout overdueConnections=" + faults.overdueConnectionCount();
             LOG.info("no connection to engine yet", "engine", address, cause);
             AttemptEnd end = faults.endOfOverdue();
-            connection.removeWaiting().forEach(attempt -> attempt.end(end));
+            connection.removeWaitingAttempts().forEach(attempt -> attempt.end(end));
         }
     }
 
@@ -170,7 +170,7 @@
     public void attemptsLost(List<QueryAttempt> attempts) {
         if (!attempts.isEmpty()) {
             faults.connectionLost();
-            schedule(() -> endLost(attempts), EngineConnection.CLOSE_DELAY_MS);
+            schedule(() -> endLost(attempts), EngineConnection.ATTEMPT_END_DELAY_MS);
         }
     }
 
@@ -199,7 +199,7 @@
     /** Checks the engine's health on an established connection or a new one; does nothing at the limits. */
     void checkHealth(HealthCheck.Kind kind, Consumer<Reply> answerListener) {
         EngineConnection connection = leastLoaded(EngineConnection::acceptsHealthCheck);
-        if (connection == null && mayConnect()) {
+        if (connection == null && ensureCapacity()) {
             connection = connect();
         }
         if (connection != null) {
@@ -219,11 +219,11 @@
 
     private Optional<EngineConnection> connectionOf(QueryAttempt attempt) {
         return connections.stream()
-                .filter(connection -> connection.carries(attempt))
+                .filter(connection -> connection.hasAttempt(attempt))
                 .findFirst();
     }
 
-    void closeIdle(long usedBeforeNanos) {
+    void closeIdleConnections(long usedBeforeNanos) {
         closeAll(connection -> connection.isIdleSince(usedBeforeNanos));
     }
 
@@ -244,14 +244,14 @@
      * process. The attempts that wait for them end too: they were meant for the earlier process, not for one
      * in slow start.
      *
-     * @param unixMs start time of the engine's process
+     * @param startedAtUnixMs start time of the engine's process
      */
-    void engineStarted(double unixMs) {
+    void engineStarted(double startedAtUnixMs) {
         List<EngineConnection> stale = connections.stream()
-                .filter(connection -> connection.openedBefore(unixMs))
+                .filter(connection -> connection.openedBefore(startedAtUnixMs))
                 .toList();
         stale.forEach(connection -> {
-            connection.cancelWaiting();
+            connection.cancelWaitingAttempts();
             connection.close();
         });
     }
@@ -262,16 +262,16 @@
     }
 
     /** Closes connections that are being established; the attempts that wait for them end as not sent. */
-    void cancelWaiting() {
-        List.copyOf(connections).forEach(EngineConnection::cancelWaiting);
+    void cancelWaitingAttempts() {
+        List.copyOf(connections).forEach(EngineConnection::cancelWaitingAttempts);
     }
 
-    int size() {
+    int connectionCount() {
         return connections.size();
     }
 
     void closeAll() {
-        cancelWaiting();
+        cancelWaitingAttempts();
         List.copyOf(connections).forEach(EngineConnection::close);
     }
 }
--- a/src/main/java/lineward/engine/QueryAttempt.java
+++ b/src/main/java/lineward/engine/QueryAttempt.java
@@ -36,14 +36,14 @@
      * @param timeoutMs how long the attempt may take
      * @param startWithinMs time after which its request must no longer be sent
      */
-    public record Timing(long timeoutMs, long startWithinMs) {}
+    public record TimeLimits(long timeoutMs, long startWithinMs) {}
 
     private final String id;
     private final String requestClass;
     private final ByteBuf statement;
     private final long memoryGrantMb;
     private final long deadlineNanos;
-    private final long startByNanos;
+    private final long startDeadlineNanos;
     private final Listener listener;
     private int priority;
     private QueryAttemptState state = QueryAttemptState.WAITING;
@@ -57,7 +57,7 @@
      * @param requestClass name of the request's class
      * @param statement the statement to run. It is retained until the attempt ends, because the request may
      *     end and release it in the same event loop run in which the connection is established
-     * @param timing how long the attempt may take, and until when its request may be sent
+     * @param timeLimits how long the attempt may take, and until when its request may be sent
      * @param memoryGrantMb memory to reserve at the engine, rounded up; 0 lets the engine decide
      * @param priority priority from 0, the lowest, to 3
      */
@@ -65,7 +65,7 @@
             String id,
             String requestClass,
             ByteBuf statement,
-            Timing timing,
+            TimeLimits timeLimits,
             double memoryGrantMb,
             int priority,
             Listener listener) {
@@ -73,9 +73,9 @@
         this.requestClass = requestClass;
         this.statement = statement.retain();
         long now = System.nanoTime();
-        long startWithinMs = Math.min(timing.startWithinMs(), timing.timeoutMs());
-        this.deadlineNanos = now + TimeUnit.MILLISECONDS.toNanos(timing.timeoutMs());
-        this.startByNanos = now + TimeUnit.MILLISECONDS.toNanos(startWithinMs);
+        long startWithinMs = Math.min(timeLimits.startWithinMs(), timeLimits.timeoutMs());
+        this.deadlineNanos = now + TimeUnit.MILLISECONDS.toNanos(timeLimits.timeoutMs());
+        this.startDeadlineNanos = now + TimeUnit.MILLISECONDS.toNanos(startWithinMs);
         this.memoryGrantMb = (long) Math.ceil(memoryGrantMb);
         this.priority = priority;
         this.listener = listener;
@@ -107,8 +107,8 @@
     }
 
     /** Sets the priority; the caller notifies the engine. */
-    void setPriority(int next) {
-        priority = next;
+    void setPriority(int newPriority) {
+        priority = newPriority;
     }
 
     /** Records that the request was passed to the channel. */
@@ -138,7 +138,7 @@
 
     /** Returns whether the request must no longer be sent. */
     boolean isPastStartDeadline(long nowNanos) {
-        return startByNanos - nowNanos < 0;
+        return startDeadlineNanos - nowNanos < 0;
     }
 
     /** Returns whether the timeout has passed, after which the request is not retried. */
@@ -196,12 +196,12 @@
 
     /** Returns the number of pages of the result; the first page must have been received. */
     int pageCount() {
-        return pages.count();
+        return pages.pageCount();
     }
 
     /** Ends the attempt and notifies the listener; no effect if it has already ended. */
     void end(AttemptEnd end) {
-        if (!endOnce()) {
+        if (!markEnded()) {
             return;
         }
         ByteBuf result = null;
@@ -216,19 +216,19 @@
     /** Notifies the listener of a progress report; no effect if the attempt has ended. */
     void progressed(Reply report) {
         if (state != QueryAttemptState.ENDED) {
-            ProgressReports.notify(report.fields(), listener);
+            ProgressReports.notifyListener(report.fields(), listener);
         }
     }
 
     /** Ends the attempt without notifying the listener. */
     void discard() {
-        if (endOnce()) {
+        if (markEnded()) {
             releasePages();
         }
     }
 
     /** Ends the attempt; returns false if it has already ended. */
-    private boolean endOnce() {
+    private boolean markEnded() {
         if (state == QueryAttemptState.ENDED) {
             return false;
         }
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -176,7 +176,7 @@
 
     @Override
     public void closeIdleEngineConnections() {
-        engines.closeIdle();
+        engines.closeIdleConnections();
     }
 
     @Override
@@ -216,7 +216,7 @@
     public void setMaintenance(String engine, boolean underMaintenance, double sinceMs) {
         driver.setMaintenance(engine, underMaintenance, sinceMs);
         if (underMaintenance) {
-            engines.cancelWaiting(engine);
+            engines.cancelWaitingAttempts(engine);
         }
     }
 
--- a/src/test/java/lineward/discovery/DiscoveryClientTest.java
+++ b/src/test/java/lineward/discovery/DiscoveryClientTest.java
@@ -36,31 +36,31 @@
 public class DiscoveryClientTest {
     private static final int TICK_MS = 5;
 
-    private enum Behaviour {
-        ANSWERS,
-        STAYS_SILENT,
-        CLOSES_AT_ONCE,
+    private enum Behavior {
+        HEALTHY,
+        NEVER_RESPONDS,
+        CLOSES_IMMEDIATELY,
         SENDS_SLOWLY,
-        ANSWERS_MALFORMED
+        SENDS_INVALID_RESPONSE
     }
 
     /** A service that responds to each poll at once with its only event, or fails in the given way. */
     private static final class Service implements AutoCloseable {
         final ServerSocket server;
         final List<Socket> sockets = new CopyOnWriteArrayList<>();
-        final AtomicInteger answers = new AtomicInteger();
-        final int event;
-        volatile Behaviour behaviour;
+        final AtomicInteger responseCount = new AtomicInteger();
+        final int eventNumber;
+        volatile Behavior behavior;
 
-        Service(int event, Behaviour behaviour) throws IOException {
+        Service(int eventNumber, Behavior behavior) throws IOException {
             server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-            this.event = event;
-            this.behaviour = behaviour;
-            thread(() -> {
+            this.eventNumber = eventNumber;
+            this.behavior = behavior;
+            startThread(() -> {
                 while (true) {
                     Socket socket = server.accept();
                     sockets.add(socket);
-                    thread(() -> serve(socket, this.behaviour));
+                    startThread(() -> serve(socket, this.behavior));
                 }
             });
         }
@@ -69,7 +69,7 @@
             void run() throws IOException;
         }
 
-        private static void thread(Task task) {
+        private static void startThread(Task task) {
             Thread thread = new Thread(
                     () -> {
                         try {
@@ -87,30 +87,30 @@
             return "127.0.0.1:" + server.getLocalPort();
         }
 
-        private void serve(Socket socket, Behaviour behaviourAtAccept) throws IOException {
-            if (behaviourAtAccept == Behaviour.CLOSES_AT_ONCE) {
+        private void serve(Socket socket, Behavior behaviorAtAccept) throws IOException {
+            if (behaviorAtAccept == Behavior.CLOSES_IMMEDIATELY) {
                 socket.close();
                 return;
             }
             Reader input = new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII);
             BufferedReader reader = new BufferedReader(input);
             OutputStream output = socket.getOutputStream();
-            for (String header = reader.readLine(); header != null; header = reader.readLine()) {
-                if (!header.isEmpty() || behaviourAtAccept == Behaviour.STAYS_SILENT) {
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
+                if (!line.isEmpty() || behaviorAtAccept == Behavior.NEVER_RESPONDS) {
                     continue;
                 }
-                String body = behaviourAtAccept == Behaviour.ANSWERS_MALFORMED
+                String body = behaviorAtAccept == Behavior.SENDS_INVALID_RESPONSE
                         ? "{"
-                        : "{\"pos\":" + event + ",\"entries\":[{\"pos\":" + event
+                        : "{\"pos\":" + eventNumber + ",\"entries\":[{\"pos\":" + eventNumber
                                 + ",\"hosts\":{\"reset\":true,\"instances\":[]}}]}";
-                byte[] answer = ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                byte[] response = ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.US_ASCII);
-                for (int i = 0; behaviourAtAccept == Behaviour.SENDS_SLOWLY && i < answer.length - 1; i++) {
-                    output.write(answer, i, 1);
+                for (int i = 0; behaviorAtAccept == Behavior.SENDS_SLOWLY && i < response.length - 1; i++) {
+                    output.write(response, i, 1);
                     pause(100);
                 }
-                output.write(answer);
-                answers.incrementAndGet();
+                output.write(response);
+                responseCount.incrementAndGet();
             }
         }
 
@@ -137,18 +137,18 @@
     private EndpointList list;
     private Path file;
     private DiscoveryClient client;
-    private Future<?> ticks;
+    private Future<?> tickTask;
 
     @BeforeMethod
-    public void makeFile() throws IOException {
+    public void createFile() throws IOException {
         file = Files.createTempFile("discovery", ".txt");
         list = new EndpointList(List.of(), List.of(), (fullSnapshot, endpoints) -> {});
     }
 
     @AfterMethod
     public void closeAll() throws IOException {
-        if (ticks != null) {
-            ticks.cancel(false);
+        if (tickTask != null) {
+            tickTask.cancel(false);
         }
         for (Service service : services) {
             service.close();
@@ -157,18 +157,18 @@
         Files.deleteIfExists(file);
     }
 
-    private Service service(int event, Behaviour behaviour) throws IOException {
-        Service service = new Service(event, behaviour);
+    private Service service(int eventNumber, Behavior behavior) throws IOException {
+        Service service = new Service(eventNumber, behavior);
         services.add(service);
         return service;
     }
 
     /** Writes the file. A complete file contains an address and an end marker. */
-    private void write(String text) throws IOException {
+    private void writeFile(String text) throws IOException {
         Files.writeString(file, text);
     }
 
-    private String read() {
+    private String readFile() {
         try {
             String text = Files.readString(file);
             if (!text.endsWith(";")) {
@@ -180,9 +180,9 @@
         }
     }
 
-    private void start(String address) {
-        client = new DiscoveryClient(loop, address, list, this::read, new MonotonicClock());
-        ticks = loop.scheduleWithFixedDelay(client::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+    private void startClient(String address) {
+        client = new DiscoveryClient(loop, address, list, this::readFile, new MonotonicClock());
+        tickTask = loop.scheduleWithFixedDelay(client::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
     private void signalReload() {
@@ -193,9 +193,9 @@
         return loop.submit(list::lastEventNumber).syncUninterruptibly().getNow();
     }
 
-    private void awaitEvent(int event) {
+    private void awaitEvent(int eventNumber) {
         long start = System.nanoTime();
-        Program.await("event " + event, () -> lastEventNumber() == event);
+        Program.await("event " + eventNumber, () -> lastEventNumber() == eventNumber);
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
         assertTrue(tookMs < 4000, "applied after " + tookMs + " ms");
     }
@@ -203,85 +203,85 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {Behaviour.STAYS_SILENT},
-            {Behaviour.CLOSES_AT_ONCE},
-            {Behaviour.SENDS_SLOWLY},
-            {Behaviour.ANSWERS_MALFORMED}
+            {Behavior.NEVER_RESPONDS},
+            {Behavior.CLOSES_IMMEDIATELY},
+            {Behavior.SENDS_SLOWLY},
+            {Behavior.SENDS_INVALID_RESPONSE}
         };
     }
 
     @Test(dataProvider = "faults")
-    public void aServiceThatFailsAtTheStartIsFollowedOnceItAnswers(Behaviour fault) throws IOException {
+    public void aServiceThatFailsAtTheStartIsPolledOnceItRecovers(Behavior fault) throws IOException {
         Service service = service(3, fault);
-        write(service.address() + ';');
-        start(service.address());
+        writeFile(service.address() + ';');
+        startClient(service.address());
         Program.await("a connection", () -> !service.sockets.isEmpty());
-        service.behaviour = Behaviour.ANSWERS;
+        service.behavior = Behavior.HEALTHY;
         awaitEvent(3);
     }
 
     /** Without SIGHUP, the failure of the old service causes a read of the file with the new address. */
     @Test(dataProvider = "faults")
-    public void aServiceThatFailsLaterIsReplacedByTheOneInTheFile(Behaviour fault) throws IOException {
-        Service old = service(3, Behaviour.ANSWERS);
-        Service next = service(4, Behaviour.ANSWERS);
-        write(old.address() + ';');
-        start(old.address());
+    public void aServiceThatFailsLaterIsReplacedByTheOneInTheFile(Behavior fault) throws IOException {
+        Service old = service(3, Behavior.HEALTHY);
+        Service next = service(4, Behavior.HEALTHY);
+        writeFile(old.address() + ';');
+        startClient(old.address());
         awaitEvent(3);
-        old.behaviour = fault;
+        old.behavior = fault;
         for (Socket socket : old.sockets) {
             socket.close();
         }
-        write(next.address() + ';');
+        writeFile(next.address() + ';');
         awaitEvent(4);
     }
 
     @Test
-    public void aConnectionRefusedAtTheStartIsRetried() throws IOException {
-        Service gone = service(1, Behaviour.ANSWERS);
-        gone.close();
-        write("");
-        start(gone.address());
-        Service next = service(2, Behaviour.ANSWERS);
-        write(next.address() + ';');
+    public void aConnectionRefusedAtTheStartCausesReadsOfTheFile() throws IOException {
+        Service stopped = service(1, Behavior.HEALTHY);
+        stopped.close();
+        writeFile("");
+        startClient(stopped.address());
+        Service next = service(2, Behavior.HEALTHY);
+        writeFile(next.address() + ';');
         awaitEvent(2);
     }
 
     @Test
-    public void anIncompleteFileIsRetriedUntilItIsComplete() throws IOException {
-        Service first = service(1, Behaviour.ANSWERS);
-        write(first.address() + ';');
-        start(first.address());
+    public void anIncompleteFileIsReadAgainUntilItIsComplete() throws IOException {
+        Service first = service(1, Behavior.HEALTHY);
+        writeFile(first.address() + ';');
+        startClient(first.address());
         awaitEvent(1);
         int length = first.address().length();
-        for (int keptLength = 0; keptLength <= length; keptLength++) {
-            Service next = service(keptLength + 2, Behaviour.ANSWERS);
+        for (int writtenLength = 0; writtenLength <= length; writtenLength++) {
+            Service next = service(writtenLength + 2, Behavior.HEALTHY);
             String complete = next.address() + ';';
-            write(complete.substring(0, Math.min(keptLength, complete.length() - 1)));
+            writeFile(complete.substring(0, Math.min(writtenLength, complete.length() - 1)));
             signalReload();
-            if (keptLength % 2 == 0) {
+            if (writtenLength % 2 == 0) {
                 signalReload();
             }
-            write(complete);
-            awaitEvent(keptLength + 2);
+            writeFile(complete);
+            awaitEvent(writtenLength + 2);
         }
     }
 
     @Test
-    public void afterReloadsInQuickSuccessionTheLastAddressIsFollowed() throws IOException {
-        Service first = service(1, Behaviour.ANSWERS);
-        write(first.address() + ';');
-        start(first.address());
+    public void afterReloadsInQuickSuccessionTheLastAddressIsPolled() throws IOException {
+        Service first = service(1, Behavior.HEALTHY);
+        writeFile(first.address() + ';');
+        startClient(first.address());
         Service last = first;
         for (int i = 0; i < 20; i++) {
-            last = service(i + 2, Behaviour.ANSWERS);
-            write(last.address() + ';');
+            last = service(i + 2, Behavior.HEALTHY);
+            writeFile(last.address() + ';');
             signalReload();
         }
         awaitEvent(21);
-        int answersBefore = last.answers.get();
-        Service followed = last;
-        Program.await("polls at the last address", () -> followed.answers.get() > answersBefore + 2);
+        int responsesBefore = last.responseCount.get();
+        Service polled = last;
+        Program.await("polls at the last address", () -> polled.responseCount.get() > responsesBefore + 2);
         assertEquals(lastEventNumber(), 21);
     }
 }
--- a/src/test/java/lineward/discovery/PollPolicyTest.java
+++ b/src/test/java/lineward/discovery/PollPolicyTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
-import lineward.discovery.DiscoverySimulation.Behaviour;
+import lineward.discovery.DiscoverySimulation.Behavior;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -14,23 +14,23 @@
  */
 public class PollPolicyTest {
     private static final double MAX_UNPOLLED_MS = 2000;
-    private static final PollResponse CHANGED = new PollResponse(true, false);
+    private static final PollResponse RESPONSE_WITH_EVENT = new PollResponse(true, false);
 
     /** Returns a schedule of reloads and faults at seeded times; every third starts with a faulty service. */
     private static DiscoverySimulation seededSchedule(int seed) {
         DiscoverySimulation simulation = new DiscoverySimulation(seed, seed % 5 == 0);
         if (seed % 3 == 0) {
-            simulation.services.get("a:1").behaviour = simulation.randomFault();
-            simulation.at(500 + simulation.random.nextInt(4000), () -> simulation.heal("a:1"));
+            simulation.services.get("a:1").behavior = simulation.randomFault();
+            simulation.at(500 + simulation.random.nextInt(4000), () -> simulation.recover("a:1"));
         }
         for (double atMs = 1000; atMs < 40_000; atMs += 1000 + simulation.random.nextInt(6000)) {
             if (simulation.random.nextBoolean()) {
                 simulation.reload(atMs, true);
             } else {
                 String address = simulation.randomAddress();
-                Behaviour fault = simulation.randomFault();
-                simulation.at(atMs, () -> simulation.fault(address, fault));
-                simulation.at(atMs + simulation.random.nextInt(5000), () -> simulation.heal(address));
+                Behavior fault = simulation.randomFault();
+                simulation.at(atMs, () -> simulation.startFault(address, fault));
+                simulation.at(atMs + simulation.random.nextInt(5000), () -> simulation.recover(address));
             }
         }
         return simulation;
@@ -49,15 +49,15 @@
             simulation.run(50_000);
             assertPolledInTime(simulation, seed);
             longestUnpolledMs = Math.max(longestUnpolledMs, simulation.longestUnpolledMs);
-            int work = simulation.connects + simulation.fileReads;
-            assertTrue(work < 1500, "seed " + seed + ": " + work + " connections and file reads");
+            int ioCount = simulation.connectCount + simulation.fileReadCount;
+            assertTrue(ioCount < 1500, "seed " + seed + ": " + ioCount + " connections and file reads");
         }
         assertTrue(longestUnpolledMs > 500, "the schedules contain faults");
     }
 
     /** Without SIGHUP, the file is read again once the old service has stopped responding. */
     @Test
-    public void aFileReplacedWithoutASignalIsReadOnceTheOldServiceIsSilent() {
+    public void aFileReplacedWithoutASignalIsReadOnceTheOldServiceStopsResponding() {
         for (int seed = 0; seed < 20; seed++) {
             DiscoverySimulation simulation = new DiscoverySimulation(seed, false);
             simulation.reload(3000, false);
@@ -70,21 +70,21 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {Behaviour.REFUSES_CONNECTIONS},
-            {Behaviour.STAYS_SILENT},
-            {Behaviour.CLOSES_AT_ONCE},
-            {Behaviour.SENDS_SLOWLY}
+            {Behavior.REFUSES_CONNECTIONS},
+            {Behavior.NEVER_RESPONDS},
+            {Behavior.CLOSES_IMMEDIATELY},
+            {Behavior.SENDS_SLOWLY}
         };
     }
 
     @Test(dataProvider = "faults")
-    public void faultsAreLoggedEachSecondAndTheFileIsRead(Behaviour fault) {
+    public void faultsAreLoggedEachSecondAndTheFileIsRead(Behavior fault) {
         DiscoverySimulation simulation = new DiscoverySimulation(1, false);
-        simulation.at(1000, () -> simulation.fault("a:1", fault));
+        simulation.at(1000, () -> simulation.startFault("a:1", fault));
         simulation.run(10_000);
         List<Double> warningsAtMs = simulation.warningsAtMs;
         assertTrue(warningsAtMs.size() >= 7 && warningsAtMs.size() <= 8, warningsAtMs.toString());
-        int fileReads = simulation.fileReads;
+        int fileReads = simulation.fileReadCount;
         assertTrue(fileReads > 20 && fileReads < 50, fileReads + " reads of the file");
     }
 
@@ -95,8 +95,8 @@
         policy.connected(1, 1);
         policy.tick(1800);
         policy.connected(2, 1801);
-        List<PollStep> steps = policy.responded(1, CHANGED, 2500);
+        List<PollStep> steps = policy.responded(1, RESPONSE_WITH_EVENT, 2500);
         assertEquals(steps, List.of(new PollStep.Close(2), new PollStep.SendPoll(1)));
-        assertEquals(policy.silentMs(2600), 100.0);
+        assertEquals(policy.lastResponseAgeMs(2600), 100.0);
     }
 }
--- a/src/test/java/lineward/engine/ConnectionAttemptsTest.java
+++ b/src/test/java/lineward/engine/ConnectionAttemptsTest.java
@@ -17,7 +17,7 @@
 
 /** Tests the lifecycle of attempts on one connection to an engine. */
 public class ConnectionAttemptsTest {
-    private static ByteBuf statement(String text) {
+    private static ByteBuf buffer(String text) {
         return PooledByteBufAllocator.DEFAULT.buffer(64).writeBytes(text.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -37,29 +37,29 @@
      */
     @Test
     public void attemptRetainsItsStatementWhenItsRequestEnds() {
-        EngineConnection connection = new EngineConnection(EngineWarmup.NO_LISTENER);
-        ByteBuf statement = statement("select 1");
+        EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
+        ByteBuf statement = buffer("select 1");
         List<AttemptOutcome> outcomes = new ArrayList<>();
         QueryAttempt attempt = attempt(statement, outcomes);
         connection.start(attempt);
         statement.release();
-        ByteBuf later = statement("delete 2");
+        ByteBuf otherStatement = buffer("delete 2");
         EmbeddedChannel channel = connect(connection);
         assertEquals(written(channel).lines().skip(1).findFirst().orElse(""), "select 1");
         connection.cancel(attempt);
         assertEquals(statement.refCnt(), 0, "the statement is released when its attempt is cancelled");
-        assertEquals(later.refCnt(), 1);
-        later.release();
+        assertEquals(otherStatement.refCnt(), 1);
+        otherStatement.release();
         channel.close().addListener(FailureLog.CHANNEL);
     }
 
     @Test
     public void cancelledAttemptThatWaitsForAConnectionIsNeverSent() {
-        EngineConnection connection = new EngineConnection(EngineWarmup.NO_LISTENER);
-        ByteBuf statement = statement("select 1");
+        EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
+        ByteBuf statement = buffer("select 1");
         List<AttemptOutcome> outcomes = new ArrayList<>();
         connection.start(attempt(statement, outcomes));
-        connection.cancelWaiting();
+        connection.cancelWaitingAttempts();
         assertEquals(outcomes, List.of(AttemptOutcome.REJECTED));
         assertEquals(written(connect(connection)), "");
         assertEquals(statement.refCnt(), 1, "only the request's reference is left");
@@ -69,8 +69,8 @@
     /** Engines drop idempotency keys after a time: a retry that is sent later could run a second time. */
     @Test
     public void attemptPastItsStartDeadlineIsNotSent() {
-        EngineConnection connection = new EngineConnection(EngineWarmup.NO_LISTENER);
-        ByteBuf statement = statement("select 1");
+        EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
+        ByteBuf statement = buffer("select 1");
         List<AttemptOutcome> outcomes = new ArrayList<>();
         connection.start(attempt(statement, outcomes, 0));
         assertEquals(written(connect(connection)), "");
@@ -80,18 +80,18 @@
 
     /** If an engine rejects every request, the ids of ended attempts must not accumulate without bound. */
     @Test
-    public void numberOfRememberedEndedAttemptsIsBounded() {
-        EngineConnection connection = new EngineConnection(EngineWarmup.NO_LISTENER);
+    public void numberOfEndedAttemptIdsIsBounded() {
+        EngineConnection connection = new EngineConnection(EngineWarmup.NO_OP_LISTENER);
         EmbeddedChannel channel = connect(connection);
         channel.pipeline().addFirst(new ReplyDecoder());
-        ByteBuf statement = statement("select 1");
+        ByteBuf statement = buffer("select 1");
         QueryAttempt.Listener ignored = (outcome, result) -> {};
-        QueryAttempt.Timing timing = new QueryAttempt.Timing(60_000, 60_000);
+        QueryAttempt.TimeLimits timeLimits = new QueryAttempt.TimeLimits(60_000, 60_000);
         for (int i = 0; i < EndedAttempts.MAX_ATTEMPTS; i++) {
             String id = String.format("%016x", i);
             assertEquals(connection.accepts(id, 10), true, "attempt " + i);
-            connection.start(new QueryAttempt(id, "report", statement, timing, 0, 1, ignored));
-            channel.writeInbound(statement(id + " SHED - 0\r\n\r\n"));
+            connection.start(new QueryAttempt(id, "report", statement, timeLimits, 0, 1, ignored));
+            channel.writeInbound(buffer(id + " SHED - 0\r\n\r\n"));
         }
         assertEquals(connection.accepts("ffff", 10), false);
         statement.release();
@@ -101,12 +101,12 @@
         return attempt(statement, outcomes, 1000);
     }
 
-    private static QueryAttempt attempt(ByteBuf statement, List<AttemptOutcome> outcomes, long startMs) {
+    private static QueryAttempt attempt(ByteBuf statement, List<AttemptOutcome> outcomes, long startLimitMs) {
         return new QueryAttempt(
                 "00aa",
                 "report",
                 statement,
-                new QueryAttempt.Timing(1000, startMs),
+                new QueryAttempt.TimeLimits(1000, startLimitMs),
                 0,
                 1,
                 (outcome, result) -> outcomes.add(outcome));
@@ -117,7 +117,7 @@
             @Override
             public void handlerAdded(ChannelHandlerContext ctx) {
                 Channel channel = ctx.channel();
-                connection.connecting(channel);
+                connection.setChannel(channel);
             }
         };
         return new EmbeddedChannel(connector, connection);
