--- a/src/main/java/lineward/mysql/engine/EngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnection.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.DecoderException;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import lineward.mysql.engine.ConnectionState.Transition;
+import lineward.mysql.engine.MysqlConnectionState.Transition;
 import lineward.mysql.session.Work;
 import lineward.mysql.wire.ChannelOperations;
 import lineward.mysql.wire.Commands;
@@ -32,7 +32,7 @@
             Failure.wrongArguments("the statement's parameters have changed since it was prepared");
 
     private final EngineConnectionPool pool;
-    private ConnectionState state = ConnectionState.CONNECTING;
+    private MysqlConnectionState state = MysqlConnectionState.CONNECTING;
     private Channel channel;
     private EngineLogin login;
     private EngineCommands commands;
@@ -65,7 +65,7 @@
     }
 
     boolean isIdleSince(long nanoTime) {
-        return state == ConnectionState.IDLE && lastUsedNanos < nanoTime;
+        return state == MysqlConnectionState.IDLE && lastUsedNanos < nanoTime;
     }
 
     void close() {
@@ -85,21 +85,21 @@
     void start(QueryAttempt next) {
         attempt = next;
         next.assignTo(this);
-        if (state == ConnectionState.IDLE) {
+        if (state == MysqlConnectionState.IDLE) {
             sendNextCommand();
         }
     }
 
     /** Kills the attempt's running statement at most once. Closes the connection if the command is unsent. */
     void cancel() {
-        if (state == ConnectionState.EXECUTING) {
+        if (state == MysqlConnectionState.EXECUTING) {
             transition(Transition.KILL);
             setReading(true);
             pool.kill(login.threadId());
             ScheduledFuture<?> timeout =
                     channel.eventLoop().schedule(this::close, KILL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             channel.closeFuture().addListener(done -> timeout.cancel(false));
-        } else if (state != ConnectionState.KILLING) {
+        } else if (state != MysqlConnectionState.KILLING) {
             fail(AttemptOutcome.CANCELLED);
         }
     }
@@ -157,7 +157,7 @@
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
         boolean ownedByAttempt = false;
         try {
-            if (state == ConnectionState.AUTHENTICATING) {
+            if (state == MysqlConnectionState.AUTHENTICATING) {
                 readLogin(frame);
             } else if (attempt != null) {
                 ownedByAttempt = readReply(frame);
@@ -215,7 +215,7 @@
     }
 
     private void readPreparatoryReply(ByteBuf frame, boolean last) {
-        if (state == ConnectionState.PREPARING) {
+        if (state == MysqlConnectionState.PREPARING) {
             session.readPrepared(frame, last, attempt.work());
         } else if (last) {
             session.schemaSelected(attempt.work().schema());
@@ -233,7 +233,7 @@
             return false;
         }
         attempt.receive(channel.alloc(), frame, PacketRole.LAST_ERROR);
-        finish(state == ConnectionState.KILLING ? AttemptOutcome.CANCELLED : AttemptOutcome.OK);
+        finish(state == MysqlConnectionState.KILLING ? AttemptOutcome.CANCELLED : AttemptOutcome.OK);
         return true;
     }
 
@@ -288,7 +288,7 @@
 
     /** Handles the close of the connection, or a failure to open it. */
     void closed() {
-        if (state != ConnectionState.CLOSED) {
+        if (state != MysqlConnectionState.CLOSED) {
             AttemptOutcome outcome = state.outcomeOfClose();
             transition(Transition.CLOSE);
             pool.remove(this);
--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 import java.util.Map;
-import lineward.mysql.engine.ConnectionState.Transition;
+import lineward.mysql.engine.MysqlConnectionState.Transition;
 import lineward.mysql.session.SessionSettings;
 import lineward.mysql.session.Work;
 import lineward.mysql.wire.Texts;
--- a/src/main/java/lineward/mysql/engine/ConnectionState.java
+++ b/src/main/java/lineward/mysql/engine/MysqlConnectionState.java
@@ -5,7 +5,7 @@
 import lineward.scheduling.AttemptOutcome;
 
 /** The state of a connection to a MySQL engine, and the transitions between its states. */
-enum ConnectionState {
+enum MysqlConnectionState {
     /** The TCP connection is opening. */
     CONNECTING,
     /** The login is in progress. */
@@ -50,9 +50,9 @@
         /** The connection has been closed by either side, or could not be opened. */
         CLOSE(CLOSED);
 
-        private final ConnectionState target;
+        private final MysqlConnectionState target;
 
-        Transition(ConnectionState target) {
+        Transition(MysqlConnectionState target) {
             this.target = target;
         }
     }
@@ -101,7 +101,7 @@
      *
      * @throws IllegalStateException if the transition is not possible in this state
      */
-    ConnectionState after(Transition transition) {
+    MysqlConnectionState after(Transition transition) {
         if (!transitions().contains(transition)) {
             throw new IllegalStateException("transition " + transition + " is not possible in state " + this);
         }
--- a/src/test/java/lineward/mysql/engine/ConnectionStateTest.java
+++ b/src/test/java/lineward/mysql/engine/MysqlConnectionStateTest.java
@@ -12,40 +12,40 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import lineward.mysql.engine.ConnectionState.Transition;
+import lineward.mysql.engine.MysqlConnectionState.Transition;
 import lineward.scheduling.AttemptOutcome;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** Checks the transition table of a connection to an engine, and the outcomes of attempts in each state. */
-public class ConnectionStateTest {
+public class MysqlConnectionStateTest {
     /** The possible transitions of each state, with the state that follows. */
-    private static final Map<ConnectionState, String> TABLE = Map.of(
-            ConnectionState.CONNECTING, "CLOSE=CLOSED CONNECT=AUTHENTICATING",
-            ConnectionState.AUTHENTICATING, "AUTHENTICATE=IDLE CLOSE=CLOSED",
-            ConnectionState.IDLE,
+    private static final Map<MysqlConnectionState, String> TABLE = Map.of(
+            MysqlConnectionState.CONNECTING, "CLOSE=CLOSED CONNECT=AUTHENTICATING",
+            MysqlConnectionState.AUTHENTICATING, "AUTHENTICATE=IDLE CLOSE=CLOSED",
+            MysqlConnectionState.IDLE,
                     "APPLY_SETTINGS=APPLYING_SETTINGS CLOSE=CLOSED EXECUTE=EXECUTING PREPARE=PREPARING"
                             + " SELECT_SCHEMA=SELECTING_SCHEMA",
-            ConnectionState.APPLYING_SETTINGS,
+            MysqlConnectionState.APPLYING_SETTINGS,
                     "CLOSE=CLOSED EXECUTE=EXECUTING PREPARE=PREPARING RETIRE=CLOSING"
                             + " SELECT_SCHEMA=SELECTING_SCHEMA",
-            ConnectionState.SELECTING_SCHEMA,
+            MysqlConnectionState.SELECTING_SCHEMA,
                     "CLOSE=CLOSED EXECUTE=EXECUTING PREPARE=PREPARING RELEASE=IDLE RETIRE=CLOSING",
-            ConnectionState.PREPARING, "CLOSE=CLOSED EXECUTE=EXECUTING RELEASE=IDLE RETIRE=CLOSING",
-            ConnectionState.EXECUTING, "CLOSE=CLOSED KILL=KILLING RELEASE=IDLE RETIRE=CLOSING",
-            ConnectionState.KILLING, "CLOSE=CLOSED RETIRE=CLOSING",
-            ConnectionState.CLOSING, "CLOSE=CLOSED",
-            ConnectionState.CLOSED, "");
+            MysqlConnectionState.PREPARING, "CLOSE=CLOSED EXECUTE=EXECUTING RELEASE=IDLE RETIRE=CLOSING",
+            MysqlConnectionState.EXECUTING, "CLOSE=CLOSED KILL=KILLING RELEASE=IDLE RETIRE=CLOSING",
+            MysqlConnectionState.KILLING, "CLOSE=CLOSED RETIRE=CLOSING",
+            MysqlConnectionState.CLOSING, "CLOSE=CLOSED",
+            MysqlConnectionState.CLOSED, "");
 
     @DataProvider
     public Object[][] states() {
-        return Arrays.stream(ConnectionState.values())
+        return Arrays.stream(MysqlConnectionState.values())
                 .map(state -> new Object[] {state})
                 .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "states")
-    public void allowsTheTransitionsOfTheTableOnly(ConnectionState state) {
+    public void allowsTheTransitionsOfTheTableOnly(MysqlConnectionState state) {
         Set<String> allowed = new TreeSet<>();
         for (Transition transition : Transition.values()) {
             String entry = transition + "=";
@@ -61,19 +61,19 @@
     @DataProvider
     public Object[][] outcomes() {
         return new Object[][] {
-            {ConnectionState.CONNECTING, CONNECT_FAILED, CONNECT_FAILED},
-            {ConnectionState.AUTHENTICATING, CONNECT_FAILED, CONNECT_FAILED},
-            {ConnectionState.APPLYING_SETTINGS, CONNECT_FAILED, CONNECT_FAILED},
-            {ConnectionState.SELECTING_SCHEMA, CONNECT_FAILED, CONNECT_FAILED},
-            {ConnectionState.PREPARING, CONNECT_FAILED, CONNECT_FAILED},
-            {ConnectionState.EXECUTING, RESET, ERROR},
-            {ConnectionState.KILLING, CANCELLED, ERROR}
+            {MysqlConnectionState.CONNECTING, CONNECT_FAILED, CONNECT_FAILED},
+            {MysqlConnectionState.AUTHENTICATING, CONNECT_FAILED, CONNECT_FAILED},
+            {MysqlConnectionState.APPLYING_SETTINGS, CONNECT_FAILED, CONNECT_FAILED},
+            {MysqlConnectionState.SELECTING_SCHEMA, CONNECT_FAILED, CONNECT_FAILED},
+            {MysqlConnectionState.PREPARING, CONNECT_FAILED, CONNECT_FAILED},
+            {MysqlConnectionState.EXECUTING, RESET, ERROR},
+            {MysqlConnectionState.KILLING, CANCELLED, ERROR}
         };
     }
 
     @Test(dataProvider = "outcomes")
     public void reportsThatAnAttemptMayHaveRunOnceItsCommandIsSent(
-            ConnectionState state, AttemptOutcome ofClose, AttemptOutcome ofFault) {
+            MysqlConnectionState state, AttemptOutcome ofClose, AttemptOutcome ofFault) {
         assertEquals(state.outcomeOfClose(), ofClose);
         assertEquals(state.outcomeOfFault(), ofFault);
         assertEquals(state.isCommandSent(), ofClose.mayHaveRun());
