--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -29,9 +29,9 @@
     private final Bootstrap bootstrap;
     private final EngineConfig engine;
     private final ConnectionLimits limits;
-    private final List<EngineConnection> connections = new ArrayList<>();
+    private final List<MysqlEngineConnection> connections = new ArrayList<>();
     /** Connections without an attempt, the most recently used one first. */
-    private final Deque<EngineConnection> idle = new ArrayDeque<>();
+    private final Deque<MysqlEngineConnection> idle = new ArrayDeque<>();
 
     private boolean draining;
 
@@ -54,7 +54,7 @@
      * idle one. Rejects the attempt if a new connection would exceed the limit.
      */
     void start(QueryAttempt attempt) {
-        Optional<EngineConnection> suited = findIdle(attempt);
+        Optional<MysqlEngineConnection> suited = findIdle(attempt);
         if (suited.isPresent()) {
             idle.remove(suited.get());
             suited.get().start(attempt);
@@ -71,10 +71,10 @@
     }
 
     /** Returns an idle connection that can run the attempt, preferably one that already has its settings. */
-    private Optional<EngineConnection> findIdle(QueryAttempt attempt) {
-        Predicate<EngineConnection> hasSchema =
+    private Optional<MysqlEngineConnection> findIdle(QueryAttempt attempt) {
+        Predicate<MysqlEngineConnection> hasSchema =
                 connection -> connection.session().hasSchemaFor(attempt);
-        Predicate<EngineConnection> hasSettings =
+        Predicate<MysqlEngineConnection> hasSettings =
                 connection -> connection.session().hasSettingsFor(attempt);
         return idle.stream()
                 .filter(hasSchema.and(hasSettings))
@@ -87,7 +87,7 @@
     }
 
     private void closeLeastRecentlyUsed() {
-        EngineConnection connection = idle.pollLast();
+        MysqlEngineConnection connection = idle.pollLast();
         connections.remove(connection);
         connection.close();
     }
@@ -97,12 +97,12 @@
         Work killQuery = new Work.Query("", "KILL QUERY " + threadId);
         AttemptListener listener = AttemptListener.DISCARD_REPLY;
         QueryAttempt kill = new QueryAttempt(killQuery, Map.of(), KILL_TIMEOUT_MS, listener);
-        EngineConnection connection = idle.isEmpty() ? connect() : idle.pollFirst();
+        MysqlEngineConnection connection = idle.isEmpty() ? connect() : idle.pollFirst();
         connection.start(kill);
     }
 
-    private EngineConnection connect() {
-        EngineConnection connection = new EngineConnection(this);
+    private MysqlEngineConnection connect() {
+        MysqlEngineConnection connection = new MysqlEngineConnection(this);
         connections.add(connection);
         ChannelFuture connecting = bootstrap
                 .clone()
@@ -125,7 +125,7 @@
     }
 
     /** The connect timeout also covers the login, as an engine may accept connections but never greet. */
-    private ScheduledFuture<?> closeUnlessLoggedIn(EngineConnection connection, Channel channel) {
+    private ScheduledFuture<?> closeUnlessLoggedIn(MysqlEngineConnection connection, Channel channel) {
         Runnable check = () -> {
             if (!connection.isLoggedIn()) {
                 connection.close();
@@ -136,12 +136,12 @@
 
     /** Rejects the attempts whose command has not been sent, and closes all idle connections. */
     void rejectUnsent() {
-        List.copyOf(connections).forEach(EngineConnection::rejectUnsent);
+        List.copyOf(connections).forEach(MysqlEngineConnection::rejectUnsent);
         closeAllIdle();
     }
 
     /** Takes back a connection that has no attempt; closes it if the pool is draining. */
-    void release(EngineConnection connection) {
+    void release(MysqlEngineConnection connection) {
         if (draining) {
             connection.close();
         } else {
@@ -150,7 +150,7 @@
     }
 
     /** Removes a closed connection. */
-    void remove(EngineConnection connection) {
+    void remove(MysqlEngineConnection connection) {
         connections.remove(connection);
         idle.remove(connection);
     }
@@ -177,7 +177,7 @@
 
     /** Closes the connections that have been idle since before this {@link System#nanoTime}. */
     void closeIdleSince(long nanoTime) {
-        for (EngineConnection connection : List.copyOf(idle)) {
+        for (MysqlEngineConnection connection : List.copyOf(idle)) {
             if (connection.isIdleSince(nanoTime)) {
                 idle.remove(connection);
                 connection.close();
--- a/src/main/java/lineward/mysql/engine/EngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -23,8 +23,8 @@
  * A connection to a MySQL engine for at most one attempt at a time. Preparatory commands apply the settings,
  * select the schema and prepare the statement that the attempt's command needs. Confined to the event loop.
  */
-final class EngineConnection extends SimpleChannelInboundHandler<ByteBuf> {
-    private static final Logger LOG = LoggerFactory.getLogger(EngineConnection.class);
+final class MysqlEngineConnection extends SimpleChannelInboundHandler<ByteBuf> {
+    private static final Logger LOG = LoggerFactory.getLogger(MysqlEngineConnection.class);
     /** Time limit for the reply to a statement after its kill; then the connection is closed. */
     private static final int KILL_TIMEOUT_MS = 300;
     /** The reply to an execution if the statement's parameter count differs from the one the client knows. */
@@ -44,7 +44,7 @@
     /** {@link System#nanoTime} of the creation, the last command or the end of the last attempt. */
     private long lastUsedNanos = System.nanoTime();
 
-    EngineConnection(EngineConnectionPool pool) {
+    MysqlEngineConnection(EngineConnectionPool pool) {
         super(false);
         this.pool = pool;
     }
--- a/src/main/java/lineward/mysql/engine/QueryAttempt.java
+++ b/src/main/java/lineward/mysql/engine/QueryAttempt.java
@@ -46,7 +46,7 @@
     /** Null unless the reply is spooled. */
     private SpoolWriter spool;
     /** Null until a pool has assigned a connection. */
-    private EngineConnection connection;
+    private MysqlEngineConnection connection;
 
     /**
      * Creates an attempt that has not started.
@@ -70,7 +70,7 @@
     }
 
     /** Records the connection that executes this attempt. */
-    void assignTo(EngineConnection assigned) {
+    void assignTo(MysqlEngineConnection assigned) {
         connection = assigned;
     }
 
