--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import java.util.Map;
 import lineward.mysql.engine.AttemptListener;
-import lineward.mysql.engine.QueryAttempt;
+import lineward.mysql.engine.MysqlQueryAttempt;
 import lineward.mysql.session.ClientStatement;
 import lineward.mysql.session.StatementClass;
 import lineward.mysql.session.Work;
@@ -36,7 +36,7 @@
     /** Assigned on admission. */
     private long requestId;
     /** Null before the first attempt. */
-    private QueryAttempt attempt;
+    private MysqlQueryAttempt attempt;
 
     private int attemptNumber;
     /** Whether the client already reads the spooled result of the current attempt. */
@@ -92,8 +92,8 @@
     }
 
     /** Creates the next attempt and makes it the current one. */
-    public QueryAttempt nextAttempt(int number, long timeoutMs, AttemptListener listener) {
-        attempt = new QueryAttempt(work, settings, timeoutMs, listener);
+    public MysqlQueryAttempt nextAttempt(int number, long timeoutMs, AttemptListener listener) {
+        attempt = new MysqlQueryAttempt(work, settings, timeoutMs, listener);
         attemptNumber = number;
         spooledResult = null;
         return attempt;
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -53,7 +53,7 @@
      * Starts the attempt on an idle connection that can run it, or else on a new one, which may replace an
      * idle one. Rejects the attempt if a new connection would exceed the limit.
      */
-    void start(QueryAttempt attempt) {
+    void start(MysqlQueryAttempt attempt) {
         Optional<MysqlEngineConnection> suited = findIdle(attempt);
         if (suited.isPresent()) {
             idle.remove(suited.get());
@@ -71,7 +71,7 @@
     }
 
     /** Returns an idle connection that can run the attempt, preferably one that already has its settings. */
-    private Optional<MysqlEngineConnection> findIdle(QueryAttempt attempt) {
+    private Optional<MysqlEngineConnection> findIdle(MysqlQueryAttempt attempt) {
         Predicate<MysqlEngineConnection> hasSchema =
                 connection -> connection.session().hasSchemaFor(attempt);
         Predicate<MysqlEngineConnection> hasSettings =
@@ -96,7 +96,7 @@
     void kill(long threadId) {
         Work killQuery = new Work.Query("", "KILL QUERY " + threadId);
         AttemptListener listener = AttemptListener.DISCARD_REPLY;
-        QueryAttempt kill = new QueryAttempt(killQuery, Map.of(), KILL_TIMEOUT_MS, listener);
+        MysqlQueryAttempt kill = new MysqlQueryAttempt(killQuery, Map.of(), KILL_TIMEOUT_MS, listener);
         MysqlEngineConnection connection = idle.isEmpty() ? connect() : idle.pollFirst();
         connection.start(kill);
     }
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
@@ -53,7 +53,7 @@
      * Starts the attempt on the engine. It fails if the engine has no pool, either because it has never been
      * configured or because it was removed and its pool has been drained.
      */
-    public void start(String engine, QueryAttempt attempt) {
+    public void start(String engine, MysqlQueryAttempt attempt) {
         EngineConnectionPool pool = byName.get(engine);
         if (pool == null) {
             attempt.end(AttemptOutcome.CONNECT_FAILED);
--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -23,18 +23,18 @@
      * Returns whether the attempt can run in this session. MySQL can change a selected schema but not
      * unselect it, so that an attempt without a schema needs a session without one.
      */
-    boolean hasSchemaFor(QueryAttempt attempt) {
-        return schema.isEmpty() || !attempt.work().schema().isEmpty();
+    boolean hasSchemaFor(MysqlQueryAttempt attempt) {
+        return schema.isEmpty() || !attempt.command().schema().isEmpty();
     }
 
     /** Returns whether the session already has the attempt's settings. */
-    boolean hasSettingsFor(QueryAttempt attempt) {
-        return settings.equals(attempt.settings());
+    boolean hasSettingsFor(MysqlQueryAttempt attempt) {
+        return settings.equals(attempt.sessionSettings());
     }
 
     /** Returns the next step of the attempt, in the order settings, schema, preparation, command. */
-    Transition nextStep(QueryAttempt attempt) {
-        Work work = attempt.work();
+    Transition nextStep(MysqlQueryAttempt attempt) {
+        Work work = attempt.command();
         if (!hasSettingsFor(attempt)) {
             return Transition.APPLY_SETTINGS;
         }
@@ -51,13 +51,13 @@
     }
 
     /** Returns the SET statement that applies the attempt's settings, encoded as in {@link Texts}. */
-    String settingsChangeFor(QueryAttempt attempt) {
-        return Texts.latin1(SessionSettings.change(settings, attempt.settings()));
+    String settingsChangeFor(MysqlQueryAttempt attempt) {
+        return Texts.latin1(SessionSettings.change(settings, attempt.sessionSettings()));
     }
 
     /** Records that the engine has applied the attempt's settings. */
-    void settingsApplied(QueryAttempt attempt) {
-        settings = attempt.settings();
+    void settingsApplied(MysqlQueryAttempt attempt) {
+        settings = attempt.sessionSettings();
     }
 
     /** Records that the engine has selected the schema. */
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -38,7 +38,7 @@
     private EngineCommands commands;
     private EngineSession session;
     /** Null if no attempt is assigned. */
-    private QueryAttempt attempt;
+    private MysqlQueryAttempt attempt;
     /** Classifies the packets of the reply to the last command; null before the first command. */
     private ReplyTracker tracker;
     /** {@link System#nanoTime} of the creation, the last command or the end of the last attempt. */
@@ -82,7 +82,7 @@
         channel.config().setAutoRead(reading);
     }
 
-    void start(QueryAttempt next) {
+    void start(MysqlQueryAttempt next) {
         attempt = next;
         next.assignTo(this);
         if (state == MysqlConnectionState.IDLE) {
@@ -112,7 +112,7 @@
         lastUsedNanos = System.nanoTime();
         Transition step = session.nextStep(attempt);
         transition(step);
-        Work work = attempt.work();
+        Work work = attempt.command();
         switch (step) {
             case APPLY_SETTINGS -> send(Commands.QUERY, session.settingsChangeFor(attempt));
             case SELECT_SCHEMA -> send(Commands.INIT_DB, work.schema());
@@ -121,7 +121,7 @@
         }
     }
 
-    private void sendOwnCommand(Work work, QueryAttempt started) {
+    private void sendOwnCommand(Work work, MysqlQueryAttempt started) {
         if (work instanceof Work.Execute execute) {
             sendExecute(execute);
         } else {
@@ -216,9 +216,9 @@
 
     private void readPreparatoryReply(ByteBuf frame, boolean last) {
         if (state == MysqlConnectionState.PREPARING) {
-            session.readPrepared(frame, last, attempt.work());
+            session.readPrepared(frame, last, attempt.command());
         } else if (last) {
-            session.schemaSelected(attempt.work().schema());
+            session.schemaSelected(attempt.command().schema());
         }
         if (last) {
             sendNextCommand();
@@ -238,7 +238,7 @@
     }
 
     private void readOwnReply(ByteBuf frame, PacketRole role) {
-        Work work = attempt.work();
+        Work work = attempt.command();
         if (work instanceof Work.Prepare) {
             session.readPrepared(frame, role.isLast(), work);
         }
@@ -250,11 +250,11 @@
     }
 
     private void finish(AttemptOutcome outcome) {
-        QueryAttempt finished = attempt;
+        MysqlQueryAttempt finished = attempt;
         attempt = null;
         lastUsedNanos = System.nanoTime();
         // An open transaction or a changed session would affect the next client.
-        boolean sessionClean = !tracker.inTransaction() && !finished.work().changesSession();
+        boolean sessionClean = !tracker.inTransaction() && !finished.command().changesSession();
         boolean reusable = state.isReusable() && sessionClean;
         transition(reusable ? Transition.RELEASE : Transition.RETIRE);
         setReading(true);
@@ -267,7 +267,7 @@
     }
 
     private void fail(AttemptOutcome outcome) {
-        QueryAttempt failed = attempt;
+        MysqlQueryAttempt failed = attempt;
         attempt = null;
         close();
         if (failed != null) {
--- a/src/main/java/lineward/mysql/engine/QueryAttempt.java
+++ b/src/main/java/lineward/mysql/engine/MysqlQueryAttempt.java
@@ -14,7 +14,7 @@
  * longer one is spooled, so that the connection is free after the last packet, however slowly the client
  * reads. Confined to the event loop.
  */
-public final class QueryAttempt {
+public final class MysqlQueryAttempt {
     private enum ReplyState {
         /** The reply is being buffered, or has not started. */
         BUFFERING,
@@ -33,8 +33,8 @@
 
     private static final double NANOS_PER_MS = TimeUnit.MILLISECONDS.toNanos(1);
 
-    private final Work work;
-    private final Map<String, String> settings;
+    private final Work command;
+    private final Map<String, String> sessionSettings;
     private final long timeoutMs;
     private final AttemptListener listener;
     private final long startedNanos = System.nanoTime();
@@ -51,22 +51,23 @@
     /**
      * Creates an attempt that has not started.
      *
-     * @param settings the session variables that the engine must have set when it executes the command
+     * @param sessionSettings the session variables that the engine must have set when it executes the command
      * @param timeoutMs the attempt's timeout, from which the spool determines when the response may start
      */
-    public QueryAttempt(Work work, Map<String, String> settings, long timeoutMs, AttemptListener listener) {
-        this.work = work;
-        this.settings = settings;
+    public MysqlQueryAttempt(
+            Work command, Map<String, String> sessionSettings, long timeoutMs, AttemptListener listener) {
+        this.command = command;
+        this.sessionSettings = sessionSettings;
         this.timeoutMs = timeoutMs;
         this.listener = listener;
     }
 
-    Work work() {
-        return work;
+    Work command() {
+        return command;
     }
 
-    Map<String, String> settings() {
-        return settings;
+    Map<String, String> sessionSettings() {
+        return sessionSettings;
     }
 
     /** Records the connection that executes this attempt. */
--- a/src/main/java/lineward/mysql/engine/package-info.java
+++ b/src/main/java/lineward/mysql/engine/package-info.java
@@ -3,7 +3,7 @@
  * {@link lineward.mysql.engine.EngineConnectionPools} has a connection pool for each engine.
  * {@code EngineConnection} logs in, prepares the engine's session for an attempt and executes it;
  * {@code ConnectionState} defines its states.
- * {@link lineward.mysql.engine.QueryAttempt} buffers or spools the reply and notifies an
+ * {@link lineward.mysql.engine.MysqlQueryAttempt} buffers or spools the reply and notifies an
  * {@link lineward.mysql.engine.AttemptListener}. This package has no reference to clients.
  *
  * <p>This package may use {@code session} and {@code wire}. All code is confined to the event loop and never
