--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -33,7 +33,7 @@
     private final ReplyWriter replies;
     private final SessionSettings settings;
     private final PreparedStatements statements;
-    private final SpoolStream stream;
+    private final SpooledResultSender resultSender;
     private final QueryRunner queries;
 
     ClientCommands(
@@ -42,14 +42,14 @@
             ReplyWriter replies,
             SessionSettings settings,
             PreparedStatements statements,
-            SpoolStream stream,
+            SpooledResultSender resultSender,
             QueryRunner queries) {
         this.session = session;
         this.statistics = statistics;
         this.replies = replies;
         this.settings = settings;
         this.statements = statements;
-        this.stream = stream;
+        this.resultSender = resultSender;
         this.queries = queries;
     }
 
@@ -130,7 +130,7 @@
         Work.Query work = new Work.Query(queries.schema(), hint.statement());
         if (writes || !hint.hasKey()) {
             queries.run(work, text, writes, Query.Spooling.IF_LONG);
-        } else if (!stream.answer(hint, work.digest(), null)) {
+        } else if (!resultSender.answer(hint, work.digest(), null)) {
             queries.run(work, text, false, new Query.Spooling(hint.key(), work.digest(), null));
         }
     }
@@ -170,7 +170,7 @@
         ClientStatement cursor = requestsCursor && !writes ? statement : null;
         String key = writes ? "" : statement.hint().key();
         String digest = key.isEmpty() ? "" : work.digest();
-        if (key.isEmpty() || !stream.answer(statement.hint(), digest, cursor)) {
+        if (key.isEmpty() || !resultSender.answer(statement.hint(), digest, cursor)) {
             queries.run(work, text, writes, new Query.Spooling(key, digest, cursor));
         }
     }
@@ -228,7 +228,7 @@
             replies.sendError(Failure.noCursor(id));
             return;
         }
-        stream.fetch(statement, payload.readUnsignedIntLE());
+        resultSender.fetch(statement, payload.readUnsignedIntLE());
     }
 
     private ClientStatement readStatement(ByteBuf payload) {
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -38,7 +38,7 @@
     private final PreparedStatements statements;
     private SessionState state = SessionState.AWAITING_LOGIN;
     private ReplyWriter replies;
-    private SpoolStream stream;
+    private SpooledResultSender resultSender;
     private QueryRunner queries;
     private ClientCommands commands;
 
@@ -57,10 +57,10 @@
     public void handlerAdded(ChannelHandlerContext ctx) {
         SessionSettings settings = new SessionSettings();
         replies = new ReplyWriter(ctx.channel());
-        stream = new SpoolStream(this, context.spool(), replies);
-        queries = new QueryRunner(this, context, replies, settings, statements, stream);
+        resultSender = new SpooledResultSender(this, context.spool(), replies);
+        queries = new QueryRunner(this, context, replies, settings, statements, resultSender);
         Supplier<String> statistics = context.statistics();
-        commands = new ClientCommands(this, statistics, replies, settings, statements, stream, queries);
+        commands = new ClientCommands(this, statistics, replies, settings, statements, resultSender, queries);
     }
 
     /** Returns the user name; must not be called before the login packet has been received. */
@@ -187,7 +187,7 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        stream.resume();
+        resultSender.resume();
     }
 
     @Override
@@ -211,7 +211,7 @@
         pendingPackets.forEach(ByteBuf::release);
         pendingPackets.clear();
         queries.abort();
-        stream.close();
+        resultSender.close();
         statements.closeAll();
     }
 }
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -24,7 +24,7 @@
     private final ReplyWriter replies;
     private final SessionSettings settings;
     private final PreparedStatements statements;
-    private final SpoolStream stream;
+    private final SpooledResultSender resultSender;
     /** Null while no query runs. */
     private Query running;
 
@@ -36,13 +36,13 @@
             ReplyWriter replies,
             SessionSettings settings,
             PreparedStatements statements,
-            SpoolStream stream) {
+            SpooledResultSender resultSender) {
         this.session = session;
         this.context = context;
         this.replies = replies;
         this.settings = settings;
         this.statements = statements;
-        this.stream = stream;
+        this.resultSender = resultSender;
     }
 
     String user() {
@@ -145,7 +145,7 @@
     /** Starts sending the spooled result of the query, which may be incomplete, if the client still waits. */
     void responseStarted(Query query) {
         if (isCurrent(query)) {
-            stream.start(query);
+            resultSender.start(query);
         } else {
             query.spooledResult().abandon();
         }
--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -16,14 +16,14 @@
  * Sends spooled results to one client, one reply at a time and no faster than it reads: results with a key,
  * rows of cursors, and results that exceed the buffer of an attempt.
  */
-final class SpoolStream {
+final class SpooledResultSender {
     private final ClientSession session;
     private final Spool spool;
     private final ReplyWriter replies;
     /** Null while no reply is being sent. */
     private ReplyStream active;
 
-    SpoolStream(ClientSession session, Spool spool, ReplyWriter replies) {
+    SpooledResultSender(ClientSession session, Spool spool, ReplyWriter replies) {
         this.session = session;
         this.spool = spool;
         this.replies = replies;
