--- a/src/main/java/lineward/mysql/client/CursorState.java
+++ b/src/main/java/lineward/mysql/client/CursorState.java
@@ -1,6 +1,6 @@
 package lineward.mysql.client;
 
-/** The state of an {@link OpenCursor}, and the transitions between its states. */
+/** The state of an {@link SpooledResultCursor}, and the transitions between its states. */
 enum CursorState {
     /** The column definitions have not been sent. */
     OPENING,
--- a/src/main/java/lineward/mysql/client/OpenCursor.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultCursor.java
@@ -18,7 +18,7 @@
  * Sends a range of a spooled result: either as a read-only cursor, which sends the columns first and rows
  * when the client fetches them, or as a page, which sends the columns and rows as a single reply.
  */
-final class OpenCursor implements StatementCursor {
+final class SpooledResultCursor implements StatementCursor {
     /**
      * The part of the result that the client requests.
      *
@@ -60,7 +60,7 @@
      * @param sink takes over complete packets and sends them
      * @param listener is notified when the opening of the cursor or a fetch has ended
      */
-    OpenCursor(
+    SpooledResultCursor(
             Channel channel,
             SpooledResult result,
             Dialect dialect,
--- a/src/main/java/lineward/mysql/client/SpooledResultSender.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -63,12 +63,13 @@
 
     private void start(SpooledResult result, SpoolHint hint, ClientStatement cursor) {
         if (cursor != null) {
-            OpenCursor opened = open(result, new OpenCursor.Range(hint.firstRow(), OptionalLong.empty()));
+            SpooledResultCursor opened =
+                    open(result, new SpooledResultCursor.Range(hint.firstRow(), OptionalLong.empty()));
             cursor.replaceCursor(opened);
             active = opened;
         } else if (hint.requestsPage()) {
             long rowCount = hint.rowLimit().orElse(Long.MAX_VALUE);
-            active = open(result, new OpenCursor.Range(hint.firstRow(), OptionalLong.of(rowCount)));
+            active = open(result, new SpooledResultCursor.Range(hint.firstRow(), OptionalLong.of(rowCount)));
         } else {
             active = new ReplyPump(replies.channel(), result, replies.dialect(), replies::send, this::ended);
         }
@@ -76,9 +77,9 @@
         active.resume();
     }
 
-    private OpenCursor open(SpooledResult result, OpenCursor.Range range) {
+    private SpooledResultCursor open(SpooledResult result, SpooledResultCursor.Range range) {
         Dialect dialect = replies.dialect();
-        return new OpenCursor(replies.channel(), result, dialect, range, replies::send, this::ended);
+        return new SpooledResultCursor(replies.channel(), result, dialect, range, replies::send, this::ended);
     }
 
     /** Sends the next rows of the statement's open cursor. */
