--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -30,7 +30,7 @@
 
     private final ClientSession session;
     private final Supplier<String> statistics;
-    private final ReplyWriter replies;
+    private final ClientReplyWriter replies;
     private final SessionSettings settings;
     private final PreparedStatements statements;
     private final SpooledResultSender resultSender;
@@ -39,7 +39,7 @@
     ClientCommands(
             ClientSession session,
             Supplier<String> statistics,
-            ReplyWriter replies,
+            ClientReplyWriter replies,
             SessionSettings settings,
             PreparedStatements statements,
             SpooledResultSender resultSender,
--- a/src/main/java/lineward/mysql/client/ReplyWriter.java
+++ b/src/main/java/lineward/mysql/client/ClientReplyWriter.java
@@ -11,7 +11,7 @@
 import lineward.mysql.wire.Packets;
 
 /** Writes replies to one client, takes over their references, and counts those not flushed. */
-final class ReplyWriter {
+final class ClientReplyWriter {
     /** Stands for the sequence number of a request if there is none: the reply then starts with number 0. */
     private static final int BEFORE_FIRST = -1;
 
@@ -20,7 +20,7 @@
     private int requestSequence;
     private int unsentReplies;
 
-    ReplyWriter(Channel channel) {
+    ClientReplyWriter(Channel channel) {
         this.channel = channel;
     }
 
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -37,7 +37,7 @@
     private final ClientLogin login;
     private final PreparedStatements statements;
     private SessionState state = SessionState.AWAITING_LOGIN;
-    private ReplyWriter replies;
+    private ClientReplyWriter replies;
     private SpooledResultSender resultSender;
     private QueryRunner queries;
     private ClientCommands commands;
@@ -56,7 +56,7 @@
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
         SessionSettings settings = new SessionSettings();
-        replies = new ReplyWriter(ctx.channel());
+        replies = new ClientReplyWriter(ctx.channel());
         resultSender = new SpooledResultSender(this, context.spool(), replies);
         queries = new QueryRunner(this, context, replies, settings, statements, resultSender);
         Supplier<String> statistics = context.statistics();
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -21,7 +21,7 @@
 
     private final ClientSession session;
     private final ClientContext context;
-    private final ReplyWriter replies;
+    private final ClientReplyWriter replies;
     private final SessionSettings settings;
     private final PreparedStatements statements;
     private final SpooledResultSender resultSender;
@@ -33,7 +33,7 @@
     QueryRunner(
             ClientSession session,
             ClientContext context,
-            ReplyWriter replies,
+            ClientReplyWriter replies,
             SessionSettings settings,
             PreparedStatements statements,
             SpooledResultSender resultSender) {
--- a/src/main/java/lineward/mysql/client/SpooledResultSender.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -19,11 +19,11 @@
 final class SpooledResultSender {
     private final ClientSession session;
     private final Spool spool;
-    private final ReplyWriter replies;
+    private final ClientReplyWriter replies;
     /** Null while no reply is being sent. */
     private ReplyStream active;
 
-    SpooledResultSender(ClientSession session, Spool spool, ReplyWriter replies) {
+    SpooledResultSender(ClientSession session, Spool spool, ClientReplyWriter replies) {
         this.session = session;
         this.spool = spool;
         this.replies = replies;
