--- a/src/main/java/lineward/mysql/engine/EngineCommands.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommandWriter.java
@@ -10,10 +10,10 @@
 import lineward.mysql.wire.Packets;
 
 /** Encodes commands and writes them to the connection to an engine. */
-final class EngineCommands {
+final class EngineCommandWriter {
     private final Channel channel;
 
-    EngineCommands(Channel channel) {
+    EngineCommandWriter(Channel channel) {
         this.channel = channel;
     }
 
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -35,7 +35,7 @@
     private MysqlConnectionState state = MysqlConnectionState.CONNECTING;
     private Channel channel;
     private EngineLogin login;
-    private EngineCommands commands;
+    private EngineCommandWriter commandWriter;
     private EngineSession session;
     /** Null if no attempt is assigned. */
     private MysqlQueryAttempt attempt;
@@ -52,8 +52,8 @@
     void connecting(Channel connectingChannel) {
         channel = connectingChannel;
         login = new EngineLogin(channel, pool.engine());
-        commands = new EngineCommands(channel);
-        session = new EngineSession(new EngineStatementCache(commands::closeStatement));
+        commandWriter = new EngineCommandWriter(channel);
+        session = new EngineSession(new EngineStatementCache(commandWriter::closeStatement));
     }
 
     EngineSession session() {
@@ -126,16 +126,16 @@
             sendExecute(execute);
         } else {
             tracker = new ReplyTracker(work instanceof Work.Prepare);
-            commands.send(work);
+            commandWriter.send(work);
         }
-        commands.whenWritten(started::commandWritten);
+        commandWriter.whenWritten(started::commandWritten);
     }
 
     private void sendExecute(Work.Execute work) {
         EngineStatementCache.Prepared statement = session.preparedFor(work);
         if (statement.parameterCount() == work.parameterCount()) {
             tracker = new ReplyTracker(false);
-            commands.execute(statement.id(), work);
+            commandWriter.execute(statement.id(), work);
         } else {
             ByteBuf error = Packets.error(channel.alloc(), 1, PARAMETERS_CHANGED);
             attempt.receive(channel.alloc(), error, PacketRole.LAST_ERROR);
@@ -145,7 +145,7 @@
 
     private void send(int command, String latin1) {
         tracker = new ReplyTracker(command == Commands.PREPARE);
-        commands.text(command, latin1);
+        commandWriter.text(command, latin1);
     }
 
     @Override
