--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -51,7 +51,7 @@
     private final Runnable tickRequest;
     private final Spool spool;
     private final EngineConnectionPools pools;
-    private final AttemptReporter.Targets reportTargets;
+    private final AttemptReporter.Context reportTargets;
     private final ConnectedClients clients;
     private final ServerAdmissionPolicy admission = new ServerAdmissionPolicy(Long.MAX_VALUE);
     private long shutdownStartedNanos;
@@ -78,7 +78,7 @@
         this.spool = spool;
         this.clients = new ConnectedClients(config.bounds().maxClients());
         this.pools = enginePools(loop, config.bounds());
-        this.reportTargets = new AttemptReporter.Targets(coordinator, metrics, spool, tickRequest);
+        this.reportTargets = new AttemptReporter.Context(coordinator, metrics, spool, tickRequest);
         QueryDispatcher queries = new QueryAdmission(config, admission, driver, metrics);
         this.acceptor = new ClientAcceptor(clientContext(queries), Listener.at(config.listen()));
     }
--- a/src/main/java/lineward/mysql/client/AttemptReporter.java
+++ b/src/main/java/lineward/mysql/client/AttemptReporter.java
@@ -15,27 +15,27 @@
      *
      * @param tick schedules a tick, in which the coordinator processes its new events
      */
-    public record Targets(Coordinator<Query> coordinator, Metrics metrics, Spool spool, Runnable tick) {}
+    public record Context(Coordinator<Query> coordinator, Metrics metrics, Spool spool, Runnable tick) {}
 
-    private final Targets targets;
+    private final Context context;
     private final Query query;
     private final int attempt;
 
     /** @param attempt the number that the coordinator has assigned to the attempt */
-    public AttemptReporter(Targets targets, Query query, int attempt) {
-        this.targets = targets;
+    public AttemptReporter(Context context, Query query, int attempt) {
+        this.context = context;
         this.query = query;
         this.attempt = attempt;
     }
 
     @Override
     public void commandWritten() {
-        targets.metrics().countForwarded();
+        context.metrics().countForwarded();
     }
 
     @Override
     public SpooledResult openSpool() {
-        return query.openSpool(targets.spool());
+        return query.openSpool(context.spool());
     }
 
     @Override
@@ -45,15 +45,15 @@
 
     @Override
     public boolean responseStarted() {
-        boolean accepted = targets.coordinator().responseStarted(query.requestId(), attempt);
+        boolean accepted = context.coordinator().responseStarted(query.requestId(), attempt);
         query.startResponse(accepted);
         return accepted;
     }
 
     @Override
     public void ended(AttemptOutcome outcome, ByteBuf reply) {
-        boolean served = targets.coordinator().attemptEnded(query.requestId(), attempt, outcome);
+        boolean served = context.coordinator().attemptEnded(query.requestId(), attempt, outcome);
         query.attemptEnded(served, reply);
-        targets.tick().run();
+        context.tick().run();
     }
 }
