--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -129,9 +129,9 @@
         SpoolHint hint = SpoolHint.of(payload.toString(StandardCharsets.ISO_8859_1));
         Work.Query work = new Work.Query(queries.schema(), hint.statement());
         if (writes || !hint.hasKey()) {
-            queries.run(work, text, writes, Query.Spooling.IF_LONG);
+            queries.run(work, text, writes, Query.SpoolOptions.IF_LONG);
         } else if (!resultSender.answer(hint, work.digest(), null)) {
-            queries.run(work, text, false, new Query.Spooling(hint.key(), work.digest(), null));
+            queries.run(work, text, false, new Query.SpoolOptions(hint.key(), work.digest(), null));
         }
     }
 
@@ -147,7 +147,7 @@
         } else {
             // Preparing a write changes no data, so a failed attempt may be retried like a read.
             String latin1 = payload.toString(StandardCharsets.ISO_8859_1);
-            queries.run(new Work.Prepare(queries.schema(), latin1), text, false, Query.Spooling.IF_LONG);
+            queries.run(new Work.Prepare(queries.schema(), latin1), text, false, Query.SpoolOptions.IF_LONG);
         }
     }
 
@@ -171,7 +171,7 @@
         String key = writes ? "" : statement.hint().key();
         String digest = key.isEmpty() ? "" : work.digest();
         if (key.isEmpty() || !resultSender.answer(statement.hint(), digest, cursor)) {
-            queries.run(work, text, writes, new Query.Spooling(key, digest, cursor));
+            queries.run(work, text, writes, new Query.SpoolOptions(key, digest, cursor));
         }
     }
 
--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -19,9 +19,9 @@
      * @param digest digest of the statement and its arguments if there is a key; else empty
      * @param cursor the statement whose cursor is opened; null if all rows are sent in one reply
      */
-    record Spooling(String key, String digest, ClientStatement cursor) {
+    record SpoolOptions(String key, String digest, ClientStatement cursor) {
         /** The result is spooled only if it exceeds the attempt's buffer. */
-        static final Spooling IF_LONG = new Spooling("", "", null);
+        static final SpoolOptions IF_LONG = new SpoolOptions("", "", null);
 
         boolean isRequired() {
             return !key.isEmpty() || cursor != null;
@@ -32,7 +32,7 @@
     private final Work work;
     private final StatementClass statementClass;
     private final Map<String, String> settings;
-    private final Spooling spooling;
+    private final SpoolOptions spooling;
     /** Assigned on admission. */
     private long requestId;
     /** Null before the first attempt. */
@@ -50,7 +50,7 @@
             Work work,
             StatementClass statementClass,
             Map<String, String> settings,
-            Spooling spooling) {
+            SpoolOptions spooling) {
         this.runner = runner;
         this.work = work;
         this.statementClass = statementClass;
@@ -62,7 +62,7 @@
         return work;
     }
 
-    Spooling spooling() {
+    SpoolOptions spooling() {
         return spooling;
     }
 
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -64,7 +64,7 @@
 
     /** Selects the schema of the session, if an engine confirms that the schema exists. */
     void useSchema(String latin1) {
-        run(new Work.UseSchema(latin1), "USE", false, Query.Spooling.IF_LONG);
+        run(new Work.UseSchema(latin1), "USE", false, Query.SpoolOptions.IF_LONG);
     }
 
     /**
@@ -73,7 +73,7 @@
      *
      * @param text the statement's text, which determines the query's class
      */
-    void run(Work work, String text, boolean writes, Query.Spooling spooling) {
+    void run(Work work, String text, boolean writes, Query.SpoolOptions spooling) {
         StatementClass statementClass = context.dispatcher().classOf(text, writes);
         Query query = new Query(this, work, statementClass, settings.forEngines(), spooling);
         running = query;
