--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -73,7 +73,7 @@
     }
 
     /** Returns the statement that the command executes; null if it is not prepared on this connection. */
-    EngineStatementCache.Prepared preparedFor(Work.Execute work) {
+    EngineStatementCache.Statement preparedFor(Work.Execute work) {
         return prepared.find(key(work));
     }
 
--- a/src/main/java/lineward/mysql/engine/EngineStatementCache.java
+++ b/src/main/java/lineward/mysql/engine/EngineStatementCache.java
@@ -10,7 +10,7 @@
 /** An LRU cache of the statements that are prepared on one connection to an engine. */
 final class EngineStatementCache {
     /** A statement that the engine has prepared, with its id at the engine. */
-    record Prepared(long id, int parameterCount) {}
+    record Statement(long id, int parameterCount) {}
 
     /** Limits the memory that the prepared statements of one connection use on the engine. */
     private static final int MAX_STATEMENTS = 64;
@@ -18,10 +18,10 @@
     private static final int INITIAL_CAPACITY = 16;
     private static final float LOAD_FACTOR = 0.75f;
 
-    private final Map<String, Prepared> byKey = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
+    private final Map<String, Statement> byKey = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
     private final LongConsumer closeAtEngine;
     /** The statement whose preparation has not been completed; null if there is none. */
-    private Prepared pending;
+    private Statement pending;
 
     /** @param closeAtEngine closes the statement with the given id on the engine */
     EngineStatementCache(LongConsumer closeAtEngine) {
@@ -33,7 +33,7 @@
     }
 
     /** Returns the statement with this key, or null. */
-    Prepared find(String key) {
+    Statement find(String key) {
         return byKey.get(key);
     }
 
@@ -44,13 +44,13 @@
             long id = payload.readUnsignedIntLE();
             // The number of columns precedes the number of parameters.
             int parameterCount = payload.skipBytes(Short.BYTES).readUnsignedShortLE();
-            pending = new Prepared(id, parameterCount);
+            pending = new Statement(id, parameterCount);
         }
     }
 
     /** Stores the pending statement, whose preparation is complete, under this key. */
     void complete(String key) {
-        Prepared replaced = byKey.put(key, pending);
+        Statement replaced = byKey.put(key, pending);
         pending = null;
         if (replaced != null) {
             closeAtEngine.accept(replaced.id());
@@ -61,8 +61,8 @@
     }
 
     private void evictLeastRecentlyUsed() {
-        Iterator<Prepared> leastRecentFirst = byKey.values().iterator();
-        Prepared evicted = leastRecentFirst.next();
+        Iterator<Statement> leastRecentFirst = byKey.values().iterator();
+        Statement evicted = leastRecentFirst.next();
         leastRecentFirst.remove();
         closeAtEngine.accept(evicted.id());
     }
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -132,7 +132,7 @@
     }
 
     private void sendExecute(Work.Execute work) {
-        EngineStatementCache.Prepared statement = session.preparedFor(work);
+        EngineStatementCache.Statement statement = session.preparedFor(work);
         if (statement.parameterCount() == work.parameterCount()) {
             tracker = new ReplyTracker(false);
             commandWriter.execute(statement.id(), work);
