--- a/src/main/java/lineward/mysql/client/AttemptReporter.java
+++ b/src/main/java/lineward/mysql/client/AttemptReporter.java
@@ -34,8 +34,8 @@
     }
 
     @Override
-    public SpooledResult openSpool() {
-        return query.openSpool(context.spool());
+    public SpooledResult createSpooledResult() {
+        return query.createSpooledResult(context.spool());
     }
 
     @Override
--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -117,7 +117,7 @@
     }
 
     /** Creates the spooled result of the current attempt. */
-    SpooledResult openSpool(Spool spool) {
+    SpooledResult createSpooledResult(Spool spool) {
         spooledResult = spool.begin(runner.user(), spooling.key(), spooling.digest());
         return spooledResult;
     }
--- a/src/main/java/lineward/mysql/engine/AttemptListener.java
+++ b/src/main/java/lineward/mysql/engine/AttemptListener.java
@@ -9,7 +9,7 @@
     /** A listener for attempts whose reply is not needed: ignores the progress and releases the reply. */
     AttemptListener DISCARD_REPLY = new AttemptListener() {
         @Override
-        public SpooledResult openSpool() {
+        public SpooledResult createSpooledResult() {
             return null;
         }
 
@@ -30,7 +30,7 @@
     default void commandWritten() {}
 
     /** Called when the reply must be spooled; returns a new spooled result, or null to discard the reply. */
-    SpooledResult openSpool();
+    SpooledResult createSpooledResult();
 
     /** Returns whether a reply with rows is spooled regardless of its length. */
     default boolean alwaysSpools() {
--- a/src/main/java/lineward/mysql/engine/MysqlQueryAttempt.java
+++ b/src/main/java/lineward/mysql/engine/MysqlQueryAttempt.java
@@ -119,7 +119,7 @@
 
     /** Moves the buffered packets to the spool, or discards the reply if the listener does not need it. */
     private void startSpooling(PacketRole lastRole) {
-        SpooledResult result = listener.openSpool();
+        SpooledResult result = listener.createSpooledResult();
         ByteBuf packets = buffered;
         buffered = null;
         try {
