--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -127,11 +127,11 @@
             return;
         }
         SpoolHint hint = SpoolHint.of(payload.toString(StandardCharsets.ISO_8859_1));
-        Work.Query work = new Work.Query(queries.schema(), hint.statement());
+        Work.Query command = new Work.Query(queries.schema(), hint.statement());
         if (writes || !hint.hasKey()) {
-            queries.run(work, text, writes, Query.SpoolOptions.IF_LONG);
-        } else if (!resultSender.answer(hint, work.digest(), null)) {
-            queries.run(work, text, false, new Query.SpoolOptions(hint.key(), work.digest(), null));
+            queries.run(command, text, writes, Query.SpoolOptions.IF_LONG);
+        } else if (!resultSender.answer(hint, command.digest(), null)) {
+            queries.run(command, text, false, new Query.SpoolOptions(hint.key(), command.digest(), null));
         }
     }
 
@@ -158,9 +158,9 @@
         }
         boolean requestsCursor = ClientStatement.requestsCursor(payload);
         statement.closeCursor();
-        Work.Execute work;
+        Work.Execute command;
         try {
-            work = statement.execute(payload);
+            command = statement.execute(payload);
         } catch (IllegalArgumentException e) {
             replies.sendError(Failure.wrongArguments(e.getMessage()));
             return;
@@ -169,9 +169,9 @@
         boolean writes = StatementKind.of(text) instanceof StatementKind.Write;
         ClientStatement cursor = requestsCursor && !writes ? statement : null;
         String key = writes ? "" : statement.hint().key();
-        String digest = key.isEmpty() ? "" : work.digest();
+        String digest = key.isEmpty() ? "" : command.digest();
         if (key.isEmpty() || !resultSender.answer(statement.hint(), digest, cursor)) {
-            queries.run(work, text, writes, new Query.SpoolOptions(key, digest, cursor));
+            queries.run(command, text, writes, new Query.SpoolOptions(key, digest, cursor));
         }
     }
 
--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -29,7 +29,7 @@
     }
 
     private final QueryRunner runner;
-    private final Work work;
+    private final Work command;
     private final StatementClass statementClass;
     private final Map<String, String> settings;
     private final SpoolOptions spooling;
@@ -47,19 +47,19 @@
     /** @param settings the session variables that the engine must have set when it executes the command */
     Query(
             QueryRunner runner,
-            Work work,
+            Work command,
             StatementClass statementClass,
             Map<String, String> settings,
             SpoolOptions spooling) {
         this.runner = runner;
-        this.work = work;
+        this.command = command;
         this.statementClass = statementClass;
         this.settings = settings;
         this.spooling = spooling;
     }
 
-    Work work() {
-        return work;
+    Work command() {
+        return command;
     }
 
     SpoolOptions spooling() {
@@ -93,7 +93,7 @@
 
     /** Creates the next attempt and makes it the current one. */
     public MysqlQueryAttempt nextAttempt(int number, long timeoutMs, AttemptListener listener) {
-        attempt = new MysqlQueryAttempt(work, settings, timeoutMs, listener);
+        attempt = new MysqlQueryAttempt(command, settings, timeoutMs, listener);
         attemptNumber = number;
         spooledResult = null;
         return attempt;
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -73,9 +73,9 @@
      *
      * @param text the statement's text, which determines the query's class
      */
-    void run(Work work, String text, boolean writes, Query.SpoolOptions spooling) {
+    void run(Work command, String text, boolean writes, Query.SpoolOptions spooling) {
         StatementClass statementClass = context.dispatcher().classOf(text, writes);
-        Query query = new Query(this, work, statementClass, settings.forEngines(), spooling);
+        Query query = new Query(this, command, statementClass, settings.forEngines(), spooling);
         running = query;
         session.enter(SessionState.Event.QUERY_STARTED);
         if (!writes && context.spool().admit(session.user()) instanceof SpoolPolicy.Rejected rejection) {
@@ -122,13 +122,13 @@
      */
     private void relay(Query query, ByteBuf reply) {
         boolean succeeded = Packets.first(reply) != Packets.ERR;
-        boolean prepared = succeeded && query.work() instanceof Work.Prepare;
+        boolean prepared = succeeded && query.command() instanceof Work.Prepare;
         if (prepared) {
-            registerPrepared((Work.Prepare) query.work(), reply);
+            registerPrepared((Work.Prepare) query.command(), reply);
         } else {
             releaseReservation(query);
         }
-        if (query.work() instanceof Work.UseSchema use) {
+        if (query.command() instanceof Work.UseSchema use) {
             schema = succeeded ? use.schema() : schema;
             reply.setByte(reply.readerIndex() + SEQUENCE_OFFSET, replies.nextSequence());
         }
@@ -136,9 +136,9 @@
         complete();
     }
 
-    private void registerPrepared(Work.Prepare work, ByteBuf reply) {
+    private void registerPrepared(Work.Prepare command, ByteBuf reply) {
         int parameters = reply.getUnsignedShortLE(reply.readerIndex() + PREPARED_PARAMETERS_OFFSET);
-        long id = statements.add(work, parameters);
+        long id = statements.add(command, parameters);
         reply.setIntLE(reply.readerIndex() + PREPARED_ID_OFFSET, (int) id);
     }
 
@@ -176,8 +176,8 @@
     }
 
     private void releaseReservation(Query query) {
-        if (query.work() instanceof Work.Prepare work) {
-            statements.release(work);
+        if (query.command() instanceof Work.Prepare command) {
+            statements.release(command);
         }
     }
 
--- a/src/main/java/lineward/mysql/engine/EngineCommandWriter.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommandWriter.java
@@ -18,30 +18,30 @@
     }
 
     /** Writes a command with a text argument, which is encoded as in {@link lineward.mysql.wire.Texts}. */
-    void text(int command, String latin1) {
-        write(command, Unpooled.wrappedBuffer(latin1.getBytes(StandardCharsets.ISO_8859_1)));
+    void text(int commandByte, String latin1) {
+        write(commandByte, Unpooled.wrappedBuffer(latin1.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
     /** Writes any command except a {@link Work.Execute}. */
-    void send(Work work) {
-        if (work instanceof Work.Query query) {
+    void send(Work command) {
+        if (command instanceof Work.Query query) {
             text(Commands.QUERY, query.text());
-        } else if (work instanceof Work.Prepare prepare) {
+        } else if (command instanceof Work.Prepare prepare) {
             text(Commands.PREPARE, prepare.text());
-        } else if (work instanceof Work.UseSchema useSchema) {
+        } else if (command instanceof Work.UseSchema useSchema) {
             text(Commands.INIT_DB, useSchema.schema());
         }
     }
 
     /** Writes the parts of long parameters, and then the execution of the prepared statement with this id. */
-    void execute(long statementId, Work.Execute work) {
-        for (Work.LongData data : work.longData()) {
+    void execute(long statementId, Work.Execute command) {
+        for (Work.LongData data : command.longData()) {
             ByteBuf arguments = statementArguments(statementId)
                     .writeShortLE(data.parameter())
                     .writeBytes(data.bytes());
             write(Commands.LONG_DATA, arguments);
         }
-        write(Commands.EXECUTE, statementArguments(statementId).writeBytes(work.arguments()));
+        write(Commands.EXECUTE, statementArguments(statementId).writeBytes(command.arguments()));
     }
 
     /** Closes the prepared statement with this id; the engine sends no reply. */
@@ -62,8 +62,8 @@
         return channel.alloc().buffer().writeIntLE((int) statementId);
     }
 
-    private void write(int command, ByteBuf arguments) {
-        ByteBuf frame = Packets.command(channel.alloc(), command, arguments);
+    private void write(int commandByte, ByteBuf arguments) {
+        ByteBuf frame = Packets.command(channel.alloc(), commandByte, arguments);
         arguments.release();
         ChannelOperations.write(channel, frame);
     }
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -94,9 +94,9 @@
 
     /** Kills the statement that runs on the connection with this thread id, using another connection. */
     void kill(long threadId) {
-        Work killQuery = new Work.Query("", "KILL QUERY " + threadId);
+        Work killCommand = new Work.Query("", "KILL QUERY " + threadId);
         AttemptListener listener = AttemptListener.DISCARD_REPLY;
-        MysqlQueryAttempt kill = new MysqlQueryAttempt(killQuery, Map.of(), KILL_TIMEOUT_MS, listener);
+        MysqlQueryAttempt kill = new MysqlQueryAttempt(killCommand, Map.of(), KILL_TIMEOUT_MS, listener);
         MysqlEngineConnection connection = idle.isEmpty() ? connect() : idle.pollFirst();
         connection.start(kill);
     }
--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -34,20 +34,20 @@
 
     /** Returns the next step of the attempt, in the order settings, schema, preparation, command. */
     Transition nextStep(MysqlQueryAttempt attempt) {
-        Work work = attempt.command();
+        Work command = attempt.command();
         if (!hasSettingsFor(attempt)) {
             return Transition.APPLY_SETTINGS;
         }
-        if (needsSchema(work)) {
+        if (needsSchema(command)) {
             return Transition.SELECT_SCHEMA;
         }
-        boolean needsPreparation = work instanceof Work.Execute && !prepared.contains(key(work));
+        boolean needsPreparation = command instanceof Work.Execute && !prepared.contains(key(command));
         return needsPreparation ? Transition.PREPARE : Transition.EXECUTE;
     }
 
-    private boolean needsSchema(Work work) {
-        boolean differs = !work.schema().isEmpty() && !work.schema().equals(schema);
-        return differs && !(work instanceof Work.UseSchema);
+    private boolean needsSchema(Work command) {
+        boolean differs = !command.schema().isEmpty() && !command.schema().equals(schema);
+        return differs && !(command instanceof Work.UseSchema);
     }
 
     /** Returns the SET statement that applies the attempt's settings, encoded as in {@link Texts}. */
@@ -66,22 +66,22 @@
     }
 
     /** Records that the engine has completed the attempt's command successfully. */
-    void completed(Work work) {
-        if (work instanceof Work.UseSchema) {
-            schema = work.schema();
+    void completed(Work command) {
+        if (command instanceof Work.UseSchema) {
+            schema = command.schema();
         }
     }
 
     /** Returns the statement that the command executes; null if it is not prepared on this connection. */
-    EngineStatementCache.Statement preparedFor(Work.Execute work) {
-        return prepared.find(key(work));
+    EngineStatementCache.Statement preparedFor(Work.Execute command) {
+        return prepared.find(key(command));
     }
 
     /** Reads a packet of the reply to COM_STMT_PREPARE; the last one completes the preparation. */
-    void readPrepared(ByteBuf frame, boolean isLast, Work work) {
+    void readPrepared(ByteBuf frame, boolean isLast, Work command) {
         prepared.readPacket(frame);
         if (isLast) {
-            prepared.complete(key(work));
+            prepared.complete(key(command));
         }
     }
 
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -112,30 +112,30 @@
         lastUsedNanos = System.nanoTime();
         Transition step = session.nextStep(attempt);
         transition(step);
-        Work work = attempt.command();
+        Work command = attempt.command();
         switch (step) {
             case APPLY_SETTINGS -> send(Commands.QUERY, session.settingsChangeFor(attempt));
-            case SELECT_SCHEMA -> send(Commands.INIT_DB, work.schema());
-            case PREPARE -> send(Commands.PREPARE, ((Work.Execute) work).text());
-            default -> sendOwnCommand(work, attempt);
+            case SELECT_SCHEMA -> send(Commands.INIT_DB, command.schema());
+            case PREPARE -> send(Commands.PREPARE, ((Work.Execute) command).text());
+            default -> sendOwnCommand(command, attempt);
         }
     }
 
-    private void sendOwnCommand(Work work, MysqlQueryAttempt started) {
-        if (work instanceof Work.Execute execute) {
+    private void sendOwnCommand(Work command, MysqlQueryAttempt started) {
+        if (command instanceof Work.Execute execute) {
             sendExecute(execute);
         } else {
-            tracker = new ReplyTracker(work instanceof Work.Prepare);
-            commandWriter.send(work);
+            tracker = new ReplyTracker(command instanceof Work.Prepare);
+            commandWriter.send(command);
         }
         commandWriter.whenWritten(started::commandWritten);
     }
 
-    private void sendExecute(Work.Execute work) {
-        EngineStatementCache.Statement statement = session.preparedFor(work);
-        if (statement.parameterCount() == work.parameterCount()) {
+    private void sendExecute(Work.Execute command) {
+        EngineStatementCache.Statement statement = session.preparedFor(command);
+        if (statement.parameterCount() == command.parameterCount()) {
             tracker = new ReplyTracker(false);
-            commandWriter.execute(statement.id(), work);
+            commandWriter.execute(statement.id(), command);
         } else {
             ByteBuf error = Packets.error(channel.alloc(), 1, PARAMETERS_CHANGED);
             attempt.receive(channel.alloc(), error, PacketRole.LAST_ERROR);
@@ -143,9 +143,9 @@
         }
     }
 
-    private void send(int command, String latin1) {
-        tracker = new ReplyTracker(command == Commands.PREPARE);
-        commandWriter.text(command, latin1);
+    private void send(int commandByte, String latin1) {
+        tracker = new ReplyTracker(commandByte == Commands.PREPARE);
+        commandWriter.text(commandByte, latin1);
     }
 
     @Override
@@ -238,13 +238,13 @@
     }
 
     private void readOwnReply(ByteBuf frame, PacketRole role) {
-        Work work = attempt.command();
-        if (work instanceof Work.Prepare) {
-            session.readPrepared(frame, role.isLast(), work);
+        Work command = attempt.command();
+        if (command instanceof Work.Prepare) {
+            session.readPrepared(frame, role.isLast(), command);
         }
         attempt.receive(channel.alloc(), frame, role);
         if (role == PacketRole.LAST_OK) {
-            session.completed(work);
+            session.completed(command);
             finish(AttemptOutcome.OK);
         }
     }
