--- a/src/main/java/lineward/mysql/engine/MysqlConnectionState.java
+++ b/src/main/java/lineward/mysql/engine/MysqlConnectionState.java
@@ -131,7 +131,7 @@
      * Returns the outcome of the attempt if the connection closes in this state. Before the attempt's command
      * has been sent, the engine can't have executed it.
      */
-    AttemptOutcome outcomeOfClose() {
+    AttemptOutcome outcomeOnClose() {
         return switch (this) {
             case EXECUTING -> AttemptOutcome.RESET;
             case KILLING -> AttemptOutcome.CANCELLED;
@@ -140,7 +140,7 @@
     }
 
     /** Returns the outcome of the attempt if the engine violates the protocol or shuts down in this state. */
-    AttemptOutcome outcomeOfFault() {
+    AttemptOutcome outcomeOnEngineFailure() {
         return isCommandSent() ? AttemptOutcome.ERROR : AttemptOutcome.CONNECT_FAILED;
     }
 }
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -229,7 +229,7 @@
         EngineErrorKind kind = EngineErrorKind.of(Packets.errorCode(frame));
         if (kind != EngineErrorKind.COMMAND_FAILED) {
             boolean overloaded = kind == EngineErrorKind.OVERLOADED;
-            fail(overloaded ? AttemptOutcome.REJECTED : state.outcomeOfFault());
+            fail(overloaded ? AttemptOutcome.REJECTED : state.outcomeOnEngineFailure());
             return false;
         }
         attempt.receive(channel.alloc(), frame, PacketRole.LAST_ERROR);
@@ -278,7 +278,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         LOG.warn("engine connection failed: engine={} cause={}", pool.name(), cause.toString());
-        fail(state.outcomeOfFault());
+        fail(state.outcomeOnEngineFailure());
     }
 
     @Override
@@ -289,7 +289,7 @@
     /** Handles the close of the connection, or a failure to open it. */
     void closed() {
         if (state != MysqlConnectionState.CLOSED) {
-            AttemptOutcome outcome = state.outcomeOfClose();
+            AttemptOutcome outcome = state.outcomeOnClose();
             transition(Transition.CLOSE);
             pool.remove(this);
             fail(outcome);
--- a/src/test/java/lineward/mysql/engine/MysqlConnectionStateTest.java
+++ b/src/test/java/lineward/mysql/engine/MysqlConnectionStateTest.java
@@ -73,10 +73,10 @@
 
     @Test(dataProvider = "outcomes")
     public void reportsThatAnAttemptMayHaveRunOnceItsCommandIsSent(
-            MysqlConnectionState state, AttemptOutcome ofClose, AttemptOutcome ofFault) {
-        assertEquals(state.outcomeOfClose(), ofClose);
-        assertEquals(state.outcomeOfFault(), ofFault);
-        assertEquals(state.isCommandSent(), ofClose.mayHaveRun());
-        assertEquals(state.isCommandSent(), ofFault.mayHaveRun());
+            MysqlConnectionState state, AttemptOutcome onClose, AttemptOutcome onEngineFailure) {
+        assertEquals(state.outcomeOnClose(), onClose);
+        assertEquals(state.outcomeOnEngineFailure(), onEngineFailure);
+        assertEquals(state.isCommandSent(), onClose.mayHaveRun());
+        assertEquals(state.isCommandSent(), onEngineFailure.mayHaveRun());
     }
 }
