--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -145,13 +145,13 @@
     }
 
     private void requestAuthSwitch() {
-        enter(SessionState.Event.AUTH_SWITCH_REQUESTED);
+        transition(SessionState.Event.AUTH_SWITCH_REQUESTED);
         int sequence = replies.nextSequence();
         replies.send(Handshake.authSwitch(replies.alloc(), sequence, Auth.NATIVE, login.nonce()));
     }
 
     private void authenticated() {
-        enter(SessionState.Event.AUTHENTICATED);
+        transition(SessionState.Event.AUTHENTICATED);
         replies.setDialect(login.dialect());
         if (login.awaitsFastAuthConfirmation()) {
             int sequence = replies.nextSequence();
@@ -166,7 +166,7 @@
     }
 
     /** Applies an event to the state. */
-    void enter(SessionState.Event event) {
+    void transition(SessionState.Event event) {
         state = state.after(event);
     }
 
@@ -175,13 +175,13 @@
      * neither is left.
      */
     void commandStepEnded(SessionState.Event event) {
-        enter(event);
+        transition(event);
         channel().eventLoop().execute(this::processPending);
     }
 
     /** Sends an error and closes the connection once it is written. */
     void closeWith(Failure failure) {
-        enter(SessionState.Event.CLOSE_REQUESTED);
+        transition(SessionState.Event.CLOSE_REQUESTED);
         replies.sendLast(failure);
     }
 
@@ -206,7 +206,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        enter(SessionState.Event.DISCONNECTED);
+        transition(SessionState.Event.DISCONNECTED);
         context.clients().remove(this);
         pendingPackets.forEach(ByteBuf::release);
         pendingPackets.clear();
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -77,7 +77,7 @@
         StatementClass statementClass = context.dispatcher().classOf(text, writes);
         Query query = new Query(this, command, statementClass, settings.forEngines(), spooling);
         running = query;
-        session.enter(SessionState.Event.QUERY_STARTED);
+        session.transition(SessionState.Event.QUERY_STARTED);
         if (!writes && context.spool().admit(session.user()) instanceof SpoolPolicy.Rejected rejection) {
             context.dispatcher().countRejected(query);
             reject(query, rejection.retryAfterMs());
--- a/src/main/java/lineward/mysql/client/SpooledResultSender.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -73,7 +73,7 @@
         } else {
             active = new ReplyPump(replies.channel(), result, replies.dialect(), replies::send, this::ended);
         }
-        session.enter(SessionState.Event.STREAM_STARTED);
+        session.transition(SessionState.Event.STREAM_STARTED);
         active.resume();
     }
 
@@ -86,7 +86,7 @@
     void fetch(ClientStatement statement, long rows) {
         StatementCursor cursor = statement.cursor();
         active = cursor;
-        session.enter(SessionState.Event.STREAM_STARTED);
+        session.transition(SessionState.Event.STREAM_STARTED);
         cursor.fetch(rows);
     }
 
