--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -174,7 +174,7 @@
      * Records that the query or the stream of the current command has ended. Processes the queued packets if
      * neither is left.
      */
-    void commandStepEnded(SessionState.Event event) {
+    void queryOrStreamEnded(SessionState.Event event) {
         transition(event);
         channel().eventLoop().execute(this::processPending);
     }
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -183,6 +183,6 @@
 
     private void complete() {
         running = null;
-        session.commandStepEnded(SessionState.Event.QUERY_ENDED);
+        session.queryOrStreamEnded(SessionState.Event.QUERY_ENDED);
     }
 }
--- a/src/main/java/lineward/mysql/client/SpooledResultSender.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -114,6 +114,6 @@
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.leaseExpired()));
         }
         active = null;
-        session.commandStepEnded(SessionState.Event.STREAM_ENDED);
+        session.queryOrStreamEnded(SessionState.Event.STREAM_ENDED);
     }
 }
