--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -190,7 +190,7 @@
         }
         int parameter = payload.readUnsignedShortLE();
         if (statement.longDataBytes() + payload.readableBytes() > MAX_LONG_DATA_BYTES) {
-            session.closeWith(Failure.tooLarge(MAX_LONG_DATA_BYTES));
+            session.closeWithError(Failure.tooLarge(MAX_LONG_DATA_BYTES));
             return;
         }
         byte[] bytes = new byte[payload.readableBytes()];
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -89,7 +89,7 @@
     void closeForShutdown() {
         if (isBetweenCommands()) {
             replies.beginUnsolicited();
-            closeWith(Failure.shuttingDown());
+            closeWithError(Failure.shuttingDown());
         }
     }
 
@@ -104,7 +104,7 @@
             replies.send(Handshake.greeting(ctx.alloc(), number, login.nonce()));
         } else {
             replies.beginUnsolicited();
-            closeWith(Failure.tooManyConnections());
+            closeWithError(Failure.tooManyConnections());
         }
     }
 
@@ -139,7 +139,7 @@
     private void authenticate(ByteBuf payload) {
         switch (login.receive(payload)) {
             case SWITCH_REQUIRED -> requestAuthSwitch();
-            case DENIED -> closeWith(Failure.accessDenied(login.user()));
+            case DENIED -> closeWithError(Failure.accessDenied(login.user()));
             case ACCEPTED -> authenticated();
         }
     }
@@ -180,7 +180,7 @@
     }
 
     /** Sends an error and closes the connection once it is written. */
-    void closeWith(Failure failure) {
+    void closeWithError(Failure failure) {
         transition(SessionState.Event.CLOSE_REQUESTED);
         replies.sendLast(failure);
     }
@@ -195,10 +195,10 @@
         LOG.info("client connection failed: client={} cause={}", number, cause.toString());
         if (cause instanceof TooLongFrameException || cause.getCause() instanceof TooLongFrameException) {
             replies.answerTo(0);
-            closeWith(Failure.tooLarge(context.maxPacketBytes()));
+            closeWithError(Failure.tooLarge(context.maxPacketBytes()));
         } else if (state == SessionState.AWAITING_LOGIN && cause instanceof DecoderException) {
             replies.answerTo(1);
-            closeWith(Failure.malformedHandshake());
+            closeWithError(Failure.malformedHandshake());
         } else {
             replies.close();
         }
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -88,15 +88,15 @@
 
     /** Reports to the client that its query was rejected and changed nothing. */
     void reject(Query query, long retryAfterMs) {
-        endWith(query, Failure.rejected(retryAfterMs));
+        endWithError(query, Failure.rejected(retryAfterMs));
     }
 
     /** Reports to the client that its query failed and may have been executed. */
     void fail(Query query) {
-        endWith(query, Failure.failed());
+        endWithError(query, Failure.failed());
     }
 
-    private void endWith(Query query, Failure failure) {
+    private void endWithError(Query query, Failure failure) {
         if (running == query) {
             releaseReservation(query);
             replies.sendError(failure);
