--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -140,7 +140,7 @@
         switch (login.receive(payload)) {
             case SWITCH_REQUIRED -> requestAuthSwitch();
             case DENIED -> closeWithError(Failure.accessDenied(login.user()));
-            case ACCEPTED -> authenticated();
+            case ACCEPTED -> completeLogin();
         }
     }
 
@@ -150,7 +150,7 @@
         replies.send(Handshake.authSwitch(replies.alloc(), sequence, Auth.NATIVE, login.nonce()));
     }
 
-    private void authenticated() {
+    private void completeLogin() {
         transition(SessionState.Event.AUTHENTICATED);
         replies.setDialect(login.dialect());
         if (login.awaitsFastAuthConfirmation()) {
