--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -31,7 +31,7 @@
     private static final byte[] FAST_AUTH_SUCCESS = {1, 3};
 
     private final ClientContext context;
-    private final int number;
+    private final int clientNumber;
     private final long connectedAtNanos = System.nanoTime();
     private final Deque<ByteBuf> pendingPackets = new ArrayDeque<>();
     private final ClientLogin login;
@@ -43,12 +43,12 @@
     private ClientCommands commands;
 
     /**
-     * @param number the client's number, which the greeting also reports as its thread id
+     * @param clientNumber the client's number, which the greeting also reports as its thread id
      */
-    ClientSession(ClientContext context, int number) {
+    ClientSession(ClientContext context, int clientNumber) {
         super(false);
         this.context = context;
-        this.number = number;
+        this.clientNumber = clientNumber;
         login = new ClientLogin(context.passwords());
         statements = new PreparedStatements(context.statementLimits());
     }
@@ -68,8 +68,8 @@
         return login.user();
     }
 
-    int number() {
-        return number;
+    int clientNumber() {
+        return clientNumber;
     }
 
     Channel channel() {
@@ -101,7 +101,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         if (context.clients().add(this)) {
-            replies.send(Handshake.greeting(ctx.alloc(), number, login.nonce()));
+            replies.send(Handshake.greeting(ctx.alloc(), clientNumber, login.nonce()));
         } else {
             replies.beginUnsolicited();
             closeWithError(Failure.tooManyConnections());
@@ -192,7 +192,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        LOG.info("client connection failed: client={} cause={}", number, cause.toString());
+        LOG.info("client connection failed: client={} cause={}", clientNumber, cause.toString());
         if (cause instanceof TooLongFrameException || cause.getCause() instanceof TooLongFrameException) {
             replies.answerTo(0);
             closeWithError(Failure.tooLarge(context.maxPacketBytes()));
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -50,7 +50,7 @@
     }
 
     int clientNumber() {
-        return session.number();
+        return session.clientNumber();
     }
 
     /** Returns the selected schema, encoded as in {@link lineward.mysql.wire.Texts}; empty if none. */
