--- a/src/main/java/lineward/mysql/client/ClientAcceptor.java
+++ b/src/main/java/lineward/mysql/client/ClientAcceptor.java
@@ -34,7 +34,7 @@
                     protected void initChannel(Channel accepted) {
                         lastClientNumber++;
                         ClientSession client = new ClientSession(context, lastClientNumber);
-                        PacketDecoder decoder = new PacketDecoder(context.maxPacketBytes());
+                        PacketDecoder decoder = new PacketDecoder(context.maxPayloadBytes());
                         accepted.pipeline().addLast(decoder, client);
                     }
                 });
--- a/src/main/java/lineward/mysql/client/ClientContext.java
+++ b/src/main/java/lineward/mysql/client/ClientContext.java
@@ -9,13 +9,13 @@
  * The configuration and the components that all client sessions share.
  *
  * @param passwords passwords by user name
- * @param maxPacketBytes maximum payload of a packet from a client, in bytes
+ * @param maxPayloadBytes maximum payload of a packet from a client, in bytes
  * @param statistics returns the text of the reply to COM_STATISTICS
  */
 public record ClientContext(
         ConnectedClients clients,
         Map<String, String> passwords,
-        int maxPacketBytes,
+        int maxPayloadBytes,
         StatementLimits statementLimits,
         Spool spool,
         QueryDispatcher dispatcher,
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -195,7 +195,7 @@
         LOG.info("client connection failed: client={} cause={}", clientNumber, cause.toString());
         if (cause instanceof TooLongFrameException || cause.getCause() instanceof TooLongFrameException) {
             replies.answerTo(0);
-            closeWithError(Failure.tooLarge(context.maxPacketBytes()));
+            closeWithError(Failure.tooLarge(context.maxPayloadBytes()));
         } else if (state == SessionState.AWAITING_LOGIN && cause instanceof DecoderException) {
             replies.answerTo(1);
             closeWithError(Failure.malformedHandshake());
