--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -173,7 +173,7 @@
 
     @Override
     public void closeUnresponsive() {
-        clients.closeNotLoggedIn();
+        clients.closeOverdueLogins();
         spool.tick();
     }
 
--- a/src/main/java/lineward/mysql/client/ConnectedClients.java
+++ b/src/main/java/lineward/mysql/client/ConnectedClients.java
@@ -63,7 +63,7 @@
     }
 
     /** Closes clients that did not log in within the login timeout. */
-    public void closeNotLoggedIn() {
+    public void closeOverdueLogins() {
         long connectedBefore = System.nanoTime() - LOGIN_TIMEOUT_NANOS;
         clients.stream()
                 .filter(client -> client.isUnauthenticatedSince(connectedBefore))
