--- a/src/main/java/lineward/mysql/client/ConnectedClients.java
+++ b/src/main/java/lineward/mysql/client/ConnectedClients.java
@@ -55,10 +55,10 @@
         }
         List<ClientSession> idle =
                 clients.stream().filter(ClientSession::isIdle).toList();
-        ClientRegistry.closeSome(idle, probability, ConnectedClients::closeWhenRead);
+        ClientRegistry.closeSome(idle, probability, ConnectedClients::closeIfStillIdle);
     }
 
-    private static void closeWhenRead(ClientSession client) {
+    private static void closeIfStillIdle(ClientSession client) {
         LingeringClose.begin(client.channel(), client::isIdle, () -> {});
     }
 
