--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -67,10 +67,10 @@
             case Commands.QUIT -> replies.close();
             case Commands.PING -> replies.sendOk();
             case Commands.INIT_DB -> queries.useSchema(payload.toString(StandardCharsets.ISO_8859_1));
-            case Commands.QUERY -> query(payload);
+            case Commands.QUERY -> executeQuery(payload);
             case Commands.STATISTICS -> sendStatistics();
             case Commands.PREPARE -> prepare(payload);
-            case Commands.EXECUTE -> executeStatement(payload);
+            case Commands.EXECUTE -> executePrepared(payload);
             case Commands.LONG_DATA -> addLongData(payload);
             case Commands.CLOSE -> closeStatement(payload);
             case Commands.RESET -> resetStatement(payload);
@@ -86,7 +86,7 @@
         replies.send(Packets.done(packet));
     }
 
-    private void query(ByteBuf payload) {
+    private void executeQuery(ByteBuf payload) {
         String text = payload.toString(StandardCharsets.UTF_8);
         StatementKind kind = StatementKind.of(text);
         if (kind instanceof StatementKind.Rejected rejected) {
@@ -151,7 +151,7 @@
         }
     }
 
-    private void executeStatement(ByteBuf payload) {
+    private void executePrepared(ByteBuf payload) {
         ClientStatement statement = readStatement(payload);
         if (statement == null) {
             return;
