--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -100,7 +100,7 @@
         } else if (kind instanceof StatementKind.ShowWarnings) {
             sendLocalResult(LocalResult.NO_WARNINGS);
         } else {
-            readOrRun(payload, text, kind instanceof StatementKind.Write);
+            answerOrRun(payload, text, kind instanceof StatementKind.Write);
         }
     }
 
@@ -120,10 +120,10 @@
         replies.send(result.encode(replies.alloc(), replies.nextSequence(), replies.dialect()));
     }
 
-    private void readOrRun(ByteBuf payload, String text, boolean writes) {
-        Optional<LocalResult> local = settings.read(text);
-        if (local.isPresent()) {
-            sendLocalResult(local.get());
+    private void answerOrRun(ByteBuf payload, String text, boolean writes) {
+        Optional<LocalResult> localResult = settings.read(text);
+        if (localResult.isPresent()) {
+            sendLocalResult(localResult.get());
             return;
         }
         SpoolHint hint = SpoolHint.of(payload.toString(StandardCharsets.ISO_8859_1));
