--- a/src/main/java/lineward/mysql/client/AttemptReporter.java
+++ b/src/main/java/lineward/mysql/client/AttemptReporter.java
@@ -52,8 +52,8 @@
 
     @Override
     public void ended(AttemptOutcome outcome, ByteBuf reply) {
-        boolean served = context.coordinator().attemptEnded(query.requestId(), attempt, outcome);
-        query.attemptEnded(served, reply);
+        boolean mustSendReply = context.coordinator().attemptEnded(query.requestId(), attempt, outcome);
+        query.attemptEnded(mustSendReply, reply);
         context.tick().run();
     }
 }
--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -137,13 +137,13 @@
     /**
      * Handles the end of the attempt.
      *
-     * @param served whether the attempt's reply must be sent to the client
+     * @param mustSendReply whether the attempt's reply must be sent to the client
      * @param reply the reply, whose reference is taken over; null if it is spooled or incomplete
      */
-    void attemptEnded(boolean served, ByteBuf reply) {
+    void attemptEnded(boolean mustSendReply, ByteBuf reply) {
         if (responseStarted) {
             runner.streamedAttemptEnded(this);
-        } else if (served) {
+        } else if (mustSendReply) {
             runner.replyReceived(this, reply);
         } else if (reply != null) {
             reply.release();
