--- a/src/main/java/lineward/mysql/client/AttemptReporter.java
+++ b/src/main/java/lineward/mysql/client/AttemptReporter.java
@@ -19,13 +19,13 @@
 
     private final Context context;
     private final Query query;
-    private final int attempt;
+    private final int attemptNumber;
 
-    /** @param attempt the number that the coordinator has assigned to the attempt */
-    public AttemptReporter(Context context, Query query, int attempt) {
+    /** @param attemptNumber the number that the coordinator has assigned to the attempt */
+    public AttemptReporter(Context context, Query query, int attemptNumber) {
         this.context = context;
         this.query = query;
-        this.attempt = attempt;
+        this.attemptNumber = attemptNumber;
     }
 
     @Override
@@ -45,14 +45,14 @@
 
     @Override
     public boolean responseStarted() {
-        boolean accepted = context.coordinator().responseStarted(query.requestId(), attempt);
+        boolean accepted = context.coordinator().responseStarted(query.requestId(), attemptNumber);
         query.startResponse(accepted);
         return accepted;
     }
 
     @Override
     public void ended(AttemptOutcome outcome, ByteBuf reply) {
-        boolean mustSendReply = context.coordinator().attemptEnded(query.requestId(), attempt, outcome);
+        boolean mustSendReply = context.coordinator().attemptEnded(query.requestId(), attemptNumber, outcome);
         query.attemptEnded(mustSendReply, reply);
         context.tick().run();
     }
