--- a/src/main/java/lineward/mysql/client/SpooledResultCursor.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultCursor.java
@@ -32,7 +32,7 @@
     }
 
     private static final int SEQUENCE_OFFSET = Packets.HEADER_BYTES - 1;
-    private static final byte[] NO_ROWS = {};
+    private static final byte[] EMPTY_BLOCK = {};
 
     private final Channel channel;
     private final Dialect dialect;
@@ -44,15 +44,15 @@
     /** Prevents recursion: reading the result notifies all its readers, including this one. */
     private boolean sending;
 
-    private long rowsWanted;
+    private long rowsToSend;
     /** Number of rows before the range that remain to be skipped in the current block. */
     private int rowsToSkip;
     /** Sequence number of the next packet. */
-    private int sequence;
+    private int nextSequence;
     /** A copy of the current block, in which the packets are renumbered for this reply. */
-    private byte[] rows = NO_ROWS;
+    private byte[] currentBlock = EMPTY_BLOCK;
     /** Offset of the next row in the current block. */
-    private int offset;
+    private int nextRowOffset;
 
     /**
      * Creates a cursor that has sent nothing.
@@ -92,8 +92,8 @@
 
     private void startFetch(long count, int firstSequence) {
         transition(CursorState.Event.FETCH_REQUESTED);
-        rowsWanted = count;
-        sequence = firstSequence;
+        rowsToSend = count;
+        nextSequence = firstSequence;
     }
 
     @Override
@@ -140,38 +140,38 @@
     }
 
     private void seekFirstRow() {
-        int found = reader.seek(range.firstRow());
-        if (found == SpoolReader.ROW_NOT_FOUND) {
+        int precedingRows = reader.seek(range.firstRow());
+        if (precedingRows == SpoolReader.ROW_NOT_FOUND) {
             transition(CursorState.Event.NO_ROWS_LEFT);
         } else {
-            rowsToSkip = found;
+            rowsToSkip = precedingRows;
         }
     }
 
     private void sendFetched() {
-        while (rowsWanted > 0 && state == CursorState.FETCHING && channel.isWritable()) {
-            if (offset == rows.length && !nextBlock()) {
+        while (rowsToSend > 0 && state == CursorState.FETCHING && channel.isWritable()) {
+            if (nextRowOffset == currentBlock.length && !nextBlock()) {
                 return;
             }
             if (state == CursorState.FETCHING) {
                 sendRows();
             }
         }
-        if (rowsWanted == 0 || state == CursorState.FETCHING_LAST) {
+        if (rowsToSend == 0 || state == CursorState.FETCHING_LAST) {
             finishFetch();
         }
     }
 
     private void finishFetch() {
         // Looks ahead, so that the reply with the last row can say so and the client needs no empty fetch.
-        boolean blockSent = state == CursorState.FETCHING && offset == rows.length;
+        boolean blockSent = state == CursorState.FETCHING && nextRowOffset == currentBlock.length;
         if (blockSent && reader.readState() == ReadState.MORE) {
             nextBlock();
         }
         if (!state.isFetching()) {
             return;
         }
-        sink.accept(dialect.end(channel.alloc(), sequence, endStatus()));
+        sink.accept(dialect.end(channel.alloc(), nextSequence, endStatus()));
         if (range.isPage() || state == CursorState.FETCHING_LAST) {
             close();
             listener.ended(ReadState.END, OptionalInt.empty());
@@ -194,8 +194,8 @@
         ResultChunk block = reader.poll();
         if (block != null && block.rows() > 0) {
             // Copied because other readers share the block, and its packets are renumbered for this reply.
-            rows = block.bytes().clone();
-            offset = 0;
+            currentBlock = block.bytes().clone();
+            nextRowOffset = 0;
             return true;
         }
         // A block without rows follows the rows; it holds the last packet of the engine's reply.
@@ -212,33 +212,33 @@
     /** Sends the requested rows of the current block. */
     private void sendRows() {
         skipRows();
-        int begin = offset;
-        while (offset < rows.length && rowsWanted > 0) {
+        int begin = nextRowOffset;
+        while (nextRowOffset < currentBlock.length && rowsToSend > 0) {
             advanceRow();
-            rowsWanted--;
+            rowsToSend--;
         }
-        if (offset > begin) {
-            sink.accept(Unpooled.wrappedBuffer(rows, begin, offset - begin));
+        if (nextRowOffset > begin) {
+            sink.accept(Unpooled.wrappedBuffer(currentBlock, begin, nextRowOffset - begin));
         }
     }
 
     private void skipRows() {
-        int firstSequence = sequence;
-        while (offset < rows.length && rowsToSkip > 0) {
+        int firstSequence = nextSequence;
+        while (nextRowOffset < currentBlock.length && rowsToSkip > 0) {
             advanceRow();
             rowsToSkip--;
         }
-        sequence = firstSequence;
+        nextSequence = firstSequence;
     }
 
     /** Sets the sequence numbers of the packets of the next row, and moves past it. */
     private void advanceRow() {
         int length;
         do {
-            rows[offset + SEQUENCE_OFFSET] = (byte) sequence;
-            sequence++;
-            length = Packets.length(rows, offset);
-            offset += length;
+            currentBlock[nextRowOffset + SEQUENCE_OFFSET] = (byte) nextSequence;
+            nextSequence++;
+            length = Packets.length(currentBlock, nextRowOffset);
+            nextRowOffset += length;
         } while (length == Packets.HEADER_BYTES + Packets.MAX_PAYLOAD_BYTES);
     }
 
@@ -247,7 +247,7 @@
         boolean replyPending = state.isReplyPending();
         close();
         if (replyPending) {
-            listener.ended(reason, OptionalInt.of(Math.max(1, sequence)));
+            listener.ended(reason, OptionalInt.of(Math.max(1, nextSequence)));
         }
     }
 
