--- a/src/main/java/lineward/mysql/client/SpooledResultCursor.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultCursor.java
@@ -107,7 +107,7 @@
                 open();
             }
             if (state.isFetching()) {
-                sendFetched();
+                sendRequestedRows();
             }
             if (reader.readState() == ReadState.EXPIRED) {
                 abort(ReadState.EXPIRED);
@@ -148,13 +148,13 @@
         }
     }
 
-    private void sendFetched() {
+    private void sendRequestedRows() {
         while (rowsToSend > 0 && state == CursorState.FETCHING && channel.isWritable()) {
-            if (nextRowOffset == currentBlock.length && !nextBlock()) {
+            if (nextRowOffset == currentBlock.length && !readNextBlock()) {
                 return;
             }
             if (state == CursorState.FETCHING) {
-                sendRows();
+                sendRowsOfBlock();
             }
         }
         if (rowsToSend == 0 || state == CursorState.FETCHING_LAST) {
@@ -166,7 +166,7 @@
         // Looks ahead, so that the reply with the last row can say so and the client needs no empty fetch.
         boolean blockSent = state == CursorState.FETCHING && nextRowOffset == currentBlock.length;
         if (blockSent && reader.readState() == ReadState.MORE) {
-            nextBlock();
+            readNextBlock();
         }
         if (!state.isFetching()) {
             return;
@@ -190,7 +190,7 @@
     }
 
     /** Reads the next block or the end of the rows; returns false if neither is available. */
-    private boolean nextBlock() {
+    private boolean readNextBlock() {
         ResultChunk block = reader.poll();
         if (block != null && block.rows() > 0) {
             // Copied because other readers share the block, and its packets are renumbered for this reply.
@@ -210,7 +210,7 @@
     }
 
     /** Sends the requested rows of the current block. */
-    private void sendRows() {
+    private void sendRowsOfBlock() {
         skipRows();
         int begin = nextRowOffset;
         while (nextRowOffset < currentBlock.length && rowsToSend > 0) {
