--- a/src/main/java/lineward/mysql/client/ClientReplyWriter.java
+++ b/src/main/java/lineward/mysql/client/ClientReplyWriter.java
@@ -78,7 +78,7 @@
     }
 
     /** Sends an error and closes the connection once it is written. */
-    void sendLast(Failure failure) {
+    void sendErrorAndClose(Failure failure) {
         ByteBuf error = Packets.error(alloc(), nextSequence(), failure);
         unsentReplies++;
         channel.writeAndFlush(error).addListener(this::countWritten).addListener(ChannelFutureListener.CLOSE);
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -182,7 +182,7 @@
     /** Sends an error and closes the connection once it is written. */
     void closeWithError(Failure failure) {
         transition(SessionState.Event.CLOSE_REQUESTED);
-        replies.sendLast(failure);
+        replies.sendErrorAndClose(failure);
     }
 
     @Override
