--- a/src/main/java/lineward/mysql/client/ClientReplyWriter.java
+++ b/src/main/java/lineward/mysql/client/ClientReplyWriter.java
@@ -41,7 +41,7 @@
     }
 
     /** Sets the sequence number of the packet that the next replies answer. */
-    void answerTo(int sequence) {
+    void setRequestSequence(int sequence) {
         requestSequence = sequence;
     }
 
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -127,7 +127,7 @@
     }
 
     private void process(ByteBuf packet) {
-        replies.answerTo(Packets.sequence(packet));
+        replies.setRequestSequence(Packets.sequence(packet));
         ByteBuf payload = Packets.payload(packet);
         if (state.isUnauthenticated()) {
             authenticate(payload);
@@ -156,7 +156,7 @@
         if (login.awaitsFastAuthConfirmation()) {
             int sequence = replies.nextSequence();
             replies.send(Handshake.authData(replies.alloc(), sequence, FAST_AUTH_SUCCESS));
-            replies.answerTo(sequence);
+            replies.setRequestSequence(sequence);
         }
         if (login.schema().isEmpty()) {
             replies.sendOk();
@@ -194,10 +194,10 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         LOG.info("client connection failed: client={} cause={}", clientNumber, cause.toString());
         if (cause instanceof TooLongFrameException || cause.getCause() instanceof TooLongFrameException) {
-            replies.answerTo(0);
+            replies.setRequestSequence(0);
             closeWithError(Failure.tooLarge(context.maxPayloadBytes()));
         } else if (state == SessionState.AWAITING_LOGIN && cause instanceof DecoderException) {
-            replies.answerTo(1);
+            replies.setRequestSequence(1);
             closeWithError(Failure.malformedHandshake());
         } else {
             replies.close();
