--- a/src/main/java/lineward/mysql/client/ClientReplyWriter.java
+++ b/src/main/java/lineward/mysql/client/ClientReplyWriter.java
@@ -13,12 +13,12 @@
 /** Writes replies to one client, takes over their references, and counts those not flushed. */
 final class ClientReplyWriter {
     /** Stands for the sequence number of a request if there is none: the reply then starts with number 0. */
-    private static final int BEFORE_FIRST = -1;
+    private static final int NO_REQUEST_SEQUENCE = -1;
 
     private final Channel channel;
     private Dialect dialect = Dialect.EOF_PACKETS;
     private int requestSequence;
-    private int unsentReplies;
+    private int unflushedReplies;
 
     ClientReplyWriter(Channel channel) {
         this.channel = channel;
@@ -47,7 +47,7 @@
 
     /** Declares that the next packet answers no packet of the client, so that its sequence number is 0. */
     void beginUnsolicited() {
-        requestSequence = BEFORE_FIRST;
+        requestSequence = NO_REQUEST_SEQUENCE;
     }
 
     /** Returns the sequence number of the first packet of the next reply. */
@@ -57,12 +57,12 @@
 
     /** Returns whether all replies have been written to the socket. */
     boolean isFlushed() {
-        return unsentReplies == 0;
+        return unflushedReplies == 0;
     }
 
     void send(ByteBuf packets) {
-        unsentReplies++;
-        channel.writeAndFlush(packets).addListener(this::countWritten);
+        unflushedReplies++;
+        channel.writeAndFlush(packets).addListener(this::writeEnded);
     }
 
     void sendOk() {
@@ -80,8 +80,8 @@
     /** Sends an error and closes the connection once it is written. */
     void sendErrorAndClose(Failure failure) {
         ByteBuf error = Packets.error(alloc(), nextSequence(), failure);
-        unsentReplies++;
-        channel.writeAndFlush(error).addListener(this::countWritten).addListener(ChannelFutureListener.CLOSE);
+        unflushedReplies++;
+        channel.writeAndFlush(error).addListener(this::writeEnded).addListener(ChannelFutureListener.CLOSE);
     }
 
     /** Closes the connection without waiting for unflushed replies. */
@@ -89,7 +89,7 @@
         ChannelOperations.close(channel);
     }
 
-    private void countWritten(Future<?> written) {
-        unsentReplies--;
+    private void writeEnded(Future<?> written) {
+        unflushedReplies--;
     }
 }
