--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -12,9 +12,9 @@
 /** Runs those commands of one client that an engine must execute, one at a time, and sends their replies. */
 final class QueryRunner {
     /** Offset of the statement id in the first packet of a reply to COM_STMT_PREPARE. */
-    private static final int PREPARED_ID_OFFSET = Packets.HEADER_BYTES + 1;
+    private static final int STATEMENT_ID_OFFSET = Packets.HEADER_BYTES + 1;
 
-    private static final int PREPARED_PARAMETERS_OFFSET = Packets.HEADER_BYTES + 7;
+    private static final int PARAMETER_COUNT_OFFSET = Packets.HEADER_BYTES + 7;
     private static final int SEQUENCE_OFFSET = Packets.HEADER_BYTES - 1;
     /** The retry delay suggested for a query that is not admitted. */
     private static final long RETRY_AFTER_MS = 500;
@@ -26,7 +26,7 @@
     private final PreparedStatements statements;
     private final SpooledResultSender resultSender;
     /** Null while no query runs. */
-    private Query running;
+    private Query runningQuery;
 
     private String schema = "";
 
@@ -76,7 +76,7 @@
     void run(Work command, String text, boolean writes, Query.SpoolOptions spooling) {
         StatementClass statementClass = context.dispatcher().classOf(text, writes);
         Query query = new Query(this, command, statementClass, settings.forEngines(), spooling);
-        running = query;
+        runningQuery = query;
         session.transition(SessionState.Event.QUERY_STARTED);
         if (!writes && context.spool().admit(session.user()) instanceof SpoolPolicy.Rejected rejection) {
             context.dispatcher().countRejected(query);
@@ -97,7 +97,7 @@
     }
 
     private void endWithError(Query query, Failure failure) {
-        if (running == query) {
+        if (runningQuery == query) {
             releaseReservation(query);
             replies.sendError(failure);
             complete();
@@ -137,9 +137,9 @@
     }
 
     private void registerPrepared(Work.Prepare command, ByteBuf reply) {
-        int parameters = reply.getUnsignedShortLE(reply.readerIndex() + PREPARED_PARAMETERS_OFFSET);
-        long id = statements.add(command, parameters);
-        reply.setIntLE(reply.readerIndex() + PREPARED_ID_OFFSET, (int) id);
+        int parameterCount = reply.getUnsignedShortLE(reply.readerIndex() + PARAMETER_COUNT_OFFSET);
+        long id = statements.add(command, parameterCount);
+        reply.setIntLE(reply.readerIndex() + STATEMENT_ID_OFFSET, (int) id);
     }
 
     /** Starts sending the spooled result of the query, which may be incomplete, if the client still waits. */
@@ -156,23 +156,23 @@
      * the rest of the result, or an error if the result is incomplete.
      */
     void streamedAttemptEnded(Query query) {
-        if (running == query) {
+        if (runningQuery == query) {
             complete();
         }
     }
 
     /** Cancels the running query, if any, because the client has disconnected. */
     void abort() {
-        if (running != null) {
-            Query aborted = running;
-            running = null;
+        if (runningQuery != null) {
+            Query aborted = runningQuery;
+            runningQuery = null;
             releaseReservation(aborted);
             context.dispatcher().cancel(aborted);
         }
     }
 
     private boolean isCurrent(Query query) {
-        return running == query && replies.channel().isActive();
+        return runningQuery == query && replies.channel().isActive();
     }
 
     private void releaseReservation(Query query) {
@@ -182,7 +182,7 @@
     }
 
     private void complete() {
-        running = null;
+        runningQuery = null;
         session.queryOrStreamEnded(SessionState.Event.QUERY_ENDED);
     }
 }
