--- a/src/main/java/lineward/mysql/client/ClientLogin.java
+++ b/src/main/java/lineward/mysql/client/ClientLogin.java
@@ -58,18 +58,18 @@
      */
     Outcome receive(ByteBuf payload) {
         if (login != null) {
-            byte[] proof = new byte[payload.readableBytes()];
-            payload.readBytes(proof);
-            return verify(Auth.NATIVE, proof);
+            byte[] authResponse = new byte[payload.readableBytes()];
+            payload.readBytes(authResponse);
+            return verify(Auth.NATIVE, authResponse);
         }
         login = Handshake.readLogin(payload);
         boolean supported = Auth.isSupported(login.plugin());
         return supported ? verify(login.plugin(), login.proof()) : Outcome.SWITCH_REQUIRED;
     }
 
-    private Outcome verify(String plugin, byte[] proof) {
+    private Outcome verify(String plugin, byte[] authResponse) {
         String password = passwords.get(login.user());
-        if (password == null || !Auth.proves(plugin, password, nonce, proof)) {
+        if (password == null || !Auth.proves(plugin, password, nonce, authResponse)) {
             return Outcome.DENIED;
         }
         awaitsFastAuthConfirmation = plugin.equals(Auth.SHA2) && !password.isEmpty();
--- a/src/main/java/lineward/mysql/engine/EngineLogin.java
+++ b/src/main/java/lineward/mysql/engine/EngineLogin.java
@@ -72,9 +72,9 @@
         threadId = greeting.thread();
         nonce = greeting.nonce();
         String plugin = Auth.isSupported(greeting.plugin()) ? greeting.plugin() : Auth.SHA2;
-        byte[] proof = Auth.proof(plugin, engine.password(), nonce);
+        byte[] authResponse = Auth.proof(plugin, engine.password(), nonce);
         int capabilities = Handshake.CAPABILITIES & ~Handshake.WITH_DB;
-        Handshake.Login login = new Handshake.Login(capabilities, engine.user(), proof, "", plugin);
+        Handshake.Login login = new Handshake.Login(capabilities, engine.user(), authResponse, "", plugin);
         ChannelOperations.write(channel, Handshake.login(channel.alloc(), sequence, login));
     }
 
