--- a/src/main/java/lineward/mysql/client/ClientAcceptor.java
+++ b/src/main/java/lineward/mysql/client/ClientAcceptor.java
@@ -38,9 +38,9 @@
                         accepted.pipeline().addLast(decoder, client);
                     }
                 });
-        ChannelFuture binding = listener.bind(bootstrap, loop);
-        channel = binding.channel();
-        return binding;
+        ChannelFuture bindFuture = listener.bind(bootstrap, loop);
+        channel = bindFuture.channel();
+        return bindFuture;
     }
 
     /** Stops accepting connections; has no effect before {@link #listen}. */
--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -188,14 +188,14 @@
         if (statement == null) {
             return;
         }
-        int parameter = payload.readUnsignedShortLE();
+        int parameterNumber = payload.readUnsignedShortLE();
         if (statement.longDataBytes() + payload.readableBytes() > MAX_LONG_DATA_BYTES) {
             session.closeWithError(Failure.tooLarge(MAX_LONG_DATA_BYTES));
             return;
         }
         byte[] bytes = new byte[payload.readableBytes()];
         payload.readBytes(bytes);
-        statement.add(new Work.LongData(parameter, bytes));
+        statement.add(new Work.LongData(parameterNumber, bytes));
     }
 
     /** Closes a statement; COM_STMT_CLOSE has no reply. */
