--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -72,14 +72,14 @@
 
     /** Returns an idle connection that can run the attempt, preferably one that already has its settings. */
     private Optional<MysqlEngineConnection> findIdle(MysqlQueryAttempt attempt) {
-        Predicate<MysqlEngineConnection> hasSchema =
-                connection -> connection.session().hasSchemaFor(attempt);
+        Predicate<MysqlEngineConnection> canRun =
+                connection -> connection.session().canRun(attempt);
         Predicate<MysqlEngineConnection> hasSettings =
                 connection -> connection.session().hasSettingsFor(attempt);
         return idle.stream()
-                .filter(hasSchema.and(hasSettings))
+                .filter(canRun.and(hasSettings))
                 .findFirst()
-                .or(() -> idle.stream().filter(hasSchema).findFirst());
+                .or(() -> idle.stream().filter(canRun).findFirst());
     }
 
     private boolean isFull() {
--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -23,7 +23,7 @@
      * Returns whether the attempt can run in this session. MySQL can change a selected schema but not
      * unselect it, so that an attempt without a schema needs a session without one.
      */
-    boolean hasSchemaFor(MysqlQueryAttempt attempt) {
+    boolean canRun(MysqlQueryAttempt attempt) {
         return schema.isEmpty() || !attempt.command().schema().isEmpty();
     }
 
