--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -9,14 +9,14 @@
 
 /** The session state of a connection to an engine: its settings, schema and prepared statements. */
 final class EngineSession {
-    private final EngineStatementCache prepared;
+    private final EngineStatementCache statements;
     /** Empty until a schema has been selected. */
     private String schema = "";
     /** The session variables that differ from the engine's defaults. */
     private Map<String, String> settings = Map.of();
 
-    EngineSession(EngineStatementCache prepared) {
-        this.prepared = prepared;
+    EngineSession(EngineStatementCache statements) {
+        this.statements = statements;
     }
 
     /**
@@ -41,7 +41,7 @@
         if (needsSchema(command)) {
             return Transition.SELECT_SCHEMA;
         }
-        boolean needsPreparation = command instanceof Work.Execute && !prepared.contains(key(command));
+        boolean needsPreparation = command instanceof Work.Execute && !statements.contains(cacheKey(command));
         return needsPreparation ? Transition.PREPARE : Transition.EXECUTE;
     }
 
@@ -73,15 +73,15 @@
     }
 
     /** Returns the statement that the command executes; null if it is not prepared on this connection. */
-    EngineStatementCache.Statement preparedFor(Work.Execute command) {
-        return prepared.find(key(command));
+    EngineStatementCache.Statement statementFor(Work.Execute command) {
+        return statements.find(cacheKey(command));
     }
 
     /** Reads a packet of the reply to COM_STMT_PREPARE; the last one completes the preparation. */
-    void readPrepared(ByteBuf frame, boolean isLast, Work command) {
-        prepared.readPacket(frame);
+    void readPrepareReply(ByteBuf frame, boolean isLast, Work command) {
+        statements.readPrepareReply(frame);
         if (isLast) {
-            prepared.complete(key(command));
+            statements.storePending(cacheKey(command));
         }
     }
 
@@ -89,7 +89,7 @@
      * Returns the cache key of a prepared statement. It includes the settings, because an engine parses the
      * text with the settings that apply when it prepares the statement.
      */
-    private String key(Work work) {
+    private String cacheKey(Work work) {
         String text = work instanceof Work.Execute execute ? execute.text() : ((Work.Prepare) work).text();
         return settings + work.schema() + '\0' + text;
     }
--- a/src/main/java/lineward/mysql/engine/EngineStatementCache.java
+++ b/src/main/java/lineward/mysql/engine/EngineStatementCache.java
@@ -19,13 +19,13 @@
     private static final float LOAD_FACTOR = 0.75f;
 
     private final Map<String, Statement> byKey = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
-    private final LongConsumer closeAtEngine;
+    private final LongConsumer statementCloser;
     /** The statement whose preparation has not been completed; null if there is none. */
     private Statement pending;
 
-    /** @param closeAtEngine closes the statement with the given id on the engine */
-    EngineStatementCache(LongConsumer closeAtEngine) {
-        this.closeAtEngine = closeAtEngine;
+    /** @param statementCloser closes the statement with the given id on the engine */
+    EngineStatementCache(LongConsumer statementCloser) {
+        this.statementCloser = statementCloser;
     }
 
     boolean contains(String key) {
@@ -38,7 +38,7 @@
     }
 
     /** Reads a packet of the reply to COM_STMT_PREPARE; packets after the first one are ignored. */
-    void readPacket(ByteBuf frame) {
+    void readPrepareReply(ByteBuf frame) {
         if (pending == null) {
             ByteBuf payload = Packets.payload(frame).skipBytes(1);
             long id = payload.readUnsignedIntLE();
@@ -49,11 +49,11 @@
     }
 
     /** Stores the pending statement, whose preparation is complete, under this key. */
-    void complete(String key) {
+    void storePending(String key) {
         Statement replaced = byKey.put(key, pending);
         pending = null;
         if (replaced != null) {
-            closeAtEngine.accept(replaced.id());
+            statementCloser.accept(replaced.id());
         }
         if (byKey.size() > MAX_STATEMENTS) {
             evictLeastRecentlyUsed();
@@ -64,6 +64,6 @@
         Iterator<Statement> leastRecentFirst = byKey.values().iterator();
         Statement evicted = leastRecentFirst.next();
         leastRecentFirst.remove();
-        closeAtEngine.accept(evicted.id());
+        statementCloser.accept(evicted.id());
     }
 }
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -132,7 +132,7 @@
     }
 
     private void sendExecute(Work.Execute command) {
-        EngineStatementCache.Statement statement = session.preparedFor(command);
+        EngineStatementCache.Statement statement = session.statementFor(command);
         if (statement.parameterCount() == command.parameterCount()) {
             tracker = new ReplyTracker(false);
             commandWriter.execute(statement.id(), command);
@@ -216,7 +216,7 @@
 
     private void readPreparatoryReply(ByteBuf frame, boolean last) {
         if (state == MysqlConnectionState.PREPARING) {
-            session.readPrepared(frame, last, attempt.command());
+            session.readPrepareReply(frame, last, attempt.command());
         } else if (last) {
             session.schemaSelected(attempt.command().schema());
         }
@@ -240,7 +240,7 @@
     private void readOwnReply(ByteBuf frame, PacketRole role) {
         Work command = attempt.command();
         if (command instanceof Work.Prepare) {
-            session.readPrepared(frame, role.isLast(), command);
+            session.readPrepareReply(frame, role.isLast(), command);
         }
         attempt.receive(channel.alloc(), frame, role);
         if (role == PacketRole.LAST_OK) {
