--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -51,7 +51,7 @@
     }
 
     /** Returns the SET statement that applies the attempt's settings, encoded as in {@link Texts}. */
-    String settingsChangeFor(MysqlQueryAttempt attempt) {
+    String settingsStatementFor(MysqlQueryAttempt attempt) {
         return Texts.latin1(SessionSettings.change(settings, attempt.sessionSettings()));
     }
 
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -114,7 +114,7 @@
         transition(step);
         Work command = attempt.command();
         switch (step) {
-            case APPLY_SETTINGS -> send(Commands.QUERY, session.settingsChangeFor(attempt));
+            case APPLY_SETTINGS -> send(Commands.QUERY, session.settingsStatementFor(attempt));
             case SELECT_SCHEMA -> send(Commands.INIT_DB, command.schema());
             case PREPARE -> send(Commands.PREPARE, ((Work.Execute) command).text());
             default -> sendOwnCommand(command, attempt);
