--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -66,7 +66,7 @@
     }
 
     /** Records that the engine has completed the attempt's command successfully. */
-    void completed(Work command) {
+    void commandCompleted(Work command) {
         if (command instanceof Work.UseSchema) {
             schema = command.schema();
         }
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -244,7 +244,7 @@
         }
         attempt.receive(channel.alloc(), frame, role);
         if (role == PacketRole.LAST_OK) {
-            session.completed(command);
+            session.commandCompleted(command);
             finish(AttemptOutcome.OK);
         }
     }
