--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -104,7 +104,7 @@
     private MysqlEngineConnection connect() {
         MysqlEngineConnection connection = new MysqlEngineConnection(this);
         connections.add(connection);
-        ChannelFuture connecting = bootstrap
+        ChannelFuture connectFuture = bootstrap
                 .clone()
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
@@ -113,9 +113,9 @@
                     }
                 })
                 .connect(engine.address());
-        connection.connecting(connecting.channel());
-        ScheduledFuture<?> loginTimeout = closeUnlessLoggedIn(connection, connecting.channel());
-        connecting.addListener(done -> {
+        connection.setChannel(connectFuture.channel());
+        ScheduledFuture<?> loginTimeout = scheduleLoginTimeout(connection, connectFuture.channel());
+        connectFuture.addListener(done -> {
             if (!done.isSuccess()) {
                 loginTimeout.cancel(false);
                 connection.closed();
@@ -125,7 +125,7 @@
     }
 
     /** The connect timeout also covers the login, as an engine may accept connections but never greet. */
-    private ScheduledFuture<?> closeUnlessLoggedIn(MysqlEngineConnection connection, Channel channel) {
+    private ScheduledFuture<?> scheduleLoginTimeout(MysqlEngineConnection connection, Channel channel) {
         Runnable check = () -> {
             if (!connection.isLoggedIn()) {
                 connection.close();
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -49,7 +49,7 @@
         this.pool = pool;
     }
 
-    void connecting(Channel connectingChannel) {
+    void setChannel(Channel connectingChannel) {
         channel = connectingChannel;
         login = new EngineLogin(channel, pool.engine());
         commandWriter = new EngineCommandWriter(channel);
