--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -118,7 +118,7 @@
         connectFuture.addListener(done -> {
             if (!done.isSuccess()) {
                 loginTimeout.cancel(false);
-                connection.closed();
+                connection.handleClosed();
             }
         });
         return connection;
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -283,11 +283,11 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        closed();
+        handleClosed();
     }
 
     /** Handles the close of the connection, or a failure to open it. */
-    void closed() {
+    void handleClosed() {
         if (state != MysqlConnectionState.CLOSED) {
             AttemptOutcome outcome = state.outcomeOnClose();
             transition(Transition.CLOSE);
