--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -136,7 +136,7 @@
 
     /** Rejects the attempts whose command has not been sent, and closes all idle connections. */
     void rejectUnsent() {
-        List.copyOf(connections).forEach(MysqlEngineConnection::rejectUnsent);
+        List.copyOf(connections).forEach(MysqlEngineConnection::rejectIfUnsent);
         closeAllIdle();
     }
 
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -72,7 +72,7 @@
         ChannelOperations.close(channel);
     }
 
-    void rejectUnsent() {
+    void rejectIfUnsent() {
         if (attempt != null && !state.isCommandSent()) {
             fail(AttemptOutcome.REJECTED);
         }
