--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -117,11 +117,11 @@
             case APPLY_SETTINGS -> send(Commands.QUERY, session.settingsStatementFor(attempt));
             case SELECT_SCHEMA -> send(Commands.INIT_DB, command.schema());
             case PREPARE -> send(Commands.PREPARE, ((Work.Execute) command).text());
-            default -> sendOwnCommand(command, attempt);
+            default -> sendAttemptCommand(command, attempt);
         }
     }
 
-    private void sendOwnCommand(Work command, MysqlQueryAttempt started) {
+    private void sendAttemptCommand(Work command, MysqlQueryAttempt started) {
         if (command instanceof Work.Execute execute) {
             sendExecute(execute);
         } else {
@@ -208,7 +208,7 @@
                 yield false;
             }
             default -> {
-                readOwnReply(frame, role);
+                readAttemptReply(frame, role);
                 yield true;
             }
         };
@@ -237,7 +237,7 @@
         return true;
     }
 
-    private void readOwnReply(ByteBuf frame, PacketRole role) {
+    private void readAttemptReply(ByteBuf frame, PacketRole role) {
         Work command = attempt.command();
         if (command instanceof Work.Prepare) {
             session.readPrepareReply(frame, role.isLast(), command);
