--- a/src/main/java/lineward/mysql/engine/EngineCommandWriter.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommandWriter.java
@@ -18,18 +18,18 @@
     }
 
     /** Writes a command with a text argument, which is encoded as in {@link lineward.mysql.wire.Texts}. */
-    void text(int commandByte, String latin1) {
+    void sendText(int commandByte, String latin1) {
         write(commandByte, Unpooled.wrappedBuffer(latin1.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
     /** Writes any command except a {@link Work.Execute}. */
     void send(Work command) {
         if (command instanceof Work.Query query) {
-            text(Commands.QUERY, query.text());
+            sendText(Commands.QUERY, query.text());
         } else if (command instanceof Work.Prepare prepare) {
-            text(Commands.PREPARE, prepare.text());
+            sendText(Commands.PREPARE, prepare.text());
         } else if (command instanceof Work.UseSchema useSchema) {
-            text(Commands.INIT_DB, useSchema.schema());
+            sendText(Commands.INIT_DB, useSchema.schema());
         }
     }
 
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -145,7 +145,7 @@
 
     private void send(int commandByte, String latin1) {
         tracker = new ReplyTracker(commandByte == Commands.PREPARE);
-        commandWriter.text(commandByte, latin1);
+        commandWriter.sendText(commandByte, latin1);
     }
 
     @Override
