--- a/src/main/java/lineward/mysql/engine/MysqlQueryAttempt.java
+++ b/src/main/java/lineward/mysql/engine/MysqlQueryAttempt.java
@@ -93,7 +93,7 @@
                 case BUFFERING -> buffer(alloc, frame, role);
                 case SPOOLING, STREAMING -> {
                     spool.write(frame, frame.readableBytes(), role);
-                    packetsSpooled();
+                    applySpoolPolicy();
                 }
                 case DISCARDING, ENDED -> {}
             }
@@ -138,11 +138,11 @@
                 connection.setReading(result.mayReadEngine());
             }
         });
-        packetsSpooled();
+        applySpoolPolicy();
     }
 
     /** Starts the response once the spool permits it, and pauses reading if the spool can't take more. */
-    private void packetsSpooled() {
+    private void applySpoolPolicy() {
         double limitMs = timeoutMs;
         if (state == ReplyState.SPOOLING && spool.result().shouldStartResponse(elapsedMs(), limitMs)) {
             state = ReplyState.STREAMING;
