--- a/src/main/java/lineward/mysql/engine/MysqlQueryAttempt.java
+++ b/src/main/java/lineward/mysql/engine/MysqlQueryAttempt.java
@@ -44,7 +44,7 @@
     /** Number of buffered bytes that precede the rows. */
     private int headBytes;
     /** Null unless the reply is spooled. */
-    private SpoolWriter spool;
+    private SpoolWriter spoolWriter;
     /** Null until a pool has assigned a connection. */
     private MysqlEngineConnection connection;
 
@@ -92,7 +92,7 @@
             switch (state) {
                 case BUFFERING -> buffer(alloc, frame, role);
                 case SPOOLING, STREAMING -> {
-                    spool.write(frame, frame.readableBytes(), role);
+                    spoolWriter.write(frame, frame.readableBytes(), role);
                     applySpoolPolicy();
                 }
                 case DISCARDING, ENDED -> {}
@@ -128,8 +128,8 @@
                 return;
             }
             state = ReplyState.SPOOLING;
-            spool = new SpoolWriter(result);
-            spool.writeBuffered(packets, headBytes, lastRole);
+            spoolWriter = new SpoolWriter(result);
+            spoolWriter.writeBuffered(packets, headBytes, lastRole);
         } finally {
             packets.release();
         }
@@ -144,13 +144,13 @@
     /** Starts the response once the spool permits it, and pauses reading if the spool can't take more. */
     private void applySpoolPolicy() {
         double limitMs = timeoutMs;
-        if (state == ReplyState.SPOOLING && spool.result().shouldStartResponse(elapsedMs(), limitMs)) {
+        if (state == ReplyState.SPOOLING && spoolWriter.result().shouldStartResponse(elapsedMs(), limitMs)) {
             state = ReplyState.STREAMING;
             if (!listener.responseStarted()) {
                 discard();
             }
         }
-        if (!spool.result().mayReadEngine()) {
+        if (!spoolWriter.result().mayReadEngine()) {
             connection.setReading(false);
         }
     }
@@ -163,7 +163,7 @@
         if (state != ReplyState.ENDED) {
             state = ReplyState.DISCARDING;
         }
-        spool.result().fail();
+        spoolWriter.result().fail();
     }
 
     /** Ends the attempt and notifies the listener; has no effect if the attempt has already ended. */
@@ -173,7 +173,7 @@
         }
         // The engine's reply may be complete although part of it has been discarded or released.
         boolean incomplete = state == ReplyState.DISCARDING
-                || (spool != null && spool.result().isReleased());
+                || (spoolWriter != null && spoolWriter.result().isReleased());
         AttemptOutcome outcome = incomplete ? AttemptOutcome.CANCELLED : reported;
         state = ReplyState.ENDED;
         ByteBuf reply = buffered;
@@ -182,7 +182,7 @@
             reply.release();
             reply = null;
         }
-        if (spool != null) {
+        if (spoolWriter != null) {
             endSpool(outcome);
         }
         listener.ended(outcome, reply);
@@ -190,9 +190,9 @@
 
     private void endSpool(AttemptOutcome outcome) {
         if (outcome == AttemptOutcome.OK) {
-            spool.result().complete();
+            spoolWriter.result().complete();
         } else {
-            spool.result().fail();
+            spoolWriter.result().fail();
         }
     }
 }
