--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -24,7 +24,7 @@
  */
 final class EngineConnectionPool {
     /** Not used: the timeout applies to spooled replies only, and the reply to a kill is never spooled. */
-    private static final long KILL_TIMEOUT_MS = 0;
+    private static final long UNUSED_TIMEOUT_MS = 0;
 
     private final Bootstrap bootstrap;
     private final EngineConfig engine;
@@ -96,7 +96,7 @@
     void kill(long threadId) {
         Work killCommand = new Work.Query("", "KILL QUERY " + threadId);
         AttemptListener listener = AttemptListener.DISCARD_REPLY;
-        MysqlQueryAttempt kill = new MysqlQueryAttempt(killCommand, Map.of(), KILL_TIMEOUT_MS, listener);
+        MysqlQueryAttempt kill = new MysqlQueryAttempt(killCommand, Map.of(), UNUSED_TIMEOUT_MS, listener);
         MysqlEngineConnection connection = idle.isEmpty() ? connect() : idle.pollFirst();
         connection.start(kill);
     }
