--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -54,10 +54,10 @@
      * idle one. Rejects the attempt if a new connection would exceed the limit.
      */
     void start(MysqlQueryAttempt attempt) {
-        Optional<MysqlEngineConnection> suited = findIdle(attempt);
-        if (suited.isPresent()) {
-            idle.remove(suited.get());
-            suited.get().start(attempt);
+        Optional<MysqlEngineConnection> suitable = findIdle(attempt);
+        if (suitable.isPresent()) {
+            idle.remove(suitable.get());
+            suitable.get().start(attempt);
             return;
         }
         if (isFull() && !idle.isEmpty()) {
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
@@ -34,11 +34,11 @@
 
     private void update(EngineConfig engine) {
         EngineConnectionPool pool = byName.get(engine.name());
-        boolean hasMoved = pool != null && !pool.engine().address().equals(engine.address());
-        if (hasMoved) {
+        boolean addressChanged = pool != null && !pool.engine().address().equals(engine.address());
+        if (addressChanged) {
             pool.drain();
         }
-        if (pool == null || hasMoved) {
+        if (pool == null || addressChanged) {
             pool = new EngineConnectionPool(bootstrap, engine, limits);
             byName.put(engine.name(), pool);
         }
--- a/src/main/java/lineward/mysql/engine/SpoolWriter.java
+++ b/src/main/java/lineward/mysql/engine/SpoolWriter.java
@@ -29,8 +29,8 @@
         }
         int offset = result.reserve(length);
         source.readBytes(result.buffer(), offset, length);
-        boolean row = role == PacketRole.ROW;
-        result.commit(length, row, role == PacketRole.ROW_PART);
+        boolean endsRow = role == PacketRole.ROW;
+        result.commit(length, endsRow, role == PacketRole.ROW_PART);
         if (role == PacketRole.HEAD_END) {
             result.seal();
         }
