--- a/src/test/java/lineward/mysql/client/CursorStateTest.java
+++ b/src/test/java/lineward/mysql/client/CursorStateTest.java
@@ -50,8 +50,8 @@
     @Test
     public void tableHasEveryStateAndEvent() {
         assertEquals(Set.of(EVENTS), EnumSet.allOf(Event.class));
-        Object states = Arrays.stream(CursorState.values()).map(Enum::name).toList();
-        assertEquals(Arrays.stream(transitions()).map(row -> row[0]).toList(), states);
+        Object stateNames = Arrays.stream(CursorState.values()).map(Enum::name).toList();
+        assertEquals(Arrays.stream(transitions()).map(row -> row[0]).toList(), stateNames);
     }
 
     @DataProvider
@@ -67,7 +67,7 @@
     }
 
     @Test(dataProvider = "predicates")
-    public void answersPredicates(CursorState state, boolean fetching, boolean done, boolean pending) {
+    public void predicatesMatchTheTable(CursorState state, boolean fetching, boolean done, boolean pending) {
         assertEquals(state.isFetching(), fetching);
         assertEquals(state.isDone(), done);
         assertEquals(state.isReplyPending(), pending);
--- a/src/test/java/lineward/mysql/client/SessionStateTest.java
+++ b/src/test/java/lineward/mysql/client/SessionStateTest.java
@@ -56,15 +56,15 @@
     @Test
     public void tableHasEveryStateAndEvent() {
         assertEquals(Set.of(EVENTS), EnumSet.allOf(Event.class));
-        assertEquals(Arrays.stream(transitions()).map(row -> row[0]).toList(), names());
+        assertEquals(Arrays.stream(transitions()).map(row -> row[0]).toList(), stateNames());
     }
 
-    private static Object names() {
+    private static Object stateNames() {
         return Arrays.stream(SessionState.values()).map(Enum::name).toList();
     }
 
     @Test
-    public void acceptsPacketsBeforeLoginAndBetweenCommandsOnly() {
+    public void acceptsPacketsOnlyDuringLoginAndBetweenCommands() {
         Set<SessionState> accepting = EnumSet.noneOf(SessionState.class);
         Set<SessionState> unauthenticated = EnumSet.noneOf(SessionState.class);
         for (SessionState state : SessionState.values()) {
@@ -75,9 +75,9 @@
                 unauthenticated.add(state);
             }
         }
-        Set<SessionState> beforeLogin = EnumSet.of(SessionState.AWAITING_LOGIN, SessionState.AWAITING_PROOF);
+        Set<SessionState> duringLogin = EnumSet.of(SessionState.AWAITING_LOGIN, SessionState.AWAITING_PROOF);
         assertTrue(accepting.remove(SessionState.IDLE), "between commands");
-        assertEquals(accepting, beforeLogin);
+        assertEquals(accepting, duringLogin);
         assertEquals(
                 unauthenticated,
                 Set.of(SessionState.AWAITING_LOGIN, SessionState.AWAITING_PROOF, SessionState.REJECTING));
