--- a/src/test/java/lineward/mysql/engine/MysqlConnectionStateTest.java
+++ b/src/test/java/lineward/mysql/engine/MysqlConnectionStateTest.java
@@ -20,7 +20,7 @@
 /** Checks the transition table of a connection to an engine, and the outcomes of attempts in each state. */
 public class MysqlConnectionStateTest {
     /** The possible transitions of each state, with the state that follows. */
-    private static final Map<MysqlConnectionState, String> TABLE = Map.of(
+    private static final Map<MysqlConnectionState, String> TRANSITIONS_BY_STATE = Map.of(
             MysqlConnectionState.CONNECTING, "CLOSE=CLOSED CONNECT=AUTHENTICATING",
             MysqlConnectionState.AUTHENTICATING, "AUTHENTICATE=IDLE CLOSE=CLOSED",
             MysqlConnectionState.IDLE,
@@ -45,17 +45,17 @@
     }
 
     @Test(dataProvider = "states")
-    public void allowsTheTransitionsOfTheTableOnly(MysqlConnectionState state) {
+    public void allowsOnlyTheTransitionsInTheTable(MysqlConnectionState state) {
         Set<String> allowed = new TreeSet<>();
         for (Transition transition : Transition.values()) {
-            String entry = transition + "=";
-            if (TABLE.get(state).contains(entry)) {
-                allowed.add(entry + state.after(transition));
+            String entryPrefix = transition + "=";
+            if (TRANSITIONS_BY_STATE.get(state).contains(entryPrefix)) {
+                allowed.add(entryPrefix + state.after(transition));
             } else {
                 assertThrows(IllegalStateException.class, () -> state.after(transition));
             }
         }
-        assertEquals(allowed.stream().collect(Collectors.joining(" ")), TABLE.get(state));
+        assertEquals(allowed.stream().collect(Collectors.joining(" ")), TRANSITIONS_BY_STATE.get(state));
     }
 
     @DataProvider
