--- a/src/main/java/lineward/mysql/client/ReplyPump.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultReplyStream.java
@@ -12,7 +12,7 @@
 import lineward.spool.SpooledResult;
 
 /** Sends all of a spooled result to a client as one reply, no faster than the client reads. */
-final class ReplyPump implements ReplyStream {
+final class SpooledResultReplyStream implements ReplyStream {
     private static final int FIRST_SEQUENCE = 1;
 
     private final Channel channel;
@@ -33,7 +33,7 @@
      * @param sink takes over complete packets and sends them
      * @param listener is notified when the reply has ended
      */
-    ReplyPump(
+    SpooledResultReplyStream(
             Channel channel,
             SpooledResult result,
             Dialect dialect,
--- a/src/main/java/lineward/mysql/client/SpooledResultSender.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -71,7 +71,8 @@
             long rowCount = hint.rowLimit().orElse(Long.MAX_VALUE);
             active = open(result, new SpooledResultCursor.Range(hint.firstRow(), OptionalLong.of(rowCount)));
         } else {
-            active = new ReplyPump(replies.channel(), result, replies.dialect(), replies::send, this::ended);
+            active = new SpooledResultReplyStream(
+                    replies.channel(), result, replies.dialect(), replies::send, this::ended);
         }
         session.transition(SessionState.Event.STREAM_STARTED);
         active.resume();
