--- a/src/main/java/lineward/mysql/client/SpooledResultReplyStream.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultReplyStream.java
@@ -54,10 +54,10 @@
         sending = true;
         boolean noChunkLeft = sendWhileWritable();
         sending = false;
-        ReadState ahead = reader.readState();
-        if (isEnd(ahead, noChunkLeft)) {
+        ReadState readState = reader.readState();
+        if (isEnd(readState, noChunkLeft)) {
             close();
-            listener.ended(ahead, OptionalInt.of(nextSequence()));
+            listener.ended(readState, OptionalInt.of(nextSequence()));
         }
     }
 
@@ -93,8 +93,8 @@
     }
 
     /** Returns whether the reply has ended; a broken one ends only once its error packet can be written. */
-    private boolean isEnd(ReadState ahead, boolean noChunkLeft) {
-        return switch (ahead) {
+    private boolean isEnd(ReadState readState, boolean noChunkLeft) {
+        return switch (readState) {
             case EXPIRED -> true;
             case END -> noChunkLeft;
             case BROKEN -> noChunkLeft && channel.isWritable();
--- a/src/main/java/lineward/mysql/client/SpooledResultSender.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -105,13 +105,13 @@
         }
     }
 
-    private void ended(ReadState state, OptionalInt errorSequence) {
-        if (state == ReadState.EXPIRED && !replies.channel().isWritable()) {
+    private void ended(ReadState readState, OptionalInt errorSequence) {
+        if (readState == ReadState.EXPIRED && !replies.channel().isWritable()) {
             // An error packet would wait behind rows that the client does not read.
             replies.close();
-        } else if (state == ReadState.BROKEN) {
+        } else if (readState == ReadState.BROKEN) {
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.brokenOff()));
-        } else if (state == ReadState.EXPIRED) {
+        } else if (readState == ReadState.EXPIRED) {
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.leaseExpired()));
         }
         active = null;
--- a/src/main/java/lineward/mysql/client/StreamEndListener.java
+++ b/src/main/java/lineward/mysql/client/StreamEndListener.java
@@ -9,9 +9,9 @@
     /**
      * Handles the end of a reply, or the pause of a cursor until the next fetch.
      *
-     * @param state END, BROKEN or EXPIRED if the reply has ended; MORE if the client may fetch more rows
+     * @param readState END, BROKEN or EXPIRED if the reply has ended; MORE if the client may fetch more rows
      * @param errorSequence sequence number for an error packet if the state is BROKEN or EXPIRED; ignored
      *     otherwise
      */
-    void ended(ReadState state, OptionalInt errorSequence);
+    void ended(ReadState readState, OptionalInt errorSequence);
 }
