--- a/src/main/java/lineward/mysql/client/SpooledResultCursor.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultCursor.java
@@ -23,11 +23,11 @@
      * The part of the result that the client requests.
      *
      * @param firstRow index of the first row, from 0; above 0 only for a complete result with a key
-     * @param rowCount maximum number of rows of a page; empty for a cursor
+     * @param maxRows maximum number of rows of a page; empty for a cursor
      */
-    record Range(long firstRow, OptionalLong rowCount) {
+    record Range(long firstRow, OptionalLong maxRows) {
         private boolean isPage() {
-            return rowCount.isPresent();
+            return maxRows.isPresent();
         }
     }
 
@@ -85,14 +85,14 @@
     }
 
     @Override
-    public void fetch(long count) {
-        startFetch(count, 1);
+    public void fetch(long maxRows) {
+        startFetch(maxRows, 1);
         resume();
     }
 
-    private void startFetch(long count, int firstSequence) {
+    private void startFetch(long maxRows, int firstSequence) {
         transition(CursorState.Event.FETCH_REQUESTED);
-        rowsToSend = count;
+        rowsToSend = maxRows;
         nextSequence = firstSequence;
     }
 
@@ -132,7 +132,7 @@
         }
         if (range.isPage()) {
             sink.accept(dialect.columns(columns));
-            startFetch(range.rowCount().getAsLong(), dialect.sequenceAfter(columns));
+            startFetch(range.maxRows().getAsLong(), dialect.sequenceAfter(columns));
         } else {
             sink.accept(dialect.cursorColumns(channel.alloc(), columns));
             listener.ended(ReadState.MORE, OptionalInt.empty());
--- a/src/main/java/lineward/mysql/client/SpooledResultSender.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -68,8 +68,8 @@
             cursor.replaceCursor(opened);
             active = opened;
         } else if (hint.requestsPage()) {
-            long rowCount = hint.rowLimit().orElse(Long.MAX_VALUE);
-            active = open(result, new SpooledResultCursor.Range(hint.firstRow(), OptionalLong.of(rowCount)));
+            long maxRows = hint.rowLimit().orElse(Long.MAX_VALUE);
+            active = open(result, new SpooledResultCursor.Range(hint.firstRow(), OptionalLong.of(maxRows)));
         } else {
             active = new SpooledResultReplyStream(
                     replies.channel(), result, replies.dialect(), replies::send, this::ended);
@@ -84,11 +84,11 @@
     }
 
     /** Sends the next rows of the statement's open cursor. */
-    void fetch(ClientStatement statement, long rows) {
+    void fetch(ClientStatement statement, long maxRows) {
         StatementCursor cursor = statement.cursor();
         active = cursor;
         session.transition(SessionState.Event.STREAM_STARTED);
-        cursor.fetch(rows);
+        cursor.fetch(maxRows);
     }
 
     /** Continues the current reply, if there is one and the channel is writable. */
