--- a/src/main/java/lineward/mysql/client/ClientAcceptor.java
+++ b/src/main/java/lineward/mysql/client/ClientAcceptor.java
@@ -34,13 +34,13 @@
                     protected void initChannel(Channel accepted) {
                         lastClientNumber++;
                         ClientSession client = new ClientSession(context, lastClientNumber);
-                        PacketDecoder decoder = new PacketDecoder(context.maxPacketBytes());
+                        PacketDecoder decoder = new PacketDecoder(context.maxPayloadBytes());
                         accepted.pipeline().addLast(decoder, client);
                     }
                 });
-        ChannelFuture binding = listener.bind(bootstrap, loop);
-        channel = binding.channel();
-        return binding;
+        ChannelFuture bindFuture = listener.bind(bootstrap, loop);
+        channel = bindFuture.channel();
+        return bindFuture;
     }
 
     /** Stops accepting connections; has no effect before {@link #listen}. */
--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -30,26 +30,26 @@
 
     private final ClientSession session;
     private final Supplier<String> statistics;
-    private final ReplyWriter replies;
+    private final ClientReplyWriter replies;
     private final SessionSettings settings;
     private final PreparedStatements statements;
-    private final SpoolStream stream;
+    private final SpooledResultSender resultSender;
     private final QueryRunner queries;
 
     ClientCommands(
             ClientSession session,
             Supplier<String> statistics,
-            ReplyWriter replies,
+            ClientReplyWriter replies,
             SessionSettings settings,
             PreparedStatements statements,
-            SpoolStream stream,
+            SpooledResultSender resultSender,
             QueryRunner queries) {
         this.session = session;
         this.statistics = statistics;
         this.replies = replies;
         this.settings = settings;
         this.statements = statements;
-        this.stream = stream;
+        this.resultSender = resultSender;
         this.queries = queries;
     }
 
@@ -67,10 +67,10 @@
             case Commands.QUIT -> replies.close();
             case Commands.PING -> replies.sendOk();
             case Commands.INIT_DB -> queries.useSchema(payload.toString(StandardCharsets.ISO_8859_1));
-            case Commands.QUERY -> query(payload);
+            case Commands.QUERY -> executeQuery(payload);
             case Commands.STATISTICS -> sendStatistics();
             case Commands.PREPARE -> prepare(payload);
-            case Commands.EXECUTE -> executeStatement(payload);
+            case Commands.EXECUTE -> executePrepared(payload);
             case Commands.LONG_DATA -> addLongData(payload);
             case Commands.CLOSE -> closeStatement(payload);
             case Commands.RESET -> resetStatement(payload);
@@ -86,7 +86,7 @@
         replies.send(Packets.done(packet));
     }
 
-    private void query(ByteBuf payload) {
+    private void executeQuery(ByteBuf payload) {
         String text = payload.toString(StandardCharsets.UTF_8);
         StatementKind kind = StatementKind.of(text);
         if (kind instanceof StatementKind.Rejected rejected) {
@@ -100,7 +100,7 @@
         } else if (kind instanceof StatementKind.ShowWarnings) {
             sendLocalResult(LocalResult.NO_WARNINGS);
         } else {
-            readOrRun(payload, text, kind instanceof StatementKind.Write);
+            answerOrRun(payload, text, kind instanceof StatementKind.Write);
         }
     }
 
@@ -120,18 +120,18 @@
         replies.send(result.encode(replies.alloc(), replies.nextSequence(), replies.dialect()));
     }
 
-    private void readOrRun(ByteBuf payload, String text, boolean writes) {
-        Optional<LocalResult> local = settings.read(text);
-        if (local.isPresent()) {
-            sendLocalResult(local.get());
+    private void answerOrRun(ByteBuf payload, String text, boolean writes) {
+        Optional<LocalResult> localResult = settings.read(text);
+        if (localResult.isPresent()) {
+            sendLocalResult(localResult.get());
             return;
         }
         SpoolHint hint = SpoolHint.of(payload.toString(StandardCharsets.ISO_8859_1));
-        Work.Query work = new Work.Query(queries.schema(), hint.statement());
+        Work.Query command = new Work.Query(queries.schema(), hint.statement());
         if (writes || !hint.hasKey()) {
-            queries.run(work, text, writes, Query.Spooling.IF_LONG);
-        } else if (!stream.answer(hint, work.digest(), null)) {
-            queries.run(work, text, false, new Query.Spooling(hint.key(), work.digest(), null));
+            queries.run(command, text, writes, Query.SpoolOptions.IF_LONG);
+        } else if (!resultSender.answer(hint, command.digest(), null)) {
+            queries.run(command, text, false, new Query.SpoolOptions(hint.key(), command.digest(), null));
         }
     }
 
@@ -147,20 +147,20 @@
         } else {
             // Preparing a write changes no data, so a failed attempt may be retried like a read.
             String latin1 = payload.toString(StandardCharsets.ISO_8859_1);
-            queries.run(new Work.Prepare(queries.schema(), latin1), text, false, Query.Spooling.IF_LONG);
+            queries.run(new Work.Prepare(queries.schema(), latin1), text, false, Query.SpoolOptions.IF_LONG);
         }
     }
 
-    private void executeStatement(ByteBuf payload) {
+    private void executePrepared(ByteBuf payload) {
         ClientStatement statement = readStatement(payload);
         if (statement == null) {
             return;
         }
         boolean requestsCursor = ClientStatement.requestsCursor(payload);
         statement.closeCursor();
-        Work.Execute work;
+        Work.Execute command;
         try {
-            work = statement.execute(payload);
+            command = statement.execute(payload);
         } catch (IllegalArgumentException e) {
             replies.sendError(Failure.wrongArguments(e.getMessage()));
             return;
@@ -169,9 +169,9 @@
         boolean writes = StatementKind.of(text) instanceof StatementKind.Write;
         ClientStatement cursor = requestsCursor && !writes ? statement : null;
         String key = writes ? "" : statement.hint().key();
-        String digest = key.isEmpty() ? "" : work.digest();
-        if (key.isEmpty() || !stream.answer(statement.hint(), digest, cursor)) {
-            queries.run(work, text, writes, new Query.Spooling(key, digest, cursor));
+        String digest = key.isEmpty() ? "" : command.digest();
+        if (key.isEmpty() || !resultSender.answer(statement.hint(), digest, cursor)) {
+            queries.run(command, text, writes, new Query.SpoolOptions(key, digest, cursor));
         }
     }
 
@@ -188,14 +188,14 @@
         if (statement == null) {
             return;
         }
-        int parameter = payload.readUnsignedShortLE();
+        int parameterNumber = payload.readUnsignedShortLE();
         if (statement.longDataBytes() + payload.readableBytes() > MAX_LONG_DATA_BYTES) {
-            session.closeWith(Failure.tooLarge(MAX_LONG_DATA_BYTES));
+            session.closeWithError(Failure.tooLarge(MAX_LONG_DATA_BYTES));
             return;
         }
         byte[] bytes = new byte[payload.readableBytes()];
         payload.readBytes(bytes);
-        statement.add(new Work.LongData(parameter, bytes));
+        statement.add(new Work.LongData(parameterNumber, bytes));
     }
 
     /** Closes a statement; COM_STMT_CLOSE has no reply. */
@@ -228,7 +228,7 @@
             replies.sendError(Failure.noCursor(id));
             return;
         }
-        stream.fetch(statement, payload.readUnsignedIntLE());
+        resultSender.fetch(statement, payload.readUnsignedIntLE());
     }
 
     private ClientStatement readStatement(ByteBuf payload) {
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -31,24 +31,24 @@
     private static final byte[] FAST_AUTH_SUCCESS = {1, 3};
 
     private final ClientContext context;
-    private final int number;
+    private final int clientNumber;
     private final long connectedAtNanos = System.nanoTime();
     private final Deque<ByteBuf> pendingPackets = new ArrayDeque<>();
     private final ClientLogin login;
     private final PreparedStatements statements;
     private SessionState state = SessionState.AWAITING_LOGIN;
-    private ReplyWriter replies;
-    private SpoolStream stream;
+    private ClientReplyWriter replies;
+    private SpooledResultSender resultSender;
     private QueryRunner queries;
     private ClientCommands commands;
 
     /**
-     * @param number the client's number, which the greeting also reports as its thread id
+     * @param clientNumber the client's number, which the greeting also reports as its thread id
      */
-    ClientSession(ClientContext context, int number) {
+    ClientSession(ClientContext context, int clientNumber) {
         super(false);
         this.context = context;
-        this.number = number;
+        this.clientNumber = clientNumber;
         login = new ClientLogin(context.passwords());
         statements = new PreparedStatements(context.statementLimits());
     }
@@ -56,11 +56,11 @@
     @Override
     public void handlerAdded(ChannelHandlerContext ctx) {
         SessionSettings settings = new SessionSettings();
-        replies = new ReplyWriter(ctx.channel());
-        stream = new SpoolStream(this, context.spool(), replies);
-        queries = new QueryRunner(this, context, replies, settings, statements, stream);
+        replies = new ClientReplyWriter(ctx.channel());
+        resultSender = new SpooledResultSender(this, context.spool(), replies);
+        queries = new QueryRunner(this, context, replies, settings, statements, resultSender);
         Supplier<String> statistics = context.statistics();
-        commands = new ClientCommands(this, statistics, replies, settings, statements, stream, queries);
+        commands = new ClientCommands(this, statistics, replies, settings, statements, resultSender, queries);
     }
 
     /** Returns the user name; must not be called before the login packet has been received. */
@@ -68,8 +68,8 @@
         return login.user();
     }
 
-    int number() {
-        return number;
+    int clientNumber() {
+        return clientNumber;
     }
 
     Channel channel() {
@@ -89,7 +89,7 @@
     void closeForShutdown() {
         if (isBetweenCommands()) {
             replies.beginUnsolicited();
-            closeWith(Failure.shuttingDown());
+            closeWithError(Failure.shuttingDown());
         }
     }
 
@@ -101,10 +101,10 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         if (context.clients().add(this)) {
-            replies.send(Handshake.greeting(ctx.alloc(), number, login.nonce()));
+            replies.send(Handshake.greeting(ctx.alloc(), clientNumber, login.nonce()));
         } else {
             replies.beginUnsolicited();
-            closeWith(Failure.tooManyConnections());
+            closeWithError(Failure.tooManyConnections());
         }
     }
 
@@ -127,7 +127,7 @@
     }
 
     private void process(ByteBuf packet) {
-        replies.answerTo(Packets.sequence(packet));
+        replies.setRequestSequence(Packets.sequence(packet));
         ByteBuf payload = Packets.payload(packet);
         if (state.isUnauthenticated()) {
             authenticate(payload);
@@ -139,24 +139,24 @@
     private void authenticate(ByteBuf payload) {
         switch (login.receive(payload)) {
             case SWITCH_REQUIRED -> requestAuthSwitch();
-            case DENIED -> closeWith(Failure.accessDenied(login.user()));
-            case ACCEPTED -> authenticated();
+            case DENIED -> closeWithError(Failure.accessDenied(login.user()));
+            case ACCEPTED -> completeLogin();
         }
     }
 
     private void requestAuthSwitch() {
-        enter(SessionState.Event.AUTH_SWITCH_REQUESTED);
+        transition(SessionState.Event.AUTH_SWITCH_REQUESTED);
         int sequence = replies.nextSequence();
         replies.send(Handshake.authSwitch(replies.alloc(), sequence, Auth.NATIVE, login.nonce()));
     }
 
-    private void authenticated() {
-        enter(SessionState.Event.AUTHENTICATED);
+    private void completeLogin() {
+        transition(SessionState.Event.AUTHENTICATED);
         replies.setDialect(login.dialect());
         if (login.awaitsFastAuthConfirmation()) {
             int sequence = replies.nextSequence();
             replies.send(Handshake.authData(replies.alloc(), sequence, FAST_AUTH_SUCCESS));
-            replies.answerTo(sequence);
+            replies.setRequestSequence(sequence);
         }
         if (login.schema().isEmpty()) {
             replies.sendOk();
@@ -166,7 +166,7 @@
     }
 
     /** Applies an event to the state. */
-    void enter(SessionState.Event event) {
+    void transition(SessionState.Event event) {
         state = state.after(event);
     }
 
@@ -174,31 +174,31 @@
      * Records that the query or the stream of the current command has ended. Processes the queued packets if
      * neither is left.
      */
-    void commandStepEnded(SessionState.Event event) {
-        enter(event);
+    void queryOrStreamEnded(SessionState.Event event) {
+        transition(event);
         channel().eventLoop().execute(this::processPending);
     }
 
     /** Sends an error and closes the connection once it is written. */
-    void closeWith(Failure failure) {
-        enter(SessionState.Event.CLOSE_REQUESTED);
-        replies.sendLast(failure);
+    void closeWithError(Failure failure) {
+        transition(SessionState.Event.CLOSE_REQUESTED);
+        replies.sendErrorAndClose(failure);
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        stream.resume();
+        resultSender.resume();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        LOG.info("client connection failed: client={} cause={}", number, cause.toString());
+        LOG.info("client connection failed: client={} cause={}", clientNumber, cause.toString());
         if (cause instanceof TooLongFrameException || cause.getCause() instanceof TooLongFrameException) {
-            replies.answerTo(0);
-            closeWith(Failure.tooLarge(context.maxPacketBytes()));
+            replies.setRequestSequence(0);
+            closeWithError(Failure.tooLarge(context.maxPayloadBytes()));
         } else if (state == SessionState.AWAITING_LOGIN && cause instanceof DecoderException) {
-            replies.answerTo(1);
-            closeWith(Failure.malformedHandshake());
+            replies.setRequestSequence(1);
+            closeWithError(Failure.malformedHandshake());
         } else {
             replies.close();
         }
@@ -206,12 +206,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        enter(SessionState.Event.DISCONNECTED);
+        transition(SessionState.Event.DISCONNECTED);
         context.clients().remove(this);
         pendingPackets.forEach(ByteBuf::release);
         pendingPackets.clear();
         queries.abort();
-        stream.close();
+        resultSender.close();
         statements.closeAll();
     }
 }
--- a/src/main/java/lineward/mysql/client/ConnectedClients.java
+++ b/src/main/java/lineward/mysql/client/ConnectedClients.java
@@ -55,15 +55,15 @@
         }
         List<ClientSession> idle =
                 clients.stream().filter(ClientSession::isIdle).toList();
-        ClientRegistry.closeRandomly(idle, probability, ConnectedClients::closeWhenRead);
+        ClientRegistry.closeRandomly(idle, probability, ConnectedClients::closeIfStillIdle);
     }
 
-    private static void closeWhenRead(ClientSession client) {
+    private static void closeIfStillIdle(ClientSession client) {
         LingeringClose.begin(client.channel(), client::isIdle, () -> {});
     }
 
     /** Closes clients that did not log in within the login timeout. */
-    public void closeNotLoggedIn() {
+    public void closeOverdueLogins() {
         long connectedBefore = System.nanoTime() - LOGIN_TIMEOUT_NANOS;
         clients.stream()
                 .filter(client -> client.isUnauthenticatedSince(connectedBefore))
--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import java.util.Map;
 import lineward.mysql.engine.AttemptListener;
-import lineward.mysql.engine.QueryAttempt;
+import lineward.mysql.engine.MysqlQueryAttempt;
 import lineward.mysql.session.ClientStatement;
 import lineward.mysql.session.StatementClass;
 import lineward.mysql.session.Work;
@@ -19,9 +19,9 @@
      * @param digest digest of the statement and its arguments if there is a key; else empty
      * @param cursor the statement whose cursor is opened; null if all rows are sent in one reply
      */
-    record Spooling(String key, String digest, ClientStatement cursor) {
+    record SpoolOptions(String key, String digest, ClientStatement cursor) {
         /** The result is spooled only if it exceeds the attempt's buffer. */
-        static final Spooling IF_LONG = new Spooling("", "", null);
+        static final SpoolOptions IF_LONG = new SpoolOptions("", "", null);
 
         boolean isRequired() {
             return !key.isEmpty() || cursor != null;
@@ -29,14 +29,14 @@
     }
 
     private final QueryRunner runner;
-    private final Work work;
+    private final Work command;
     private final StatementClass statementClass;
     private final Map<String, String> settings;
-    private final Spooling spooling;
+    private final SpoolOptions spooling;
     /** Assigned on admission. */
     private long requestId;
     /** Null before the first attempt. */
-    private QueryAttempt attempt;
+    private MysqlQueryAttempt attempt;
 
     private int attemptNumber;
     /** Whether the client already reads the spooled result of the current attempt. */
@@ -47,22 +47,22 @@
     /** @param settings the session variables that the engine must have set when it executes the command */
     Query(
             QueryRunner runner,
-            Work work,
+            Work command,
             StatementClass statementClass,
             Map<String, String> settings,
-            Spooling spooling) {
+            SpoolOptions spooling) {
         this.runner = runner;
-        this.work = work;
+        this.command = command;
         this.statementClass = statementClass;
         this.settings = settings;
         this.spooling = spooling;
     }
 
-    Work work() {
-        return work;
+    Work command() {
+        return command;
     }
 
-    Spooling spooling() {
+    SpoolOptions spooling() {
         return spooling;
     }
 
@@ -92,8 +92,8 @@
     }
 
     /** Creates the next attempt and makes it the current one. */
-    public QueryAttempt nextAttempt(int number, long timeoutMs, AttemptListener listener) {
-        attempt = new QueryAttempt(work, settings, timeoutMs, listener);
+    public MysqlQueryAttempt nextAttempt(int number, long timeoutMs, AttemptListener listener) {
+        attempt = new MysqlQueryAttempt(command, settings, timeoutMs, listener);
         attemptNumber = number;
         spooledResult = null;
         return attempt;
@@ -117,7 +117,7 @@
     }
 
     /** Creates the spooled result of the current attempt. */
-    SpooledResult openSpool(Spool spool) {
+    SpooledResult createSpooledResult(Spool spool) {
         spooledResult = spool.begin(runner.user(), spooling.key(), spooling.digest());
         return spooledResult;
     }
@@ -137,13 +137,13 @@
     /**
      * Handles the end of the attempt.
      *
-     * @param served whether the attempt's reply must be sent to the client
+     * @param mustSendReply whether the attempt's reply must be sent to the client
      * @param reply the reply, whose reference is taken over; null if it is spooled or incomplete
      */
-    void attemptEnded(boolean served, ByteBuf reply) {
+    void attemptEnded(boolean mustSendReply, ByteBuf reply) {
         if (responseStarted) {
             runner.streamedAttemptEnded(this);
-        } else if (served) {
+        } else if (mustSendReply) {
             runner.replyReceived(this, reply);
         } else if (reply != null) {
             reply.release();
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -12,37 +12,37 @@
 /** Runs those commands of one client that an engine must execute, one at a time, and sends their replies. */
 final class QueryRunner {
     /** Offset of the statement id in the first packet of a reply to COM_STMT_PREPARE. */
-    private static final int PREPARED_ID_OFFSET = Packets.HEADER_BYTES + 1;
+    private static final int STATEMENT_ID_OFFSET = Packets.HEADER_BYTES + 1;
 
-    private static final int PREPARED_PARAMETERS_OFFSET = Packets.HEADER_BYTES + 7;
+    private static final int PARAMETER_COUNT_OFFSET = Packets.HEADER_BYTES + 7;
     private static final int SEQUENCE_OFFSET = Packets.HEADER_BYTES - 1;
     /** The retry delay suggested for a query that is not admitted. */
     private static final long RETRY_AFTER_MS = 500;
 
     private final ClientSession session;
     private final ClientContext context;
-    private final ReplyWriter replies;
+    private final ClientReplyWriter replies;
     private final SessionSettings settings;
     private final PreparedStatements statements;
-    private final SpoolStream stream;
+    private final SpooledResultSender resultSender;
     /** Null while no query runs. */
-    private Query running;
+    private Query runningQuery;
 
     private String schema = "";
 
     QueryRunner(
             ClientSession session,
             ClientContext context,
-            ReplyWriter replies,
+            ClientReplyWriter replies,
             SessionSettings settings,
             PreparedStatements statements,
-            SpoolStream stream) {
+            SpooledResultSender resultSender) {
         this.session = session;
         this.context = context;
         this.replies = replies;
         this.settings = settings;
         this.statements = statements;
-        this.stream = stream;
+        this.resultSender = resultSender;
     }
 
     String user() {
@@ -50,7 +50,7 @@
     }
 
     int clientNumber() {
-        return session.number();
+        return session.clientNumber();
     }
 
     /** Returns the selected schema, encoded as in {@link lineward.mysql.wire.Texts}; empty if none. */
@@ -64,7 +64,7 @@
 
     /** Selects the schema of the session, if an engine confirms that the schema exists. */
     void useSchema(String latin1) {
-        run(new Work.UseSchema(latin1), "USE", false, Query.Spooling.IF_LONG);
+        run(new Work.UseSchema(latin1), "USE", false, Query.SpoolOptions.IF_LONG);
     }
 
     /**
@@ -73,11 +73,11 @@
      *
      * @param text the statement's text, which determines the query's class
      */
-    void run(Work work, String text, boolean writes, Query.Spooling spooling) {
+    void run(Work command, String text, boolean writes, Query.SpoolOptions spooling) {
         StatementClass statementClass = context.dispatcher().classOf(text, writes);
-        Query query = new Query(this, work, statementClass, settings.forEngines(), spooling);
-        running = query;
-        session.enter(SessionState.Event.QUERY_STARTED);
+        Query query = new Query(this, command, statementClass, settings.forEngines(), spooling);
+        runningQuery = query;
+        session.transition(SessionState.Event.QUERY_STARTED);
         if (!writes && context.spool().admit(session.user()) instanceof SpoolPolicy.Rejected rejection) {
             context.dispatcher().countRejected(query);
             reject(query, rejection.retryAfterMs());
@@ -88,16 +88,16 @@
 
     /** Reports to the client that its query was rejected and changed nothing. */
     void reject(Query query, long retryAfterMs) {
-        endWith(query, Failure.rejected(retryAfterMs));
+        endWithError(query, Failure.rejected(retryAfterMs));
     }
 
     /** Reports to the client that its query failed and may have been executed. */
     void fail(Query query) {
-        endWith(query, Failure.failed());
+        endWithError(query, Failure.failed());
     }
 
-    private void endWith(Query query, Failure failure) {
-        if (running == query) {
+    private void endWithError(Query query, Failure failure) {
+        if (runningQuery == query) {
             releaseReservation(query);
             replies.sendError(failure);
             complete();
@@ -122,13 +122,13 @@
      */
     private void relay(Query query, ByteBuf reply) {
         boolean succeeded = Packets.first(reply) != Packets.ERR;
-        boolean prepared = succeeded && query.work() instanceof Work.Prepare;
+        boolean prepared = succeeded && query.command() instanceof Work.Prepare;
         if (prepared) {
-            registerPrepared((Work.Prepare) query.work(), reply);
+            registerPrepared((Work.Prepare) query.command(), reply);
         } else {
             releaseReservation(query);
         }
-        if (query.work() instanceof Work.UseSchema use) {
+        if (query.command() instanceof Work.UseSchema use) {
             schema = succeeded ? use.schema() : schema;
             reply.setByte(reply.readerIndex() + SEQUENCE_OFFSET, replies.nextSequence());
         }
@@ -136,16 +136,16 @@
         complete();
     }
 
-    private void registerPrepared(Work.Prepare work, ByteBuf reply) {
-        int parameters = reply.getUnsignedShortLE(reply.readerIndex() + PREPARED_PARAMETERS_OFFSET);
-        long id = statements.add(work, parameters);
-        reply.setIntLE(reply.readerIndex() + PREPARED_ID_OFFSET, (int) id);
+    private void registerPrepared(Work.Prepare command, ByteBuf reply) {
+        int parameterCount = reply.getUnsignedShortLE(reply.readerIndex() + PARAMETER_COUNT_OFFSET);
+        long id = statements.add(command, parameterCount);
+        reply.setIntLE(reply.readerIndex() + STATEMENT_ID_OFFSET, (int) id);
     }
 
     /** Starts sending the spooled result of the query, which may be incomplete, if the client still waits. */
     void responseStarted(Query query) {
         if (isCurrent(query)) {
-            stream.start(query);
+            resultSender.start(query);
         } else {
             query.spooledResult().abandon();
         }
@@ -156,33 +156,33 @@
      * the rest of the result, or an error if the result is incomplete.
      */
     void streamedAttemptEnded(Query query) {
-        if (running == query) {
+        if (runningQuery == query) {
             complete();
         }
     }
 
     /** Cancels the running query, if any, because the client has disconnected. */
     void abort() {
-        if (running != null) {
-            Query aborted = running;
-            running = null;
+        if (runningQuery != null) {
+            Query aborted = runningQuery;
+            runningQuery = null;
             releaseReservation(aborted);
             context.dispatcher().cancel(aborted);
         }
     }
 
     private boolean isCurrent(Query query) {
-        return running == query && replies.channel().isActive();
+        return runningQuery == query && replies.channel().isActive();
     }
 
     private void releaseReservation(Query query) {
-        if (query.work() instanceof Work.Prepare work) {
-            statements.release(work);
+        if (query.command() instanceof Work.Prepare command) {
+            statements.release(command);
         }
     }
 
     private void complete() {
-        running = null;
-        session.commandStepEnded(SessionState.Event.QUERY_ENDED);
+        runningQuery = null;
+        session.queryOrStreamEnded(SessionState.Event.QUERY_ENDED);
     }
 }
--- a/src/main/java/lineward/mysql/client/OpenCursor.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultCursor.java
@@ -18,21 +18,21 @@
  * Sends a range of a spooled result: either as a read-only cursor, which sends the columns first and rows
  * when the client fetches them, or as a page, which sends the columns and rows as a single reply.
  */
-final class OpenCursor implements StatementCursor {
+final class SpooledResultCursor implements StatementCursor {
     /**
      * The part of the result that the client requests.
      *
      * @param firstRow index of the first row, from 0; above 0 only for a complete result with a key
-     * @param rowCount maximum number of rows of a page; empty for a cursor
+     * @param maxRows maximum number of rows of a page; empty for a cursor
      */
-    record Range(long firstRow, OptionalLong rowCount) {
+    record Range(long firstRow, OptionalLong maxRows) {
         private boolean isPage() {
-            return rowCount.isPresent();
+            return maxRows.isPresent();
         }
     }
 
     private static final int SEQUENCE_OFFSET = Packets.HEADER_BYTES - 1;
-    private static final byte[] NO_ROWS = {};
+    private static final byte[] EMPTY_BLOCK = {};
 
     private final Channel channel;
     private final Dialect dialect;
@@ -44,15 +44,15 @@
     /** Prevents recursion: reading the result notifies all its readers, including this one. */
     private boolean sending;
 
-    private long rowsWanted;
+    private long rowsToSend;
     /** Number of rows before the range that remain to be skipped in the current block. */
     private int rowsToSkip;
     /** Sequence number of the next packet. */
-    private int sequence;
+    private int nextSequence;
     /** A copy of the current block, in which the packets are renumbered for this reply. */
-    private byte[] rows = NO_ROWS;
+    private byte[] currentBlock = EMPTY_BLOCK;
     /** Offset of the next row in the current block. */
-    private int offset;
+    private int nextRowOffset;
 
     /**
      * Creates a cursor that has sent nothing.
@@ -60,7 +60,7 @@
      * @param sink takes over complete packets and sends them
      * @param listener is notified when the opening of the cursor or a fetch has ended
      */
-    OpenCursor(
+    SpooledResultCursor(
             Channel channel,
             SpooledResult result,
             Dialect dialect,
@@ -85,15 +85,15 @@
     }
 
     @Override
-    public void fetch(long count) {
-        startFetch(count, 1);
+    public void fetch(long maxRows) {
+        startFetch(maxRows, 1);
         resume();
     }
 
-    private void startFetch(long count, int firstSequence) {
+    private void startFetch(long maxRows, int firstSequence) {
         transition(CursorState.Event.FETCH_REQUESTED);
-        rowsWanted = count;
-        sequence = firstSequence;
+        rowsToSend = maxRows;
+        nextSequence = firstSequence;
     }
 
     @Override
@@ -107,7 +107,7 @@
                 open();
             }
             if (state.isFetching()) {
-                sendFetched();
+                sendRequestedRows();
             }
             if (reader.readState() == ReadState.EXPIRED) {
                 abort(ReadState.EXPIRED);
@@ -132,7 +132,7 @@
         }
         if (range.isPage()) {
             sink.accept(dialect.columns(columns));
-            startFetch(range.rowCount().getAsLong(), dialect.sequenceAfter(columns));
+            startFetch(range.maxRows().getAsLong(), dialect.sequenceAfter(columns));
         } else {
             sink.accept(dialect.cursorColumns(channel.alloc(), columns));
             listener.ended(ReadState.MORE, OptionalInt.empty());
@@ -140,38 +140,38 @@
     }
 
     private void seekFirstRow() {
-        int found = reader.seek(range.firstRow());
-        if (found == SpoolReader.ROW_NOT_FOUND) {
+        int precedingRows = reader.seek(range.firstRow());
+        if (precedingRows == SpoolReader.ROW_NOT_FOUND) {
             transition(CursorState.Event.NO_ROWS_LEFT);
         } else {
-            rowsToSkip = found;
+            rowsToSkip = precedingRows;
         }
     }
 
-    private void sendFetched() {
-        while (rowsWanted > 0 && state == CursorState.FETCHING && channel.isWritable()) {
-            if (offset == rows.length && !nextBlock()) {
+    private void sendRequestedRows() {
+        while (rowsToSend > 0 && state == CursorState.FETCHING && channel.isWritable()) {
+            if (nextRowOffset == currentBlock.length && !readNextBlock()) {
                 return;
             }
             if (state == CursorState.FETCHING) {
-                sendRows();
+                sendRowsOfBlock();
             }
         }
-        if (rowsWanted == 0 || state == CursorState.FETCHING_LAST) {
+        if (rowsToSend == 0 || state == CursorState.FETCHING_LAST) {
             finishFetch();
         }
     }
 
     private void finishFetch() {
         // Looks ahead, so that the reply with the last row can say so and the client needs no empty fetch.
-        boolean blockSent = state == CursorState.FETCHING && offset == rows.length;
+        boolean blockSent = state == CursorState.FETCHING && nextRowOffset == currentBlock.length;
         if (blockSent && reader.readState() == ReadState.MORE) {
-            nextBlock();
+            readNextBlock();
         }
         if (!state.isFetching()) {
             return;
         }
-        sink.accept(dialect.end(channel.alloc(), sequence, endStatus()));
+        sink.accept(dialect.end(channel.alloc(), nextSequence, endStatus()));
         if (range.isPage() || state == CursorState.FETCHING_LAST) {
             close();
             listener.ended(ReadState.END, OptionalInt.empty());
@@ -190,12 +190,12 @@
     }
 
     /** Reads the next block or the end of the rows; returns false if neither is available. */
-    private boolean nextBlock() {
+    private boolean readNextBlock() {
         ResultChunk block = reader.poll();
         if (block != null && block.rows() > 0) {
             // Copied because other readers share the block, and its packets are renumbered for this reply.
-            rows = block.bytes().clone();
-            offset = 0;
+            currentBlock = block.bytes().clone();
+            nextRowOffset = 0;
             return true;
         }
         // A block without rows follows the rows; it holds the last packet of the engine's reply.
@@ -210,35 +210,35 @@
     }
 
     /** Sends the requested rows of the current block. */
-    private void sendRows() {
+    private void sendRowsOfBlock() {
         skipRows();
-        int begin = offset;
-        while (offset < rows.length && rowsWanted > 0) {
+        int begin = nextRowOffset;
+        while (nextRowOffset < currentBlock.length && rowsToSend > 0) {
             advanceRow();
-            rowsWanted--;
+            rowsToSend--;
         }
-        if (offset > begin) {
-            sink.accept(Unpooled.wrappedBuffer(rows, begin, offset - begin));
+        if (nextRowOffset > begin) {
+            sink.accept(Unpooled.wrappedBuffer(currentBlock, begin, nextRowOffset - begin));
         }
     }
 
     private void skipRows() {
-        int firstSequence = sequence;
-        while (offset < rows.length && rowsToSkip > 0) {
+        int firstSequence = nextSequence;
+        while (nextRowOffset < currentBlock.length && rowsToSkip > 0) {
             advanceRow();
             rowsToSkip--;
         }
-        sequence = firstSequence;
+        nextSequence = firstSequence;
     }
 
     /** Sets the sequence numbers of the packets of the next row, and moves past it. */
     private void advanceRow() {
         int length;
         do {
-            rows[offset + SEQUENCE_OFFSET] = (byte) sequence;
-            sequence++;
-            length = Packets.length(rows, offset);
-            offset += length;
+            currentBlock[nextRowOffset + SEQUENCE_OFFSET] = (byte) nextSequence;
+            nextSequence++;
+            length = Packets.length(currentBlock, nextRowOffset);
+            nextRowOffset += length;
         } while (length == Packets.HEADER_BYTES + Packets.MAX_PAYLOAD_BYTES);
     }
 
@@ -247,7 +247,7 @@
         boolean replyPending = state.isReplyPending();
         close();
         if (replyPending) {
-            listener.ended(reason, OptionalInt.of(Math.max(1, sequence)));
+            listener.ended(reason, OptionalInt.of(Math.max(1, nextSequence)));
         }
     }
 
--- a/src/main/java/lineward/mysql/client/ReplyPump.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultReplyStream.java
@@ -12,7 +12,7 @@
 import lineward.spool.SpooledResult;
 
 /** Sends all of a spooled result to a client as one reply, no faster than the client reads. */
-final class ReplyPump implements ReplyStream {
+final class SpooledResultReplyStream implements ReplyStream {
     private static final int FIRST_SEQUENCE = 1;
 
     private final Channel channel;
@@ -33,7 +33,7 @@
      * @param sink takes over complete packets and sends them
      * @param listener is notified when the reply has ended
      */
-    ReplyPump(
+    SpooledResultReplyStream(
             Channel channel,
             SpooledResult result,
             Dialect dialect,
@@ -54,10 +54,10 @@
         sending = true;
         boolean noChunkLeft = sendWhileWritable();
         sending = false;
-        ReadState ahead = reader.readState();
-        if (isEnd(ahead, noChunkLeft)) {
+        ReadState readState = reader.readState();
+        if (isEnd(readState, noChunkLeft)) {
             close();
-            listener.ended(ahead, OptionalInt.of(nextSequence()));
+            listener.ended(readState, OptionalInt.of(nextSequence()));
         }
     }
 
@@ -93,8 +93,8 @@
     }
 
     /** Returns whether the reply has ended; a broken one ends only once its error packet can be written. */
-    private boolean isEnd(ReadState ahead, boolean noChunkLeft) {
-        return switch (ahead) {
+    private boolean isEnd(ReadState readState, boolean noChunkLeft) {
+        return switch (readState) {
             case EXPIRED -> true;
             case END -> noChunkLeft;
             case BROKEN -> noChunkLeft && channel.isWritable();
--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -16,14 +16,14 @@
  * Sends spooled results to one client, one reply at a time and no faster than it reads: results with a key,
  * rows of cursors, and results that exceed the buffer of an attempt.
  */
-final class SpoolStream {
+final class SpooledResultSender {
     private final ClientSession session;
     private final Spool spool;
-    private final ReplyWriter replies;
+    private final ClientReplyWriter replies;
     /** Null while no reply is being sent. */
     private ReplyStream active;
 
-    SpoolStream(ClientSession session, Spool spool, ReplyWriter replies) {
+    SpooledResultSender(ClientSession session, Spool spool, ClientReplyWriter replies) {
         this.session = session;
         this.spool = spool;
         this.replies = replies;
@@ -63,30 +63,32 @@
 
     private void start(SpooledResult result, SpoolHint hint, ClientStatement cursor) {
         if (cursor != null) {
-            OpenCursor opened = open(result, new OpenCursor.Range(hint.firstRow(), OptionalLong.empty()));
+            SpooledResultCursor opened =
+                    open(result, new SpooledResultCursor.Range(hint.firstRow(), OptionalLong.empty()));
             cursor.replaceCursor(opened);
             active = opened;
         } else if (hint.requestsPage()) {
-            long rowCount = hint.rowLimit().orElse(Long.MAX_VALUE);
-            active = open(result, new OpenCursor.Range(hint.firstRow(), OptionalLong.of(rowCount)));
+            long maxRows = hint.rowLimit().orElse(Long.MAX_VALUE);
+            active = open(result, new SpooledResultCursor.Range(hint.firstRow(), OptionalLong.of(maxRows)));
         } else {
-            active = new ReplyPump(replies.channel(), result, replies.dialect(), replies::send, this::ended);
+            active = new SpooledResultReplyStream(
+                    replies.channel(), result, replies.dialect(), replies::send, this::ended);
         }
-        session.enter(SessionState.Event.STREAM_STARTED);
+        session.transition(SessionState.Event.STREAM_STARTED);
         active.resume();
     }
 
-    private OpenCursor open(SpooledResult result, OpenCursor.Range range) {
+    private SpooledResultCursor open(SpooledResult result, SpooledResultCursor.Range range) {
         Dialect dialect = replies.dialect();
-        return new OpenCursor(replies.channel(), result, dialect, range, replies::send, this::ended);
+        return new SpooledResultCursor(replies.channel(), result, dialect, range, replies::send, this::ended);
     }
 
     /** Sends the next rows of the statement's open cursor. */
-    void fetch(ClientStatement statement, long rows) {
+    void fetch(ClientStatement statement, long maxRows) {
         StatementCursor cursor = statement.cursor();
         active = cursor;
-        session.enter(SessionState.Event.STREAM_STARTED);
-        cursor.fetch(rows);
+        session.transition(SessionState.Event.STREAM_STARTED);
+        cursor.fetch(maxRows);
     }
 
     /** Continues the current reply, if there is one and the channel is writable. */
@@ -103,16 +105,16 @@
         }
     }
 
-    private void ended(ReadState state, OptionalInt errorSequence) {
-        if (state == ReadState.EXPIRED && !replies.channel().isWritable()) {
+    private void ended(ReadState readState, OptionalInt errorSequence) {
+        if (readState == ReadState.EXPIRED && !replies.channel().isWritable()) {
             // An error packet would wait behind rows that the client does not read.
             replies.close();
-        } else if (state == ReadState.BROKEN) {
+        } else if (readState == ReadState.BROKEN) {
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.brokenOff()));
-        } else if (state == ReadState.EXPIRED) {
+        } else if (readState == ReadState.EXPIRED) {
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.leaseExpired()));
         }
         active = null;
-        session.commandStepEnded(SessionState.Event.STREAM_ENDED);
+        session.queryOrStreamEnded(SessionState.Event.STREAM_ENDED);
     }
 }
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -24,14 +24,14 @@
  */
 final class EngineConnectionPool {
     /** Not used: the timeout applies to spooled replies only, and the reply to a kill is never spooled. */
-    private static final long KILL_TIMEOUT_MS = 0;
+    private static final long UNUSED_TIMEOUT_MS = 0;
 
     private final Bootstrap bootstrap;
     private final EngineConfig engine;
     private final ConnectionLimits limits;
-    private final List<EngineConnection> connections = new ArrayList<>();
+    private final List<MysqlEngineConnection> connections = new ArrayList<>();
     /** Connections without an attempt, the most recently used one first. */
-    private final Deque<EngineConnection> idle = new ArrayDeque<>();
+    private final Deque<MysqlEngineConnection> idle = new ArrayDeque<>();
 
     private boolean draining;
 
@@ -53,11 +53,11 @@
      * Starts the attempt on an idle connection that can run it, or else on a new one, which may replace an
      * idle one. Rejects the attempt if a new connection would exceed the limit.
      */
-    void start(QueryAttempt attempt) {
-        Optional<EngineConnection> suited = findIdle(attempt);
-        if (suited.isPresent()) {
-            idle.remove(suited.get());
-            suited.get().start(attempt);
+    void start(MysqlQueryAttempt attempt) {
+        Optional<MysqlEngineConnection> suitable = findIdle(attempt);
+        if (suitable.isPresent()) {
+            idle.remove(suitable.get());
+            suitable.get().start(attempt);
             return;
         }
         if (isFull() && !idle.isEmpty()) {
@@ -71,15 +71,15 @@
     }
 
     /** Returns an idle connection that can run the attempt, preferably one that already has its settings. */
-    private Optional<EngineConnection> findIdle(QueryAttempt attempt) {
-        Predicate<EngineConnection> hasSchema =
-                connection -> connection.session().hasSchemaFor(attempt);
-        Predicate<EngineConnection> hasSettings =
+    private Optional<MysqlEngineConnection> findIdle(MysqlQueryAttempt attempt) {
+        Predicate<MysqlEngineConnection> canRun =
+                connection -> connection.session().canRun(attempt);
+        Predicate<MysqlEngineConnection> hasSettings =
                 connection -> connection.session().hasSettingsFor(attempt);
         return idle.stream()
-                .filter(hasSchema.and(hasSettings))
+                .filter(canRun.and(hasSettings))
                 .findFirst()
-                .or(() -> idle.stream().filter(hasSchema).findFirst());
+                .or(() -> idle.stream().filter(canRun).findFirst());
     }
 
     private boolean isFull() {
@@ -87,24 +87,24 @@
     }
 
     private void closeLeastRecentlyUsed() {
-        EngineConnection connection = idle.pollLast();
+        MysqlEngineConnection connection = idle.pollLast();
         connections.remove(connection);
         connection.close();
     }
 
     /** Kills the statement that runs on the connection with this thread id, using another connection. */
     void kill(long threadId) {
-        Work killQuery = new Work.Query("", "KILL QUERY " + threadId);
+        Work killCommand = new Work.Query("", "KILL QUERY " + threadId);
         AttemptListener listener = AttemptListener.DISCARD_REPLY;
-        QueryAttempt kill = new QueryAttempt(killQuery, Map.of(), KILL_TIMEOUT_MS, listener);
-        EngineConnection connection = idle.isEmpty() ? connect() : idle.pollFirst();
+        MysqlQueryAttempt kill = new MysqlQueryAttempt(killCommand, Map.of(), UNUSED_TIMEOUT_MS, listener);
+        MysqlEngineConnection connection = idle.isEmpty() ? connect() : idle.pollFirst();
         connection.start(kill);
     }
 
-    private EngineConnection connect() {
-        EngineConnection connection = new EngineConnection(this);
+    private MysqlEngineConnection connect() {
+        MysqlEngineConnection connection = new MysqlEngineConnection(this);
         connections.add(connection);
-        ChannelFuture connecting = bootstrap
+        ChannelFuture connectFuture = bootstrap
                 .clone()
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
@@ -113,19 +113,19 @@
                     }
                 })
                 .connect(engine.address());
-        connection.connecting(connecting.channel());
-        ScheduledFuture<?> loginTimeout = closeUnlessLoggedIn(connection, connecting.channel());
-        connecting.addListener(done -> {
+        connection.setChannel(connectFuture.channel());
+        ScheduledFuture<?> loginTimeout = scheduleLoginTimeout(connection, connectFuture.channel());
+        connectFuture.addListener(done -> {
             if (!done.isSuccess()) {
                 loginTimeout.cancel(false);
-                connection.closed();
+                connection.handleClosed();
             }
         });
         return connection;
     }
 
     /** The connect timeout also covers the login, as an engine may accept connections but never greet. */
-    private ScheduledFuture<?> closeUnlessLoggedIn(EngineConnection connection, Channel channel) {
+    private ScheduledFuture<?> scheduleLoginTimeout(MysqlEngineConnection connection, Channel channel) {
         Runnable check = () -> {
             if (!connection.isLoggedIn()) {
                 connection.close();
@@ -136,12 +136,12 @@
 
     /** Rejects the attempts whose command has not been sent, and closes all idle connections. */
     void rejectUnsent() {
-        List.copyOf(connections).forEach(EngineConnection::rejectUnsent);
+        List.copyOf(connections).forEach(MysqlEngineConnection::rejectIfUnsent);
         closeAllIdle();
     }
 
     /** Takes back a connection that has no attempt; closes it if the pool is draining. */
-    void release(EngineConnection connection) {
+    void release(MysqlEngineConnection connection) {
         if (draining) {
             connection.close();
         } else {
@@ -150,7 +150,7 @@
     }
 
     /** Removes a closed connection. */
-    void remove(EngineConnection connection) {
+    void remove(MysqlEngineConnection connection) {
         connections.remove(connection);
         idle.remove(connection);
     }
@@ -177,7 +177,7 @@
 
     /** Closes the connections that have been idle since before this {@link System#nanoTime}. */
     void closeIdleSince(long nanoTime) {
-        for (EngineConnection connection : List.copyOf(idle)) {
+        for (MysqlEngineConnection connection : List.copyOf(idle)) {
             if (connection.isIdleSince(nanoTime)) {
                 idle.remove(connection);
                 connection.close();
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPools.java
@@ -34,11 +34,11 @@
 
     private void update(EngineConfig engine) {
         EngineConnectionPool pool = byName.get(engine.name());
-        boolean hasMoved = pool != null && !pool.engine().address().equals(engine.address());
-        if (hasMoved) {
+        boolean addressChanged = pool != null && !pool.engine().address().equals(engine.address());
+        if (addressChanged) {
             pool.drain();
         }
-        if (pool == null || hasMoved) {
+        if (pool == null || addressChanged) {
             pool = new EngineConnectionPool(bootstrap, engine, limits);
             byName.put(engine.name(), pool);
         }
@@ -53,7 +53,7 @@
      * Starts the attempt on the engine. It fails if the engine has no pool, either because it has never been
      * configured or because it was removed and its pool has been drained.
      */
-    public void start(String engine, QueryAttempt attempt) {
+    public void start(String engine, MysqlQueryAttempt attempt) {
         EngineConnectionPool pool = byName.get(engine);
         if (pool == null) {
             attempt.end(AttemptOutcome.CONNECT_FAILED);
--- a/src/main/java/lineward/mysql/engine/EngineStatementCache.java
+++ b/src/main/java/lineward/mysql/engine/EngineStatementCache.java
@@ -10,7 +10,7 @@
 /** An LRU cache of the statements that are prepared on one connection to an engine. */
 final class EngineStatementCache {
     /** A statement that the engine has prepared, with its id at the engine. */
-    record Prepared(long id, int parameterCount) {}
+    record Statement(long id, int parameterCount) {}
 
     /** Limits the memory that the prepared statements of one connection use on the engine. */
     private static final int MAX_STATEMENTS = 64;
@@ -18,14 +18,14 @@
     private static final int INITIAL_CAPACITY = 16;
     private static final float LOAD_FACTOR = 0.75f;
 
-    private final Map<String, Prepared> byKey = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
-    private final LongConsumer closeAtEngine;
+    private final Map<String, Statement> byKey = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
+    private final LongConsumer statementCloser;
     /** The statement whose preparation has not been completed; null if there is none. */
-    private Prepared pending;
+    private Statement pending;
 
-    /** @param closeAtEngine closes the statement with the given id on the engine */
-    EngineStatementCache(LongConsumer closeAtEngine) {
-        this.closeAtEngine = closeAtEngine;
+    /** @param statementCloser closes the statement with the given id on the engine */
+    EngineStatementCache(LongConsumer statementCloser) {
+        this.statementCloser = statementCloser;
     }
 
     boolean contains(String key) {
@@ -33,27 +33,27 @@
     }
 
     /** Returns the statement with this key, or null. */
-    Prepared find(String key) {
+    Statement find(String key) {
         return byKey.get(key);
     }
 
     /** Reads a packet of the reply to COM_STMT_PREPARE; packets after the first one are ignored. */
-    void readPacket(ByteBuf frame) {
+    void readPrepareReply(ByteBuf frame) {
         if (pending == null) {
             ByteBuf payload = Packets.payload(frame).skipBytes(1);
             long id = payload.readUnsignedIntLE();
             // The number of columns precedes the number of parameters.
             int parameterCount = payload.skipBytes(Short.BYTES).readUnsignedShortLE();
-            pending = new Prepared(id, parameterCount);
+            pending = new Statement(id, parameterCount);
         }
     }
 
     /** Stores the pending statement, whose preparation is complete, under this key. */
-    void complete(String key) {
-        Prepared replaced = byKey.put(key, pending);
+    void storePending(String key) {
+        Statement replaced = byKey.put(key, pending);
         pending = null;
         if (replaced != null) {
-            closeAtEngine.accept(replaced.id());
+            statementCloser.accept(replaced.id());
         }
         if (byKey.size() > MAX_STATEMENTS) {
             evictLeastRecentlyUsed();
@@ -61,9 +61,9 @@
     }
 
     private void evictLeastRecentlyUsed() {
-        Iterator<Prepared> leastRecentFirst = byKey.values().iterator();
-        Prepared evicted = leastRecentFirst.next();
+        Iterator<Statement> leastRecentFirst = byKey.values().iterator();
+        Statement evicted = leastRecentFirst.next();
         leastRecentFirst.remove();
-        closeAtEngine.accept(evicted.id());
+        statementCloser.accept(evicted.id());
     }
 }
--- a/src/main/java/lineward/mysql/engine/EngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.DecoderException;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import lineward.mysql.engine.ConnectionState.Transition;
+import lineward.mysql.engine.MysqlConnectionState.Transition;
 import lineward.mysql.session.Work;
 import lineward.mysql.wire.ChannelOperations;
 import lineward.mysql.wire.Commands;
@@ -23,8 +23,8 @@
  * A connection to a MySQL engine for at most one attempt at a time. Preparatory commands apply the settings,
  * select the schema and prepare the statement that the attempt's command needs. Confined to the event loop.
  */
-final class EngineConnection extends SimpleChannelInboundHandler<ByteBuf> {
-    private static final Logger LOG = LoggerFactory.getLogger(EngineConnection.class);
+final class MysqlEngineConnection extends SimpleChannelInboundHandler<ByteBuf> {
+    private static final Logger LOG = LoggerFactory.getLogger(MysqlEngineConnection.class);
     /** Time limit for the reply to a statement after its kill; then the connection is closed. */
     private static final int KILL_TIMEOUT_MS = 300;
     /** The reply to an execution if the statement's parameter count differs from the one the client knows. */
@@ -32,28 +32,28 @@
             Failure.wrongArguments("the statement's parameters have changed since it was prepared");
 
     private final EngineConnectionPool pool;
-    private ConnectionState state = ConnectionState.CONNECTING;
+    private MysqlConnectionState state = MysqlConnectionState.CONNECTING;
     private Channel channel;
     private EngineLogin login;
-    private EngineCommands commands;
+    private EngineCommandWriter commandWriter;
     private EngineSession session;
     /** Null if no attempt is assigned. */
-    private QueryAttempt attempt;
+    private MysqlQueryAttempt attempt;
     /** Classifies the packets of the reply to the last command; null before the first command. */
     private ReplyTracker tracker;
     /** {@link System#nanoTime} of the creation, the last command or the end of the last attempt. */
     private long lastUsedNanos = System.nanoTime();
 
-    EngineConnection(EngineConnectionPool pool) {
+    MysqlEngineConnection(EngineConnectionPool pool) {
         super(false);
         this.pool = pool;
     }
 
-    void connecting(Channel connectingChannel) {
+    void setChannel(Channel connectingChannel) {
         channel = connectingChannel;
         login = new EngineLogin(channel, pool.engine());
-        commands = new EngineCommands(channel);
-        session = new EngineSession(new EngineStatementCache(commands::closeStatement));
+        commandWriter = new EngineCommandWriter(channel);
+        session = new EngineSession(new EngineStatementCache(commandWriter::closeStatement));
     }
 
     EngineSession session() {
@@ -65,14 +65,14 @@
     }
 
     boolean isIdleSince(long nanoTime) {
-        return state == ConnectionState.IDLE && lastUsedNanos < nanoTime;
+        return state == MysqlConnectionState.IDLE && lastUsedNanos < nanoTime;
     }
 
     void close() {
         ChannelOperations.close(channel);
     }
 
-    void rejectUnsent() {
+    void rejectIfUnsent() {
         if (attempt != null && !state.isCommandSent()) {
             fail(AttemptOutcome.REJECTED);
         }
@@ -82,24 +82,24 @@
         channel.config().setAutoRead(reading);
     }
 
-    void start(QueryAttempt next) {
+    void start(MysqlQueryAttempt next) {
         attempt = next;
         next.assignTo(this);
-        if (state == ConnectionState.IDLE) {
+        if (state == MysqlConnectionState.IDLE) {
             sendNextCommand();
         }
     }
 
     /** Kills the attempt's running statement at most once. Closes the connection if the command is unsent. */
     void cancel() {
-        if (state == ConnectionState.EXECUTING) {
+        if (state == MysqlConnectionState.EXECUTING) {
             transition(Transition.KILL);
             setReading(true);
             pool.kill(login.threadId());
             ScheduledFuture<?> timeout =
                     channel.eventLoop().schedule(this::close, KILL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             channel.closeFuture().addListener(done -> timeout.cancel(false));
-        } else if (state != ConnectionState.KILLING) {
+        } else if (state != MysqlConnectionState.KILLING) {
             fail(AttemptOutcome.CANCELLED);
         }
     }
@@ -112,30 +112,30 @@
         lastUsedNanos = System.nanoTime();
         Transition step = session.nextStep(attempt);
         transition(step);
-        Work work = attempt.work();
+        Work command = attempt.command();
         switch (step) {
-            case APPLY_SETTINGS -> send(Commands.QUERY, session.settingsChangeFor(attempt));
-            case SELECT_SCHEMA -> send(Commands.INIT_DB, work.schema());
-            case PREPARE -> send(Commands.PREPARE, ((Work.Execute) work).text());
-            default -> sendOwnCommand(work, attempt);
+            case APPLY_SETTINGS -> send(Commands.QUERY, session.settingsStatementFor(attempt));
+            case SELECT_SCHEMA -> send(Commands.INIT_DB, command.schema());
+            case PREPARE -> send(Commands.PREPARE, ((Work.Execute) command).text());
+            default -> sendAttemptCommand(command, attempt);
         }
     }
 
-    private void sendOwnCommand(Work work, QueryAttempt started) {
-        if (work instanceof Work.Execute execute) {
+    private void sendAttemptCommand(Work command, MysqlQueryAttempt started) {
+        if (command instanceof Work.Execute execute) {
             sendExecute(execute);
         } else {
-            tracker = new ReplyTracker(work instanceof Work.Prepare);
-            commands.send(work);
+            tracker = new ReplyTracker(command instanceof Work.Prepare);
+            commandWriter.send(command);
         }
-        commands.whenWritten(started::commandWritten);
+        commandWriter.whenWritten(started::commandWritten);
     }
 
-    private void sendExecute(Work.Execute work) {
-        EngineStatementCache.Prepared statement = session.preparedFor(work);
-        if (statement.parameterCount() == work.parameterCount()) {
+    private void sendExecute(Work.Execute command) {
+        EngineStatementCache.Statement statement = session.statementFor(command);
+        if (statement.parameterCount() == command.parameterCount()) {
             tracker = new ReplyTracker(false);
-            commands.execute(statement.id(), work);
+            commandWriter.execute(statement.id(), command);
         } else {
             ByteBuf error = Packets.error(channel.alloc(), 1, PARAMETERS_CHANGED);
             attempt.receive(channel.alloc(), error, PacketRole.LAST_ERROR);
@@ -143,9 +143,9 @@
         }
     }
 
-    private void send(int command, String latin1) {
-        tracker = new ReplyTracker(command == Commands.PREPARE);
-        commands.text(command, latin1);
+    private void send(int commandByte, String latin1) {
+        tracker = new ReplyTracker(commandByte == Commands.PREPARE);
+        commandWriter.sendText(commandByte, latin1);
     }
 
     @Override
@@ -157,7 +157,7 @@
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
         boolean ownedByAttempt = false;
         try {
-            if (state == ConnectionState.AUTHENTICATING) {
+            if (state == MysqlConnectionState.AUTHENTICATING) {
                 readLogin(frame);
             } else if (attempt != null) {
                 ownedByAttempt = readReply(frame);
@@ -208,17 +208,17 @@
                 yield false;
             }
             default -> {
-                readOwnReply(frame, role);
+                readAttemptReply(frame, role);
                 yield true;
             }
         };
     }
 
     private void readPreparatoryReply(ByteBuf frame, boolean last) {
-        if (state == ConnectionState.PREPARING) {
-            session.readPrepared(frame, last, attempt.work());
+        if (state == MysqlConnectionState.PREPARING) {
+            session.readPrepareReply(frame, last, attempt.command());
         } else if (last) {
-            session.schemaSelected(attempt.work().schema());
+            session.schemaSelected(attempt.command().schema());
         }
         if (last) {
             sendNextCommand();
@@ -229,32 +229,32 @@
         EngineErrorKind kind = EngineErrorKind.of(Packets.errorCode(frame));
         if (kind != EngineErrorKind.COMMAND_FAILED) {
             boolean overloaded = kind == EngineErrorKind.OVERLOADED;
-            fail(overloaded ? AttemptOutcome.REJECTED : state.outcomeOfFault());
+            fail(overloaded ? AttemptOutcome.REJECTED : state.outcomeOnEngineFailure());
             return false;
         }
         attempt.receive(channel.alloc(), frame, PacketRole.LAST_ERROR);
-        finish(state == ConnectionState.KILLING ? AttemptOutcome.CANCELLED : AttemptOutcome.OK);
+        finish(state == MysqlConnectionState.KILLING ? AttemptOutcome.CANCELLED : AttemptOutcome.OK);
         return true;
     }
 
-    private void readOwnReply(ByteBuf frame, PacketRole role) {
-        Work work = attempt.work();
-        if (work instanceof Work.Prepare) {
-            session.readPrepared(frame, role.isLast(), work);
+    private void readAttemptReply(ByteBuf frame, PacketRole role) {
+        Work command = attempt.command();
+        if (command instanceof Work.Prepare) {
+            session.readPrepareReply(frame, role.isLast(), command);
         }
         attempt.receive(channel.alloc(), frame, role);
         if (role == PacketRole.LAST_OK) {
-            session.completed(work);
+            session.commandCompleted(command);
             finish(AttemptOutcome.OK);
         }
     }
 
     private void finish(AttemptOutcome outcome) {
-        QueryAttempt finished = attempt;
+        MysqlQueryAttempt finished = attempt;
         attempt = null;
         lastUsedNanos = System.nanoTime();
         // An open transaction or a changed session would affect the next client.
-        boolean sessionClean = !tracker.inTransaction() && !finished.work().changesSession();
+        boolean sessionClean = !tracker.inTransaction() && !finished.command().changesSession();
         boolean reusable = state.isReusable() && sessionClean;
         transition(reusable ? Transition.RELEASE : Transition.RETIRE);
         setReading(true);
@@ -267,7 +267,7 @@
     }
 
     private void fail(AttemptOutcome outcome) {
-        QueryAttempt failed = attempt;
+        MysqlQueryAttempt failed = attempt;
         attempt = null;
         close();
         if (failed != null) {
@@ -278,18 +278,18 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         LOG.warn("engine connection failed: engine={} cause={}", pool.name(), cause.toString());
-        fail(state.outcomeOfFault());
+        fail(state.outcomeOnEngineFailure());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        closed();
+        handleClosed();
     }
 
     /** Handles the close of the connection, or a failure to open it. */
-    void closed() {
-        if (state != ConnectionState.CLOSED) {
-            AttemptOutcome outcome = state.outcomeOfClose();
+    void handleClosed() {
+        if (state != MysqlConnectionState.CLOSED) {
+            AttemptOutcome outcome = state.outcomeOnClose();
             transition(Transition.CLOSE);
             pool.remove(this);
             fail(outcome);
--- a/src/main/java/lineward/mysql/engine/QueryAttempt.java
+++ b/src/main/java/lineward/mysql/engine/MysqlQueryAttempt.java
@@ -14,7 +14,7 @@
  * longer one is spooled, so that the connection is free after the last packet, however slowly the client
  * reads. Confined to the event loop.
  */
-public final class QueryAttempt {
+public final class MysqlQueryAttempt {
     private enum ReplyState {
         /** The reply is being buffered, or has not started. */
         BUFFERING,
@@ -33,8 +33,8 @@
 
     private static final double NANOS_PER_MS = TimeUnit.MILLISECONDS.toNanos(1);
 
-    private final Work work;
-    private final Map<String, String> settings;
+    private final Work command;
+    private final Map<String, String> sessionSettings;
     private final long timeoutMs;
     private final AttemptListener listener;
     private final long startedNanos = System.nanoTime();
@@ -44,33 +44,34 @@
     /** Number of buffered bytes that precede the rows. */
     private int headBytes;
     /** Null unless the reply is spooled. */
-    private SpoolWriter spool;
+    private SpoolWriter spoolWriter;
     /** Null until a pool has assigned a connection. */
-    private EngineConnection connection;
+    private MysqlEngineConnection connection;
 
     /**
      * Creates an attempt that has not started.
      *
-     * @param settings the session variables that the engine must have set when it executes the command
+     * @param sessionSettings the session variables that the engine must have set when it executes the command
      * @param timeoutMs the attempt's timeout, from which the spool determines when the response may start
      */
-    public QueryAttempt(Work work, Map<String, String> settings, long timeoutMs, AttemptListener listener) {
-        this.work = work;
-        this.settings = settings;
+    public MysqlQueryAttempt(
+            Work command, Map<String, String> sessionSettings, long timeoutMs, AttemptListener listener) {
+        this.command = command;
+        this.sessionSettings = sessionSettings;
         this.timeoutMs = timeoutMs;
         this.listener = listener;
     }
 
-    Work work() {
-        return work;
+    Work command() {
+        return command;
     }
 
-    Map<String, String> settings() {
-        return settings;
+    Map<String, String> sessionSettings() {
+        return sessionSettings;
     }
 
     /** Records the connection that executes this attempt. */
-    void assignTo(EngineConnection assigned) {
+    void assignTo(MysqlEngineConnection assigned) {
         connection = assigned;
     }
 
@@ -91,8 +92,8 @@
             switch (state) {
                 case BUFFERING -> buffer(alloc, frame, role);
                 case SPOOLING, STREAMING -> {
-                    spool.write(frame, frame.readableBytes(), role);
-                    packetsSpooled();
+                    spoolWriter.write(frame, frame.readableBytes(), role);
+                    applySpoolPolicy();
                 }
                 case DISCARDING, ENDED -> {}
             }
@@ -118,7 +119,7 @@
 
     /** Moves the buffered packets to the spool, or discards the reply if the listener does not need it. */
     private void startSpooling(PacketRole lastRole) {
-        SpooledResult result = listener.openSpool();
+        SpooledResult result = listener.createSpooledResult();
         ByteBuf packets = buffered;
         buffered = null;
         try {
@@ -127,8 +128,8 @@
                 return;
             }
             state = ReplyState.SPOOLING;
-            spool = new SpoolWriter(result);
-            spool.writeBuffered(packets, headBytes, lastRole);
+            spoolWriter = new SpoolWriter(result);
+            spoolWriter.writeBuffered(packets, headBytes, lastRole);
         } finally {
             packets.release();
         }
@@ -137,19 +138,19 @@
                 connection.setReading(result.mayReadEngine());
             }
         });
-        packetsSpooled();
+        applySpoolPolicy();
     }
 
     /** Starts the response once the spool permits it, and pauses reading if the spool can't take more. */
-    private void packetsSpooled() {
+    private void applySpoolPolicy() {
         double limitMs = timeoutMs;
-        if (state == ReplyState.SPOOLING && spool.result().shouldStartResponse(elapsedMs(), limitMs)) {
+        if (state == ReplyState.SPOOLING && spoolWriter.result().shouldStartResponse(elapsedMs(), limitMs)) {
             state = ReplyState.STREAMING;
             if (!listener.responseStarted()) {
                 discard();
             }
         }
-        if (!spool.result().mayReadEngine()) {
+        if (!spoolWriter.result().mayReadEngine()) {
             connection.setReading(false);
         }
     }
@@ -162,7 +163,7 @@
         if (state != ReplyState.ENDED) {
             state = ReplyState.DISCARDING;
         }
-        spool.result().fail();
+        spoolWriter.result().fail();
     }
 
     /** Ends the attempt and notifies the listener; has no effect if the attempt has already ended. */
@@ -172,7 +173,7 @@
         }
         // The engine's reply may be complete although part of it has been discarded or released.
         boolean incomplete = state == ReplyState.DISCARDING
-                || (spool != null && spool.result().isReleased());
+                || (spoolWriter != null && spoolWriter.result().isReleased());
         AttemptOutcome outcome = incomplete ? AttemptOutcome.CANCELLED : reported;
         state = ReplyState.ENDED;
         ByteBuf reply = buffered;
@@ -181,7 +182,7 @@
             reply.release();
             reply = null;
         }
-        if (spool != null) {
+        if (spoolWriter != null) {
             endSpool(outcome);
         }
         listener.ended(outcome, reply);
@@ -189,9 +190,9 @@
 
     private void endSpool(AttemptOutcome outcome) {
         if (outcome == AttemptOutcome.OK) {
-            spool.result().complete();
+            spoolWriter.result().complete();
         } else {
-            spool.result().fail();
+            spoolWriter.result().fail();
         }
     }
 }
