--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import java.util.function.Supplier;
-import lineward.mysql.session.ClientStatement;
+import lineward.mysql.session.PreparedStatement;
 import lineward.mysql.session.PreparedStatements;
 import lineward.mysql.session.SessionSettings;
 import lineward.mysql.session.SpoolHint;
@@ -152,11 +152,11 @@
     }
 
     private void executeStatement(ByteBuf payload) {
-        ClientStatement statement = readStatement(payload);
+        PreparedStatement statement = readStatement(payload);
         if (statement == null) {
             return;
         }
-        boolean requestsCursor = ClientStatement.requestsCursor(payload);
+        boolean requestsCursor = PreparedStatement.requestsCursor(payload);
         statement.closeCursor();
         Work.Execute work;
         try {
@@ -167,7 +167,7 @@
         }
         String text = Texts.utf8(statement.text());
         boolean writes = StatementKind.of(text) instanceof StatementKind.Write;
-        ClientStatement cursor = requestsCursor && !writes ? statement : null;
+        PreparedStatement cursor = requestsCursor && !writes ? statement : null;
         String key = writes ? "" : statement.hint().key();
         String digest = key.isEmpty() ? "" : work.digest();
         if (key.isEmpty() || !stream.answer(statement.hint(), digest, cursor)) {
@@ -184,7 +184,7 @@
         if (payload.readableBytes() < STATEMENT_ID_BYTES + PARAMETER_NUMBER_BYTES) {
             return;
         }
-        ClientStatement statement = statements.get(payload.readUnsignedIntLE());
+        PreparedStatement statement = statements.get(payload.readUnsignedIntLE());
         if (statement == null) {
             return;
         }
@@ -204,7 +204,7 @@
     }
 
     private void resetStatement(ByteBuf payload) {
-        ClientStatement statement = readStatement(payload);
+        PreparedStatement statement = readStatement(payload);
         if (statement != null) {
             statement.reset();
             replies.sendOk();
@@ -220,7 +220,7 @@
 
     private void fetch(ByteBuf payload) {
         long id = readStatementId(payload);
-        ClientStatement statement = findStatement(id);
+        PreparedStatement statement = findStatement(id);
         if (statement == null) {
             return;
         }
@@ -231,7 +231,7 @@
         stream.fetch(statement, payload.readUnsignedIntLE());
     }
 
-    private ClientStatement readStatement(ByteBuf payload) {
+    private PreparedStatement readStatement(ByteBuf payload) {
         return findStatement(readStatementId(payload));
     }
 
@@ -240,8 +240,8 @@
     }
 
     /** Returns the statement with this id; if there is none, sends an error and returns null. */
-    private ClientStatement findStatement(long id) {
-        ClientStatement statement = statements.get(id);
+    private PreparedStatement findStatement(long id) {
+        PreparedStatement statement = statements.get(id);
         if (statement == null) {
             replies.sendError(Failure.unknownStatement(id));
         }
--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import lineward.mysql.engine.AttemptListener;
 import lineward.mysql.engine.QueryAttempt;
-import lineward.mysql.session.ClientStatement;
+import lineward.mysql.session.PreparedStatement;
 import lineward.mysql.session.StatementClass;
 import lineward.mysql.session.Work;
 import lineward.spool.Spool;
@@ -19,7 +19,7 @@
      * @param digest digest of the statement and its arguments if there is a key; else empty
      * @param cursor the statement whose cursor is opened; null if all rows are sent in one reply
      */
-    record Spooling(String key, String digest, ClientStatement cursor) {
+    record Spooling(String key, String digest, PreparedStatement cursor) {
         /** The result is spooled only if it exceeds the attempt's buffer. */
         static final Spooling IF_LONG = new Spooling("", "", null);
 
--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpoolStream.java
@@ -2,7 +2,7 @@
 
 import java.util.OptionalInt;
 import java.util.OptionalLong;
-import lineward.mysql.session.ClientStatement;
+import lineward.mysql.session.PreparedStatement;
 import lineward.mysql.session.SpoolHint;
 import lineward.mysql.session.StatementCursor;
 import lineward.mysql.wire.Dialect;
@@ -38,7 +38,7 @@
      * @param cursor the statement whose cursor is opened; null if all rows are sent in one reply
      * @return false if the statement must be executed; otherwise a reply or an error has been sent
      */
-    boolean answer(SpoolHint hint, String digest, ClientStatement cursor) {
+    boolean answer(SpoolHint hint, String digest, PreparedStatement cursor) {
         SpooledResult result = spool.find(session.user(), hint.key());
         if (result == null) {
             if (hint.requestsPage()) {
@@ -61,7 +61,7 @@
         start(query.spooledResult(), SpoolHint.none(""), query.spooling().cursor());
     }
 
-    private void start(SpooledResult result, SpoolHint hint, ClientStatement cursor) {
+    private void start(SpooledResult result, SpoolHint hint, PreparedStatement cursor) {
         if (cursor != null) {
             OpenCursor opened = open(result, new OpenCursor.Range(hint.firstRow(), OptionalLong.empty()));
             cursor.replaceCursor(opened);
@@ -82,7 +82,7 @@
     }
 
     /** Sends the next rows of the statement's open cursor. */
-    void fetch(ClientStatement statement, long rows) {
+    void fetch(PreparedStatement statement, long rows) {
         StatementCursor cursor = statement.cursor();
         active = cursor;
         session.enter(SessionState.Event.STREAM_STARTED);
--- a/src/main/java/lineward/mysql/session/ClientStatement.java
+++ b/src/main/java/lineward/mysql/session/PreparedStatement.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** A prepared statement of a client. It keeps the text, so that any engine can prepare and execute it. */
-public final class ClientStatement {
+public final class PreparedStatement {
     /** Bytes of the flags and the iteration count at the start of the arguments. */
     private static final int EXECUTION_HEAD_BYTES = 5;
 
@@ -25,7 +25,7 @@
     private byte[] types;
 
     /** @param reservedBytes bytes that are reserved for the text in the budget of all clients */
-    ClientStatement(String schema, SpoolHint hint, int parameterCount, int reservedBytes) {
+    PreparedStatement(String schema, SpoolHint hint, int parameterCount, int reservedBytes) {
         this.schema = schema;
         this.hint = hint;
         this.parameterCount = parameterCount;
--- a/src/main/java/lineward/mysql/session/PreparedStatements.java
+++ b/src/main/java/lineward/mysql/session/PreparedStatements.java
@@ -9,7 +9,7 @@
  */
 public final class PreparedStatements {
     private final StatementLimits limits;
-    private final Map<Long, ClientStatement> statementsById = new HashMap<>();
+    private final Map<Long, PreparedStatement> statementsById = new HashMap<>();
     private long lastId;
 
     /** Creates an empty collection with these limits. */
@@ -37,23 +37,23 @@
         SpoolHint hint = SpoolHint.of(work.text());
         int reservedBytes = work.text().length();
         lastId++;
-        statementsById.put(lastId, new ClientStatement(work.schema(), hint, parameterCount, reservedBytes));
+        statementsById.put(lastId, new PreparedStatement(work.schema(), hint, parameterCount, reservedBytes));
         return lastId;
     }
 
     /** Returns the statement with this id, or null. */
-    public ClientStatement get(long id) {
+    public PreparedStatement get(long id) {
         return statementsById.get(id);
     }
 
     /** Returns whether any statement has an open cursor. */
     public boolean hasOpenCursor() {
-        return statementsById.values().stream().anyMatch(ClientStatement::hasOpenCursor);
+        return statementsById.values().stream().anyMatch(PreparedStatement::hasOpenCursor);
     }
 
     /** Closes the statement with this id, if there is one. */
     public void close(long id) {
-        ClientStatement statement = statementsById.remove(id);
+        PreparedStatement statement = statementsById.remove(id);
         if (statement != null) {
             close(statement);
         }
@@ -65,7 +65,7 @@
         statementsById.clear();
     }
 
-    private void close(ClientStatement statement) {
+    private void close(PreparedStatement statement) {
         statement.closeCursor();
         limits.textBytes().release(statement.reservedBytes());
     }
