--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -160,7 +160,7 @@
         statement.closeCursor();
         Work.Execute work;
         try {
-            work = statement.execute(payload);
+            work = statement.createExecution(payload);
         } catch (IllegalArgumentException e) {
             replies.sendError(Failure.wrongArguments(e.getMessage()));
             return;
@@ -195,7 +195,7 @@
         }
         byte[] bytes = new byte[payload.readableBytes()];
         payload.readBytes(bytes);
-        statement.add(new Work.LongData(parameter, bytes));
+        statement.addLongData(new Work.LongData(parameter, bytes));
     }
 
     /** Closes a statement; COM_STMT_CLOSE has no reply. */
--- a/src/main/java/lineward/mysql/session/PreparedStatement.java
+++ b/src/main/java/lineward/mysql/session/PreparedStatement.java
@@ -7,7 +7,7 @@
 /** A prepared statement of a client. It keeps the text, so that any engine can prepare and execute it. */
 public final class PreparedStatement {
     /** Bytes of the flags and the iteration count at the start of the arguments. */
-    private static final int EXECUTION_HEAD_BYTES = 5;
+    private static final int FLAGS_AND_ITERATION_COUNT_BYTES = 5;
 
     private static final int NO_CURSOR = 0;
     private static final int READ_ONLY_CURSOR = 1;
@@ -22,7 +22,7 @@
     /** Null if no cursor was opened since the last reset or execution. */
     private StatementCursor cursor;
     /** Types of the parameters; null until the client sends them with an execution. */
-    private byte[] types;
+    private byte[] parameterTypes;
 
     /** @param reservedBytes bytes that are reserved for the text in the budget of all clients */
     PreparedStatement(String schema, SpoolHint hint, int parameterCount, int reservedBytes) {
@@ -76,7 +76,7 @@
     }
 
     /** Adds a part of a long parameter (COM_STMT_SEND_LONG_DATA) for the next execution. */
-    public void add(Work.LongData data) {
+    public void addLongData(Work.LongData data) {
         longData.add(data);
     }
 
@@ -99,7 +99,7 @@
      * @param arguments the payload after the statement's id
      * @throws IllegalArgumentException if the arguments are malformed or request another kind of cursor
      */
-    public Work.Execute execute(ByteBuf arguments) {
+    public Work.Execute createExecution(ByteBuf arguments) {
         int maxBytes = arguments.readableBytes() + BYTES_PER_TYPE * parameterCount + 1;
         ByteBuf forwarded = arguments.alloc().heapBuffer(maxBytes);
         try {
@@ -108,7 +108,7 @@
                 throw new IllegalArgumentException("only read-only cursors are supported");
             }
             // The engine sends all rows at once and is then free; the spool provides the client's cursor.
-            forwarded.writeByte(NO_CURSOR).writeBytes(arguments, EXECUTION_HEAD_BYTES - 1);
+            forwarded.writeByte(NO_CURSOR).writeBytes(arguments, FLAGS_AND_ITERATION_COUNT_BYTES - 1);
             if (parameterCount > 0) {
                 copyParameters(arguments, forwarded);
             }
@@ -127,13 +127,13 @@
         int nullBitmapBytes = (parameterCount + Byte.SIZE - 1) / Byte.SIZE;
         forwarded.writeBytes(arguments, nullBitmapBytes);
         if (arguments.readByte() == TYPES_FOLLOW) {
-            byte[] received = new byte[BYTES_PER_TYPE * parameterCount];
-            arguments.readBytes(received);
-            types = received;
+            byte[] receivedTypes = new byte[BYTES_PER_TYPE * parameterCount];
+            arguments.readBytes(receivedTypes);
+            parameterTypes = receivedTypes;
         }
-        if (types == null) {
+        if (parameterTypes == null) {
             throw new IllegalArgumentException("no types of parameters");
         }
-        forwarded.writeByte(TYPES_FOLLOW).writeBytes(types).writeBytes(arguments);
+        forwarded.writeByte(TYPES_FOLLOW).writeBytes(parameterTypes).writeBytes(arguments);
     }
 }
