--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -177,7 +177,7 @@
 
     private void releaseReservation(Query query) {
         if (query.work() instanceof Work.Prepare work) {
-            statements.release(work);
+            statements.releaseReservation(work);
         }
     }
 
--- a/src/main/java/lineward/mysql/session/PreparedStatements.java
+++ b/src/main/java/lineward/mysql/session/PreparedStatements.java
@@ -24,7 +24,7 @@
     }
 
     /** Releases the capacity reserved for a statement whose preparation failed. */
-    public void release(Work.Prepare work) {
+    public void releaseReservation(Work.Prepare work) {
         limits.textBytes().release(work.text().length());
     }
 
