--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -85,12 +85,12 @@
 
     private ClientContext clientContext(QueryDispatcher dispatcher) {
         MysqlConfig.Bounds bounds = config.bounds();
-        ByteBudget statementTexts = new ByteBudget(MAX_STATEMENT_TEXT_BYTES);
+        ByteBudget textBudget = new ByteBudget(MAX_STATEMENT_TEXT_BYTES);
         return new ClientContext(
                 clients,
                 config.users(),
                 bounds.maxPacket(),
-                new StatementLimits(bounds.maxStatements(), statementTexts),
+                new StatementLimits(bounds.maxStatements(), textBudget),
                 spool,
                 dispatcher,
                 this::statistics);
--- a/src/main/java/lineward/mysql/session/PreparedStatements.java
+++ b/src/main/java/lineward/mysql/session/PreparedStatements.java
@@ -20,12 +20,12 @@
     /** Reserves capacity for one more statement; returns false if a limit is reached. */
     public boolean reserve(int textBytes) {
         return statementsById.size() < limits.maxStatements()
-                && limits.textBytes().reserve(textBytes);
+                && limits.textBudget().reserve(textBytes);
     }
 
     /** Releases the capacity reserved for a statement whose preparation failed. */
     public void releaseReservation(Work.Prepare work) {
-        limits.textBytes().release(work.text().length());
+        limits.textBudget().release(work.text().length());
     }
 
     /**
@@ -67,6 +67,6 @@
 
     private void close(PreparedStatement statement) {
         statement.closeCursor();
-        limits.textBytes().release(statement.reservedBytes());
+        limits.textBudget().release(statement.reservedBytes());
     }
 }
--- a/src/main/java/lineward/mysql/session/StatementLimits.java
+++ b/src/main/java/lineward/mysql/session/StatementLimits.java
@@ -6,6 +6,6 @@
  * Limits on the prepared statements of clients.
  *
  * @param maxStatements maximum number of statements of one client
- * @param textBytes budget for the texts of the statements of all clients together
+ * @param textBudget budget for the texts of the statements of all clients together
  */
-public record StatementLimits(int maxStatements, ByteBudget textBytes) {}
+public record StatementLimits(int maxStatements, ByteBudget textBudget) {}
