--- a/src/main/java/lineward/mysql/session/PreparedStatement.java
+++ b/src/main/java/lineward/mysql/session/PreparedStatement.java
@@ -34,7 +34,7 @@
 
     /** Returns the text without the hint. */
     public String text() {
-        return hint.statement();
+        return hint.textWithoutHint();
     }
 
     /** Returns the hint in the statement's text. */
--- a/src/main/java/lineward/mysql/session/SpoolHint.java
+++ b/src/main/java/lineward/mysql/session/SpoolHint.java
@@ -12,9 +12,9 @@
  * @param key the key under which the client can read the result again; empty if it has none
  * @param firstRow index of the first requested row, from 0
  * @param rowLimit maximum number of requested rows; empty: all. Ignored if a cursor is opened
- * @param statement the statement without the hint
+ * @param text the statement without the hint
  */
-public record SpoolHint(String key, long firstRow, OptionalLong rowLimit, String statement) {
+public record SpoolHint(String key, long firstRow, OptionalLong rowLimit, String textWithoutHint) {
     private static final String KEY_PREFIX = "lineward:key=";
     private static final Pattern HINT = Pattern.compile("/\\*\\s*" + KEY_PREFIX + "([A-Za-z0-9_.-]{1,64})"
             + "(?:\\s+from=(\\d{1,12}))?(?:\\s+rows=(\\d{1,12}))?\\s*\\*/");
@@ -42,8 +42,8 @@
     }
 
     /** Returns a hint without a key, for a statement that contains no hint. */
-    public static SpoolHint none(String statement) {
-        return new SpoolHint("", 0, OptionalLong.empty(), statement);
+    public static SpoolHint none(String text) {
+        return new SpoolHint("", 0, OptionalLong.empty(), text);
     }
 
     /** Returns whether the client gives its result a key. */
