--- a/src/main/java/lineward/mysql/session/SessionSettings.java
+++ b/src/main/java/lineward/mysql/session/SessionSettings.java
@@ -60,7 +60,7 @@
      */
     public void set(String statement) throws UnsupportedSettingException {
         Map<String, String> changed = new TreeMap<>(values);
-        for (Assignment assignment : new SetReader(statement, this::valueOf).read()) {
+        for (Assignment assignment : new SetStatementParser(statement, this::valueOf).parse()) {
             apply(changed, assignment);
         }
         if (changed.size() > MAX_SETTINGS) {
--- a/src/main/java/lineward/mysql/session/SetReader.java
+++ b/src/main/java/lineward/mysql/session/SetStatementParser.java
@@ -8,7 +8,7 @@
 import lineward.core.SqlTokens;
 
 /** Parses a SET statement into assignments of session variables. */
-final class SetReader {
+final class SetStatementParser {
     private static final String THIS_FORM = "this form of SET";
     private static final String THIS_VALUE = "this value";
     private static final String USER_VARIABLE = "a user variable";
@@ -19,12 +19,12 @@
     private final String text;
     private final UnaryOperator<String> currentValues;
     /** Whether there is a current token. */
-    private boolean more;
+    private boolean hasToken;
 
     /**
      * @param currentValues returns the current value of a variable, or null if the variable is unknown
      */
-    SetReader(String text, UnaryOperator<String> currentValues) {
+    SetStatementParser(String text, UnaryOperator<String> currentValues) {
         this.text = text;
         this.tokens = new SqlTokens(text);
         this.currentValues = currentValues;
@@ -35,30 +35,30 @@
      *
      * @throws UnsupportedSettingException if the statement sets anything but session variables
      */
-    List<Assignment> read() throws UnsupportedSettingException {
+    List<Assignment> parse() throws UnsupportedSettingException {
         List<Assignment> assignments = new ArrayList<>();
         tokens.next();
         advance();
         do {
             assignments.add(assignment());
-        } while (more && tokens.is(",") && advance());
-        boolean complete = !more || (tokens.is(";") && !advance());
+        } while (hasToken && tokens.is(",") && advance());
+        boolean complete = !hasToken || (tokens.is(";") && !advance());
         require(complete, THIS_FORM);
         return assignments;
     }
 
     private boolean advance() {
-        more = tokens.next();
-        return more;
+        hasToken = tokens.next();
+        return hasToken;
     }
 
     private boolean at(String token) {
-        return more && tokens.is(token);
+        return hasToken && tokens.is(token);
     }
 
     private Assignment assignment() throws UnsupportedSettingException {
         skipScope();
-        require(more, "an empty SET");
+        require(hasToken, "an empty SET");
         String name = tokens.text().toLowerCase(Locale.ROOT);
         return switch (name) {
             case "transaction" -> transaction();
@@ -150,7 +150,7 @@
     }
 
     private String value() throws UnsupportedSettingException {
-        require(more, "a SET without a value");
+        require(hasToken, "a SET without a value");
         return tokens.is("@") ? variableValue() : literal();
     }
 
@@ -177,7 +177,7 @@
         // The tokenizer splits a number with a decimal point into three tokens.
         if (at(".")) {
             advance();
-            require(more && tokens.kind() == SqlTokens.Kind.NUMBER, THIS_VALUE);
+            require(hasToken && tokens.kind() == SqlTokens.Kind.NUMBER, THIS_VALUE);
             value.append('.').append(tokens.text());
             advance();
         }
@@ -187,10 +187,10 @@
     private boolean isLiteral() {
         boolean isSymbol = tokens.kind() == SqlTokens.Kind.SYMBOL;
         boolean isExecutableComment = tokens.kind() == SqlTokens.Kind.EXECUTABLE_COMMENT;
-        return more && !isSymbol && !isExecutableComment;
+        return hasToken && !isSymbol && !isExecutableComment;
     }
 
-    private static void require(boolean supported, String otherwise) throws UnsupportedSettingException {
-        UnsupportedSettingException.require(supported, otherwise);
+    private static void require(boolean supported, String part) throws UnsupportedSettingException {
+        UnsupportedSettingException.require(supported, part);
     }
 }
