--- a/src/main/java/lineward/mysql/session/VariableQuery.java
+++ b/src/main/java/lineward/mysql/session/VariableQuery.java
@@ -15,7 +15,7 @@
     private final List<String> labels = new ArrayList<>();
     private final List<String> row = new ArrayList<>();
     /** Whether there is a current token. */
-    private boolean more;
+    private boolean hasToken;
 
     /** @param values returns the value of a variable, or null if the variable is unknown */
     VariableQuery(String statement, UnaryOperator<String> values) {
@@ -30,8 +30,8 @@
     }
 
     private boolean advance() {
-        more = tokens.next();
-        return more;
+        hasToken = tokens.next();
+        return hasToken;
     }
 
     private boolean readColumns() {
@@ -39,15 +39,15 @@
             if (!readColumn()) {
                 return false;
             }
-            if (more && !tokens.is(",")) {
-                return endsHere();
+            if (hasToken && !tokens.is(",")) {
+                return readEnd();
             }
-        } while (more && advance());
+        } while (hasToken && advance());
         return true;
     }
 
     /** Returns whether the statement ends here, possibly after LIMIT 1. */
-    private boolean endsHere() {
+    private boolean readEnd() {
         if (tokens.is("limit")) {
             return advance() && tokens.is("1") && !advance();
         }
@@ -56,18 +56,18 @@
 
     private boolean readColumn() {
         String variable = readVariable();
-        String value = variable == null ? null : values.apply(name(variable));
+        String value = variable == null ? null : values.apply(nameWithoutScope(variable));
         if (value == null) {
             return false;
         }
         advance();
         String label = variable;
-        if (more && tokens.is("as")) {
+        if (hasToken && tokens.is("as")) {
             if (!advance()) {
                 return false;
             }
             label = readAlias();
-        } else if (more && tokens.kind() == SqlTokens.Kind.WORD && !tokens.is("limit")) {
+        } else if (hasToken && tokens.kind() == SqlTokens.Kind.WORD && !tokens.is("limit")) {
             label = readAlias();
         }
         labels.add(label);
@@ -85,7 +85,7 @@
      * Reads a variable and returns it as written, with its scope; null if there is none at the current token.
      */
     private String readVariable() {
-        if (!skipSigns()) {
+        if (!skipAtSigns()) {
             return null;
         }
         String variable = "@@" + tokens.text();
@@ -103,7 +103,7 @@
         return tokens.is(symbol) && advance();
     }
 
-    private boolean skipSigns() {
+    private boolean skipAtSigns() {
         boolean first = skip("@");
         return first && skip("@");
     }
@@ -112,7 +112,7 @@
         return tokens.is("session") || tokens.is("local") || tokens.is("global");
     }
 
-    private static String name(String variable) {
+    private static String nameWithoutScope(String variable) {
         int afterScope = variable.lastIndexOf('.') + 1;
         return variable.substring(Math.max(afterScope, "@@".length())).toLowerCase(Locale.ROOT);
     }
