--- a/src/main/java/lineward/mysql/session/UnsupportedSettingException.java
+++ b/src/main/java/lineward/mysql/session/UnsupportedSettingException.java
@@ -4,14 +4,14 @@
 public final class UnsupportedSettingException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    UnsupportedSettingException(String unsupported) {
-        super(unsupported);
+    UnsupportedSettingException(String part) {
+        super(part);
     }
 
     /** Throws an exception that names the part of the statement unless the part is supported. */
-    static void require(boolean supported, String otherwise) throws UnsupportedSettingException {
+    static void require(boolean supported, String part) throws UnsupportedSettingException {
         if (!supported) {
-            throw new UnsupportedSettingException(otherwise);
+            throw new UnsupportedSettingException(part);
         }
     }
 }
