--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -121,7 +121,7 @@
     }
 
     private void readOrRun(ByteBuf payload, String text, boolean writes) {
-        Optional<LocalResult> local = settings.read(text);
+        Optional<LocalResult> local = settings.queryVariables(text);
         if (local.isPresent()) {
             sendLocalResult(local.get());
             return;
--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -52,7 +52,7 @@
 
     /** Returns the SET statement that applies the attempt's settings, encoded as in {@link Texts}. */
     String settingsChangeFor(QueryAttempt attempt) {
-        return Texts.latin1(SessionSettings.change(settings, attempt.settings()));
+        return Texts.latin1(SessionSettings.changeStatement(settings, attempt.settings()));
     }
 
     /** Records that the engine has applied the attempt's settings. */
--- a/src/main/java/lineward/mysql/session/SessionSettings.java
+++ b/src/main/java/lineward/mysql/session/SessionSettings.java
@@ -39,7 +39,7 @@
     }
 
     /** Returns the SET statement that changes a connection's variables from the first map to the second. */
-    public static String change(Map<String, String> from, Map<String, String> to) {
+    public static String changeStatement(Map<String, String> from, Map<String, String> to) {
         List<String> assignments = new ArrayList<>();
         from.keySet().stream()
                 .filter(name -> !to.containsKey(name))
@@ -61,7 +61,7 @@
     public void set(String statement) throws UnsupportedSettingException {
         Map<String, String> changed = new TreeMap<>(values);
         for (Assignment assignment : new SetStatementParser(statement, this::valueOf).parse()) {
-            apply(changed, assignment);
+            applyAssignment(changed, assignment);
         }
         if (changed.size() > MAX_SETTINGS) {
             throw new UnsupportedSettingException("more than " + MAX_SETTINGS + " settings");
@@ -73,18 +73,19 @@
         forwarded = Map.copyOf(forEngines);
     }
 
-    private static void apply(Map<String, String> to, Assignment change) throws UnsupportedSettingException {
-        String name = change.name();
-        if (change.value().length() > MAX_VALUE_LENGTH) {
+    private static void applyAssignment(Map<String, String> settings, Assignment assignment)
+            throws UnsupportedSettingException {
+        String name = assignment.name();
+        if (assignment.value().length() > MAX_VALUE_LENGTH) {
             throw new UnsupportedSettingException("a value of " + name + " longer than " + MAX_VALUE_LENGTH);
         }
-        String keyword = change.unquoted().toLowerCase(Locale.ROOT);
+        String keyword = assignment.unquoted().toLowerCase(Locale.ROOT);
         switch (name) {
             case "autocommit" -> requireAutocommit(keyword);
-            case "names" -> applyNames(to, change.value());
-            case CHARACTER_SET_RESULTS -> applyResultCharset(to, keyword);
+            case "names" -> applyNames(settings, assignment.value());
+            case CHARACTER_SET_RESULTS -> applyResultCharset(settings, keyword);
             case "character_set_client", "character_set_connection" -> requireUtf8(keyword);
-            default -> applyVariable(to, change);
+            default -> applyVariable(settings, assignment);
         }
     }
 
@@ -142,7 +143,7 @@
     /**
      * Returns the result of a SELECT of variables whose values are known here; empty for any other statement.
      */
-    public Optional<LocalResult> read(String statement) {
+    public Optional<LocalResult> queryVariables(String statement) {
         return new VariableQuery(statement, this::valueOf).answer();
     }
 }
--- a/src/test/java/lineward/mysql/session/SessionSettingsTest.java
+++ b/src/test/java/lineward/mysql/session/SessionSettingsTest.java
@@ -109,7 +109,7 @@
             throws UnsupportedSettingException {
         SessionSettings settings = new SessionSettings();
         settings.set("set sql_mode = 'ANSI'");
-        Optional<LocalResult> result = settings.read(text);
+        Optional<LocalResult> result = settings.queryVariables(text);
         if (labels == null) {
             assertEquals(result, Optional.empty());
         } else {
@@ -121,7 +121,7 @@
     @Test
     public void changesOnlySettingsThatDiffer() {
         assertEquals(
-                SessionSettings.change(Map.of("a", "1", "b", "2"), Map.of("b", "3")),
+                SessionSettings.changeStatement(Map.of("a", "1", "b", "2"), Map.of("b", "3")),
                 "SET SESSION a=DEFAULT, SESSION b=3");
     }
 
