--- a/src/main/java/lineward/mysql/session/StatementClassifier.java
+++ b/src/main/java/lineward/mysql/session/StatementClassifier.java
@@ -112,9 +112,9 @@
             case "use" -> new StatementKind.UseSchema(second.isEmpty() ? "" : tokens.text());
             case "set" -> new StatementKind.SetVariables();
             case "commit" -> new StatementKind.NoOperation();
-            case "rollback" -> rollback(tokens);
-            case "start" -> start(second);
-            case "show" -> show(text, second);
+            case "rollback" -> classifyRollback(tokens);
+            case "start" -> classifyStart(second);
+            case "show" -> classifyShow(text, second);
             default -> classifyOther(text, first, second);
         };
     }
@@ -128,21 +128,21 @@
     }
 
     /** ROLLBACK [WORK] TO refers to a savepoint; a plain ROLLBACK has nothing to roll back. */
-    private static StatementKind rollback(SqlTokens tokens) {
+    private static StatementKind classifyRollback(SqlTokens tokens) {
         boolean toSavepoint = tokens.is("to") || (tokens.is("work") && tokens.next() && tokens.is("to"));
-        return toSavepoint ? noTransaction("ROLLBACK TO") : new StatementKind.NoOperation();
+        return toSavepoint ? unsupportedTransaction("ROLLBACK TO") : new StatementKind.NoOperation();
     }
 
-    private static StatementKind start(String second) {
+    private static StatementKind classifyStart(String second) {
         if (second.equals("transaction")) {
-            return noTransaction("START TRANSACTION");
+            return unsupportedTransaction("START TRANSACTION");
         }
         return new StatementKind.Write(true);
     }
 
-    private static StatementKind show(String text, String second) {
+    private static StatementKind classifyShow(String text, String second) {
         if (second.equals("temporary")) {
-            return temporaryTable();
+            return unsupportedTemporaryTable();
         }
         if (WARNING_LISTS.contains(second)) {
             return new StatementKind.ShowWarnings();
@@ -155,13 +155,13 @@
 
     private static StatementKind classifyOther(String text, String first, String second) {
         if (TRANSACTION_KEYWORDS.contains(first)) {
-            return noTransaction(first.toUpperCase(Locale.ROOT));
+            return unsupportedTransaction(first.toUpperCase(Locale.ROOT));
         }
         if (SESSION_KEYWORDS.contains(first)) {
             return unsupported(first.toUpperCase(Locale.ROOT));
         }
         if (second.equals("temporary")) {
-            return temporaryTable();
+            return unsupportedTemporaryTable();
         }
         return new StatementClassifier(text, first).classifyTokens();
     }
@@ -176,7 +176,7 @@
             boolean executable = tokens.kind() == SqlTokens.Kind.EXECUTABLE_COMMENT;
             onlyReads &= !executable && !isAfterWriteKeyword();
             changesSession |= executable || keyword.equals("temporary");
-            advance(keyword);
+            recordToken(keyword);
         }
         boolean endsInWriteKeyword = WRITE_KEYWORDS.contains(previousToken);
         if (onlyReads && !endsInWriteKeyword) {
@@ -203,7 +203,7 @@
         return SESSION_VARIABLES.contains(keyword) ? unsupported(SYSTEM_VARIABLE_SIGN + keyword) : null;
     }
 
-    private void advance(String keyword) {
+    private void recordToken(String keyword) {
         if (!tokens.is(USER_VARIABLE_SIGN)) {
             previousToken = keyword;
         } else {
@@ -212,7 +212,7 @@
         }
     }
 
-    private static StatementKind temporaryTable() {
+    private static StatementKind unsupportedTemporaryTable() {
         return unsupported("a temporary table");
     }
 
@@ -220,7 +220,7 @@
         return new StatementKind.Rejected(Failure.unsupported(what));
     }
 
-    private static StatementKind noTransaction(String what) {
+    private static StatementKind unsupportedTransaction(String what) {
         return new StatementKind.Rejected(Failure.noTransaction(what));
     }
 }
