--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -14,9 +14,9 @@
 import lineward.mysql.session.Work;
 import lineward.mysql.wire.Commands;
 import lineward.mysql.wire.Failure;
+import lineward.mysql.wire.Latin1Texts;
 import lineward.mysql.wire.LocalResult;
 import lineward.mysql.wire.Packets;
-import lineward.mysql.wire.Texts;
 
 /** Executes the commands of one authenticated client: answers them locally or forwards them to an engine. */
 final class ClientCommands {
@@ -94,7 +94,7 @@
         } else if (kind instanceof StatementKind.NoOperation) {
             replies.sendOk();
         } else if (kind instanceof StatementKind.UseSchema use) {
-            queries.useSchema(Texts.latin1(use.schema()));
+            queries.useSchema(Latin1Texts.encode(use.schema()));
         } else if (kind instanceof StatementKind.SetVariables) {
             changeSettings(text);
         } else if (kind instanceof StatementKind.ShowWarnings) {
@@ -165,7 +165,7 @@
             replies.sendError(Failure.wrongArguments(e.getMessage()));
             return;
         }
-        String text = Texts.utf8(statement.text());
+        String text = Latin1Texts.decode(statement.text());
         boolean writes = StatementKind.of(text) instanceof StatementKind.Write;
         PreparedStatement cursor = requestsCursor && !writes ? statement : null;
         String key = writes ? "" : statement.hint().key();
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -14,8 +14,8 @@
 import lineward.mysql.wire.Auth;
 import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.Handshake;
+import lineward.mysql.wire.Latin1Texts;
 import lineward.mysql.wire.Packets;
-import lineward.mysql.wire.Texts;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -161,7 +161,7 @@
         if (login.schema().isEmpty()) {
             replies.sendOk();
         } else {
-            queries.useSchema(Texts.latin1(login.schema()));
+            queries.useSchema(Latin1Texts.encode(login.schema()));
         }
     }
 
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -53,7 +53,7 @@
         return session.number();
     }
 
-    /** Returns the selected schema, encoded as in {@link lineward.mysql.wire.Texts}; empty if none. */
+    /** Returns the selected schema, encoded as in {@link lineward.mysql.wire.Latin1Texts}; empty if none. */
     String schema() {
         return schema;
     }
--- a/src/main/java/lineward/mysql/engine/EngineCommands.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommands.java
@@ -17,7 +17,9 @@
         this.channel = channel;
     }
 
-    /** Writes a command with a text argument, which is encoded as in {@link lineward.mysql.wire.Texts}. */
+    /**
+     * Writes a command with a text argument, which is encoded as in {@link lineward.mysql.wire.Latin1Texts}.
+     */
     void text(int command, String latin1) {
         write(command, Unpooled.wrappedBuffer(latin1.getBytes(StandardCharsets.ISO_8859_1)));
     }
--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -5,7 +5,7 @@
 import lineward.mysql.engine.ConnectionState.Transition;
 import lineward.mysql.session.SessionSettings;
 import lineward.mysql.session.Work;
-import lineward.mysql.wire.Texts;
+import lineward.mysql.wire.Latin1Texts;
 
 /** The session state of a connection to an engine: its settings, schema and prepared statements. */
 final class EngineSession {
@@ -50,9 +50,9 @@
         return differs && !(work instanceof Work.UseSchema);
     }
 
-    /** Returns the SET statement that applies the attempt's settings, encoded as in {@link Texts}. */
+    /** Returns the SET statement that applies the attempt's settings, encoded as in {@link Latin1Texts}. */
     String settingsChangeFor(QueryAttempt attempt) {
-        return Texts.latin1(SessionSettings.changeStatement(settings, attempt.settings()));
+        return Latin1Texts.encode(SessionSettings.changeStatement(settings, attempt.settings()));
     }
 
     /** Records that the engine has applied the attempt's settings. */
--- a/src/main/java/lineward/mysql/session/Work.java
+++ b/src/main/java/lineward/mysql/session/Work.java
@@ -7,9 +7,11 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 import java.util.List;
-import lineward.mysql.wire.Texts;
+import lineward.mysql.wire.Latin1Texts;
 
-/** A command that an attempt executes at an engine; schemas and texts are encoded as in {@link Texts}. */
+/**
+ * A command that an attempt executes at an engine; schemas and texts are encoded as in {@link Latin1Texts}.
+ */
 public sealed interface Work {
     /** Returns the schema of the session; empty if the client has selected none. */
     String schema();
@@ -20,7 +22,7 @@
     }
 
     private static boolean changesSession(String latin1) {
-        StatementKind kind = StatementKind.of(Texts.utf8(latin1));
+        StatementKind kind = StatementKind.of(Latin1Texts.decode(latin1));
         return kind instanceof StatementKind.Write write && write.changesSession();
     }
 
