--- a/src/main/java/lineward/mysql/client/ClientLogin.java
+++ b/src/main/java/lineward/mysql/client/ClientLogin.java
@@ -64,12 +64,12 @@
         }
         login = Handshake.readLogin(payload);
         boolean supported = Auth.isSupported(login.plugin());
-        return supported ? verify(login.plugin(), login.proof()) : Outcome.SWITCH_REQUIRED;
+        return supported ? verify(login.plugin(), login.authResponse()) : Outcome.SWITCH_REQUIRED;
     }
 
     private Outcome verify(String plugin, byte[] proof) {
         String password = passwords.get(login.user());
-        if (password == null || !Auth.proves(plugin, password, nonce, proof)) {
+        if (password == null || !Auth.matches(plugin, password, nonce, proof)) {
             return Outcome.DENIED;
         }
         awaitsFastAuthConfirmation = plugin.equals(Auth.SHA2) && !password.isEmpty();
--- a/src/main/java/lineward/mysql/engine/EngineLogin.java
+++ b/src/main/java/lineward/mysql/engine/EngineLogin.java
@@ -72,7 +72,7 @@
         threadId = greeting.thread();
         nonce = greeting.nonce();
         String plugin = Auth.isSupported(greeting.plugin()) ? greeting.plugin() : Auth.SHA2;
-        byte[] proof = Auth.proof(plugin, engine.password(), nonce);
+        byte[] proof = Auth.scramble(plugin, engine.password(), nonce);
         int capabilities = Handshake.CAPABILITIES & ~Handshake.WITH_DB;
         Handshake.Login login = new Handshake.Login(capabilities, engine.user(), proof, "", plugin);
         ChannelOperations.write(channel, Handshake.login(channel.alloc(), sequence, login));
@@ -84,7 +84,7 @@
         if (!Auth.isSupported(plugin)) {
             throw new DecoderException("engine requested the unsupported authentication plugin " + plugin);
         }
-        send(sequence, Auth.proof(plugin, engine.password(), nonce));
+        send(sequence, Auth.scramble(plugin, engine.password(), nonce));
     }
 
     /**
@@ -100,7 +100,7 @@
         }
         String publicKey = payload.toString(StandardCharsets.US_ASCII);
         try {
-            send(sequence, Auth.encrypt(engine.password(), nonce, publicKey));
+            send(sequence, Auth.encryptPassword(engine.password(), nonce, publicKey));
         } catch (GeneralSecurityException | IllegalArgumentException e) {
             throw new DecoderException("engine's public key is not usable", e);
         }
--- a/src/main/java/lineward/mysql/wire/Auth.java
+++ b/src/main/java/lineward/mysql/wire/Auth.java
@@ -40,7 +40,7 @@
     }
 
     /** Returns the plugin's scramble for the password and the nonce; empty for an empty password. */
-    public static byte[] proof(String plugin, String password, byte[] nonce) {
+    public static byte[] scramble(String plugin, String password, byte[] nonce) {
         if (password.isEmpty()) {
             return new byte[0];
         }
@@ -54,18 +54,19 @@
     }
 
     /** Returns whether the scramble that a client sent matches the password; compares in constant time. */
-    public static boolean proves(String plugin, String password, byte[] nonce, byte[] given) {
-        return MessageDigest.isEqual(proof(plugin, password, nonce), given);
+    public static boolean matches(String plugin, String password, byte[] nonce, byte[] authResponse) {
+        return MessageDigest.isEqual(scramble(plugin, password, nonce), authResponse);
     }
 
     /**
      * Returns the password, encrypted with the server's RSA public key. A server requests it with
      * caching_sha2_password if it can't verify the scramble.
      *
-     * @param pem the public key
+     * @param publicKeyPem the public key
      */
-    public static byte[] encrypt(String password, byte[] nonce, String pem) throws GeneralSecurityException {
-        String base64 = pem.replaceAll("-----[A-Z ]+-----", "").replaceAll("\\s", "");
+    public static byte[] encryptPassword(String password, byte[] nonce, String publicKeyPem)
+            throws GeneralSecurityException {
+        String base64 = publicKeyPem.replaceAll("-----[A-Z ]+-----", "").replaceAll("\\s", "");
         PublicKey key = KeyFactory.getInstance("RSA")
                 .generatePublic(new X509EncodedKeySpec(Base64.getDecoder().decode(base64)));
         byte[] text = (password + '\0').getBytes(CharsetUtil.UTF_8);
--- a/src/main/java/lineward/mysql/wire/Handshake.java
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -51,7 +51,7 @@
 
     /** The content of a client's login packet; the schema is empty if the client selects none. */
     @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
-    public record Login(int capabilities, String user, byte[] proof, String schema, String plugin) {}
+    public record Login(int capabilities, String user, byte[] authResponse, String schema, String plugin) {}
 
     private Handshake() {}
 
@@ -106,7 +106,7 @@
                 .writeByte(UTF8MB4)
                 .writeZero(LOGIN_RESERVED_BYTES);
         writeZeroTerminated(packet, login.user());
-        packet.writeByte(login.proof().length).writeBytes(login.proof());
+        packet.writeByte(login.authResponse().length).writeBytes(login.authResponse());
         if ((login.capabilities() & WITH_DB) != 0) {
             writeZeroTerminated(packet, login.schema());
         }
@@ -132,11 +132,11 @@
             if (length < 0 || length > payload.readableBytes()) {
                 throw new DecoderException("proof of " + length + " bytes");
             }
-            byte[] proof = new byte[length];
-            payload.readBytes(proof);
+            byte[] authResponse = new byte[length];
+            payload.readBytes(authResponse);
             String schema = (capabilities & WITH_DB) != 0 ? Packets.zeroTerminated(payload) : "";
             String plugin = (capabilities & PLUGIN_AUTH) != 0 ? Packets.zeroTerminated(payload) : Auth.NATIVE;
-            return new Login(capabilities, user, proof, schema, plugin);
+            return new Login(capabilities, user, authResponse, schema, plugin);
         } catch (IndexOutOfBoundsException e) {
             throw new DecoderException("login ends early", e);
         }
