--- a/src/main/java/lineward/mysql/engine/EngineLogin.java
+++ b/src/main/java/lineward/mysql/engine/EngineLogin.java
@@ -73,7 +73,7 @@
         nonce = greeting.nonce();
         String plugin = Auth.isSupported(greeting.plugin()) ? greeting.plugin() : Auth.SHA2;
         byte[] proof = Auth.scramble(plugin, engine.password(), nonce);
-        int capabilities = Handshake.CAPABILITIES & ~Handshake.WITH_DB;
+        int capabilities = Handshake.ENGINE_CAPABILITIES & ~Handshake.CONNECT_WITH_DB;
         Handshake.Login login = new Handshake.Login(capabilities, engine.user(), proof, "", plugin);
         ChannelOperations.write(channel, Handshake.login(channel.alloc(), sequence, login));
     }
--- a/src/main/java/lineward/mysql/wire/Handshake.java
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -9,27 +9,27 @@
 /** The packets of the connection phase, on connections from clients and on connections to engines. */
 public final class Handshake {
     public static final int LONG_PASSWORD = 0x1;
-    public static final int WITH_DB = 0x8;
+    public static final int CONNECT_WITH_DB = 0x8;
     public static final int PROTOCOL_41 = 0x200;
     public static final int SSL = 0x800;
     public static final int TRANSACTIONS = 0x2000;
-    public static final int SECURE = 0x8000;
+    public static final int SECURE_CONNECTION = 0x8000;
     public static final int PLUGIN_AUTH = 0x80000;
-    public static final int PLUGIN_DATA = 0x200000;
+    public static final int PLUGIN_AUTH_LENENC_DATA = 0x200000;
     /**
      * The capabilities used with engines: EOF packets, no session tracking, no query attributes, one
      * statement and one result for each command. A client with these capabilities gets the results unchanged.
      */
-    public static final int CAPABILITIES = PROTOCOL_41
+    public static final int ENGINE_CAPABILITIES = PROTOCOL_41
             | LONG_PASSWORD
-            | WITH_DB // the login packet has a schema field
+            | CONNECT_WITH_DB // the login packet has a schema field
             | TRANSACTIONS
-            | SECURE
+            | SECURE_CONNECTION
             | PLUGIN_AUTH;
     /** Results have no EOF packet after the columns, and an OK packet instead of EOF after the rows. */
     public static final int DEPRECATE_EOF = 0x1000000;
     /** The capabilities offered to clients; {@link Dialect} converts the engines' replies. */
-    public static final int OFFERED = CAPABILITIES | DEPRECATE_EOF;
+    public static final int OFFERED_CAPABILITIES = ENGINE_CAPABILITIES | DEPRECATE_EOF;
 
     /** Number of the collation utf8mb4_general_ci. */
     public static final int UTF8MB4 = 45;
@@ -60,8 +60,10 @@
         ByteBuf packet = Packets.begin(alloc, 0).writeByte(PROTOCOL_VERSION);
         writeZeroTerminated(packet, SERVER_VERSION);
         packet.writeIntLE(thread).writeBytes(nonce, 0, NONCE_HEAD).writeByte(0);
-        packet.writeShortLE(OFFERED).writeByte(UTF8MB4).writeShortLE(Packets.AUTOCOMMIT);
-        packet.writeShortLE(OFFERED >>> 16).writeByte(nonce.length + 1).writeZero(GREETING_RESERVED_BYTES);
+        packet.writeShortLE(OFFERED_CAPABILITIES).writeByte(UTF8MB4).writeShortLE(Packets.AUTOCOMMIT);
+        packet.writeShortLE(OFFERED_CAPABILITIES >>> 16)
+                .writeByte(nonce.length + 1)
+                .writeZero(GREETING_RESERVED_BYTES);
         packet.writeBytes(nonce, NONCE_HEAD, nonce.length - NONCE_HEAD).writeByte(0);
         writeZeroTerminated(packet, Auth.SHA2);
         return Packets.done(packet);
@@ -107,7 +109,7 @@
                 .writeZero(LOGIN_RESERVED_BYTES);
         writeZeroTerminated(packet, login.user());
         packet.writeByte(login.authResponse().length).writeBytes(login.authResponse());
-        if ((login.capabilities() & WITH_DB) != 0) {
+        if ((login.capabilities() & CONNECT_WITH_DB) != 0) {
             writeZeroTerminated(packet, login.schema());
         }
         writeZeroTerminated(packet, login.plugin());
@@ -127,14 +129,14 @@
             }
             payload.skipBytes(4 + 1 + LOGIN_RESERVED_BYTES);
             String user = Packets.zeroTerminated(payload);
-            boolean lengthEncoded = (capabilities & PLUGIN_DATA) != 0;
+            boolean lengthEncoded = (capabilities & PLUGIN_AUTH_LENENC_DATA) != 0;
             int length = lengthEncoded ? (int) Packets.lengthEncoded(payload) : payload.readUnsignedByte();
             if (length < 0 || length > payload.readableBytes()) {
                 throw new DecoderException("proof of " + length + " bytes");
             }
             byte[] authResponse = new byte[length];
             payload.readBytes(authResponse);
-            String schema = (capabilities & WITH_DB) != 0 ? Packets.zeroTerminated(payload) : "";
+            String schema = (capabilities & CONNECT_WITH_DB) != 0 ? Packets.zeroTerminated(payload) : "";
             String plugin = (capabilities & PLUGIN_AUTH) != 0 ? Packets.zeroTerminated(payload) : Auth.NATIVE;
             return new Login(capabilities, user, authResponse, schema, plugin);
         } catch (IndexOutOfBoundsException e) {
