--- a/src/main/java/lineward/mysql/engine/EngineLogin.java
+++ b/src/main/java/lineward/mysql/engine/EngineLogin.java
@@ -69,7 +69,7 @@
     }
 
     private void answerGreeting(Handshake.Greeting greeting, int sequence) {
-        threadId = greeting.thread();
+        threadId = greeting.threadId();
         nonce = greeting.nonce();
         String plugin = Auth.isSupported(greeting.plugin()) ? greeting.plugin() : Auth.SHA2;
         byte[] proof = Auth.scramble(plugin, engine.password(), nonce);
--- a/src/main/java/lineward/mysql/wire/Handshake.java
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -47,7 +47,7 @@
 
     /** The content of a server's greeting, its first packet; the thread is the id of the connection. */
     @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
-    public record Greeting(long thread, byte[] nonce, String plugin) {}
+    public record Greeting(long threadId, byte[] nonce, String plugin) {}
 
     /** The content of a client's login packet; the schema is empty if the client selects none. */
     @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
@@ -56,10 +56,10 @@
     private Handshake() {}
 
     /** Returns the greeting, the first packet on a client's connection. */
-    public static ByteBuf greeting(ByteBufAllocator alloc, int thread, byte[] nonce) {
+    public static ByteBuf greeting(ByteBufAllocator alloc, int threadId, byte[] nonce) {
         ByteBuf packet = Packets.begin(alloc, 0).writeByte(PROTOCOL_VERSION);
         writeZeroTerminated(packet, SERVER_VERSION);
-        packet.writeIntLE(thread).writeBytes(nonce, 0, NONCE_HEAD).writeByte(0);
+        packet.writeIntLE(threadId).writeBytes(nonce, 0, NONCE_HEAD).writeByte(0);
         packet.writeShortLE(OFFERED_CAPABILITIES).writeByte(UTF8MB4).writeShortLE(Packets.AUTOCOMMIT);
         packet.writeShortLE(OFFERED_CAPABILITIES >>> 16)
                 .writeByte(nonce.length + 1)
@@ -80,7 +80,7 @@
                 throw new DecoderException("not version 10 of the protocol");
             }
             Packets.zeroTerminated(payload);
-            long thread = payload.readUnsignedIntLE();
+            long threadId = payload.readUnsignedIntLE();
             byte[] head = new byte[NONCE_HEAD];
             payload.readBytes(head).skipBytes(1);
             int capabilities = payload.readUnsignedShortLE();
@@ -94,7 +94,7 @@
             int tailBytes = Math.min(tail.length, Auth.NONCE_BYTES - NONCE_HEAD);
             System.arraycopy(tail, 0, nonce, NONCE_HEAD, tailBytes);
             String plugin = (capabilities & PLUGIN_AUTH) != 0 ? Packets.zeroTerminated(payload) : Auth.NATIVE;
-            return new Greeting(thread, nonce, plugin);
+            return new Greeting(threadId, nonce, plugin);
         } catch (IndexOutOfBoundsException e) {
             throw new DecoderException("greeting ends early", e);
         }
