--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -69,13 +69,13 @@
             case Commands.INIT_DB -> queries.useSchema(payload.toString(StandardCharsets.ISO_8859_1));
             case Commands.QUERY -> query(payload);
             case Commands.STATISTICS -> sendStatistics();
-            case Commands.PREPARE -> prepare(payload);
-            case Commands.EXECUTE -> executeStatement(payload);
-            case Commands.LONG_DATA -> addLongData(payload);
-            case Commands.CLOSE -> closeStatement(payload);
-            case Commands.RESET -> resetStatement(payload);
+            case Commands.STMT_PREPARE -> prepare(payload);
+            case Commands.STMT_EXECUTE -> executeStatement(payload);
+            case Commands.STMT_SEND_LONG_DATA -> addLongData(payload);
+            case Commands.STMT_CLOSE -> closeStatement(payload);
+            case Commands.STMT_RESET -> resetStatement(payload);
             case Commands.RESET_CONNECTION -> resetConnection();
-            case Commands.FETCH -> fetch(payload);
+            case Commands.STMT_FETCH -> fetch(payload);
             default -> replies.sendError(Failure.unknownCommand());
         }
     }
--- a/src/main/java/lineward/mysql/engine/EngineCommands.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommands.java
@@ -29,7 +29,7 @@
         if (work instanceof Work.Query query) {
             text(Commands.QUERY, query.text());
         } else if (work instanceof Work.Prepare prepare) {
-            text(Commands.PREPARE, prepare.text());
+            text(Commands.STMT_PREPARE, prepare.text());
         } else if (work instanceof Work.UseSchema useSchema) {
             text(Commands.INIT_DB, useSchema.schema());
         }
@@ -41,14 +41,14 @@
             ByteBuf arguments = statementArguments(statementId)
                     .writeShortLE(data.parameter())
                     .writeBytes(data.bytes());
-            write(Commands.LONG_DATA, arguments);
+            write(Commands.STMT_SEND_LONG_DATA, arguments);
         }
-        write(Commands.EXECUTE, statementArguments(statementId).writeBytes(work.arguments()));
+        write(Commands.STMT_EXECUTE, statementArguments(statementId).writeBytes(work.arguments()));
     }
 
     /** Closes the prepared statement with this id; the engine sends no reply. */
     void closeStatement(long statementId) {
-        write(Commands.CLOSE, statementArguments(statementId));
+        write(Commands.STMT_CLOSE, statementArguments(statementId));
     }
 
     /** Runs the callback once all earlier commands have been written to the socket, but not if that fails. */
--- a/src/main/java/lineward/mysql/engine/EngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnection.java
@@ -116,7 +116,7 @@
         switch (step) {
             case APPLY_SETTINGS -> send(Commands.QUERY, session.settingsChangeFor(attempt));
             case SELECT_SCHEMA -> send(Commands.INIT_DB, work.schema());
-            case PREPARE -> send(Commands.PREPARE, ((Work.Execute) work).text());
+            case PREPARE -> send(Commands.STMT_PREPARE, ((Work.Execute) work).text());
             default -> sendOwnCommand(work, attempt);
         }
     }
@@ -144,7 +144,7 @@
     }
 
     private void send(int command, String latin1) {
-        tracker = new ReplyTracker(command == Commands.PREPARE);
+        tracker = new ReplyTracker(command == Commands.STMT_PREPARE);
         commands.text(command, latin1);
     }
 
--- a/src/main/java/lineward/mysql/wire/Commands.java
+++ b/src/main/java/lineward/mysql/wire/Commands.java
@@ -7,12 +7,12 @@
     public static final int QUERY = 0x03;
     public static final int STATISTICS = 0x09;
     public static final int PING = 0x0e;
-    public static final int PREPARE = 0x16;
-    public static final int EXECUTE = 0x17;
-    public static final int LONG_DATA = 0x18;
-    public static final int CLOSE = 0x19;
-    public static final int RESET = 0x1a;
-    public static final int FETCH = 0x1c;
+    public static final int STMT_PREPARE = 0x16;
+    public static final int STMT_EXECUTE = 0x17;
+    public static final int STMT_SEND_LONG_DATA = 0x18;
+    public static final int STMT_CLOSE = 0x19;
+    public static final int STMT_RESET = 0x1a;
+    public static final int STMT_FETCH = 0x1c;
     public static final int RESET_CONNECTION = 0x1f;
 
     private Commands() {}
