--- a/src/main/java/lineward/mysql/engine/EngineLogin.java
+++ b/src/main/java/lineward/mysql/engine/EngineLogin.java
@@ -79,7 +79,7 @@
     }
 
     private void switchPlugin(ByteBuf payload, int sequence) {
-        String plugin = Packets.zeroTerminated(payload);
+        String plugin = Packets.readCString(payload);
         payload.readBytes(nonce, 0, Math.min(nonce.length, payload.readableBytes()));
         if (!Auth.isSupported(plugin)) {
             throw new DecoderException("engine requested the unsupported authentication plugin " + plugin);
--- a/src/main/java/lineward/mysql/wire/Handshake.java
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -58,14 +58,14 @@
     /** Returns the greeting, the first packet on a client's connection. */
     public static ByteBuf greeting(ByteBufAllocator alloc, int threadId, byte[] nonce) {
         ByteBuf packet = Packets.begin(alloc, 0).writeByte(PROTOCOL_VERSION);
-        writeZeroTerminated(packet, SERVER_VERSION);
+        writeCString(packet, SERVER_VERSION);
         packet.writeIntLE(threadId).writeBytes(nonce, 0, NONCE_HEAD).writeByte(0);
         packet.writeShortLE(OFFERED_CAPABILITIES).writeByte(UTF8MB4).writeShortLE(Packets.AUTOCOMMIT);
         packet.writeShortLE(OFFERED_CAPABILITIES >>> 16)
                 .writeByte(nonce.length + 1)
                 .writeZero(GREETING_RESERVED_BYTES);
         packet.writeBytes(nonce, NONCE_HEAD, nonce.length - NONCE_HEAD).writeByte(0);
-        writeZeroTerminated(packet, Auth.SHA2);
+        writeCString(packet, Auth.SHA2);
         return Packets.done(packet);
     }
 
@@ -79,7 +79,7 @@
             if (payload.readUnsignedByte() != PROTOCOL_VERSION) {
                 throw new DecoderException("not version 10 of the protocol");
             }
-            Packets.zeroTerminated(payload);
+            Packets.readCString(payload);
             long threadId = payload.readUnsignedIntLE();
             byte[] head = new byte[NONCE_HEAD];
             payload.readBytes(head).skipBytes(1);
@@ -93,7 +93,7 @@
             byte[] nonce = Arrays.copyOf(head, Auth.NONCE_BYTES);
             int tailBytes = Math.min(tail.length, Auth.NONCE_BYTES - NONCE_HEAD);
             System.arraycopy(tail, 0, nonce, NONCE_HEAD, tailBytes);
-            String plugin = (capabilities & PLUGIN_AUTH) != 0 ? Packets.zeroTerminated(payload) : Auth.NATIVE;
+            String plugin = (capabilities & PLUGIN_AUTH) != 0 ? Packets.readCString(payload) : Auth.NATIVE;
             return new Greeting(threadId, nonce, plugin);
         } catch (IndexOutOfBoundsException e) {
             throw new DecoderException("greeting ends early", e);
@@ -107,12 +107,12 @@
                 .writeIntLE(MAX_PACKET_BYTES)
                 .writeByte(UTF8MB4)
                 .writeZero(LOGIN_RESERVED_BYTES);
-        writeZeroTerminated(packet, login.user());
+        writeCString(packet, login.user());
         packet.writeByte(login.authResponse().length).writeBytes(login.authResponse());
         if ((login.capabilities() & CONNECT_WITH_DB) != 0) {
-            writeZeroTerminated(packet, login.schema());
+            writeCString(packet, login.schema());
         }
-        writeZeroTerminated(packet, login.plugin());
+        writeCString(packet, login.plugin());
         return Packets.done(packet);
     }
 
@@ -128,16 +128,16 @@
                 throw new DecoderException("client does not speak protocol 4.1 in the clear");
             }
             payload.skipBytes(4 + 1 + LOGIN_RESERVED_BYTES);
-            String user = Packets.zeroTerminated(payload);
-            boolean lengthEncoded = (capabilities & PLUGIN_AUTH_LENENC_DATA) != 0;
-            int length = lengthEncoded ? (int) Packets.lengthEncoded(payload) : payload.readUnsignedByte();
+            String user = Packets.readCString(payload);
+            boolean isLenenc = (capabilities & PLUGIN_AUTH_LENENC_DATA) != 0;
+            int length = isLenenc ? (int) Packets.readLengthEncodedInt(payload) : payload.readUnsignedByte();
             if (length < 0 || length > payload.readableBytes()) {
                 throw new DecoderException("proof of " + length + " bytes");
             }
             byte[] authResponse = new byte[length];
             payload.readBytes(authResponse);
-            String schema = (capabilities & CONNECT_WITH_DB) != 0 ? Packets.zeroTerminated(payload) : "";
-            String plugin = (capabilities & PLUGIN_AUTH) != 0 ? Packets.zeroTerminated(payload) : Auth.NATIVE;
+            String schema = (capabilities & CONNECT_WITH_DB) != 0 ? Packets.readCString(payload) : "";
+            String plugin = (capabilities & PLUGIN_AUTH) != 0 ? Packets.readCString(payload) : Auth.NATIVE;
             return new Login(capabilities, user, authResponse, schema, plugin);
         } catch (IndexOutOfBoundsException e) {
             throw new DecoderException("login ends early", e);
@@ -147,7 +147,7 @@
     /** Returns the packet that asks the client to authenticate with this plugin instead. */
     public static ByteBuf authSwitch(ByteBufAllocator alloc, int sequence, String plugin, byte[] nonce) {
         ByteBuf packet = Packets.begin(alloc, sequence).writeByte(Packets.EOF);
-        writeZeroTerminated(packet, plugin);
+        writeCString(packet, plugin);
         return Packets.done(packet.writeBytes(nonce).writeByte(0));
     }
 
@@ -156,7 +156,7 @@
         return Packets.done(Packets.begin(alloc, sequence).writeBytes(payload));
     }
 
-    private static void writeZeroTerminated(ByteBuf packet, String text) {
+    private static void writeCString(ByteBuf packet, String text) {
         packet.writeCharSequence(text, StandardCharsets.UTF_8);
         packet.writeByte(0);
     }
--- a/src/main/java/lineward/mysql/wire/LocalResult.java
+++ b/src/main/java/lineward/mysql/wire/LocalResult.java
@@ -46,7 +46,7 @@
         }
         if (!row.isEmpty()) {
             ByteBuf values = Packets.begin(alloc, sequence++);
-            row.forEach(value -> Packets.writeText(values, value));
+            row.forEach(value -> Packets.writeLengthEncodedString(values, value));
             append(reply, Packets.done(values));
         }
         append(reply, dialect.end(alloc, sequence, 0));
@@ -60,7 +60,7 @@
         String originalTable = "";
         String originalLabel = "";
         for (String text : List.of(CATALOG, schema, table, originalTable, label, originalLabel)) {
-            Packets.writeText(column, text);
+            Packets.writeLengthEncodedString(column, text);
         }
         column.writeByte(FIXED_FIELDS_BYTES)
                 .writeShortLE(Handshake.UTF8MB4)
--- a/src/main/java/lineward/mysql/wire/Packets.java
+++ b/src/main/java/lineward/mysql/wire/Packets.java
@@ -25,12 +25,12 @@
     private static final int MIN_ROW_BYTES_AFTER_EOF_BYTE = 9;
 
     /** First bytes of length-encoded integers whose value follows in 2, 3 or 8 bytes. */
-    private static final int LENGTH_2 = 0xfc;
+    private static final int TWO_BYTES_FOLLOW = 0xfc;
 
-    private static final int LENGTH_3 = 0xfd;
-    private static final int LENGTH_8 = 0xfe;
+    private static final int THREE_BYTES_FOLLOW = 0xfd;
+    private static final int EIGHT_BYTES_FOLLOW = 0xfe;
     /** Largest value of a length-encoded integer that takes a single byte. */
-    private static final int MAX_LENGTH_IN_ONE_BYTE = 250;
+    private static final int MAX_ONE_BYTE_INT = 250;
     /** Bytes of the type and the error number at the start of an error packet's payload. */
     private static final int ERROR_HEAD_BYTES = 3;
 
@@ -115,21 +115,21 @@
     }
 
     /** Reads a length-encoded integer. */
-    public static long lengthEncoded(ByteBuf payload) {
-        int first = payload.readUnsignedByte();
-        return switch (first) {
-            case LENGTH_2 -> payload.readUnsignedShortLE();
-            case LENGTH_3 -> payload.readUnsignedMediumLE();
-            case LENGTH_8 -> payload.readLongLE();
-            default -> first;
+    public static long readLengthEncodedInt(ByteBuf payload) {
+        int firstByte = payload.readUnsignedByte();
+        return switch (firstByte) {
+            case TWO_BYTES_FOLLOW -> payload.readUnsignedShortLE();
+            case THREE_BYTES_FOLLOW -> payload.readUnsignedMediumLE();
+            case EIGHT_BYTES_FOLLOW -> payload.readLongLE();
+            default -> firstByte;
         };
     }
 
     /** Writes a length-encoded string of less than 64 KiB. */
-    public static void writeText(ByteBuf packet, String text) {
+    public static void writeLengthEncodedString(ByteBuf packet, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        if (bytes.length > MAX_LENGTH_IN_ONE_BYTE) {
-            packet.writeByte(LENGTH_2).writeShortLE(bytes.length);
+        if (bytes.length > MAX_ONE_BYTE_INT) {
+            packet.writeByte(TWO_BYTES_FOLLOW).writeShortLE(bytes.length);
         } else {
             packet.writeByte(bytes.length);
         }
@@ -137,7 +137,7 @@
     }
 
     /** Reads a string that ends with a zero byte or at the end of the packet. */
-    public static String zeroTerminated(ByteBuf payload) {
+    public static String readCString(ByteBuf payload) {
         int length = payload.bytesBefore((byte) 0);
         if (length < 0) {
             length = payload.readableBytes();
--- a/src/main/java/lineward/mysql/wire/ReplyTracker.java
+++ b/src/main/java/lineward/mysql/wire/ReplyTracker.java
@@ -97,8 +97,8 @@
 
     private PacketRole ok(ByteBuf payload) {
         // Skips the affected rows and the last inserted id.
-        Packets.lengthEncoded(payload);
-        Packets.lengthEncoded(payload);
+        Packets.readLengthEncodedInt(payload);
+        Packets.readLengthEncodedInt(payload);
         setStatus(payload.readUnsignedShortLE());
         return PacketRole.LAST_OK;
     }
