--- a/src/main/java/lineward/mysql/wire/PacketDecoder.java
+++ b/src/main/java/lineward/mysql/wire/PacketDecoder.java
@@ -13,7 +13,7 @@
 public final class PacketDecoder extends ByteToMessageDecoder {
     private final int maxPayloadBytes;
     /** Set after a packet that is too long: its payload and all later bytes are discarded. */
-    private boolean failed;
+    private boolean discarding;
 
     /** @param maxPayloadBytes maximum length of a payload; nothing is decoded after a longer one */
     public PacketDecoder(int maxPayloadBytes) {
@@ -21,8 +21,8 @@
     }
 
     @Override
-    protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> packets) {
-        if (failed) {
+    protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> frames) {
+        if (discarding) {
             in.skipBytes(in.readableBytes());
             return;
         }
@@ -31,11 +31,11 @@
         }
         int length = in.getUnsignedMediumLE(in.readerIndex());
         if (length > maxPayloadBytes) {
-            failed = true;
+            discarding = true;
             throw new TooLongFrameException("packet of " + length + " bytes, maximum " + maxPayloadBytes);
         }
         if (in.readableBytes() >= Packets.HEADER_BYTES + length) {
-            packets.add(in.readRetainedSlice(Packets.HEADER_BYTES + length));
+            frames.add(in.readRetainedSlice(Packets.HEADER_BYTES + length));
         }
     }
 }
