--- a/src/main/java/lineward/mysql/wire/ReplyTracker.java
+++ b/src/main/java/lineward/mysql/wire/ReplyTracker.java
@@ -7,7 +7,7 @@
 public final class ReplyTracker {
     private enum State {
         FIRST_PACKET,
-        PREPARED,
+        DEFINITIONS,
         COLUMNS,
         ROWS
     }
@@ -23,10 +23,10 @@
     /** Offset of the status in an EOF packet, after the type and the count of warnings. */
     private static final int EOF_STATUS_OFFSET = 3;
 
-    private final boolean prepare;
+    private final boolean prepareReply;
     private State state = State.FIRST_PACKET;
     /** Number of definition lists left in a reply to COM_STMT_PREPARE; an EOF packet ends each of them. */
-    private int definitionBlocks;
+    private int remainingDefinitionLists;
 
     private int status = STATUS_UNKNOWN;
     private boolean rowContinues;
@@ -34,10 +34,10 @@
     /**
      * Creates a tracker that expects the first packet of a reply.
      *
-     * @param prepare whether it is a reply to COM_STMT_PREPARE, which has its own format
+     * @param prepareReply whether it is a reply to COM_STMT_PREPARE, which has its own format
      */
-    public ReplyTracker(boolean prepare) {
-        this.prepare = prepare;
+    public ReplyTracker(boolean prepareReply) {
+        this.prepareReply = prepareReply;
     }
 
     /** Returns whether the engine reports an open transaction, or autocommit off. */
@@ -63,7 +63,7 @@
         try {
             return switch (state) {
                 case FIRST_PACKET -> firstPacket(frame, type);
-                case PREPARED -> prepared(frame);
+                case DEFINITIONS -> definitions(frame);
                 case COLUMNS -> columns(frame, type);
                 case ROWS -> rows(frame, type);
             };
@@ -78,9 +78,9 @@
         }
         if (type == Packets.OK) {
             ByteBuf payload = Packets.payload(frame).skipBytes(1);
-            return prepare ? prepareOk(payload) : ok(payload);
+            return prepareReply ? prepareOk(payload) : ok(payload);
         }
-        if (prepare || type == LOCAL_INFILE || type == Packets.EOF) {
+        if (prepareReply || type == LOCAL_INFILE || type == Packets.EOF) {
             throw new DecoderException("unexpected first byte of a reply: " + type);
         }
         state = State.COLUMNS;
@@ -90,9 +90,9 @@
     private PacketRole prepareOk(ByteBuf payload) {
         int columnCount = payload.skipBytes(STATEMENT_ID_BYTES).readUnsignedShortLE();
         int parameterCount = payload.readUnsignedShortLE();
-        definitionBlocks = (columnCount > 0 ? 1 : 0) + (parameterCount > 0 ? 1 : 0);
-        state = State.PREPARED;
-        return definitionBlocks == 0 ? PacketRole.LAST_OK : PacketRole.HEAD;
+        remainingDefinitionLists = (columnCount > 0 ? 1 : 0) + (parameterCount > 0 ? 1 : 0);
+        state = State.DEFINITIONS;
+        return remainingDefinitionLists == 0 ? PacketRole.LAST_OK : PacketRole.HEAD;
     }
 
     private PacketRole ok(ByteBuf payload) {
@@ -103,10 +103,10 @@
         return PacketRole.LAST_OK;
     }
 
-    private PacketRole prepared(ByteBuf frame) {
+    private PacketRole definitions(ByteBuf frame) {
         if (Packets.isEof(frame)) {
-            definitionBlocks--;
-            return definitionBlocks == 0 ? PacketRole.LAST_OK : PacketRole.HEAD;
+            remainingDefinitionLists--;
+            return remainingDefinitionLists == 0 ? PacketRole.LAST_OK : PacketRole.HEAD;
         }
         return PacketRole.HEAD;
     }
