--- a/src/main/java/lineward/app/MysqlConfigReader.java
+++ b/src/main/java/lineward/app/MysqlConfigReader.java
@@ -143,10 +143,10 @@
         }
     }
 
-    private static MysqlConfig.Spooling spooling(ConfigNode spool) {
+    private static MysqlConfig.SpoolConfig spooling(ConfigNode spool) {
         String folder = spool.member("folder").text("");
         try {
-            return new MysqlConfig.Spooling(
+            return new MysqlConfig.SpoolConfig(
                     spoolLimits(spool, !folder.isEmpty()), folder.isEmpty() ? null : Path.of(folder));
         } catch (IllegalArgumentException e) {
             throw spool.invalid("can't be used: " + e.getMessage(), "consistent limits", e);
--- a/src/main/java/lineward/app/SpoolWiring.java
+++ b/src/main/java/lineward/app/SpoolWiring.java
@@ -23,18 +23,18 @@
      *
      * @throws ConfigException if another process uses the folder
      */
-    static Spool open(FrontEndContext context, MysqlConfig.Spooling config) {
+    static Spool open(FrontEndContext context, MysqlConfig.SpoolConfig config) {
         Spool spool = config.folder() == null ? inMemory(context, config) : onFiles(context, config);
         context.closeables().add(spool);
         context.metrics().setSpool(spool::statistics);
         return spool;
     }
 
-    private static Spool inMemory(FrontEndContext context, MysqlConfig.Spooling config) {
+    private static Spool inMemory(FrontEndContext context, MysqlConfig.SpoolConfig config) {
         return new Spool(config.limits(), null, context.clock());
     }
 
-    private static Spool onFiles(FrontEndContext context, MysqlConfig.Spooling config) {
+    private static Spool onFiles(FrontEndContext context, MysqlConfig.SpoolConfig config) {
         SpoolFolder folder;
         SpoolFolder.Recovered recovered;
         try {
--- a/src/main/java/lineward/mysql/MysqlConfig.java
+++ b/src/main/java/lineward/mysql/MysqlConfig.java
@@ -20,14 +20,14 @@
         Map<String, String> users,
         List<EngineConfig> engines,
         List<QueryClass> classes,
-        Spooling spool) {
+        SpoolConfig spool) {
 
     /**
      * Settings of the result spool.
      *
      * @param folder directory for the spool's files; null: results are spooled in memory only
      */
-    public record Spooling(SpoolLimits limits, Path folder) {}
+    public record SpoolConfig(SpoolLimits limits, Path folder) {}
 
     /**
      * Limits and timeouts of connections and statements.
