--- a/src/main/java/lineward/app/MysqlConfigReader.java
+++ b/src/main/java/lineward/app/MysqlConfigReader.java
@@ -61,7 +61,7 @@
     static MysqlConfig read(ConfigNode root) {
         ConfigNode listen = root.member("listen");
         InetSocketAddress address = listen.isPresent() ? listen.address() : null;
-        MysqlConfig.Bounds bounds = bounds(root.member("limits"));
+        MysqlConfig.Limits bounds = bounds(root.member("limits"));
         Map<String, String> users = users(root.member("user"));
         List<EngineConfig> engines = engines(root.member("engine"));
         List<MysqlConfig.QueryClass> classes = classes(root.member("class"));
@@ -73,8 +73,8 @@
         return new MysqlConfig(address, bounds, users, engines, classes, spooling(root.member("spool")));
     }
 
-    private static MysqlConfig.Bounds bounds(ConfigNode limits) {
-        return new MysqlConfig.Bounds(
+    private static MysqlConfig.Limits bounds(ConfigNode limits) {
+        return new MysqlConfig.Limits(
                 limits.member("clients").positiveInt(DEFAULT_MAX_CLIENTS),
                 limits.member("packet").positiveInt(DEFAULT_MAX_PACKET_BYTES),
                 limits.member("statements").positiveInt(DEFAULT_MAX_STATEMENTS),
--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSettings.java
@@ -39,7 +39,7 @@
                 classes(config.classes()),
                 List.of(new EngineKind(cores, 0)),
                 new SchedulerSettings.FleetPosition(1, 0, 1, 0),
-                limits(config.bounds().maxAttempts()),
+                limits(config.limits().maxAttempts()),
                 rules(),
                 new SchedulerSettings.Reporting(List.of(), false),
                 new SchedulerSettings.Discovery(false, 0, false),
--- a/src/main/java/lineward/mysql/MysqlConfig.java
+++ b/src/main/java/lineward/mysql/MysqlConfig.java
@@ -16,7 +16,7 @@
  */
 public record MysqlConfig(
         InetSocketAddress listen,
-        Bounds bounds,
+        Limits limits,
         Map<String, String> users,
         List<EngineConfig> engines,
         List<QueryClass> classes,
@@ -40,7 +40,7 @@
      * @param idleMs idle timeout of a connection to an engine
      * @param maxAttempts maximum number of attempts for a statement that may be retried
      */
-    public record Bounds(
+    public record Limits(
             int maxClients,
             int maxPacket,
             int maxStatements,
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -76,35 +76,35 @@
         this.driver = new CoordinatorDriver<>(coordinator, clock, tickRequest);
         this.tickRequest = tickRequest;
         this.spool = spool;
-        this.clients = new ConnectedClients(config.bounds().maxClients());
-        this.pools = enginePools(loop, config.bounds());
+        this.clients = new ConnectedClients(config.limits().maxClients());
+        this.pools = enginePools(loop, config.limits());
         this.reportTargets = new AttemptReporter.Targets(coordinator, metrics, spool, tickRequest);
         QueryDispatcher queries = new QueryAdmission(config, admission, driver, metrics);
         this.acceptor = new ClientAcceptor(clientContext(queries), Listener.at(config.listen()));
     }
 
     private ClientContext clientContext(QueryDispatcher dispatcher) {
-        MysqlConfig.Bounds bounds = config.bounds();
+        MysqlConfig.Limits limits = config.limits();
         ByteBudget textBudget = new ByteBudget(MAX_STATEMENT_TEXT_BYTES);
         return new ClientContext(
                 clients,
                 config.users(),
-                bounds.maxPacket(),
-                new StatementLimits(bounds.maxStatements(), textBudget),
+                limits.maxPacket(),
+                new StatementLimits(limits.maxStatements(), textBudget),
                 spool,
                 dispatcher,
                 this::statistics);
     }
 
-    private static EngineConnectionPools enginePools(EventLoopGroup loop, MysqlConfig.Bounds bounds) {
+    private static EngineConnectionPools enginePools(EventLoopGroup loop, MysqlConfig.Limits limits) {
         Bootstrap bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, bounds.connectTimeoutMs());
-        int maxConnections = bounds.connectionsPerEngine();
-        ConnectionLimits limits = new ConnectionLimits(maxConnections, bounds.connectTimeoutMs());
-        return new EngineConnectionPools(bootstrap, limits);
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, limits.connectTimeoutMs());
+        int maxConnections = limits.connectionsPerEngine();
+        ConnectionLimits connectionLimits = new ConnectionLimits(maxConnections, limits.connectTimeoutMs());
+        return new EngineConnectionPools(bootstrap, connectionLimits);
     }
 
     private String statistics() {
@@ -137,7 +137,7 @@
 
     @Override
     public void closeIdleEngineConnections() {
-        long idleNanos = TimeUnit.MILLISECONDS.toNanos(config.bounds().idleMs());
+        long idleNanos = TimeUnit.MILLISECONDS.toNanos(config.limits().idleMs());
         pools.closeIdleSince(System.nanoTime() - idleNanos);
     }
 
