--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -33,7 +33,7 @@
     /** Adds the server to the front end if the file has a listen address. */
     void connect(TelemetryWiring telemetry) {
         MysqlConfig config = file.read();
-        if (config.listen() == null) {
+        if (config.listenAddress() == null) {
             return;
         }
         List<String> classNames =
--- a/src/main/java/lineward/mysql/MysqlConfig.java
+++ b/src/main/java/lineward/mysql/MysqlConfig.java
@@ -11,13 +11,13 @@
 /**
  * The configuration of the MySQL front end.
  *
- * @param listen address for clients; null: the front end is disabled
- * @param users passwords by user name
+ * @param listenAddress address for clients; null: the front end is disabled
+ * @param passwordsByUser passwords by user name
  */
 public record MysqlConfig(
-        InetSocketAddress listen,
+        InetSocketAddress listenAddress,
         Limits limits,
-        Map<String, String> users,
+        Map<String, String> passwordsByUser,
         List<EngineConfig> engines,
         List<QueryClass> classes,
         SpoolConfig spool) {
@@ -33,26 +33,27 @@
      * Limits and timeouts of connections and statements.
      *
      * @param maxClients maximum number of client connections; further ones are rejected with an error
-     * @param maxPacket maximum payload of a packet from a client, in bytes
+     * @param maxPacketBytes maximum payload of a packet from a client, in bytes
      * @param maxStatements maximum number of prepared statements of one client
      * @param connectionsPerEngine maximum number of connections to one engine for attempts
      * @param connectTimeoutMs timeout for opening a connection to an engine and completing its login
-     * @param idleMs idle timeout of a connection to an engine
+     * @param idleTimeoutMs idle timeout of a connection to an engine
      * @param maxAttempts maximum number of attempts for a statement that may be retried
      */
     public record Limits(
             int maxClients,
-            int maxPacket,
+            int maxPacketBytes,
             int maxStatements,
             int connectionsPerEngine,
             int connectTimeoutMs,
-            int idleMs,
+            int idleTimeoutMs,
             int maxAttempts) {}
 
     /**
      * A class of statements.
      *
-     * @param match regular expression that is searched for in the text of a statement; a statement belongs to
+     * @param pattern regular expression that is searched for in the text of a statement; a statement belongs
+     *     to
      *     the first class whose expression is found
      * @param latencyObjectiveMs latency objective of a statement
      * @param deadlineMs time after which a statement that is not completed is answered with an error
@@ -61,7 +62,7 @@
      */
     public record QueryClass(
             String name,
-            Pattern match,
+            Pattern pattern,
             double latencyObjectiveMs,
             double deadlineMs,
             double priorityWeight,
@@ -70,7 +71,7 @@
     /** Returns the index of a statement's class. The last class is the default; its pattern is ignored. */
     int classIndexOf(String text) {
         for (int i = 0; i < classes.size() - 1; i++) {
-            if (classes.get(i).match().matcher(text).find()) {
+            if (classes.get(i).pattern().matcher(text).find()) {
                 return i;
             }
         }
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -80,7 +80,7 @@
         this.pools = enginePools(loop, config.limits());
         this.reportTargets = new AttemptReporter.Targets(coordinator, metrics, spool, tickRequest);
         QueryDispatcher queries = new QueryAdmission(config, admission, driver, metrics);
-        this.acceptor = new ClientAcceptor(clientContext(queries), Listener.at(config.listen()));
+        this.acceptor = new ClientAcceptor(clientContext(queries), Listener.at(config.listenAddress()));
     }
 
     private ClientContext clientContext(QueryDispatcher dispatcher) {
@@ -88,8 +88,8 @@
         ByteBudget textBudget = new ByteBudget(MAX_STATEMENT_TEXT_BYTES);
         return new ClientContext(
                 clients,
-                config.users(),
-                limits.maxPacket(),
+                config.passwordsByUser(),
+                limits.maxPacketBytes(),
                 new StatementLimits(limits.maxStatements(), textBudget),
                 spool,
                 dispatcher,
@@ -137,8 +137,8 @@
 
     @Override
     public void closeIdleEngineConnections() {
-        long idleNanos = TimeUnit.MILLISECONDS.toNanos(config.limits().idleMs());
-        pools.closeIdleSince(System.nanoTime() - idleNanos);
+        long idleTimeoutNanos = TimeUnit.MILLISECONDS.toNanos(config.limits().idleTimeoutMs());
+        pools.closeIdleSince(System.nanoTime() - idleTimeoutNanos);
     }
 
     /**
