--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -41,7 +41,7 @@
         Coordinator<Query> coordinator = new Coordinator<>(
                 new SpeculativeScheduler(MysqlSettings.of(config), System.nanoTime()),
                 FrontEndContext.MAX_OPEN_REQUESTS,
-                MysqlServer.CANCEL_LIMIT_MS,
+                MysqlServer.MAX_CANCEL_DURATION_MS,
                 telemetry.tracer(query -> classNames.get(query.classIndex())));
         Spool spool = SpoolWiring.open(context, config.spool());
         DoubleSupplier clock = context.clock();
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -39,7 +39,7 @@
  */
 public final class MysqlServer implements Forwarder<Query>, ProtocolServer {
     /** Maximum duration of a cancel: the timeout for the reply to a killed statement, plus a margin. */
-    public static final double CANCEL_LIMIT_MS = 500;
+    public static final double MAX_CANCEL_DURATION_MS = 500;
 
     private static final Logger LOG = LoggerFactory.getLogger(MysqlServer.class);
     /** Maximum total size of the texts of the prepared statements of all clients. */
