--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -19,11 +19,11 @@
             {Fault.DIE_AFTER_PREPARE, "select rows=4", 0},
             {Fault.DIE_AFTER_PREPARE, "update t set a=1", 0},
             {Fault.DIE_IN_EXECUTE, "select rows=4", 0},
-            {Fault.DIE_IN_EXECUTE, "update t set a=1", FAILED},
+            {Fault.DIE_IN_EXECUTE, "update t set a=1", FAILED_CODE},
             {Fault.DIE_BETWEEN_ROWS, "select rows=4", 0},
             {Fault.DIE_BETWEEN_ROWS, "select rows=20000", 0},
             {Fault.GARBAGE, "select rows=4", 0},
-            {Fault.GARBAGE, "update t set a=1", FAILED},
+            {Fault.GARBAGE, "update t set a=1", FAILED_CODE},
             {Fault.FULL, "update t set a=1", 0}
         };
     }
@@ -41,18 +41,18 @@
             } else {
                 setFaultOfNextEngine(fault);
             }
-            int executionsBefore = executionsOf(text);
+            int executionsBefore = executionCount(text);
             StandInClient.Result result = client.execute(statement, false);
             assertNotEquals(one.fault, two.fault, "one engine has the fault, the other has none");
             assertEquals(result.code(), code, result.message());
             if (code == 0 && text.startsWith("select")) {
                 assertEquals(result.rows().size(), text.contains("20000") ? 20_000 : 4);
             }
-            if (code == FAILED) {
+            if (code == FAILED_CODE) {
                 assertEquals(result.state(), "70100");
             }
             if (text.startsWith("update")) {
-                assertEquals(executionsOf(text) - executionsBefore, 1, "executions of a write");
+                assertEquals(executionCount(text) - executionsBefore, 1, "executions of a write");
             }
             assertEquals(client.query("select rows=1").rows().size(), 1, "the connection is still usable");
         }
@@ -70,9 +70,9 @@
             setFaultOfNextEngine(Fault.DIE_BEFORE_EXECUTE);
             StandInClient.Result result = client.execute(statement, false);
             assertNotEquals(one.isDead(), two.isDead(), "the execution reached an engine that reset it");
-            assertEquals(result.code(), FAILED, result.message());
+            assertEquals(result.code(), FAILED_CODE, result.message());
             assertEquals(result.state(), "70100");
-            assertEquals(executionsOf(text), 0, "no engine has executed it");
+            assertEquals(executionCount(text), 0, "no engine has executed it");
             assertEquals(client.query("select rows=1").rows().size(), 1, "the connection is still usable");
         }
     }
@@ -109,14 +109,14 @@
         try (StandInClient client = client()) {
             long start = System.nanoTime();
             StandInClient.Result result = client.query("select rows=1");
-            assertEquals(result.code(), REJECTED);
+            assertEquals(result.code(), REJECTED_CODE);
             assertTrue((System.nanoTime() - start) / 1e6 < 1600, "answered by its deadline");
             Program.await(
                     "an engine receives the kill",
                     () -> one.received.stream().anyMatch(command -> command.startsWith("KILL QUERY"))
                             || two.received.stream().anyMatch(command -> command.startsWith("KILL QUERY")));
-            assertEquals(client.query("update t set a = 1").code(), FAILED);
-            assertEquals(executionsOf("update t set a = 1"), 1);
+            assertEquals(client.query("update t set a = 1").code(), FAILED_CODE);
+            assertEquals(executionCount("update t set a = 1"), 1);
         }
         assertEquals(StandInEngine.MAX_RUNNING.get(), 1, "concurrent attempts");
     }
@@ -127,7 +127,7 @@
         two.fault = Fault.SILENT;
         try (StandInClient client = client()) {
             client.send(3, "select rows=1");
-            Program.await("an engine executes the statement", () -> executionsOf("select rows=1") == 1);
+            Program.await("an engine executes the statement", () -> executionCount("select rows=1") == 1);
         }
         Program.await(
                 "an engine receives the kill",
--- a/src/test/java/lineward/mysql/MysqlFrontTest.java
+++ b/src/test/java/lineward/mysql/MysqlFrontTest.java
@@ -73,15 +73,15 @@
     public void sendsNoStatementsToADrainingEngine() throws IOException {
         try (StandInClient client = client()) {
             client.query("select rows=1");
-            configure("draining", "ready");
+            writeConfig("draining", "ready");
             Program.await("the program drains the engine", () -> program.log().contains("one DRAINING"));
             int before = one.executed.size();
             for (int i = 0; i < 20; i++) {
                 assertEquals(client.query("select rows=1").rows().size(), 1);
             }
             assertEquals(one.executed.size(), before);
-            configure("draining", "gone");
-            Program.await("no engine accepts statements", () -> client(client).code() == REJECTED);
+            writeConfig("draining", "gone");
+            Program.await("no engine accepts statements", () -> client(client).code() == REJECTED_CODE);
         }
     }
 
@@ -145,7 +145,7 @@
         two.fault = Fault.SILENT;
         try (StandInClient client = client()) {
             client.send(3, "select rows=1");
-            Program.await("an engine executes the statement", () -> executionsOf("select rows=1") == 1);
+            Program.await("an engine executes the statement", () -> executionCount("select rows=1") == 1);
             program.terminate();
             assertEquals(client.wire.read()[0] & 0xff, 0xff);
             assertEquals(program.status(), 0);
--- a/src/test/java/lineward/mysql/TwoEngineFixture.java
+++ b/src/test/java/lineward/mysql/TwoEngineFixture.java
@@ -11,23 +11,23 @@
 /** Starts the program with two test engines before each test. */
 public abstract class TwoEngineFixture {
     /** Error number of a rejected statement. */
-    static final int REJECTED = 1637;
+    static final int REJECTED_CODE = 1637;
     /** Error number of a statement that failed and may have been executed. */
-    static final int FAILED = 1317;
+    static final int FAILED_CODE = 1317;
 
     StandInEngine one;
     StandInEngine two;
     Program program;
-    private Path file;
+    private Path configFile;
 
     @BeforeMethod
     public void start() throws IOException {
         StandInEngine.MAX_RUNNING.set(0);
         one = new StandInEngine();
         two = new StandInEngine();
-        file = Files.createTempFile("mysql", ".toml");
-        configure("ready", "ready");
-        program = new Program(Map.of(), "mysql", file.toString());
+        configFile = Files.createTempFile("mysql", ".toml");
+        writeConfig("ready", "ready");
+        program = new Program(Map.of(), "mysql", configFile.toString());
     }
 
     @AfterMethod(alwaysRun = true)
@@ -35,29 +35,29 @@
         program.close();
         one.close();
         two.close();
-        Files.delete(file);
+        Files.delete(configFile);
     }
 
     /** Writes the configuration with these states of the engines. */
-    void configure(String stateOfOne, String stateOfTwo) throws IOException {
+    void writeConfig(String stateOfOne, String stateOfTwo) throws IOException {
         StringBuilder text = new StringBuilder("""
-                listen = "127.0.0.1:0"
-                [limits]
-                packet = 100000
-                [[user]]
-                name = "office"
-                password = "secret"
-                [[class]]
-                name = "all"
-                aim-ms = 300
-                deadline-ms = 1500
-                """);
-        engine(text, "one", one, stateOfOne);
-        engine(text, "two", two, stateOfTwo);
-        Files.writeString(file, text);
+            listen = "127.0.0.1:0"
+            [limits]
+            packet = 100000
+            [[user]]
+            name = "office"
+            password = "secret"
+            [[class]]
+            name = "all"
+            aim-ms = 300
+            deadline-ms = 1500
+            """);
+        appendEngine(text, "one", one, stateOfOne);
+        appendEngine(text, "two", two, stateOfTwo);
+        Files.writeString(configFile, text);
     }
 
-    private static void engine(StringBuilder text, String name, StandInEngine engine, String state) {
+    private static void appendEngine(StringBuilder text, String name, StandInEngine engine, String state) {
         text.append("[[engine]]\nname = \"")
                 .append(name)
                 .append("\"\naddress = \"")
@@ -72,7 +72,7 @@
     }
 
     /** Returns how often the engines have executed the statement. */
-    int executionsOf(String text) {
+    int executionCount(String text) {
         return (int) (one.executed.stream().filter(text::equals).count()
                 + two.executed.stream().filter(text::equals).count());
     }
