--- a/src/test/java/lineward/mysql/SpoolCursorTest.java
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -96,7 +96,7 @@
             String otherText = "/* lineward:key=k1 from=1 */ select rows=7";
             StandInClient.Statement statement = reconnected.prepare(otherText);
             assertEquals(reconnected.open(statement).code(), 1210, "the key belongs to another statement");
-            assertEquals(executions(), 1);
+            assertEquals(executionCount(), 1);
         }
         try (StandInClient other = client("other")) {
             StandInClient.Result foreign = other.query("/* lineward:key=k1 from=200 */" + text);
@@ -104,7 +104,7 @@
             assertEquals(foreign.code(), 1210);
             assertEquals(foreign.message(), unknown.message(), "the error does not reveal which keys exist");
             assertEquals(other.query("/* lineward:key=k1 */" + text).rows().size(), 1000);
-            assertEquals(executions(), 2);
+            assertEquals(executionCount(), 2);
         }
     }
 
@@ -116,7 +116,7 @@
         }
         Program.await("the result is stored in a file", () -> {
             try {
-                return lineward.spool.store.SpoolFolder.inspect(folder)
+                return lineward.spool.store.SpoolFolder.inspect(spoolFolder)
                                 .complete()
                                 .size()
                         == 1;
@@ -125,14 +125,14 @@
             }
         });
         program.close();
-        program = program("folder = \"" + folder + "\"\n");
+        program = program("folder = \"" + spoolFolder + "\"\n");
         try (StandInClient client = client()) {
             assertEquals(
                     client.query("/* lineward:key=k from=2000 rows=50 */" + text)
                             .rows()
                             .size(),
                     50);
-            assertEquals(executions(), 1);
+            assertEquals(executionCount(), 1);
         }
     }
 
--- a/src/test/java/lineward/mysql/SpoolFrontTest.java
+++ b/src/test/java/lineward/mysql/SpoolFrontTest.java
@@ -30,7 +30,7 @@
                 slow.add(client);
                 client.send(3, "select rows=150 size=1000");
                 int requested = i + 1;
-                Program.await("an engine executed the statement", () -> executions() >= requested);
+                Program.await("an engine executed the statement", () -> executionCount() >= requested);
             }
             try (StandInClient quick = client()) {
                 long start = System.nanoTime();
@@ -66,7 +66,7 @@
             StandInClient.Result result = client.query("select rows=" + rows);
             assertEquals(result.code(), 0, result.message());
             assertEquals(result.rows().size(), rows);
-            assertEquals(executions(), 2, "one execution at each engine");
+            assertEquals(executionCount(), 2, "one execution at each engine");
         }
     }
 
@@ -74,7 +74,7 @@
     public void disconnectsAReaderWhoseLeaseExpires() throws IOException {
         try (StandInClient client = client()) {
             client.send(3, "select rows=40000 size=1000");
-            Program.await("an engine executed the statement", () -> executions() == 1);
+            Program.await("an engine executed the statement", () -> executionCount() == 1);
             // Reads nothing until the lease has expired. The program then closes the connection, although the
             // result has not been sent completely.
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
@@ -116,7 +116,7 @@
             assertEquals(client.query("select rows=1").rows().size(), 1);
         }
         Program.await("all files are deleted", () -> {
-            try (Stream<Path> files = Files.list(folder)) {
+            try (Stream<Path> files = Files.list(spoolFolder)) {
                 return files.noneMatch(path -> path.toString().endsWith("lwseg"));
             } catch (IOException e) {
                 throw new AssertionError(e);
@@ -149,12 +149,12 @@
     @Test
     public void failsToStartOnALockedFolderButNotOnAnUnusableOne() throws IOException, InterruptedException {
         program.port();
-        try (Program second = program("folder = \"" + folder + "\"\n")) {
+        try (Program second = program("folder = \"" + spoolFolder + "\"\n")) {
             assertEquals(second.status(), 2);
             assertTrue(second.log().contains("is held by another process"), second.log());
         }
         program.close();
-        program = program("folder = \"" + file + "/below\"\n");
+        program = program("folder = \"" + configFile + "/below\"\n");
         program.port();
         assertTrue(program.log().contains("results stay in memory"), program.log());
         try (StandInClient client = client()) {
@@ -169,7 +169,7 @@
             assertEquals(
                     client.query("set sql_mode = 'ANSI', wait_timeout = 10").code(), 0);
             assertEquals(client.query("select @@sql_mode as m").rows().size(), 1);
-            assertEquals(executions(), 0, "answered by the front end");
+            assertEquals(executionCount(), 0, "answered by the front end");
             client.query("select rows=1");
             plain.query("select rows=1");
             List<String> received = new ArrayList<>(one.received);
--- a/src/test/java/lineward/mysql/SpoolProgramFixture.java
+++ b/src/test/java/lineward/mysql/SpoolProgramFixture.java
@@ -18,35 +18,35 @@
 public abstract class SpoolProgramFixture {
     StandInEngine one;
     StandInEngine two;
-    Path folder;
+    Path spoolFolder;
     Program program;
-    Path file;
+    Path configFile;
 
     @BeforeMethod
     public void start() throws IOException {
         one = new StandInEngine();
         two = new StandInEngine();
-        folder = Files.createTempDirectory("spooled");
-        file = Files.createTempFile("mysql", ".toml");
-        program = program("memory-mb = 64\nfolder = \"" + folder + "\"\nlease-s = 2\n");
+        spoolFolder = Files.createTempDirectory("spooled");
+        configFile = Files.createTempFile("mysql", ".toml");
+        program = program("memory-mb = 64\nfolder = \"" + spoolFolder + "\"\nlease-s = 2\n");
     }
 
     /** Starts the program with these lines in the spool section of its configuration. */
-    Program program(String spool) throws IOException {
-        StringBuilder text = new StringBuilder("listen = \"127.0.0.1:0\"\n[limits]\nclients = 600\n"
-                + "connections-per-engine = 2\n[spool]\n" + spool
+    Program program(String spoolSettings) throws IOException {
+        StringBuilder config = new StringBuilder("listen = \"127.0.0.1:0\"\n[limits]\nclients = 600\n"
+                + "connections-per-engine = 2\n[spool]\n" + spoolSettings
                 + "[[user]]\nname = \"office\"\npassword = \"secret\"\n"
                 + "[[user]]\nname = \"other\"\npassword = \"secret\"\n"
                 + "[[class]]\nname = \"all\"\naim-ms = 3000\ndeadline-ms = 9000\n");
         for (StandInEngine engine : List.of(one, two)) {
-            text.append("[[engine]]\nname = \"")
+            config.append("[[engine]]\nname = \"")
                     .append(engine == one ? "one" : "two")
                     .append("\"\naddress = \"")
                     .append(engine.address())
                     .append("\"\nuser = \"front\"\n");
         }
-        Files.writeString(file, text);
-        return new Program(Map.of(), "mysql", file.toString());
+        Files.writeString(configFile, config);
+        return new Program(Map.of(), "mysql", configFile.toString());
     }
 
     @AfterMethod(alwaysRun = true)
@@ -54,8 +54,8 @@
         program.close();
         one.close();
         two.close();
-        Files.delete(file);
-        try (Stream<Path> files = Files.walk(folder)) {
+        Files.delete(configFile);
+        try (Stream<Path> files = Files.walk(spoolFolder)) {
             files.sorted(Comparator.reverseOrder())
                     .forEach(path -> path.toFile().delete());
         }
@@ -70,7 +70,7 @@
     }
 
     /** Returns the number of statements that the engines have executed. */
-    int executions() {
+    int executionCount() {
         return one.executed.size() + two.executed.size();
     }
 }
