--- a/src/test/java/lineward/mysql/CustomersTest.java
+++ b/src/test/java/lineward/mysql/SessionIsolationTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.Test;
 
 /** Clients share the connections to an engine, but one client's session state must not affect another. */
-public class CustomersTest {
+public class SessionIsolationTest {
     private static final String PLAIN = "{}";
     private static final String NEW_CLIENT_QUERY = "select rows=1 of a new client";
     private StandInEngine engine;
