--- a/src/test/java/lineward/mysql/DriverTest.java
+++ b/src/test/java/lineward/mysql/DriverTest.java
@@ -23,27 +23,27 @@
 /** The MySQL and MariaDB JDBC drivers with common options, against a test engine. */
 public class DriverTest {
     private StandInEngine engine;
-    private Path file;
+    private Path configFile;
     private Program program;
 
     @BeforeClass
     public void start() throws IOException {
         engine = new StandInEngine();
-        file = Files.createTempFile("mysql", ".toml");
+        configFile = Files.createTempFile("mysql", ".toml");
         Files.writeString(
-                file,
+                configFile,
                 "listen = \"127.0.0.1:0\"\n[[user]]\nname = \"office\"\npassword = \"secret\"\n"
                         + "[[class]]\nname = \"all\"\ndeadline-ms = 9000\n"
                         + "[[engine]]\nname = \"one\"\naddress = \""
                         + engine.address() + "\"\nuser = \"front\"\n");
-        program = new Program(Map.of(), "mysql", file.toString());
+        program = new Program(Map.of(), "mysql", configFile.toString());
     }
 
     @AfterClass(alwaysRun = true)
     public void stop() throws IOException {
         program.close();
         engine.close();
-        Files.delete(file);
+        Files.delete(configFile);
     }
 
     @DataProvider
@@ -111,8 +111,8 @@
                 }
                 assertEquals(count, 2500);
             }
-            try (ResultSet some = statement.executeQuery()) {
-                assertTrue(some.next());
+            try (ResultSet partlyRead = statement.executeQuery()) {
+                assertTrue(partlyRead.next());
             }
             try (ResultSet rows = connection.createStatement().executeQuery("select rows=1")) {
                 assertTrue(rows.next());
