--- a/src/test/java/lineward/mysql/MysqlFrontTest.java
+++ b/src/test/java/lineward/mysql/MysqlServerTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 /** The MySQL front end as a child process, with test clients and test engines. */
-public class MysqlFrontTest extends TwoEngineFixture {
+public class MysqlServerTest extends TwoEngineFixture {
     @DataProvider
     public Object[][] logins() {
         return new Object[][] {
