--- a/src/test/java/lineward/mysql/MysqlServerTest.java
+++ b/src/test/java/lineward/mysql/MysqlServerTest.java
@@ -47,18 +47,18 @@
             assertEquals(client.command(0x0e).code(), 0);
         }
         // The client sent no parameter types with the second execution, so the program must add them.
-        String last = one.received.stream()
+        String lastExecution = one.received.stream()
                 .filter(command -> command.startsWith("execute"))
                 .reduce((a, b) -> b)
                 .orElseGet(() -> two.received.stream()
                         .filter(command -> command.startsWith("execute"))
                         .reduce((a, b) -> b)
                         .orElseThrow());
-        assertTrue(last.startsWith("execute [0, 1, 0, 0, 0, 0, 1, -3, 0, -3, 0,"), last);
+        assertTrue(lastExecution.startsWith("execute [0, 1, 0, 0, 0, 0, 1, -3, 0, -3, 0,"), lastExecution);
     }
 
     @Test
-    public void sendsLongDataBeforeItsExecution() throws IOException {
+    public void sendsLongDataBeforeTheExecution() throws IOException {
         try (StandInClient client = client()) {
             StandInClient.Statement statement = client.prepare("insert into t values (?)");
             client.send(0x18, statement.id(), 0, 0, "piece one,");
@@ -75,17 +75,18 @@
             client.query("select rows=1");
             writeConfig("draining", "ready");
             Program.await("the program drains the engine", () -> program.log().contains("one DRAINING"));
-            int before = one.executed.size();
+            int executedBefore = one.executed.size();
             for (int i = 0; i < 20; i++) {
                 assertEquals(client.query("select rows=1").rows().size(), 1);
             }
-            assertEquals(one.executed.size(), before);
+            assertEquals(one.executed.size(), executedBefore);
             writeConfig("draining", "gone");
-            Program.await("no engine accepts statements", () -> client(client).code() == REJECTED_CODE);
+            Program.await(
+                    "no engine accepts statements", () -> selectOneRow(client).code() == REJECTED_CODE);
         }
     }
 
-    private static StandInClient.Result client(StandInClient client) {
+    private static StandInClient.Result selectOneRow(StandInClient client) {
         try {
             return client.query("select rows=1");
         } catch (IOException e) {
@@ -94,7 +95,7 @@
     }
 
     @DataProvider
-    public Object[][] states() {
+    public Object[][] sessionStatements() {
         return new Object[][] {
             {"BEGIN", 1179, "25000"},
             {"set autocommit = 0", 1179, "25000"},
@@ -108,19 +109,19 @@
         };
     }
 
-    @Test(dataProvider = "states")
-    public void rejectsUnsupportedSessionState(String text, int code, String state) throws IOException {
+    @Test(dataProvider = "sessionStatements")
+    public void handlesStatementsOnSessionState(String text, int code, String sqlState) throws IOException {
         try (StandInClient client = client()) {
             StandInClient.Result result = client.query(text);
             assertEquals(result.code(), code, result.message());
-            assertEquals(result.state(), state);
+            assertEquals(result.state(), sqlState);
             assertEquals(client.command(2, "sales").code(), 0);
             assertEquals(client.query("select rows=1").code(), 0);
         }
     }
 
     @Test
-    public void reportsErrorsOfTheProtocol() throws IOException {
+    public void reportsProtocolErrors() throws IOException {
         try (StandInClient client = client()) {
             assertEquals(client.command(0x1c, 1L, 5L).code(), 1243);
             assertEquals(client.command(0x63).code(), 1047);
@@ -131,7 +132,7 @@
     }
 
     @Test
-    public void relaysLongResults() throws IOException {
+    public void forwardsLongResults() throws IOException {
         try (StandInClient client = client()) {
             StandInClient.Result result = client.query("select rows=30000");
             assertEquals(result.rows().size(), 30000);
