--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -33,11 +33,11 @@
      * sends a malformed reply, or rejects new connections. Every execution is answered; a write runs once.
      */
     @Test(dataProvider = "faults")
-    public void completesEveryExecution(Fault fault, String text, int code) throws IOException {
+    public void answersEveryExecution(Fault fault, String text, int code) throws IOException {
         try (StandInClient client = client()) {
             StandInClient.Statement statement = client.prepare(text);
             if (fault == Fault.DIE_AFTER_PREPARE || fault == Fault.FULL) {
-                resetAndAwaitClose(firstToPrepare(text), fault);
+                resetAndAwaitClose(engineThatPrepared(text), fault);
             } else {
                 setFaultOfNextEngine(fault);
             }
@@ -85,21 +85,21 @@
         two.fault = fault;
     }
 
-    private StandInEngine firstToPrepare(String text) {
+    private StandInEngine engineThatPrepared(String text) {
         return one.received.contains("prepare " + text) ? one : two;
     }
 
     /** Resets the engine's connections; returns once the program has closed them. */
     private static void resetAndAwaitClose(StandInEngine engine, Fault fault) throws IOException {
         engine.fault = fault;
-        ChildSockets open = ChildSockets.connectedTo(engine.port());
-        assertFalse(open.areClosed(), "the program is connected to the engine");
+        ChildSockets openSockets = ChildSockets.connectedTo(engine.port());
+        assertFalse(openSockets.areClosed(), "the program is connected to the engine");
         if (fault == Fault.FULL) {
             engine.resetConnections();
         } else {
             engine.die();
         }
-        Program.await("the program has read the reset", open::areClosed);
+        Program.await("the program has read the reset", openSockets::areClosed);
     }
 
     @Test
