--- a/src/test/java/lineward/mysql/SpoolFrontTest.java
+++ b/src/test/java/lineward/mysql/SpooledResultsTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.Test;
 
 /** Results that exceed an attempt's buffer, with the program, test clients and test engines. */
-public class SpoolFrontTest extends SpoolProgramFixture {
+public class SpooledResultsTest extends SpoolProgramFixture {
     /** Four connections to engines serve 500 clients, because a client that reads slowly occupies none. */
     @Test
     public void releasesEnginesWhileHundredsOfClientsReadSlowly() throws IOException {
