--- a/src/test/java/lineward/mysql/SpooledResultsTest.java
+++ b/src/test/java/lineward/mysql/SpooledResultsTest.java
@@ -22,31 +22,31 @@
     /** Four connections to engines serve 500 clients, because a client that reads slowly occupies none. */
     @Test
     public void releasesEnginesWhileHundredsOfClientsReadSlowly() throws IOException {
-        List<StandInClient> slow = new ArrayList<>();
+        List<StandInClient> slowClients = new ArrayList<>();
         try {
             for (int i = 0; i < 500; i++) {
                 StandInClient client = client();
                 client.wire.socket.setReceiveBufferSize(4096);
-                slow.add(client);
+                slowClients.add(client);
                 client.send(3, "select rows=150 size=1000");
                 int requested = i + 1;
                 Program.await("an engine executed the statement", () -> executionCount() >= requested);
             }
-            try (StandInClient quick = client()) {
-                long start = System.nanoTime();
-                assertEquals(quick.query("select rows=3").rows().size(), 3);
-                assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(1), "engines are free");
+            try (StandInClient fastClient = client()) {
+                long startNanos = System.nanoTime();
+                assertEquals(fastClient.query("select rows=3").rows().size(), 3);
+                assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(1), "engines are free");
             }
-            assertEquals(slow.get(0).wire.read()[0], 1, "slow clients are still served");
+            assertEquals(slowClients.get(0).wire.read()[0], 1, "slow clients are still served");
         } finally {
-            for (StandInClient client : slow) {
+            for (StandInClient client : slowClients) {
                 client.close();
             }
         }
     }
 
     @DataProvider
-    public Object[][] deaths() {
+    public Object[][] faultsBetweenRows() {
         return new Object[][] {
             {Fault.DIE_IN_ROW_ONE, 4},
             {Fault.DIE_BETWEEN_ROWS, 4},
@@ -56,7 +56,7 @@
         };
     }
 
-    @Test(dataProvider = "deaths")
+    @Test(dataProvider = "faultsBetweenRows")
     public void retriesAReadWhoseEngineFailsBetweenRows(Fault fault, int rows) throws IOException {
         try (StandInClient client = client()) {
             one.fault = fault;
@@ -77,16 +77,16 @@
             Program.await("an engine executed the statement", () -> executionCount() == 1);
             // Reads nothing until the lease has expired. The program then closes the connection, although the
             // result has not been sent completely.
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
-            Program.await("the lease has expired", () -> System.nanoTime() > until);
-            byte[] some = new byte[1 << 16];
-            long read = 0;
+            long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(4);
+            Program.await("the lease has expired", () -> System.nanoTime() > untilNanos);
+            byte[] buffer = new byte[1 << 16];
+            long bytesRead = 0;
             int length = 0;
             while (length >= 0) {
-                length = client.wire.socket.getInputStream().read(some);
-                read += Math.max(0, length);
+                length = client.wire.socket.getInputStream().read(buffer);
+                bytesRead += Math.max(0, length);
             }
-            assertTrue(read < 40_000_000, read + " bytes");
+            assertTrue(bytesRead < 40_000_000, bytesRead + " bytes");
         } catch (java.net.SocketException e) {
             assertTrue(e.getMessage().contains("reset"), e.getMessage());
         }
@@ -182,14 +182,14 @@
     /** The slow client reads one byte of a long result between two queries of the other client. */
     @Test
     public void slowReaderDelaysNoOtherClient() throws IOException {
-        try (StandInClient slow = client();
-                StandInClient quick = client()) {
-            Socket socket = slow.wire.socket;
+        try (StandInClient slowClient = client();
+                StandInClient fastClient = client()) {
+            Socket socket = slowClient.wire.socket;
             socket.setReceiveBufferSize(4096);
-            slow.send(3, "select rows=10000 size=1000");
+            slowClient.send(3, "select rows=10000 size=1000");
             for (int i = 0; i < 10; i++) {
                 assertTrue(socket.getInputStream().read() >= 0);
-                assertEquals(quick.query("select rows=1").rows().size(), 1);
+                assertEquals(fastClient.query("select rows=1").rows().size(), 1);
             }
         }
     }
