--- a/src/test/java/lineward/mysql/SpoolCursorTest.java
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -38,14 +38,14 @@
     public void closesOneOfSeveralCursorsByResetCloseAndExecution() throws IOException {
         try (StandInClient client = client()) {
             StandInClient.Statement a = client.prepare("select rows=10");
-            StandInClient.Statement none = client.prepare("select rows=0");
+            StandInClient.Statement noRows = client.prepare("select rows=0");
             StandInClient.Statement b = client.prepare("select rows=5000");
             client.open(a);
             client.open(b);
-            client.open(none);
+            client.open(noRows);
             assertEquals(client.fetch(a, 4).rows().size(), 4);
             assertEquals(client.fetch(b, 4000).rows().size(), 4000);
-            assertEquals(client.fetch(none, 4).status() & LAST_ROW_SENT, LAST_ROW_SENT);
+            assertEquals(client.fetch(noRows, 4).status() & LAST_ROW_SENT, LAST_ROW_SENT);
             StandInClient.Page remaining = client.fetch(a, 100);
             assertEquals(remaining.rows().size(), 6);
             assertEquals(remaining.status() & LAST_ROW_SENT, LAST_ROW_SENT);
@@ -98,12 +98,12 @@
             assertEquals(reconnected.open(statement).code(), 1210, "the key belongs to another statement");
             assertEquals(executionCount(), 1);
         }
-        try (StandInClient other = client("other")) {
-            StandInClient.Result foreign = other.query("/* lineward:key=k1 from=200 */" + text);
-            StandInClient.Result unknown = other.query("/* lineward:key=k9 from=200 */" + text);
+        try (StandInClient otherUser = client("other")) {
+            StandInClient.Result foreign = otherUser.query("/* lineward:key=k1 from=200 */" + text);
+            StandInClient.Result unknown = otherUser.query("/* lineward:key=k9 from=200 */" + text);
             assertEquals(foreign.code(), 1210);
             assertEquals(foreign.message(), unknown.message(), "the error does not reveal which keys exist");
-            assertEquals(other.query("/* lineward:key=k1 */" + text).rows().size(), 1000);
+            assertEquals(otherUser.query("/* lineward:key=k1 */" + text).rows().size(), 1000);
             assertEquals(executionCount(), 2);
         }
     }
