--- a/src/test/java/lineward/mysql/ChildSockets.java
+++ b/src/test/java/lineward/mysql/ChildSockets.java
@@ -17,27 +17,27 @@
     private static final int REMOTE_ADDRESS_COLUMN = 2;
     private static final int INODE_COLUMN = 9;
 
-    private final Set<String> links;
+    private final Set<String> socketLinks;
 
-    private ChildSockets(Set<String> links) {
-        this.links = links;
+    private ChildSockets(Set<String> socketLinks) {
+        this.socketLinks = socketLinks;
     }
 
     /** Returns the sockets of this host that are connected to the port. */
     static ChildSockets connectedTo(int port) throws IOException {
         String suffix = String.format(":%04X", port);
-        Set<String> links = new HashSet<>();
+        Set<String> socketLinks = new HashSet<>();
         for (String name : SOCKET_TABLES) {
             Path table = Path.of(name);
             if (Files.exists(table)) {
                 try (Stream<String> lines = Files.lines(table)) {
                     lines.map(line -> line.strip().split("\\s+"))
                             .filter(columns -> columns[REMOTE_ADDRESS_COLUMN].endsWith(suffix))
-                            .forEach(columns -> links.add("socket:[" + columns[INODE_COLUMN] + "]"));
+                            .forEach(columns -> socketLinks.add("socket:[" + columns[INODE_COLUMN] + "]"));
                 }
             }
         }
-        return new ChildSockets(links);
+        return new ChildSockets(socketLinks);
     }
 
     /** Returns whether no child process of the test has any of the sockets open. */
@@ -47,9 +47,9 @@
         return children.stream().noneMatch(this::isOpenIn);
     }
 
-    private boolean isOpenIn(long process) {
-        try (Stream<Path> descriptors = Files.list(Path.of("/proc/" + process + "/fd"))) {
-            return descriptors.anyMatch(descriptor -> links.contains(target(descriptor)));
+    private boolean isOpenIn(long pid) {
+        try (Stream<Path> descriptors = Files.list(Path.of("/proc/" + pid + "/fd"))) {
+            return descriptors.anyMatch(descriptor -> socketLinks.contains(linkTarget(descriptor)));
         } catch (NoSuchFileException e) {
             // The process has ended, and its sockets with it.
             return false;
@@ -58,7 +58,7 @@
         }
     }
 
-    private static String target(Path descriptor) {
+    private static String linkTarget(Path descriptor) {
         try {
             return Files.readSymbolicLink(descriptor).toString();
         } catch (IOException e) {
