--- a/src/test/java/lineward/mysql/wire/ReplyTrackerTest.java
+++ b/src/test/java/lineward/mysql/wire/ReplyTrackerTest.java
@@ -34,8 +34,8 @@
     }
 
     @Test(dataProvider = "replies")
-    public void classifiesThePacketsOfAReply(boolean prepare, byte[][] packets, String role) {
-        ReplyTracker tracker = new ReplyTracker(prepare);
+    public void classifiesThePacketsOfAReply(boolean prepareReply, byte[][] packets, String role) {
+        ReplyTracker tracker = new ReplyTracker(prepareReply);
         PacketRole last = null;
         for (byte[] packet : packets) {
             ByteBuf frame = Unpooled.wrappedBuffer(new byte[4], packet);
