--- a/src/test/java/lineward/mysql/session/SessionSettingsTest.java
+++ b/src/test/java/lineward/mysql/session/SessionSettingsTest.java
@@ -48,11 +48,11 @@
     }
 
     @Test(dataProvider = "supported")
-    public void forwardsSupportedSettingsAsWritten(String text, Map<String, String> engines)
+    public void forwardsSupportedSettingsAsWritten(String text, Map<String, String> forwarded)
             throws UnsupportedSettingException {
         SessionSettings settings = new SessionSettings();
         settings.set(text);
-        assertEquals(settings.forEngines(), engines);
+        assertEquals(settings.forEngines(), forwarded);
         settings.reset();
         assertEquals(settings.forEngines(), Map.of());
     }
