--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -47,19 +47,20 @@
     }
 
     /** The measured program as a child process, with one test engine. */
-    private static final class Rig implements AutoCloseable {
+    private static final class MeasuredProgram implements AutoCloseable {
         final StandInEngine engine = new StandInEngine();
         final Path folder = Files.createTempDirectory("measure");
         final Process process;
         final int port;
 
-        Rig(String jar, int links, int heapMb, String spool) throws IOException {
+        MeasuredProgram(String jar, int connections, int heapMb, String spoolSettings) throws IOException {
             Path file = folder.resolve("mysql.toml");
             Files.writeString(
                     file,
                     "listen = \"127.0.0.1:0\"\n[limits]\nclients = 1000\nconnections-per-engine = "
-                            + links + "\n"
-                            + spool.replace("FOLDER", folder.resolve("spool").toString())
+                            + connections + "\n"
+                            + spoolSettings.replace(
+                                    "FOLDER", folder.resolve("spool").toString())
                             + "[[user]]\nname = \"office\"\npassword = \"secret\"\n"
                             + "[[class]]\nname = \"all\"\naim-ms = 5000\ndeadline-ms = 30000\n"
                             + "[[engine]]\nname = \"one\"\naddress = \"" + engine.address()
@@ -121,22 +122,22 @@
         List<StandInClient> slow = new ArrayList<>();
         double[] releaseTimes = new double[readers];
         String spool = suffix.isEmpty() ? "[spool]\nmemory-mb = 250\nresults = 1000\n" : "";
-        try (Rig rig = new Rig(jar, 1, 512, spool);
-                StandInClient next = new StandInClient(rig.port)) {
+        try (MeasuredProgram program = new MeasuredProgram(jar, 1, 512, spool);
+                StandInClient next = new StandInClient(program.port)) {
             for (int i = 0; i < readers; i++) {
-                StandInClient client = new StandInClient(rig.port);
+                StandInClient client = new StandInClient(program.port);
                 client.wire.socket.setReceiveBufferSize(4096);
                 slow.add(client);
-                int executed = rig.engine.executed.size();
+                int executed = program.engine.executed.size();
                 client.send(3, "select rows=1000 size=1000");
-                for (int t = 0; t < 2000 && rig.engine.executed.size() == executed; t++) {
+                for (int t = 0; t < 2000 && program.engine.executed.size() == executed; t++) {
                     pause(1);
                 }
                 long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
                 while (next.query("select rows=1").code() != 0 && System.nanoTime() < limit) {
                     readSlowly(slow);
                 }
-                releaseTimes[i] = rig.engine.releasedAfterMs(limit);
+                releaseTimes[i] = program.engine.releasedAfterMs(limit);
                 readSlowly(slow);
             }
             Arrays.sort(releaseTimes);
@@ -166,22 +167,22 @@
      * until all files of the spool are deleted.
      */
     private static void memory(String jar) throws Exception {
-        try (Rig rig = new Rig(jar, 8, 64, """
-                [spool]
-                memory-mb = 16
-                folder = "FOLDER"
-                file-mb = 4096
-                result-mb = 64
-                user-mb = 4096
-                """)) {
+        try (MeasuredProgram program = new MeasuredProgram(jar, 8, 64, """
+            [spool]
+            memory-mb = 16
+            folder = "FOLDER"
+            file-mb = 4096
+            result-mb = 64
+            user-mb = 4096
+            """)) {
             List<StandInClient> clients = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
-                StandInClient client = new StandInClient(rig.port);
+                StandInClient client = new StandInClient(program.port);
                 client.wire.socket.setReceiveBufferSize(4096);
                 clients.add(client);
                 client.send(3, "select rows=1600 size=10000");
                 if (i % 4 == 3) {
-                    for (int t = 0; t < 3000 && rig.engine.executed.size() <= i; t++) {
+                    for (int t = 0; t < 3000 && program.engine.executed.size() <= i; t++) {
                         pause(1);
                     }
                 }
@@ -191,14 +192,14 @@
                 clients.get(i).wire.socket.setSoTimeout(3000);
                 lost += isComplete(clients.get(i)) ? 0 : 1;
             }
-            String status = Files.readString(Path.of("/proc/" + rig.process.pid() + "/status"));
+            String status = Files.readString(Path.of("/proc/" + program.process.pid() + "/status"));
             double rss = Double.parseDouble(status.lines()
                             .filter(l -> l.startsWith("VmHWM"))
                             .findFirst()
                             .orElseThrow()
                             .replaceAll("[^0-9]", ""))
                     / 1024;
-            double heap = Files.readString(rig.folder.resolve("gc"))
+            double heap = Files.readString(program.folder.resolve("gc"))
                     .lines()
                     .filter(l -> l.contains("->"))
                     .mapToDouble(l -> Double.parseDouble(l.replaceAll(".* (\\d+)M->.*", "$1")))
@@ -211,7 +212,7 @@
                 client.close();
             }
             long start = System.nanoTime();
-            while (segments(rig.folder.resolve("spool")) > 0 && System.nanoTime() - start < 20_000 * MS) {
+            while (segments(program.folder.resolve("spool")) > 0 && System.nanoTime() - start < 20_000 * MS) {
                 pause(5);
             }
             figure("returned-after-ms", (System.nanoTime() - start) / MS, "ms");
@@ -255,8 +256,8 @@
     private static void paths(String now, String before) throws Exception {
         double[] shorts = new double[PAIRS];
         double[] longs = new double[PAIRS];
-        try (Rig a = new Rig(now, 16, 256, "");
-                Rig b = new Rig(before, 16, 256, "")) {
+        try (MeasuredProgram a = new MeasuredProgram(now, 16, 256, "");
+                MeasuredProgram b = new MeasuredProgram(before, 16, 256, "")) {
             cpu(a, "select rows=10", 3000);
             cpu(b, "select rows=10", 3000);
             seconds(a);
@@ -272,19 +273,19 @@
         figure("long-path-ratio", longs[PAIRS / 2], "throughput, to the version before");
     }
 
-    private static double cpu(Rig rig, String text, int times) throws IOException {
-        double before = rig.cpuMs();
-        try (StandInClient client = new StandInClient(rig.port)) {
+    private static double cpu(MeasuredProgram program, String text, int times) throws IOException {
+        double before = program.cpuMs();
+        try (StandInClient client = new StandInClient(program.port)) {
             for (int i = 0; i < times; i++) {
                 client.query(text);
             }
         }
-        return rig.cpuMs() - before;
+        return program.cpuMs() - before;
     }
 
-    private static double seconds(Rig rig) throws IOException {
+    private static double seconds(MeasuredProgram program) throws IOException {
         long start = System.nanoTime();
-        try (StandInClient client = new StandInClient(rig.port)) {
+        try (StandInClient client = new StandInClient(program.port)) {
             for (int i = 0; i < 3; i++) {
                 client.send(3, "select rows=20000 size=1000");
                 client.count();
