--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -127,7 +127,7 @@
             return;
         }
         SpoolHint hint = SpoolHint.of(payload.toString(StandardCharsets.ISO_8859_1));
-        Work.Query work = new Work.Query(queries.schema(), hint.textWithoutHint());
+        Work.TextQuery work = new Work.TextQuery(queries.schema(), hint.textWithoutHint());
         if (writes || !hint.hasKey()) {
             queries.run(work, text, writes, Query.Spooling.IF_LONG);
         } else if (!stream.answer(hint, work.digest(), null)) {
--- a/src/main/java/lineward/mysql/engine/EngineCommands.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommands.java
@@ -26,7 +26,7 @@
 
     /** Writes any command except a {@link Work.Execute}. */
     void send(Work work) {
-        if (work instanceof Work.Query query) {
+        if (work instanceof Work.TextQuery query) {
             text(Commands.QUERY, query.text());
         } else if (work instanceof Work.Prepare prepare) {
             text(Commands.STMT_PREPARE, prepare.text());
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -94,7 +94,7 @@
 
     /** Kills the statement that runs on the connection with this thread id, using another connection. */
     void kill(long threadId) {
-        Work killQuery = new Work.Query("", "KILL QUERY " + threadId);
+        Work killQuery = new Work.TextQuery("", "KILL QUERY " + threadId);
         AttemptListener listener = AttemptListener.DISCARD_REPLY;
         QueryAttempt kill = new QueryAttempt(killQuery, Map.of(), KILL_TIMEOUT_MS, listener);
         EngineConnection connection = idle.isEmpty() ? connect() : idle.pollFirst();
--- a/src/main/java/lineward/mysql/session/PreparedStatements.java
+++ b/src/main/java/lineward/mysql/session/PreparedStatements.java
@@ -24,8 +24,8 @@
     }
 
     /** Releases the capacity reserved for a statement whose preparation failed. */
-    public void releaseReservation(Work.Prepare work) {
-        limits.textBudget().release(work.text().length());
+    public void releaseReservation(Work.Prepare command) {
+        limits.textBudget().release(command.text().length());
     }
 
     /**
@@ -33,11 +33,11 @@
      *
      * @return the statement's id for the client
      */
-    public long add(Work.Prepare work, int parameterCount) {
-        SpoolHint hint = SpoolHint.of(work.text());
-        int reservedBytes = work.text().length();
+    public long add(Work.Prepare command, int parameterCount) {
+        SpoolHint hint = SpoolHint.of(command.text());
+        int textBytes = command.text().length();
         lastId++;
-        statementsById.put(lastId, new PreparedStatement(work.schema(), hint, parameterCount, reservedBytes));
+        statementsById.put(lastId, new PreparedStatement(command.schema(), hint, parameterCount, textBytes));
         return lastId;
     }
 
--- a/src/main/java/lineward/mysql/session/Work.java
+++ b/src/main/java/lineward/mysql/session/Work.java
@@ -27,7 +27,7 @@
     }
 
     /** Executes a statement as text (COM_QUERY). */
-    record Query(String schema, String text) implements Work {
+    record TextQuery(String schema, String text) implements Work {
         @Override
         public boolean changesSession() {
             return Work.changesSession(text);
@@ -57,7 +57,7 @@
             return Work.changesSession(text);
         }
 
-        /** Returns a digest of the schema, the text and all arguments, see {@link Query#digest}. */
+        /** Returns a digest of the schema, the text and all arguments, see {@link TextQuery#digest}. */
         public String digest() {
             return Work.digest(List.of(bytes(schema), bytes(text), arguments, longDataBytes()));
         }
