--- a/src/main/java/lineward/mysql/engine/EngineCommands.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommands.java
@@ -39,7 +39,7 @@
     void execute(long statementId, Work.Execute work) {
         for (Work.LongData data : work.longData()) {
             ByteBuf arguments = statementArguments(statementId)
-                    .writeShortLE(data.parameter())
+                    .writeShortLE(data.parameterIndex())
                     .writeBytes(data.bytes());
             write(Commands.STMT_SEND_LONG_DATA, arguments);
         }
--- a/src/main/java/lineward/mysql/session/Work.java
+++ b/src/main/java/lineward/mysql/session/Work.java
@@ -65,7 +65,7 @@
         private byte[] longDataBytes() {
             ByteArrayOutputStream joined = new ByteArrayOutputStream();
             for (LongData data : longData) {
-                joined.write(data.parameter());
+                joined.write(data.parameterIndex());
                 joined.writeBytes(data.bytes());
             }
             return joined.toByteArray();
@@ -96,8 +96,8 @@
     /**
      * A part of the value of a long parameter, which is sent before the execution (COM_STMT_SEND_LONG_DATA).
      *
-     * @param parameter index of the parameter, from 0
+     * @param parameterIndex index of the parameter, from 0
      */
     @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
-    record LongData(int parameter, byte[] bytes) {}
+    record LongData(int parameterIndex, byte[] bytes) {}
 }
