--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -13,10 +13,10 @@
 import lineward.mysql.session.UnsupportedSettingException;
 import lineward.mysql.session.Work;
 import lineward.mysql.wire.Commands;
-import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.Latin1Texts;
 import lineward.mysql.wire.LocalResult;
 import lineward.mysql.wire.Packets;
+import lineward.mysql.wire.SqlError;
 
 /** Executes the commands of one authenticated client: answers them locally or forwards them to an engine. */
 final class ClientCommands {
@@ -76,7 +76,7 @@
             case Commands.STMT_RESET -> resetStatement(payload);
             case Commands.RESET_CONNECTION -> resetConnection();
             case Commands.STMT_FETCH -> fetch(payload);
-            default -> replies.sendError(Failure.unknownCommand());
+            default -> replies.sendError(SqlError.unknownCommand());
         }
     }
 
@@ -90,7 +90,7 @@
         String text = payload.toString(StandardCharsets.UTF_8);
         StatementKind kind = StatementKind.of(text);
         if (kind instanceof StatementKind.Rejected rejected) {
-            replies.sendError(rejected.failure());
+            replies.sendError(rejected.error());
         } else if (kind instanceof StatementKind.NoOperation) {
             replies.sendOk();
         } else if (kind instanceof StatementKind.UseSchema use) {
@@ -111,8 +111,8 @@
         } catch (UnsupportedSettingException e) {
             replies.sendError(
                     e.getMessage().startsWith("autocommit")
-                            ? Failure.noTransaction("SET " + e.getMessage())
-                            : Failure.unsupported(e.getMessage()));
+                            ? SqlError.noTransaction("SET " + e.getMessage())
+                            : SqlError.unsupported(e.getMessage()));
         }
     }
 
@@ -139,11 +139,11 @@
         String text = payload.toString(StandardCharsets.UTF_8);
         StatementKind kind = StatementKind.of(text);
         if (kind instanceof StatementKind.Rejected rejected) {
-            replies.sendError(rejected.failure());
+            replies.sendError(rejected.error());
         } else if (!kind.canBePrepared()) {
-            replies.sendError(Failure.notPreparable());
+            replies.sendError(SqlError.notPreparable());
         } else if (!statements.reserve(payload.readableBytes())) {
-            replies.sendError(Failure.tooMany("prepared statements"));
+            replies.sendError(SqlError.tooMany("prepared statements"));
         } else {
             // Preparing a write changes no data, so a failed attempt may be retried like a read.
             String latin1 = payload.toString(StandardCharsets.ISO_8859_1);
@@ -162,7 +162,7 @@
         try {
             work = statement.createExecution(payload);
         } catch (IllegalArgumentException e) {
-            replies.sendError(Failure.wrongArguments(e.getMessage()));
+            replies.sendError(SqlError.wrongArguments(e.getMessage()));
             return;
         }
         String text = Latin1Texts.decode(statement.text());
@@ -190,7 +190,7 @@
         }
         int parameter = payload.readUnsignedShortLE();
         if (statement.longDataBytes() + payload.readableBytes() > MAX_LONG_DATA_BYTES) {
-            session.closeWith(Failure.tooLarge(MAX_LONG_DATA_BYTES));
+            session.closeWith(SqlError.tooLarge(MAX_LONG_DATA_BYTES));
             return;
         }
         byte[] bytes = new byte[payload.readableBytes()];
@@ -225,7 +225,7 @@
             return;
         }
         if (!statement.hasOpenCursor() || payload.readableBytes() < Integer.BYTES) {
-            replies.sendError(Failure.noCursor(id));
+            replies.sendError(SqlError.noCursor(id));
             return;
         }
         stream.fetch(statement, payload.readUnsignedIntLE());
@@ -243,7 +243,7 @@
     private PreparedStatement findStatement(long id) {
         PreparedStatement statement = statements.get(id);
         if (statement == null) {
-            replies.sendError(Failure.unknownStatement(id));
+            replies.sendError(SqlError.unknownStatement(id));
         }
         return statement;
     }
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -12,10 +12,10 @@
 import lineward.mysql.session.PreparedStatements;
 import lineward.mysql.session.SessionSettings;
 import lineward.mysql.wire.Auth;
-import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.Handshake;
 import lineward.mysql.wire.Latin1Texts;
 import lineward.mysql.wire.Packets;
+import lineward.mysql.wire.SqlError;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -89,7 +89,7 @@
     void closeForShutdown() {
         if (isBetweenCommands()) {
             replies.beginUnsolicited();
-            closeWith(Failure.shuttingDown());
+            closeWith(SqlError.shuttingDown());
         }
     }
 
@@ -104,7 +104,7 @@
             replies.send(Handshake.greeting(ctx.alloc(), number, login.nonce()));
         } else {
             replies.beginUnsolicited();
-            closeWith(Failure.tooManyConnections());
+            closeWith(SqlError.tooManyConnections());
         }
     }
 
@@ -139,7 +139,7 @@
     private void authenticate(ByteBuf payload) {
         switch (login.receive(payload)) {
             case SWITCH_REQUIRED -> requestAuthSwitch();
-            case DENIED -> closeWith(Failure.accessDenied(login.user()));
+            case DENIED -> closeWith(SqlError.accessDenied(login.user()));
             case ACCEPTED -> authenticated();
         }
     }
@@ -180,7 +180,7 @@
     }
 
     /** Sends an error and closes the connection once it is written. */
-    void closeWith(Failure failure) {
+    void closeWith(SqlError failure) {
         enter(SessionState.Event.CLOSE_REQUESTED);
         replies.sendLast(failure);
     }
@@ -195,10 +195,10 @@
         LOG.info("client connection failed: client={} cause={}", number, cause.toString());
         if (cause instanceof TooLongFrameException || cause.getCause() instanceof TooLongFrameException) {
             replies.answerTo(0);
-            closeWith(Failure.tooLarge(context.maxPacketBytes()));
+            closeWith(SqlError.tooLarge(context.maxPacketBytes()));
         } else if (state == SessionState.AWAITING_LOGIN && cause instanceof DecoderException) {
             replies.answerTo(1);
-            closeWith(Failure.malformedHandshake());
+            closeWith(SqlError.malformedHandshake());
         } else {
             replies.close();
         }
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -5,8 +5,8 @@
 import lineward.mysql.session.SessionSettings;
 import lineward.mysql.session.StatementClass;
 import lineward.mysql.session.Work;
-import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.Packets;
+import lineward.mysql.wire.SqlError;
 import lineward.spool.SpoolPolicy;
 
 /** Runs those commands of one client that an engine must execute, one at a time, and sends their replies. */
@@ -88,15 +88,15 @@
 
     /** Reports to the client that its query was rejected and changed nothing. */
     void reject(Query query, long retryAfterMs) {
-        endWith(query, Failure.rejected(retryAfterMs));
+        endWith(query, SqlError.rejected(retryAfterMs));
     }
 
     /** Reports to the client that its query failed and may have been executed. */
     void fail(Query query) {
-        endWith(query, Failure.failed());
+        endWith(query, SqlError.failed());
     }
 
-    private void endWith(Query query, Failure failure) {
+    private void endWith(Query query, SqlError failure) {
         if (running == query) {
             releaseReservation(query);
             replies.sendError(failure);
--- a/src/main/java/lineward/mysql/client/ReplyWriter.java
+++ b/src/main/java/lineward/mysql/client/ReplyWriter.java
@@ -7,8 +7,8 @@
 import io.netty.util.concurrent.Future;
 import lineward.mysql.wire.ChannelOperations;
 import lineward.mysql.wire.Dialect;
-import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.Packets;
+import lineward.mysql.wire.SqlError;
 
 /** Writes replies to one client, takes over their references, and counts those not flushed. */
 final class ReplyWriter {
@@ -69,16 +69,16 @@
         send(Packets.ok(alloc(), nextSequence()));
     }
 
-    void sendError(Failure failure) {
+    void sendError(SqlError failure) {
         sendError(nextSequence(), failure);
     }
 
-    void sendError(int sequence, Failure failure) {
+    void sendError(int sequence, SqlError failure) {
         send(Packets.error(alloc(), sequence, failure));
     }
 
     /** Sends an error and closes the connection once it is written. */
-    void sendLast(Failure failure) {
+    void sendLast(SqlError failure) {
         ByteBuf error = Packets.error(alloc(), nextSequence(), failure);
         unsentReplies++;
         channel.writeAndFlush(error).addListener(this::countWritten).addListener(ChannelFutureListener.CLOSE);
--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpoolStream.java
@@ -6,8 +6,8 @@
 import lineward.mysql.session.SpoolHint;
 import lineward.mysql.session.StatementCursor;
 import lineward.mysql.wire.Dialect;
-import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.ReplyStream;
+import lineward.mysql.wire.SqlError;
 import lineward.spool.ReadState;
 import lineward.spool.Spool;
 import lineward.spool.SpooledResult;
@@ -42,14 +42,14 @@
         SpooledResult result = spool.find(session.user(), hint.key());
         if (result == null) {
             if (hint.requestsPage()) {
-                replies.sendError(Failure.noResult());
+                replies.sendError(SqlError.noResult());
             }
             return hint.requestsPage();
         }
         if (!result.statement().equals(digest)) {
-            replies.sendError(Failure.otherResult());
+            replies.sendError(SqlError.otherResult());
         } else if (hint.requestsPage() && !result.isComplete()) {
-            replies.sendError(Failure.noResult());
+            replies.sendError(SqlError.noResult());
         } else {
             start(result, hint, cursor);
         }
@@ -108,9 +108,9 @@
             // An error packet would wait behind rows that the client does not read.
             replies.close();
         } else if (state == ReadState.BROKEN) {
-            errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.brokenOff()));
+            errorSequence.ifPresent(sequence -> replies.sendError(sequence, SqlError.brokenOff()));
         } else if (state == ReadState.EXPIRED) {
-            errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.leaseExpired()));
+            errorSequence.ifPresent(sequence -> replies.sendError(sequence, SqlError.leaseExpired()));
         }
         active = null;
         session.commandStepEnded(SessionState.Event.STREAM_ENDED);
--- a/src/main/java/lineward/mysql/engine/EngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnection.java
@@ -11,10 +11,10 @@
 import lineward.mysql.session.Work;
 import lineward.mysql.wire.ChannelOperations;
 import lineward.mysql.wire.Commands;
-import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.PacketRole;
 import lineward.mysql.wire.Packets;
 import lineward.mysql.wire.ReplyTracker;
+import lineward.mysql.wire.SqlError;
 import lineward.scheduling.AttemptOutcome;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -28,8 +28,8 @@
     /** Time limit for the reply to a statement after its kill; then the connection is closed. */
     private static final int KILL_TIMEOUT_MS = 300;
     /** The reply to an execution if the statement's parameter count differs from the one the client knows. */
-    private static final Failure PARAMETERS_CHANGED =
-            Failure.wrongArguments("the statement's parameters have changed since it was prepared");
+    private static final SqlError PARAMETERS_CHANGED =
+            SqlError.wrongArguments("the statement's parameters have changed since it was prepared");
 
     private final EngineConnectionPool pool;
     private ConnectionState state = ConnectionState.CONNECTING;
--- a/src/main/java/lineward/mysql/session/StatementClassifier.java
+++ b/src/main/java/lineward/mysql/session/StatementClassifier.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import java.util.Set;
 import lineward.core.SqlTokens;
-import lineward.mysql.wire.Failure;
+import lineward.mysql.wire.SqlError;
 
 /** Classifies a statement by its tokens. Words in strings, quoted names and comments are ignored. */
 final class StatementClassifier {
@@ -217,10 +217,10 @@
     }
 
     private static StatementKind unsupported(String what) {
-        return new StatementKind.Rejected(Failure.unsupported(what));
+        return new StatementKind.Rejected(SqlError.unsupported(what));
     }
 
     private static StatementKind unsupportedTransaction(String what) {
-        return new StatementKind.Rejected(Failure.noTransaction(what));
+        return new StatementKind.Rejected(SqlError.noTransaction(what));
     }
 }
--- a/src/main/java/lineward/mysql/session/StatementKind.java
+++ b/src/main/java/lineward/mysql/session/StatementKind.java
@@ -1,6 +1,6 @@
 package lineward.mysql.session;
 
-import lineward.mysql.wire.Failure;
+import lineward.mysql.wire.SqlError;
 
 /** How the front end handles a statement. */
 public sealed interface StatementKind {
@@ -48,7 +48,7 @@
     }
 
     /** Not supported, because it needs state of one engine's session, such as a transaction. */
-    record Rejected(Failure failure) implements StatementKind {}
+    record Rejected(SqlError error) implements StatementKind {}
 
     /** Returns the kind of a statement; a statement that is not known to be a read is a write. */
     static StatementKind of(String text) {
--- a/src/main/java/lineward/mysql/wire/Packets.java
+++ b/src/main/java/lineward/mysql/wire/Packets.java
@@ -70,9 +70,9 @@
     }
 
     /** Returns an error packet. */
-    public static ByteBuf error(ByteBufAllocator alloc, int sequence, Failure failure) {
-        ByteBuf packet = begin(alloc, sequence).writeByte(ERR).writeShortLE(failure.code());
-        packet.writeCharSequence("#" + failure.state() + failure.message(), StandardCharsets.UTF_8);
+    public static ByteBuf error(ByteBufAllocator alloc, int sequence, SqlError error) {
+        ByteBuf packet = begin(alloc, sequence).writeByte(ERR).writeShortLE(error.code());
+        packet.writeCharSequence("#" + error.state() + error.message(), StandardCharsets.UTF_8);
         return done(packet);
     }
 
--- a/src/main/java/lineward/mysql/wire/package-info.java
+++ b/src/main/java/lineward/mysql/wire/package-info.java
@@ -2,7 +2,7 @@
  * The packets of the MySQL protocol, on connections from clients and to engines: framing
  * ({@link lineward.mysql.wire.PacketDecoder}, {@link lineward.mysql.wire.Packets}), the connection phase
  * ({@link lineward.mysql.wire.Handshake}, {@link lineward.mysql.wire.Auth}), errors
- * ({@link lineward.mysql.wire.Failure}) and the two formats of results
+ * ({@link lineward.mysql.wire.SqlError}) and the two formats of results
  * ({@link lineward.mysql.wire.Dialect}).
  *
  * <p>It holds no connection and uses Netty only. A {@code PacketDecoder} belongs to one connection and a
