--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -111,7 +111,7 @@
         } catch (UnsupportedSettingException e) {
             replies.sendError(
                     e.getMessage().startsWith("autocommit")
-                            ? SqlError.noTransaction("SET " + e.getMessage())
+                            ? SqlError.unsupportedTransaction("SET " + e.getMessage())
                             : SqlError.unsupported(e.getMessage()));
         }
     }
@@ -190,7 +190,7 @@
         }
         int parameter = payload.readUnsignedShortLE();
         if (statement.longDataBytes() + payload.readableBytes() > MAX_LONG_DATA_BYTES) {
-            session.closeWith(SqlError.tooLarge(MAX_LONG_DATA_BYTES));
+            session.closeWith(SqlError.packetTooLarge(MAX_LONG_DATA_BYTES));
             return;
         }
         byte[] bytes = new byte[payload.readableBytes()];
@@ -225,7 +225,7 @@
             return;
         }
         if (!statement.hasOpenCursor() || payload.readableBytes() < Integer.BYTES) {
-            replies.sendError(SqlError.noCursor(id));
+            replies.sendError(SqlError.noOpenCursor(id));
             return;
         }
         stream.fetch(statement, payload.readUnsignedIntLE());
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -195,7 +195,7 @@
         LOG.info("client connection failed: client={} cause={}", number, cause.toString());
         if (cause instanceof TooLongFrameException || cause.getCause() instanceof TooLongFrameException) {
             replies.answerTo(0);
-            closeWith(SqlError.tooLarge(context.maxPacketBytes()));
+            closeWith(SqlError.packetTooLarge(context.maxPacketBytes()));
         } else if (state == SessionState.AWAITING_LOGIN && cause instanceof DecoderException) {
             replies.answerTo(1);
             closeWith(SqlError.malformedHandshake());
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -93,7 +93,7 @@
 
     /** Reports to the client that its query failed and may have been executed. */
     void fail(Query query) {
-        endWith(query, SqlError.failed());
+        endWith(query, SqlError.outcomeUnknown());
     }
 
     private void endWith(Query query, SqlError failure) {
--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpoolStream.java
@@ -42,14 +42,14 @@
         SpooledResult result = spool.find(session.user(), hint.key());
         if (result == null) {
             if (hint.requestsPage()) {
-                replies.sendError(SqlError.noResult());
+                replies.sendError(SqlError.unknownKey());
             }
             return hint.requestsPage();
         }
         if (!result.statement().equals(digest)) {
-            replies.sendError(SqlError.otherResult());
+            replies.sendError(SqlError.keyOfOtherStatement());
         } else if (hint.requestsPage() && !result.isComplete()) {
-            replies.sendError(SqlError.noResult());
+            replies.sendError(SqlError.unknownKey());
         } else {
             start(result, hint, cursor);
         }
@@ -108,7 +108,7 @@
             // An error packet would wait behind rows that the client does not read.
             replies.close();
         } else if (state == ReadState.BROKEN) {
-            errorSequence.ifPresent(sequence -> replies.sendError(sequence, SqlError.brokenOff()));
+            errorSequence.ifPresent(sequence -> replies.sendError(sequence, SqlError.resultIncomplete()));
         } else if (state == ReadState.EXPIRED) {
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, SqlError.leaseExpired()));
         }
--- a/src/main/java/lineward/mysql/session/StatementClassifier.java
+++ b/src/main/java/lineward/mysql/session/StatementClassifier.java
@@ -221,6 +221,6 @@
     }
 
     private static StatementKind unsupportedTransaction(String what) {
-        return new StatementKind.Rejected(SqlError.noTransaction(what));
+        return new StatementKind.Rejected(SqlError.unsupportedTransaction(what));
     }
 }
--- a/src/main/java/lineward/mysql/wire/Packets.java
+++ b/src/main/java/lineward/mysql/wire/Packets.java
@@ -72,7 +72,7 @@
     /** Returns an error packet. */
     public static ByteBuf error(ByteBufAllocator alloc, int sequence, SqlError error) {
         ByteBuf packet = begin(alloc, sequence).writeByte(ERR).writeShortLE(error.code());
-        packet.writeCharSequence("#" + error.state() + error.message(), StandardCharsets.UTF_8);
+        packet.writeCharSequence("#" + error.sqlState() + error.message(), StandardCharsets.UTF_8);
         return done(packet);
     }
 
--- a/src/main/java/lineward/mysql/wire/SqlError.java
+++ b/src/main/java/lineward/mysql/wire/SqlError.java
@@ -4,10 +4,10 @@
  * The content of an error packet, with one factory method for each error that the front end itself reports.
  *
  * @param code MySQL's error number
- * @param state five-character SQLSTATE
+ * @param sqlState five-character SQLSTATE
  * @param message the text for the user
  */
-public record SqlError(int code, String state, String message) {
+public record SqlError(int code, String sqlState, String message) {
     /** Value of the delay before a retry if none is suggested. */
     public static final long NO_RETRY_AFTER_MS = 0;
 
@@ -28,13 +28,13 @@
     }
 
     /** No engine sent a complete reply; the statement may have run, and its outcome is unknown. */
-    public static SqlError failed() {
+    public static SqlError outcomeUnknown() {
         return new SqlError(
                 ErrorCode.QUERY_INTERRUPTED, "failed: no whole answer came from the engine, it may have run");
     }
 
     /** The attempt failed after the client had received some rows, so that its result is incomplete. */
-    public static SqlError brokenOff() {
+    public static SqlError resultIncomplete() {
         return new SqlError(ErrorCode.QUERY_INTERRUPTED, "failed: the engine broke off amid the rows");
     }
 
@@ -45,17 +45,17 @@
     }
 
     /** A COM_STMT_FETCH names a statement without an open cursor. */
-    public static SqlError noCursor(long id) {
+    public static SqlError noOpenCursor(long id) {
         return new SqlError(ErrorCode.NO_OPEN_CURSOR, "the statement " + id + " has no open cursor");
     }
 
     /** No complete result has this key. The error is the same for an expired key and another user's key. */
-    public static SqlError noResult() {
+    public static SqlError unknownKey() {
         return new SqlError(ErrorCode.WRONG_ARGUMENTS, "no result stands under that key");
     }
 
     /** The key names the result of another statement. */
-    public static SqlError otherResult() {
+    public static SqlError keyOfOtherStatement() {
         return new SqlError(ErrorCode.WRONG_ARGUMENTS, "the key stands for the result of another statement");
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** The statement opens a transaction or continues one. */
-    public static SqlError noTransaction(String what) {
+    public static SqlError unsupportedTransaction(String what) {
         String message = what + " is not possible here: every statement commits by itself";
         return new SqlError(ErrorCode.FORBIDDEN_IN_TRANSACTION, message);
     }
@@ -93,12 +93,12 @@
     }
 
     /** The arguments of a command are malformed. */
-    public static SqlError wrongArguments(String why) {
-        return new SqlError(ErrorCode.WRONG_ARGUMENTS, "wrong arguments: " + why);
+    public static SqlError wrongArguments(String reason) {
+        return new SqlError(ErrorCode.WRONG_ARGUMENTS, "wrong arguments: " + reason);
     }
 
     /** A packet exceeds the configured limit. */
-    public static SqlError tooLarge(int maxBytes) {
+    public static SqlError packetTooLarge(int maxBytes) {
         String message = "packet larger than the " + maxBytes + " bytes allowed";
         return new SqlError(ErrorCode.PACKET_TOO_LARGE, message);
     }
