--- a/src/main/java/lineward/mysql/wire/Handshake.java
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -37,11 +37,11 @@
     public static final String SERVER_VERSION = "8.0.36-lineward";
 
     private static final int PROTOCOL_VERSION = 10;
-    private static final int NONCE_HEAD = 8;
+    private static final int NONCE_HEAD_BYTES = 8;
     private static final int LOGIN_RESERVED_BYTES = 23;
     private static final int GREETING_RESERVED_BYTES = 10;
     /** Minimum length of the second part of the nonce in a greeting, including its final zero byte. */
-    private static final int MIN_NONCE_TAIL = 13;
+    private static final int MIN_NONCE_TAIL_BYTES = 13;
 
     private static final int MAX_PACKET_BYTES = 1 << 24;
 
@@ -59,12 +59,13 @@
     public static ByteBuf greeting(ByteBufAllocator alloc, int threadId, byte[] nonce) {
         ByteBuf packet = Packets.begin(alloc, 0).writeByte(PROTOCOL_VERSION);
         writeCString(packet, SERVER_VERSION);
-        packet.writeIntLE(threadId).writeBytes(nonce, 0, NONCE_HEAD).writeByte(0);
+        packet.writeIntLE(threadId).writeBytes(nonce, 0, NONCE_HEAD_BYTES).writeByte(0);
         packet.writeShortLE(OFFERED_CAPABILITIES).writeByte(UTF8MB4).writeShortLE(Packets.AUTOCOMMIT);
         packet.writeShortLE(OFFERED_CAPABILITIES >>> 16)
                 .writeByte(nonce.length + 1)
                 .writeZero(GREETING_RESERVED_BYTES);
-        packet.writeBytes(nonce, NONCE_HEAD, nonce.length - NONCE_HEAD).writeByte(0);
+        packet.writeBytes(nonce, NONCE_HEAD_BYTES, nonce.length - NONCE_HEAD_BYTES)
+                .writeByte(0);
         writeCString(packet, Auth.SHA2);
         return Packets.done(packet);
     }
@@ -81,18 +82,18 @@
             }
             Packets.readCString(payload);
             long threadId = payload.readUnsignedIntLE();
-            byte[] head = new byte[NONCE_HEAD];
+            byte[] head = new byte[NONCE_HEAD_BYTES];
             payload.readBytes(head).skipBytes(1);
             int capabilities = payload.readUnsignedShortLE();
             payload.skipBytes(3);
             capabilities |= payload.readUnsignedShortLE() << 16;
-            int length = Math.max(MIN_NONCE_TAIL, payload.readUnsignedByte() - NONCE_HEAD);
+            int length = Math.max(MIN_NONCE_TAIL_BYTES, payload.readUnsignedByte() - NONCE_HEAD_BYTES);
             payload.skipBytes(GREETING_RESERVED_BYTES);
             byte[] tail = new byte[Math.min(length, payload.readableBytes())];
             payload.readBytes(tail);
             byte[] nonce = Arrays.copyOf(head, Auth.NONCE_BYTES);
-            int tailBytes = Math.min(tail.length, Auth.NONCE_BYTES - NONCE_HEAD);
-            System.arraycopy(tail, 0, nonce, NONCE_HEAD, tailBytes);
+            int tailBytes = Math.min(tail.length, Auth.NONCE_BYTES - NONCE_HEAD_BYTES);
+            System.arraycopy(tail, 0, nonce, NONCE_HEAD_BYTES, tailBytes);
             String plugin = (capabilities & PLUGIN_AUTH) != 0 ? Packets.readCString(payload) : Auth.NATIVE;
             return new Greeting(threadId, nonce, plugin);
         } catch (IndexOutOfBoundsException e) {
