--- a/src/main/java/lineward/mysql/client/OpenCursor.java
+++ b/src/main/java/lineward/mysql/client/OpenCursor.java
@@ -237,7 +237,7 @@
         do {
             rows[offset + SEQUENCE_OFFSET] = (byte) sequence;
             sequence++;
-            length = Packets.length(rows, offset);
+            length = Packets.frameLength(rows, offset);
             offset += length;
         } while (length == Packets.HEADER_BYTES + Packets.MAX_PAYLOAD_BYTES);
     }
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -121,7 +121,7 @@
      * the schema gets this session's sequence number, as it may answer a login packet instead of a command.
      */
     private void relay(Query query, ByteBuf reply) {
-        boolean succeeded = Packets.first(reply) != Packets.ERR;
+        boolean succeeded = Packets.firstByte(reply) != Packets.ERR;
         boolean prepared = succeeded && query.work() instanceof Work.Prepare;
         if (prepared) {
             registerPrepared((Work.Prepare) query.work(), reply);
--- a/src/main/java/lineward/mysql/engine/EngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnection.java
@@ -161,7 +161,7 @@
                 readLogin(frame);
             } else if (attempt != null) {
                 ownedByAttempt = readReply(frame);
-            } else if (Packets.first(frame) != Packets.ERR) {
+            } else if (Packets.firstByte(frame) != Packets.ERR) {
                 // Without a command, an engine may only announce by an error that it closes the connection.
                 throw new DecoderException("engine sent a packet although no command is running");
             }
--- a/src/main/java/lineward/mysql/engine/EngineLogin.java
+++ b/src/main/java/lineward/mysql/engine/EngineLogin.java
@@ -50,7 +50,7 @@
     Progress advance(ByteBuf frame) {
         int sequence = Packets.sequence(frame) + 1;
         ByteBuf payload = Packets.payload(frame);
-        int type = Packets.first(frame);
+        int type = Packets.firstByte(frame);
         if (type == Packets.ERR) {
             return Progress.REJECTED;
         }
--- a/src/main/java/lineward/mysql/wire/Dialect.java
+++ b/src/main/java/lineward/mysql/wire/Dialect.java
@@ -50,7 +50,7 @@
      * @param prepared whether the reply is a successful one to COM_STMT_PREPARE
      */
     public ByteBuf convert(ByteBufAllocator alloc, ByteBuf reply, boolean prepared) {
-        int first = Packets.first(reply);
+        int first = Packets.firstByte(reply);
         boolean withoutColumns = first == Packets.ERR || (first == Packets.OK && !prepared);
         if (this == EOF_PACKETS || withoutColumns) {
             return reply;
@@ -111,7 +111,7 @@
             return Unpooled.wrappedBuffer(rows);
         }
         byte[] renumbered = rows.clone();
-        for (int offset = 0; offset < renumbered.length; offset += Packets.length(renumbered, offset)) {
+        for (int offset = 0; offset < renumbered.length; offset += Packets.frameLength(renumbered, offset)) {
             renumbered[offset + SEQUENCE_OFFSET]--;
         }
         return Unpooled.wrappedBuffer(renumbered);
--- a/src/main/java/lineward/mysql/wire/Packets.java
+++ b/src/main/java/lineward/mysql/wire/Packets.java
@@ -62,7 +62,7 @@
     }
 
     /** Returns the length, including the header, of the packet at this offset. */
-    public static int length(byte[] packets, int offset) {
+    public static int frameLength(byte[] packets, int offset) {
         int low = packets[offset] & 0xff;
         int middle = packets[offset + 1] & 0xff;
         int high = packets[offset + 2] & 0xff;
@@ -88,28 +88,28 @@
     }
 
     /** Returns the payload's first byte, which identifies the packet's type, or {@link #EMPTY}. */
-    public static int first(ByteBuf frame) {
-        return size(frame) == 0 ? EMPTY : frame.getUnsignedByte(frame.readerIndex() + HEADER_BYTES);
+    public static int firstByte(ByteBuf frame) {
+        return payloadLength(frame) == 0 ? EMPTY : frame.getUnsignedByte(frame.readerIndex() + HEADER_BYTES);
     }
 
     /** Returns the payload's length. */
-    public static int size(ByteBuf frame) {
+    public static int payloadLength(ByteBuf frame) {
         return frame.readableBytes() - HEADER_BYTES;
     }
 
     /** Returns a view of the payload, which shares the reference count of the frame. */
     public static ByteBuf payload(ByteBuf frame) {
-        return frame.slice(frame.readerIndex() + HEADER_BYTES, size(frame));
+        return frame.slice(frame.readerIndex() + HEADER_BYTES, payloadLength(frame));
     }
 
     /** Returns whether the frame is an EOF packet. */
     public static boolean isEof(ByteBuf frame) {
-        return first(frame) == EOF && size(frame) < MIN_ROW_BYTES_AFTER_EOF_BYTE;
+        return firstByte(frame) == EOF && payloadLength(frame) < MIN_ROW_BYTES_AFTER_EOF_BYTE;
     }
 
     /** Returns the error's number, or {@link #UNKNOWN_ERROR} if the packet is too short for one. */
     public static int errorCode(ByteBuf frame) {
-        return size(frame) < ERROR_HEAD_BYTES
+        return payloadLength(frame) < ERROR_HEAD_BYTES
                 ? UNKNOWN_ERROR
                 : frame.getUnsignedShortLE(frame.readerIndex() + HEADER_BYTES + 1);
     }
@@ -153,7 +153,7 @@
         int sequence = 0;
         while (offset < packets.length) {
             sequence = packets[offset + HEADER_BYTES - 1] & 0xff;
-            offset += length(packets, offset);
+            offset += frameLength(packets, offset);
         }
         return sequence + 1;
     }
--- a/src/main/java/lineward/mysql/wire/ReplyTracker.java
+++ b/src/main/java/lineward/mysql/wire/ReplyTracker.java
@@ -56,7 +56,7 @@
         if (rowContinues) {
             return row(frame);
         }
-        int type = Packets.first(frame);
+        int type = Packets.firstByte(frame);
         if (type < 0) {
             throw new DecoderException("empty packet in a reply");
         }
@@ -135,7 +135,7 @@
 
     /** A packet of the maximum length is continued by the next one, which may be empty. */
     private PacketRole row(ByteBuf frame) {
-        rowContinues = Packets.size(frame) == Packets.MAX_PAYLOAD_BYTES;
+        rowContinues = Packets.payloadLength(frame) == Packets.MAX_PAYLOAD_BYTES;
         return rowContinues ? PacketRole.ROW_PART : PacketRole.ROW;
     }
 
