--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -79,8 +79,8 @@
         this.clients = new ConnectedClients(config.limits().maxClients());
         this.pools = enginePools(loop, config.limits());
         this.reportTargets = new AttemptReporter.Targets(coordinator, metrics, spool, tickRequest);
-        QueryDispatcher queries = new QueryAdmission(config, admission, driver, metrics);
-        this.acceptor = new ClientAcceptor(clientContext(queries), Listener.at(config.listenAddress()));
+        QueryDispatcher dispatcher = new QueryAdmission(config, admission, driver, metrics);
+        this.acceptor = new ClientAcceptor(clientContext(dispatcher), Listener.at(config.listenAddress()));
     }
 
     private ClientContext clientContext(QueryDispatcher dispatcher) {
@@ -121,7 +121,7 @@
     public void updateEngines(List<EngineConfig> engines) {
         pools.update(engines);
         List<EngineEndpoint> endpoints =
-                engines.stream().map(MysqlServer::endpoint).toList();
+                engines.stream().map(MysqlServer::toEndpoint).toList();
         List<String> states = endpoints.stream()
                 .map(endpoint -> endpoint.id() + ' ' + endpoint.state())
                 .toList();
@@ -130,7 +130,7 @@
         tickRequest.run();
     }
 
-    private static EngineEndpoint endpoint(EngineConfig engine) {
+    private static EngineEndpoint toEndpoint(EngineConfig engine) {
         String address = engine.address().toString();
         return new EngineEndpoint(engine.name(), address, 0, 1, 0, engine.state(), 0, 0);
     }
@@ -146,11 +146,11 @@
      * because the MySQL protocol has no message for that.
      */
     @Override
-    public void setAdmission(ServerAdmissionPolicy.Phase next) {
-        if (admission.welcomesClients() && next != ServerAdmissionPolicy.Phase.OPEN) {
+    public void setAdmission(ServerAdmissionPolicy.Phase phase) {
+        if (admission.welcomesClients() && phase != ServerAdmissionPolicy.Phase.OPEN) {
             shutdownStartedNanos = System.nanoTime();
         }
-        admission.enter(next);
+        admission.enter(phase);
     }
 
     /** Ignored: a statement keeps the deadline of its class. */
@@ -178,9 +178,9 @@
     }
 
     @Override
-    public void setMaintenance(String engine, boolean excluded, double sinceMs) {
-        driver.setMaintenance(engine, excluded, sinceMs);
-        if (excluded) {
+    public void setMaintenance(String engine, boolean underMaintenance, double sinceMs) {
+        driver.setMaintenance(engine, underMaintenance, sinceMs);
+        if (underMaintenance) {
             pools.rejectUnsent(engine);
         }
     }
--- a/src/main/java/lineward/mysql/QueryAdmission.java
+++ b/src/main/java/lineward/mysql/QueryAdmission.java
@@ -19,11 +19,11 @@
     QueryAdmission(
             MysqlConfig config,
             ServerAdmissionPolicy admission,
-            CoordinatorDriver<Query> coordinator,
+            CoordinatorDriver<Query> coordinatorDriver,
             Metrics metrics) {
         this.config = config;
         this.admission = admission;
-        this.driver = coordinator;
+        this.driver = coordinatorDriver;
         this.metrics = metrics;
     }
 
