--- a/src/test/java/lineward/mysql/SessionIsolationTest.java
+++ b/src/test/java/lineward/mysql/SessionIsolationTest.java
@@ -22,29 +22,29 @@
     private static final String PLAIN = "{}";
     private static final String NEW_CLIENT_QUERY = "select rows=1 of a new client";
     private StandInEngine engine;
-    private Path file;
+    private Path configFile;
     private Program program;
 
     @BeforeMethod
     public void start() throws IOException {
         engine = new StandInEngine();
-        file = Files.createTempFile("mysql", ".toml");
+        configFile = Files.createTempFile("mysql", ".toml");
         Files.writeString(
-                file,
+                configFile,
                 "listen = \"127.0.0.1:0\"\n"
                         + "[[user]]\nname = \"office\"\npassword = \"secret\"\n"
                         + "[[class]]\nname = \"all\"\naim-ms = 2000\ndeadline-ms = 9000\n"
                         + "[[engine]]\nname = \"one\"\naddress = \""
                         + engine.address()
                         + "\"\nuser = \"front\"\n");
-        program = new Program(Map.of(), "mysql", file.toString());
+        program = new Program(Map.of(), "mysql", configFile.toString());
     }
 
     @AfterMethod(alwaysRun = true)
     public void stop() throws IOException {
         program.close();
         engine.close();
-        Files.delete(file);
+        Files.delete(configFile);
     }
 
     private StandInClient client() throws IOException {
@@ -84,13 +84,13 @@
 
     /** A connection to which the settings of a disconnected client are being applied must not be reused. */
     @Test(dataProvider = "disconnects")
-    public void clientDisconnectsWhileSettingsAreApplied(boolean reset) throws Exception {
+    public void discardsSettingsOfAClientThatDisconnects(boolean reset) throws Exception {
         CountDownLatch settingsReceived = new CountDownLatch(1);
-        CountDownLatch clientLeft = new CountDownLatch(1);
+        CountDownLatch clientDisconnected = new CountDownLatch(1);
         engine.onSettings = () -> {
             settingsReceived.countDown();
             try {
-                assertTrue(clientLeft.await(10, TimeUnit.SECONDS));
+                assertTrue(clientDisconnected.await(10, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
@@ -101,7 +101,7 @@
             assertTrue(settingsReceived.await(10, TimeUnit.SECONDS), "the engine has received the settings");
             disconnect(client, reset);
             assertNewClientsAreUnaffected();
-            clientLeft.countDown();
+            clientDisconnected.countDown();
             assertNewClientsAreUnaffected();
         }
         assertTrue(
@@ -111,7 +111,7 @@
 
     /** The engine has applied the first setting when it rejects the second, so its session has changed. */
     @Test
-    public void secondOfTwoSettingsFails() throws IOException {
+    public void discardsSettingsAfterAFailedSet() throws IOException {
         try (StandInClient client = client()) {
             assertEquals(
                     client.query("set group_concat_max_len = 5, sql_mode = 'bad_mode'")
@@ -124,7 +124,7 @@
     }
 
     @Test(dataProvider = "disconnects")
-    public void statementWithSettingsIsKilled(boolean reset) throws IOException {
+    public void discardsSettingsAfterAKill(boolean reset) throws IOException {
         engine.fault = Fault.SILENT;
         try (StandInClient client = client()) {
             assertEquals(client.query("set sql_mode = 'ANSI'").code(), 0);
@@ -154,7 +154,7 @@
 
     /** An engine parses a prepared statement with the settings that apply when it prepares the statement. */
     @Test
-    public void statementsArePreparedForEachSetOfSettings() throws IOException {
+    public void preparesAStatementForEachSetOfSettings() throws IOException {
         try (StandInClient first = client();
                 StandInClient second = client()) {
             assertEquals(first.query("set sql_mode = 'ANSI'").code(), 0);
@@ -184,7 +184,7 @@
     }
 
     @Test(dataProvider = "sessionChanges")
-    public void statementsThatChangeTheSessionCloseItsConnection(String text) throws IOException {
+    public void closesTheConnectionAfterASessionChange(String text) throws IOException {
         try (StandInClient client = client()) {
             assertEquals(client.query(text).code(), 0);
             assertNewClientsAreUnaffected();
