--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -19,8 +19,8 @@
  */
 public final class MeasureSpool {
     private static final int READERS = 200;
-    private static final int PAIRS = 5;
-    private static final double MS = 1e6;
+    private static final int ROUNDS = 5;
+    private static final double NANOS_PER_MS = 1e6;
 
     private MeasureSpool() {}
 
@@ -30,19 +30,19 @@
      * @param args the jar to measure, and optionally the jar of an earlier version
      */
     public static void main(String[] args) throws Exception {
-        release("", args[0], READERS);
+        measureEngineRelease("", args[0], READERS);
         if (args.length > 1) {
-            release("-before", args[1], 4);
+            measureEngineRelease("-before", args[1], 4);
         }
-        memory(args[0]);
-        recovery();
+        measureMemory(args[0]);
+        measureRecovery();
         if (args.length > 1) {
-            paths(args[0], args[1]);
+            compareVersions(args[0], args[1]);
         }
         System.exit(0);
     }
 
-    private static void figure(String name, double value, String unit) {
+    private static void print(String name, double value, String unit) {
         System.out.printf(Locale.ROOT, "%s %.3f %s%n", name, value, unit);
     }
 
@@ -92,7 +92,7 @@
         }
 
         double cpuMs() {
-            return process.info().totalCpuDuration().orElseThrow().toNanos() / MS;
+            return process.info().totalCpuDuration().orElseThrow().toNanos() / NANOS_PER_MS;
         }
 
         @Override
@@ -118,32 +118,32 @@
      * clients read their results of 1 MB slowly. The figure includes the time that the program takes to
      * process the next statement.
      */
-    private static void release(String suffix, String jar, int readers) throws Exception {
-        List<StandInClient> slow = new ArrayList<>();
+    private static void measureEngineRelease(String suffix, String jar, int readers) throws Exception {
+        List<StandInClient> slowClients = new ArrayList<>();
         double[] releaseTimes = new double[readers];
         String spool = suffix.isEmpty() ? "[spool]\nmemory-mb = 250\nresults = 1000\n" : "";
         try (MeasuredProgram program = new MeasuredProgram(jar, 1, 512, spool);
-                StandInClient next = new StandInClient(program.port)) {
+                StandInClient nextClient = new StandInClient(program.port)) {
             for (int i = 0; i < readers; i++) {
                 StandInClient client = new StandInClient(program.port);
                 client.wire.socket.setReceiveBufferSize(4096);
-                slow.add(client);
+                slowClients.add(client);
                 int executed = program.engine.executed.size();
                 client.send(3, "select rows=1000 size=1000");
                 for (int t = 0; t < 2000 && program.engine.executed.size() == executed; t++) {
                     pause(1);
                 }
-                long limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
-                while (next.query("select rows=1").code() != 0 && System.nanoTime() < limit) {
-                    readSlowly(slow);
+                long limitNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
+                while (nextClient.query("select rows=1").code() != 0 && System.nanoTime() < limitNanos) {
+                    readSlowly(slowClients);
                 }
-                releaseTimes[i] = program.engine.releasedAfterMs(limit);
-                readSlowly(slow);
+                releaseTimes[i] = program.engine.releasedAfterMs(limitNanos);
+                readSlowly(slowClients);
             }
             Arrays.sort(releaseTimes);
-            figure("engine-release-p99-ms" + suffix, releaseTimes[(int) Math.ceil(readers * 0.99) - 1], "ms");
+            print("engine-release-p99-ms" + suffix, releaseTimes[(int) Math.ceil(readers * 0.99) - 1], "ms");
         } finally {
-            for (StandInClient client : slow) {
+            for (StandInClient client : slowClients) {
                 client.close();
             }
         }
@@ -166,7 +166,7 @@
      * results, the number of these results that were incomplete, and the time from the clients' disconnection
      * until all files of the spool are deleted.
      */
-    private static void memory(String jar) throws Exception {
+    private static void measureMemory(String jar) throws Exception {
         try (MeasuredProgram program = new MeasuredProgram(jar, 8, 64, """
             [spool]
             memory-mb = 16
@@ -187,10 +187,10 @@
                     }
                 }
             }
-            int lost = 0;
+            int incompleteResults = 0;
             for (int i = 0; i < 50; i++) {
                 clients.get(i).wire.socket.setSoTimeout(3000);
-                lost += isComplete(clients.get(i)) ? 0 : 1;
+                incompleteResults += isComplete(clients.get(i)) ? 0 : 1;
             }
             String status = Files.readString(Path.of("/proc/" + program.process.pid() + "/status"));
             double rss = Double.parseDouble(status.lines()
@@ -205,17 +205,18 @@
                     .mapToDouble(l -> Double.parseDouble(l.replaceAll(".* (\\d+)M->.*", "$1")))
                     .max()
                     .orElse(0);
-            figure("heap-peak-mb", heap, "MB");
-            figure("rss-peak-mb", rss, "MB");
-            figure("lost-results", lost, "of 50 read");
+            print("heap-peak-mb", heap, "MB");
+            print("rss-peak-mb", rss, "MB");
+            print("lost-results", incompleteResults, "of 50 read");
             for (StandInClient client : clients) {
                 client.close();
             }
             long start = System.nanoTime();
-            while (segments(program.folder.resolve("spool")) > 0 && System.nanoTime() - start < 20_000 * MS) {
+            while (countSegments(program.folder.resolve("spool")) > 0
+                    && System.nanoTime() - start < 20_000 * NANOS_PER_MS) {
                 pause(5);
             }
-            figure("returned-after-ms", (System.nanoTime() - start) / MS, "ms");
+            print("returned-after-ms", (System.nanoTime() - start) / NANOS_PER_MS, "ms");
         }
     }
 
@@ -227,53 +228,54 @@
         }
     }
 
-    private static long segments(Path folder) throws IOException {
+    private static long countSegments(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(f -> f.toString().endsWith(".lwseg")).count();
         }
     }
 
     /** Measures the recovery of a spool folder, and counts the wrong blocks read from corrupt files. */
-    private static void recovery() throws IOException {
+    private static void measureRecovery() throws IOException {
         Path folder = Files.createTempDirectory("recover");
         int megabytes = 512;
         SpoolFixture.fill(folder, megabytes / 16, 16);
         long start = System.nanoTime();
         try (SpoolFolder spool = SpoolFolder.acquire(folder)) {
             int recovered = spool.recover().complete().size();
-            figure(
+            print(
                     "recover-ms",
-                    (System.nanoTime() - start) / MS,
+                    (System.nanoTime() - start) / NANOS_PER_MS,
                     "ms for " + recovered + " results, " + SpoolFixture.megabytes(folder) + " MB on file");
         }
-        figure("wrong-bytes", SpoolFixture.wrongBytes(folder, new Random(1), 1000), "in 1000 crash points");
+        print("wrong-bytes", SpoolFixture.wrongBytes(folder, new Random(1), 1000), "in 1000 crash points");
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted((a, b) -> b.compareTo(a)).forEach(f -> f.toFile().delete());
         }
     }
 
     /** Compares the CPU time for short results and the throughput of long ones with an earlier version. */
-    private static void paths(String now, String before) throws Exception {
-        double[] shorts = new double[PAIRS];
-        double[] longs = new double[PAIRS];
-        try (MeasuredProgram a = new MeasuredProgram(now, 16, 256, "");
-                MeasuredProgram b = new MeasuredProgram(before, 16, 256, "")) {
-            cpu(a, "select rows=10", 3000);
-            cpu(b, "select rows=10", 3000);
-            seconds(a);
-            seconds(b);
-            for (int i = 0; i < PAIRS; i++) {
-                shorts[i] = cpu(a, "select rows=10", 3000) / cpu(b, "select rows=10", 3000);
-                longs[i] = seconds(b) / seconds(a);
+    private static void compareVersions(String currentJar, String earlierJar) throws Exception {
+        double[] cpuRatios = new double[ROUNDS];
+        double[] throughputRatios = new double[ROUNDS];
+        try (MeasuredProgram current = new MeasuredProgram(currentJar, 16, 256, "");
+                MeasuredProgram earlier = new MeasuredProgram(earlierJar, 16, 256, "")) {
+            cpuMsOfQueries(current, "select rows=10", 3000);
+            cpuMsOfQueries(earlier, "select rows=10", 3000);
+            secondsOfLongResults(current);
+            secondsOfLongResults(earlier);
+            for (int i = 0; i < ROUNDS; i++) {
+                cpuRatios[i] = cpuMsOfQueries(current, "select rows=10", 3000)
+                        / cpuMsOfQueries(earlier, "select rows=10", 3000);
+                throughputRatios[i] = secondsOfLongResults(earlier) / secondsOfLongResults(current);
             }
         }
-        Arrays.sort(shorts);
-        Arrays.sort(longs);
-        figure("short-path-ratio", shorts[PAIRS / 2], "cpu, to the version before");
-        figure("long-path-ratio", longs[PAIRS / 2], "throughput, to the version before");
+        Arrays.sort(cpuRatios);
+        Arrays.sort(throughputRatios);
+        print("short-path-ratio", cpuRatios[ROUNDS / 2], "cpu, to the version before");
+        print("long-path-ratio", throughputRatios[ROUNDS / 2], "throughput, to the version before");
     }
 
-    private static double cpu(MeasuredProgram program, String text, int times) throws IOException {
+    private static double cpuMsOfQueries(MeasuredProgram program, String text, int times) throws IOException {
         double before = program.cpuMs();
         try (StandInClient client = new StandInClient(program.port)) {
             for (int i = 0; i < times; i++) {
@@ -283,7 +285,7 @@
         return program.cpuMs() - before;
     }
 
-    private static double seconds(MeasuredProgram program) throws IOException {
+    private static double secondsOfLongResults(MeasuredProgram program) throws IOException {
         long start = System.nanoTime();
         try (StandInClient client = new StandInClient(program.port)) {
             for (int i = 0; i < 3; i++) {
