--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -33,7 +33,7 @@
     /** Adds the server to the front end if the file has a listen address. */
     void connect(TelemetryWiring telemetry) {
         MysqlConfig config = file.read();
-        if (config.listen() == null) {
+        if (config.listenAddress() == null) {
             return;
         }
         List<String> classNames =
@@ -41,7 +41,7 @@
         Coordinator<Query> coordinator = new Coordinator<>(
                 new SpeculativeScheduler(MysqlSettings.of(config), System.nanoTime()),
                 FrontEndContext.MAX_OPEN_REQUESTS,
-                MysqlServer.CANCEL_LIMIT_MS,
+                MysqlServer.MAX_CANCEL_DURATION_MS,
                 telemetry.tracer(query -> classNames.get(query.classIndex())));
         Spool spool = SpoolWiring.open(context, config.spool());
         DoubleSupplier clock = context.clock();
--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -39,7 +39,7 @@
  */
 public final class MysqlServer implements Forwarder<Query>, ProtocolServer {
     /** Maximum duration of a cancel: the timeout for the reply to a killed statement, plus a margin. */
-    public static final double CANCEL_LIMIT_MS = 500;
+    public static final double MAX_CANCEL_DURATION_MS = 500;
 
     private static final Logger LOG = LoggerFactory.getLogger(MysqlServer.class);
     /** Maximum total size of the texts of the prepared statements of all clients. */
@@ -76,35 +76,35 @@
         this.driver = new CoordinatorDriver<>(coordinator, clock, tickRequest);
         this.tickRequest = tickRequest;
         this.spool = spool;
-        this.clients = new ConnectedClients(config.bounds().maxClients());
-        this.pools = enginePools(loop, config.bounds());
+        this.clients = new ConnectedClients(config.limits().maxClients());
+        this.pools = enginePools(loop, config.limits());
         this.reportTargets = new AttemptReporter.Context(coordinator, metrics, spool, tickRequest);
-        QueryDispatcher queries = new QueryAdmission(config, admission, driver, metrics);
-        this.acceptor = new ClientAcceptor(clientContext(queries), Listener.at(config.listen()));
+        QueryDispatcher dispatcher = new QueryAdmission(config, admission, driver, metrics);
+        this.acceptor = new ClientAcceptor(clientContext(dispatcher), Listener.at(config.listenAddress()));
     }
 
     private ClientContext clientContext(QueryDispatcher dispatcher) {
-        MysqlConfig.Bounds bounds = config.bounds();
-        ByteBudget statementTexts = new ByteBudget(MAX_STATEMENT_TEXT_BYTES);
+        MysqlConfig.Limits limits = config.limits();
+        ByteBudget textBudget = new ByteBudget(MAX_STATEMENT_TEXT_BYTES);
         return new ClientContext(
                 clients,
-                config.users(),
-                bounds.maxPacket(),
-                new StatementLimits(bounds.maxStatements(), statementTexts),
+                config.passwordsByUser(),
+                limits.maxPacketBytes(),
+                new StatementLimits(limits.maxStatements(), textBudget),
                 spool,
                 dispatcher,
                 this::statistics);
     }
 
-    private static EngineConnectionPools enginePools(EventLoopGroup loop, MysqlConfig.Bounds bounds) {
+    private static EngineConnectionPools enginePools(EventLoopGroup loop, MysqlConfig.Limits limits) {
         Bootstrap bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, bounds.connectTimeoutMs());
-        int maxConnections = bounds.connectionsPerEngine();
-        ConnectionLimits limits = new ConnectionLimits(maxConnections, bounds.connectTimeoutMs());
-        return new EngineConnectionPools(bootstrap, limits);
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, limits.connectTimeoutMs());
+        int maxConnections = limits.connectionsPerEngine();
+        ConnectionLimits connectionLimits = new ConnectionLimits(maxConnections, limits.connectTimeoutMs());
+        return new EngineConnectionPools(bootstrap, connectionLimits);
     }
 
     private String statistics() {
@@ -121,7 +121,7 @@
     public void updateEngines(List<EngineConfig> engines) {
         pools.update(engines);
         List<EngineEndpoint> endpoints =
-                engines.stream().map(MysqlServer::endpoint).toList();
+                engines.stream().map(MysqlServer::toEndpoint).toList();
         List<String> states = endpoints.stream()
                 .map(endpoint -> endpoint.id() + ' ' + endpoint.state())
                 .toList();
@@ -130,15 +130,15 @@
         tickRequest.run();
     }
 
-    private static EngineEndpoint endpoint(EngineConfig engine) {
+    private static EngineEndpoint toEndpoint(EngineConfig engine) {
         String address = engine.address().toString();
         return new EngineEndpoint(engine.name(), address, 0, 1, 0, engine.state(), 0, 0);
     }
 
     @Override
     public void closeIdleEngineConnections() {
-        long idleNanos = TimeUnit.MILLISECONDS.toNanos(config.bounds().idleMs());
-        pools.closeIdleSince(System.nanoTime() - idleNanos);
+        long idleTimeoutNanos = TimeUnit.MILLISECONDS.toNanos(config.limits().idleTimeoutMs());
+        pools.closeIdleSince(System.nanoTime() - idleTimeoutNanos);
     }
 
     /**
@@ -146,11 +146,11 @@
      * because the MySQL protocol has no message for that.
      */
     @Override
-    public void setAdmissionPhase(ServerAdmissionPolicy.Phase next) {
-        if (admission.acceptsClients() && next != ServerAdmissionPolicy.Phase.OPEN) {
+    public void setAdmissionPhase(ServerAdmissionPolicy.Phase phase) {
+        if (admission.acceptsClients() && phase != ServerAdmissionPolicy.Phase.OPEN) {
             shutdownStartedNanos = System.nanoTime();
         }
-        admission.setPhase(next);
+        admission.setPhase(phase);
     }
 
     /** Ignored: a statement keeps the deadline of its class. */
@@ -178,9 +178,9 @@
     }
 
     @Override
-    public void setMaintenance(String engine, boolean excluded, double sinceMs) {
-        driver.setMaintenance(engine, excluded, sinceMs);
-        if (excluded) {
+    public void setMaintenance(String engine, boolean underMaintenance, double sinceMs) {
+        driver.setMaintenance(engine, underMaintenance, sinceMs);
+        if (underMaintenance) {
             pools.rejectUnsent(engine);
         }
     }
--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import java.util.function.Supplier;
-import lineward.mysql.session.ClientStatement;
+import lineward.mysql.session.PreparedStatement;
 import lineward.mysql.session.PreparedStatements;
 import lineward.mysql.session.SessionSettings;
 import lineward.mysql.session.SpoolHint;
@@ -13,10 +13,10 @@
 import lineward.mysql.session.UnsupportedSettingException;
 import lineward.mysql.session.Work;
 import lineward.mysql.wire.Commands;
-import lineward.mysql.wire.Failure;
+import lineward.mysql.wire.Latin1Texts;
 import lineward.mysql.wire.LocalResult;
 import lineward.mysql.wire.Packets;
-import lineward.mysql.wire.Texts;
+import lineward.mysql.wire.SqlError;
 
 /** Executes the commands of one authenticated client: answers them locally or forwards them to an engine. */
 final class ClientCommands {
@@ -69,14 +69,14 @@
             case Commands.INIT_DB -> queries.useSchema(payload.toString(StandardCharsets.ISO_8859_1));
             case Commands.QUERY -> executeQuery(payload);
             case Commands.STATISTICS -> sendStatistics();
-            case Commands.PREPARE -> prepare(payload);
-            case Commands.EXECUTE -> executePrepared(payload);
-            case Commands.LONG_DATA -> addLongData(payload);
-            case Commands.CLOSE -> closeStatement(payload);
-            case Commands.RESET -> resetStatement(payload);
+            case Commands.STMT_PREPARE -> prepare(payload);
+            case Commands.STMT_EXECUTE -> executePrepared(payload);
+            case Commands.STMT_SEND_LONG_DATA -> addLongData(payload);
+            case Commands.STMT_CLOSE -> closeStatement(payload);
+            case Commands.STMT_RESET -> resetStatement(payload);
             case Commands.RESET_CONNECTION -> resetConnection();
-            case Commands.FETCH -> fetch(payload);
-            default -> replies.sendError(Failure.unknownCommand());
+            case Commands.STMT_FETCH -> fetch(payload);
+            default -> replies.sendError(SqlError.unknownCommand());
         }
     }
 
@@ -90,11 +90,11 @@
         String text = payload.toString(StandardCharsets.UTF_8);
         StatementKind kind = StatementKind.of(text);
         if (kind instanceof StatementKind.Rejected rejected) {
-            replies.sendError(rejected.failure());
+            replies.sendError(rejected.error());
         } else if (kind instanceof StatementKind.NoOperation) {
             replies.sendOk();
         } else if (kind instanceof StatementKind.UseSchema use) {
-            queries.useSchema(Texts.latin1(use.schema()));
+            queries.useSchema(Latin1Texts.encode(use.schema()));
         } else if (kind instanceof StatementKind.SetVariables) {
             changeSettings(text);
         } else if (kind instanceof StatementKind.ShowWarnings) {
@@ -111,8 +111,8 @@
         } catch (UnsupportedSettingException e) {
             replies.sendError(
                     e.getMessage().startsWith("autocommit")
-                            ? Failure.noTransaction("SET " + e.getMessage())
-                            : Failure.unsupported(e.getMessage()));
+                            ? SqlError.unsupportedTransaction("SET " + e.getMessage())
+                            : SqlError.unsupported(e.getMessage()));
         }
     }
 
@@ -121,13 +121,13 @@
     }
 
     private void answerOrRun(ByteBuf payload, String text, boolean writes) {
-        Optional<LocalResult> localResult = settings.read(text);
+        Optional<LocalResult> localResult = settings.queryVariables(text);
         if (localResult.isPresent()) {
             sendLocalResult(localResult.get());
             return;
         }
         SpoolHint hint = SpoolHint.of(payload.toString(StandardCharsets.ISO_8859_1));
-        Work.Query command = new Work.Query(queries.schema(), hint.statement());
+        Work.TextQuery command = new Work.TextQuery(queries.schema(), hint.textWithoutHint());
         if (writes || !hint.hasKey()) {
             queries.run(command, text, writes, Query.SpoolOptions.IF_LONG);
         } else if (!resultSender.answer(hint, command.digest(), null)) {
@@ -139,11 +139,11 @@
         String text = payload.toString(StandardCharsets.UTF_8);
         StatementKind kind = StatementKind.of(text);
         if (kind instanceof StatementKind.Rejected rejected) {
-            replies.sendError(rejected.failure());
+            replies.sendError(rejected.error());
         } else if (!kind.canBePrepared()) {
-            replies.sendError(Failure.notPreparable());
+            replies.sendError(SqlError.notPreparable());
         } else if (!statements.reserve(payload.readableBytes())) {
-            replies.sendError(Failure.tooMany("prepared statements"));
+            replies.sendError(SqlError.tooMany("prepared statements"));
         } else {
             // Preparing a write changes no data, so a failed attempt may be retried like a read.
             String latin1 = payload.toString(StandardCharsets.ISO_8859_1);
@@ -152,22 +152,22 @@
     }
 
     private void executePrepared(ByteBuf payload) {
-        ClientStatement statement = readStatement(payload);
+        PreparedStatement statement = readStatement(payload);
         if (statement == null) {
             return;
         }
-        boolean requestsCursor = ClientStatement.requestsCursor(payload);
+        boolean requestsCursor = PreparedStatement.requestsCursor(payload);
         statement.closeCursor();
         Work.Execute command;
         try {
-            command = statement.execute(payload);
+            command = statement.createExecution(payload);
         } catch (IllegalArgumentException e) {
-            replies.sendError(Failure.wrongArguments(e.getMessage()));
+            replies.sendError(SqlError.wrongArguments(e.getMessage()));
             return;
         }
-        String text = Texts.utf8(statement.text());
+        String text = Latin1Texts.decode(statement.text());
         boolean writes = StatementKind.of(text) instanceof StatementKind.Write;
-        ClientStatement cursor = requestsCursor && !writes ? statement : null;
+        PreparedStatement cursor = requestsCursor && !writes ? statement : null;
         String key = writes ? "" : statement.hint().key();
         String digest = key.isEmpty() ? "" : command.digest();
         if (key.isEmpty() || !resultSender.answer(statement.hint(), digest, cursor)) {
@@ -184,18 +184,18 @@
         if (payload.readableBytes() < STATEMENT_ID_BYTES + PARAMETER_NUMBER_BYTES) {
             return;
         }
-        ClientStatement statement = statements.get(payload.readUnsignedIntLE());
+        PreparedStatement statement = statements.get(payload.readUnsignedIntLE());
         if (statement == null) {
             return;
         }
         int parameterNumber = payload.readUnsignedShortLE();
         if (statement.longDataBytes() + payload.readableBytes() > MAX_LONG_DATA_BYTES) {
-            session.closeWithError(Failure.tooLarge(MAX_LONG_DATA_BYTES));
+            session.closeWithError(SqlError.packetTooLarge(MAX_LONG_DATA_BYTES));
             return;
         }
         byte[] bytes = new byte[payload.readableBytes()];
         payload.readBytes(bytes);
-        statement.add(new Work.LongData(parameterNumber, bytes));
+        statement.addLongData(new Work.LongData(parameterNumber, bytes));
     }
 
     /** Closes a statement; COM_STMT_CLOSE has no reply. */
@@ -204,7 +204,7 @@
     }
 
     private void resetStatement(ByteBuf payload) {
-        ClientStatement statement = readStatement(payload);
+        PreparedStatement statement = readStatement(payload);
         if (statement != null) {
             statement.reset();
             replies.sendOk();
@@ -220,18 +220,18 @@
 
     private void fetch(ByteBuf payload) {
         long id = readStatementId(payload);
-        ClientStatement statement = findStatement(id);
+        PreparedStatement statement = findStatement(id);
         if (statement == null) {
             return;
         }
         if (!statement.hasOpenCursor() || payload.readableBytes() < Integer.BYTES) {
-            replies.sendError(Failure.noCursor(id));
+            replies.sendError(SqlError.noOpenCursor(id));
             return;
         }
         resultSender.fetch(statement, payload.readUnsignedIntLE());
     }
 
-    private ClientStatement readStatement(ByteBuf payload) {
+    private PreparedStatement readStatement(ByteBuf payload) {
         return findStatement(readStatementId(payload));
     }
 
@@ -240,10 +240,10 @@
     }
 
     /** Returns the statement with this id; if there is none, sends an error and returns null. */
-    private ClientStatement findStatement(long id) {
-        ClientStatement statement = statements.get(id);
+    private PreparedStatement findStatement(long id) {
+        PreparedStatement statement = statements.get(id);
         if (statement == null) {
-            replies.sendError(Failure.unknownStatement(id));
+            replies.sendError(SqlError.unknownStatement(id));
         }
         return statement;
     }
--- a/src/main/java/lineward/mysql/client/ClientLogin.java
+++ b/src/main/java/lineward/mysql/client/ClientLogin.java
@@ -64,12 +64,12 @@
         }
         login = Handshake.readLogin(payload);
         boolean supported = Auth.isSupported(login.plugin());
-        return supported ? verify(login.plugin(), login.proof()) : Outcome.SWITCH_REQUIRED;
+        return supported ? verify(login.plugin(), login.authResponse()) : Outcome.SWITCH_REQUIRED;
     }
 
     private Outcome verify(String plugin, byte[] authResponse) {
         String password = passwords.get(login.user());
-        if (password == null || !Auth.proves(plugin, password, nonce, authResponse)) {
+        if (password == null || !Auth.matches(plugin, password, nonce, authResponse)) {
             return Outcome.DENIED;
         }
         awaitsFastAuthConfirmation = plugin.equals(Auth.SHA2) && !password.isEmpty();
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -12,10 +12,10 @@
 import lineward.mysql.session.PreparedStatements;
 import lineward.mysql.session.SessionSettings;
 import lineward.mysql.wire.Auth;
-import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.Handshake;
+import lineward.mysql.wire.Latin1Texts;
 import lineward.mysql.wire.Packets;
-import lineward.mysql.wire.Texts;
+import lineward.mysql.wire.SqlError;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -89,7 +89,7 @@
     void closeForShutdown() {
         if (isBetweenCommands()) {
             replies.beginUnsolicited();
-            closeWithError(Failure.shuttingDown());
+            closeWithError(SqlError.shuttingDown());
         }
     }
 
@@ -104,7 +104,7 @@
             replies.send(Handshake.greeting(ctx.alloc(), clientNumber, login.nonce()));
         } else {
             replies.beginUnsolicited();
-            closeWithError(Failure.tooManyConnections());
+            closeWithError(SqlError.tooManyConnections());
         }
     }
 
@@ -139,7 +139,7 @@
     private void authenticate(ByteBuf payload) {
         switch (login.receive(payload)) {
             case SWITCH_REQUIRED -> requestAuthSwitch();
-            case DENIED -> closeWithError(Failure.accessDenied(login.user()));
+            case DENIED -> closeWithError(SqlError.accessDenied(login.user()));
             case ACCEPTED -> completeLogin();
         }
     }
@@ -161,7 +161,7 @@
         if (login.schema().isEmpty()) {
             replies.sendOk();
         } else {
-            queries.useSchema(Texts.latin1(login.schema()));
+            queries.useSchema(Latin1Texts.encode(login.schema()));
         }
     }
 
@@ -180,7 +180,7 @@
     }
 
     /** Sends an error and closes the connection once it is written. */
-    void closeWithError(Failure failure) {
+    void closeWithError(SqlError failure) {
         transition(SessionState.Event.CLOSE_REQUESTED);
         replies.sendErrorAndClose(failure);
     }
@@ -195,10 +195,10 @@
         LOG.info("client connection failed: client={} cause={}", clientNumber, cause.toString());
         if (cause instanceof TooLongFrameException || cause.getCause() instanceof TooLongFrameException) {
             replies.setRequestSequence(0);
-            closeWithError(Failure.tooLarge(context.maxPayloadBytes()));
+            closeWithError(SqlError.packetTooLarge(context.maxPayloadBytes()));
         } else if (state == SessionState.AWAITING_LOGIN && cause instanceof DecoderException) {
             replies.setRequestSequence(1);
-            closeWithError(Failure.malformedHandshake());
+            closeWithError(SqlError.malformedHandshake());
         } else {
             replies.close();
         }
--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -5,8 +5,8 @@
 import lineward.mysql.session.SessionSettings;
 import lineward.mysql.session.StatementClass;
 import lineward.mysql.session.Work;
-import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.Packets;
+import lineward.mysql.wire.SqlError;
 import lineward.spool.SpoolPolicy;
 
 /** Runs those commands of one client that an engine must execute, one at a time, and sends their replies. */
@@ -53,7 +53,7 @@
         return session.clientNumber();
     }
 
-    /** Returns the selected schema, encoded as in {@link lineward.mysql.wire.Texts}; empty if none. */
+    /** Returns the selected schema, encoded as in {@link lineward.mysql.wire.Latin1Texts}; empty if none. */
     String schema() {
         return schema;
     }
@@ -88,15 +88,15 @@
 
     /** Reports to the client that its query was rejected and changed nothing. */
     void reject(Query query, long retryAfterMs) {
-        endWithError(query, Failure.rejected(retryAfterMs));
+        endWithError(query, SqlError.rejected(retryAfterMs));
     }
 
     /** Reports to the client that its query failed and may have been executed. */
     void fail(Query query) {
-        endWithError(query, Failure.failed());
+        endWithError(query, SqlError.outcomeUnknown());
     }
 
-    private void endWithError(Query query, Failure failure) {
+    private void endWithError(Query query, SqlError failure) {
         if (runningQuery == query) {
             releaseReservation(query);
             replies.sendError(failure);
@@ -121,7 +121,7 @@
      * the schema gets this session's sequence number, as it may answer a login packet instead of a command.
      */
     private void relay(Query query, ByteBuf reply) {
-        boolean succeeded = Packets.first(reply) != Packets.ERR;
+        boolean succeeded = Packets.firstByte(reply) != Packets.ERR;
         boolean prepared = succeeded && query.command() instanceof Work.Prepare;
         if (prepared) {
             registerPrepared((Work.Prepare) query.command(), reply);
@@ -177,7 +177,7 @@
 
     private void releaseReservation(Query query) {
         if (query.command() instanceof Work.Prepare command) {
-            statements.release(command);
+            statements.releaseReservation(command);
         }
     }
 
--- a/src/main/java/lineward/mysql/client/SpooledResultCursor.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultCursor.java
@@ -237,7 +237,7 @@
         do {
             currentBlock[nextRowOffset + SEQUENCE_OFFSET] = (byte) nextSequence;
             nextSequence++;
-            length = Packets.length(currentBlock, nextRowOffset);
+            length = Packets.frameLength(currentBlock, nextRowOffset);
             nextRowOffset += length;
         } while (length == Packets.HEADER_BYTES + Packets.MAX_PAYLOAD_BYTES);
     }
--- a/src/main/java/lineward/mysql/client/SpooledResultSender.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -2,12 +2,12 @@
 
 import java.util.OptionalInt;
 import java.util.OptionalLong;
-import lineward.mysql.session.ClientStatement;
+import lineward.mysql.session.PreparedStatement;
 import lineward.mysql.session.SpoolHint;
 import lineward.mysql.session.StatementCursor;
 import lineward.mysql.wire.Dialect;
-import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.ReplyStream;
+import lineward.mysql.wire.SqlError;
 import lineward.spool.ReadState;
 import lineward.spool.Spool;
 import lineward.spool.SpooledResult;
@@ -38,18 +38,18 @@
      * @param cursor the statement whose cursor is opened; null if all rows are sent in one reply
      * @return false if the statement must be executed; otherwise a reply or an error has been sent
      */
-    boolean answer(SpoolHint hint, String digest, ClientStatement cursor) {
+    boolean answer(SpoolHint hint, String digest, PreparedStatement cursor) {
         SpooledResult result = spool.find(session.user(), hint.key());
         if (result == null) {
             if (hint.requestsPage()) {
-                replies.sendError(Failure.noResult());
+                replies.sendError(SqlError.unknownKey());
             }
             return hint.requestsPage();
         }
         if (!result.statement().equals(digest)) {
-            replies.sendError(Failure.otherResult());
+            replies.sendError(SqlError.keyOfOtherStatement());
         } else if (hint.requestsPage() && !result.isComplete()) {
-            replies.sendError(Failure.noResult());
+            replies.sendError(SqlError.unknownKey());
         } else {
             start(result, hint, cursor);
         }
@@ -61,7 +61,7 @@
         start(query.spooledResult(), SpoolHint.none(""), query.spooling().cursor());
     }
 
-    private void start(SpooledResult result, SpoolHint hint, ClientStatement cursor) {
+    private void start(SpooledResult result, SpoolHint hint, PreparedStatement cursor) {
         if (cursor != null) {
             SpooledResultCursor opened =
                     open(result, new SpooledResultCursor.Range(hint.firstRow(), OptionalLong.empty()));
@@ -84,7 +84,7 @@
     }
 
     /** Sends the next rows of the statement's open cursor. */
-    void fetch(ClientStatement statement, long maxRows) {
+    void fetch(PreparedStatement statement, long maxRows) {
         StatementCursor cursor = statement.cursor();
         active = cursor;
         session.transition(SessionState.Event.STREAM_STARTED);
@@ -110,9 +110,9 @@
             // An error packet would wait behind rows that the client does not read.
             replies.close();
         } else if (readState == ReadState.BROKEN) {
-            errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.brokenOff()));
+            errorSequence.ifPresent(sequence -> replies.sendError(sequence, SqlError.resultIncomplete()));
         } else if (readState == ReadState.EXPIRED) {
-            errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.leaseExpired()));
+            errorSequence.ifPresent(sequence -> replies.sendError(sequence, SqlError.leaseExpired()));
         }
         active = null;
         session.queryOrStreamEnded(SessionState.Event.STREAM_ENDED);
--- a/src/main/java/lineward/mysql/engine/EngineCommandWriter.java
+++ b/src/main/java/lineward/mysql/engine/EngineCommandWriter.java
@@ -17,17 +17,19 @@
         this.channel = channel;
     }
 
-    /** Writes a command with a text argument, which is encoded as in {@link lineward.mysql.wire.Texts}. */
+    /**
+     * Writes a command with a text argument, which is encoded as in {@link lineward.mysql.wire.Latin1Texts}.
+     */
     void sendText(int commandByte, String latin1) {
         write(commandByte, Unpooled.wrappedBuffer(latin1.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
     /** Writes any command except a {@link Work.Execute}. */
     void send(Work command) {
-        if (command instanceof Work.Query query) {
+        if (command instanceof Work.TextQuery query) {
             sendText(Commands.QUERY, query.text());
         } else if (command instanceof Work.Prepare prepare) {
-            sendText(Commands.PREPARE, prepare.text());
+            sendText(Commands.STMT_PREPARE, prepare.text());
         } else if (command instanceof Work.UseSchema useSchema) {
             sendText(Commands.INIT_DB, useSchema.schema());
         }
@@ -37,16 +39,16 @@
     void execute(long statementId, Work.Execute command) {
         for (Work.LongData data : command.longData()) {
             ByteBuf arguments = statementArguments(statementId)
-                    .writeShortLE(data.parameter())
+                    .writeShortLE(data.parameterIndex())
                     .writeBytes(data.bytes());
-            write(Commands.LONG_DATA, arguments);
+            write(Commands.STMT_SEND_LONG_DATA, arguments);
         }
-        write(Commands.EXECUTE, statementArguments(statementId).writeBytes(command.arguments()));
+        write(Commands.STMT_EXECUTE, statementArguments(statementId).writeBytes(command.arguments()));
     }
 
     /** Closes the prepared statement with this id; the engine sends no reply. */
     void closeStatement(long statementId) {
-        write(Commands.CLOSE, statementArguments(statementId));
+        write(Commands.STMT_CLOSE, statementArguments(statementId));
     }
 
     /** Runs the callback once all earlier commands have been written to the socket, but not if that fails. */
--- a/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
+++ b/src/main/java/lineward/mysql/engine/EngineConnectionPool.java
@@ -94,7 +94,7 @@
 
     /** Kills the statement that runs on the connection with this thread id, using another connection. */
     void kill(long threadId) {
-        Work killCommand = new Work.Query("", "KILL QUERY " + threadId);
+        Work killCommand = new Work.TextQuery("", "KILL QUERY " + threadId);
         AttemptListener listener = AttemptListener.DISCARD_REPLY;
         MysqlQueryAttempt kill = new MysqlQueryAttempt(killCommand, Map.of(), UNUSED_TIMEOUT_MS, listener);
         MysqlEngineConnection connection = idle.isEmpty() ? connect() : idle.pollFirst();
--- a/src/main/java/lineward/mysql/engine/EngineLogin.java
+++ b/src/main/java/lineward/mysql/engine/EngineLogin.java
@@ -50,7 +50,7 @@
     Progress advance(ByteBuf frame) {
         int sequence = Packets.sequence(frame) + 1;
         ByteBuf payload = Packets.payload(frame);
-        int type = Packets.first(frame);
+        int type = Packets.firstByte(frame);
         if (type == Packets.ERR) {
             return Progress.REJECTED;
         }
@@ -69,22 +69,22 @@
     }
 
     private void answerGreeting(Handshake.Greeting greeting, int sequence) {
-        threadId = greeting.thread();
+        threadId = greeting.threadId();
         nonce = greeting.nonce();
         String plugin = Auth.isSupported(greeting.plugin()) ? greeting.plugin() : Auth.SHA2;
-        byte[] authResponse = Auth.proof(plugin, engine.password(), nonce);
-        int capabilities = Handshake.CAPABILITIES & ~Handshake.WITH_DB;
+        byte[] authResponse = Auth.scramble(plugin, engine.password(), nonce);
+        int capabilities = Handshake.ENGINE_CAPABILITIES & ~Handshake.CONNECT_WITH_DB;
         Handshake.Login login = new Handshake.Login(capabilities, engine.user(), authResponse, "", plugin);
         ChannelOperations.write(channel, Handshake.login(channel.alloc(), sequence, login));
     }
 
     private void switchPlugin(ByteBuf payload, int sequence) {
-        String plugin = Packets.zeroTerminated(payload);
+        String plugin = Packets.readCString(payload);
         payload.readBytes(nonce, 0, Math.min(nonce.length, payload.readableBytes()));
         if (!Auth.isSupported(plugin)) {
             throw new DecoderException("engine requested the unsupported authentication plugin " + plugin);
         }
-        send(sequence, Auth.proof(plugin, engine.password(), nonce));
+        send(sequence, Auth.scramble(plugin, engine.password(), nonce));
     }
 
     /**
@@ -100,7 +100,7 @@
         }
         String publicKey = payload.toString(StandardCharsets.US_ASCII);
         try {
-            send(sequence, Auth.encrypt(engine.password(), nonce, publicKey));
+            send(sequence, Auth.encryptPassword(engine.password(), nonce, publicKey));
         } catch (GeneralSecurityException | IllegalArgumentException e) {
             throw new DecoderException("engine's public key is not usable", e);
         }
--- a/src/main/java/lineward/mysql/engine/EngineSession.java
+++ b/src/main/java/lineward/mysql/engine/EngineSession.java
@@ -5,7 +5,7 @@
 import lineward.mysql.engine.MysqlConnectionState.Transition;
 import lineward.mysql.session.SessionSettings;
 import lineward.mysql.session.Work;
-import lineward.mysql.wire.Texts;
+import lineward.mysql.wire.Latin1Texts;
 
 /** The session state of a connection to an engine: its settings, schema and prepared statements. */
 final class EngineSession {
@@ -50,9 +50,9 @@
         return differs && !(command instanceof Work.UseSchema);
     }
 
-    /** Returns the SET statement that applies the attempt's settings, encoded as in {@link Texts}. */
+    /** Returns the SET statement that applies the attempt's settings, encoded as in {@link Latin1Texts}. */
     String settingsStatementFor(MysqlQueryAttempt attempt) {
-        return Texts.latin1(SessionSettings.change(settings, attempt.sessionSettings()));
+        return Latin1Texts.encode(SessionSettings.changeStatement(settings, attempt.sessionSettings()));
     }
 
     /** Records that the engine has applied the attempt's settings. */
--- a/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
+++ b/src/main/java/lineward/mysql/engine/MysqlEngineConnection.java
@@ -11,10 +11,10 @@
 import lineward.mysql.session.Work;
 import lineward.mysql.wire.ChannelOperations;
 import lineward.mysql.wire.Commands;
-import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.PacketRole;
 import lineward.mysql.wire.Packets;
 import lineward.mysql.wire.ReplyTracker;
+import lineward.mysql.wire.SqlError;
 import lineward.scheduling.AttemptOutcome;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -28,8 +28,8 @@
     /** Time limit for the reply to a statement after its kill; then the connection is closed. */
     private static final int KILL_TIMEOUT_MS = 300;
     /** The reply to an execution if the statement's parameter count differs from the one the client knows. */
-    private static final Failure PARAMETERS_CHANGED =
-            Failure.wrongArguments("the statement's parameters have changed since it was prepared");
+    private static final SqlError PARAMETERS_CHANGED =
+            SqlError.wrongArguments("the statement's parameters have changed since it was prepared");
 
     private final EngineConnectionPool pool;
     private MysqlConnectionState state = MysqlConnectionState.CONNECTING;
@@ -116,7 +116,7 @@
         switch (step) {
             case APPLY_SETTINGS -> send(Commands.QUERY, session.settingsStatementFor(attempt));
             case SELECT_SCHEMA -> send(Commands.INIT_DB, command.schema());
-            case PREPARE -> send(Commands.PREPARE, ((Work.Execute) command).text());
+            case PREPARE -> send(Commands.STMT_PREPARE, ((Work.Execute) command).text());
             default -> sendAttemptCommand(command, attempt);
         }
     }
@@ -144,7 +144,7 @@
     }
 
     private void send(int commandByte, String latin1) {
-        tracker = new ReplyTracker(commandByte == Commands.PREPARE);
+        tracker = new ReplyTracker(commandByte == Commands.STMT_PREPARE);
         commandWriter.sendText(commandByte, latin1);
     }
 
@@ -161,7 +161,7 @@
                 readLogin(frame);
             } else if (attempt != null) {
                 ownedByAttempt = readReply(frame);
-            } else if (Packets.first(frame) != Packets.ERR) {
+            } else if (Packets.firstByte(frame) != Packets.ERR) {
                 // Without a command, an engine may only announce by an error that it closes the connection.
                 throw new DecoderException("engine sent a packet although no command is running");
             }
--- a/src/main/java/lineward/mysql/session/PreparedStatements.java
+++ b/src/main/java/lineward/mysql/session/PreparedStatements.java
@@ -9,7 +9,7 @@
  */
 public final class PreparedStatements {
     private final StatementLimits limits;
-    private final Map<Long, ClientStatement> statementsById = new HashMap<>();
+    private final Map<Long, PreparedStatement> statementsById = new HashMap<>();
     private long lastId;
 
     /** Creates an empty collection with these limits. */
@@ -20,12 +20,12 @@
     /** Reserves capacity for one more statement; returns false if a limit is reached. */
     public boolean reserve(int textBytes) {
         return statementsById.size() < limits.maxStatements()
-                && limits.textBytes().reserve(textBytes);
+                && limits.textBudget().reserve(textBytes);
     }
 
     /** Releases the capacity reserved for a statement whose preparation failed. */
-    public void release(Work.Prepare work) {
-        limits.textBytes().release(work.text().length());
+    public void releaseReservation(Work.Prepare command) {
+        limits.textBudget().release(command.text().length());
     }
 
     /**
@@ -33,27 +33,27 @@
      *
      * @return the statement's id for the client
      */
-    public long add(Work.Prepare work, int parameterCount) {
-        SpoolHint hint = SpoolHint.of(work.text());
-        int reservedBytes = work.text().length();
+    public long add(Work.Prepare command, int parameterCount) {
+        SpoolHint hint = SpoolHint.of(command.text());
+        int textBytes = command.text().length();
         lastId++;
-        statementsById.put(lastId, new ClientStatement(work.schema(), hint, parameterCount, reservedBytes));
+        statementsById.put(lastId, new PreparedStatement(command.schema(), hint, parameterCount, textBytes));
         return lastId;
     }
 
     /** Returns the statement with this id, or null. */
-    public ClientStatement get(long id) {
+    public PreparedStatement get(long id) {
         return statementsById.get(id);
     }
 
     /** Returns whether any statement has an open cursor. */
     public boolean hasOpenCursor() {
-        return statementsById.values().stream().anyMatch(ClientStatement::hasOpenCursor);
+        return statementsById.values().stream().anyMatch(PreparedStatement::hasOpenCursor);
     }
 
     /** Closes the statement with this id, if there is one. */
     public void close(long id) {
-        ClientStatement statement = statementsById.remove(id);
+        PreparedStatement statement = statementsById.remove(id);
         if (statement != null) {
             close(statement);
         }
@@ -65,8 +65,8 @@
         statementsById.clear();
     }
 
-    private void close(ClientStatement statement) {
+    private void close(PreparedStatement statement) {
         statement.closeCursor();
-        limits.textBytes().release(statement.reservedBytes());
+        limits.textBudget().release(statement.reservedBytes());
     }
 }
--- a/src/main/java/lineward/mysql/session/Work.java
+++ b/src/main/java/lineward/mysql/session/Work.java
@@ -7,9 +7,11 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 import java.util.List;
-import lineward.mysql.wire.Texts;
+import lineward.mysql.wire.Latin1Texts;
 
-/** A command that an attempt executes at an engine; schemas and texts are encoded as in {@link Texts}. */
+/**
+ * A command that an attempt executes at an engine; schemas and texts are encoded as in {@link Latin1Texts}.
+ */
 public sealed interface Work {
     /** Returns the schema of the session; empty if the client has selected none. */
     String schema();
@@ -20,12 +22,12 @@
     }
 
     private static boolean changesSession(String latin1) {
-        StatementKind kind = StatementKind.of(Texts.utf8(latin1));
+        StatementKind kind = StatementKind.of(Latin1Texts.decode(latin1));
         return kind instanceof StatementKind.Write write && write.changesSession();
     }
 
     /** Executes a statement as text (COM_QUERY). */
-    record Query(String schema, String text) implements Work {
+    record TextQuery(String schema, String text) implements Work {
         @Override
         public boolean changesSession() {
             return Work.changesSession(text);
@@ -55,7 +57,7 @@
             return Work.changesSession(text);
         }
 
-        /** Returns a digest of the schema, the text and all arguments, see {@link Query#digest}. */
+        /** Returns a digest of the schema, the text and all arguments, see {@link TextQuery#digest}. */
         public String digest() {
             return Work.digest(List.of(bytes(schema), bytes(text), arguments, longDataBytes()));
         }
@@ -63,7 +65,7 @@
         private byte[] longDataBytes() {
             ByteArrayOutputStream joined = new ByteArrayOutputStream();
             for (LongData data : longData) {
-                joined.write(data.parameter());
+                joined.write(data.parameterIndex());
                 joined.writeBytes(data.bytes());
             }
             return joined.toByteArray();
@@ -94,8 +96,8 @@
     /**
      * A part of the value of a long parameter, which is sent before the execution (COM_STMT_SEND_LONG_DATA).
      *
-     * @param parameter index of the parameter, from 0
+     * @param parameterIndex index of the parameter, from 0
      */
     @SuppressWarnings("ArrayRecordComponent") // Records are not compared and the arrays never change.
-    record LongData(int parameter, byte[] bytes) {}
+    record LongData(int parameterIndex, byte[] bytes) {}
 }
--- a/src/main/java/lineward/mysql/wire/Packets.java
+++ b/src/main/java/lineward/mysql/wire/Packets.java
@@ -25,12 +25,12 @@
     private static final int MIN_ROW_BYTES_AFTER_EOF_BYTE = 9;
 
     /** First bytes of length-encoded integers whose value follows in 2, 3 or 8 bytes. */
-    private static final int LENGTH_2 = 0xfc;
+    private static final int TWO_BYTES_FOLLOW = 0xfc;
 
-    private static final int LENGTH_3 = 0xfd;
-    private static final int LENGTH_8 = 0xfe;
+    private static final int THREE_BYTES_FOLLOW = 0xfd;
+    private static final int EIGHT_BYTES_FOLLOW = 0xfe;
     /** Largest value of a length-encoded integer that takes a single byte. */
-    private static final int MAX_LENGTH_IN_ONE_BYTE = 250;
+    private static final int MAX_ONE_BYTE_INT = 250;
     /** Bytes of the type and the error number at the start of an error packet's payload. */
     private static final int ERROR_HEAD_BYTES = 3;
 
@@ -62,7 +62,7 @@
     }
 
     /** Returns the length, including the header, of the packet at this offset. */
-    public static int length(byte[] packets, int offset) {
+    public static int frameLength(byte[] packets, int offset) {
         int low = packets[offset] & 0xff;
         int middle = packets[offset + 1] & 0xff;
         int high = packets[offset + 2] & 0xff;
@@ -70,9 +70,9 @@
     }
 
     /** Returns an error packet. */
-    public static ByteBuf error(ByteBufAllocator alloc, int sequence, Failure failure) {
-        ByteBuf packet = begin(alloc, sequence).writeByte(ERR).writeShortLE(failure.code());
-        packet.writeCharSequence("#" + failure.state() + failure.message(), StandardCharsets.UTF_8);
+    public static ByteBuf error(ByteBufAllocator alloc, int sequence, SqlError error) {
+        ByteBuf packet = begin(alloc, sequence).writeByte(ERR).writeShortLE(error.code());
+        packet.writeCharSequence("#" + error.sqlState() + error.message(), StandardCharsets.UTF_8);
         return done(packet);
     }
 
@@ -88,48 +88,48 @@
     }
 
     /** Returns the payload's first byte, which identifies the packet's type, or {@link #EMPTY}. */
-    public static int first(ByteBuf frame) {
-        return size(frame) == 0 ? EMPTY : frame.getUnsignedByte(frame.readerIndex() + HEADER_BYTES);
+    public static int firstByte(ByteBuf frame) {
+        return payloadLength(frame) == 0 ? EMPTY : frame.getUnsignedByte(frame.readerIndex() + HEADER_BYTES);
     }
 
     /** Returns the payload's length. */
-    public static int size(ByteBuf frame) {
+    public static int payloadLength(ByteBuf frame) {
         return frame.readableBytes() - HEADER_BYTES;
     }
 
     /** Returns a view of the payload, which shares the reference count of the frame. */
     public static ByteBuf payload(ByteBuf frame) {
-        return frame.slice(frame.readerIndex() + HEADER_BYTES, size(frame));
+        return frame.slice(frame.readerIndex() + HEADER_BYTES, payloadLength(frame));
     }
 
     /** Returns whether the frame is an EOF packet. */
     public static boolean isEof(ByteBuf frame) {
-        return first(frame) == EOF && size(frame) < MIN_ROW_BYTES_AFTER_EOF_BYTE;
+        return firstByte(frame) == EOF && payloadLength(frame) < MIN_ROW_BYTES_AFTER_EOF_BYTE;
     }
 
     /** Returns the error's number, or {@link #UNKNOWN_ERROR} if the packet is too short for one. */
     public static int errorCode(ByteBuf frame) {
-        return size(frame) < ERROR_HEAD_BYTES
+        return payloadLength(frame) < ERROR_HEAD_BYTES
                 ? UNKNOWN_ERROR
                 : frame.getUnsignedShortLE(frame.readerIndex() + HEADER_BYTES + 1);
     }
 
     /** Reads a length-encoded integer. */
-    public static long lengthEncoded(ByteBuf payload) {
-        int first = payload.readUnsignedByte();
-        return switch (first) {
-            case LENGTH_2 -> payload.readUnsignedShortLE();
-            case LENGTH_3 -> payload.readUnsignedMediumLE();
-            case LENGTH_8 -> payload.readLongLE();
-            default -> first;
+    public static long readLengthEncodedInt(ByteBuf payload) {
+        int firstByte = payload.readUnsignedByte();
+        return switch (firstByte) {
+            case TWO_BYTES_FOLLOW -> payload.readUnsignedShortLE();
+            case THREE_BYTES_FOLLOW -> payload.readUnsignedMediumLE();
+            case EIGHT_BYTES_FOLLOW -> payload.readLongLE();
+            default -> firstByte;
         };
     }
 
     /** Writes a length-encoded string of less than 64 KiB. */
-    public static void writeText(ByteBuf packet, String text) {
+    public static void writeLengthEncodedString(ByteBuf packet, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        if (bytes.length > MAX_LENGTH_IN_ONE_BYTE) {
-            packet.writeByte(LENGTH_2).writeShortLE(bytes.length);
+        if (bytes.length > MAX_ONE_BYTE_INT) {
+            packet.writeByte(TWO_BYTES_FOLLOW).writeShortLE(bytes.length);
         } else {
             packet.writeByte(bytes.length);
         }
@@ -137,7 +137,7 @@
     }
 
     /** Reads a string that ends with a zero byte or at the end of the packet. */
-    public static String zeroTerminated(ByteBuf payload) {
+    public static String readCString(ByteBuf payload) {
         int length = payload.bytesBefore((byte) 0);
         if (length < 0) {
             length = payload.readableBytes();
@@ -153,7 +153,7 @@
         int sequence = 0;
         while (offset < packets.length) {
             sequence = packets[offset + HEADER_BYTES - 1] & 0xff;
-            offset += length(packets, offset);
+            offset += frameLength(packets, offset);
         }
         return sequence + 1;
     }
--- a/src/test/java/lineward/mysql/SpoolCursorTest.java
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -38,14 +38,14 @@
     public void closesOneOfSeveralCursorsByResetCloseAndExecution() throws IOException {
         try (StandInClient client = client()) {
             StandInClient.Statement a = client.prepare("select rows=10");
-            StandInClient.Statement none = client.prepare("select rows=0");
+            StandInClient.Statement noRows = client.prepare("select rows=0");
             StandInClient.Statement b = client.prepare("select rows=5000");
             client.open(a);
             client.open(b);
-            client.open(none);
+            client.open(noRows);
             assertEquals(client.fetch(a, 4).rows().size(), 4);
             assertEquals(client.fetch(b, 4000).rows().size(), 4000);
-            assertEquals(client.fetch(none, 4).status() & LAST_ROW_SENT, LAST_ROW_SENT);
+            assertEquals(client.fetch(noRows, 4).status() & LAST_ROW_SENT, LAST_ROW_SENT);
             StandInClient.Page remaining = client.fetch(a, 100);
             assertEquals(remaining.rows().size(), 6);
             assertEquals(remaining.status() & LAST_ROW_SENT, LAST_ROW_SENT);
@@ -96,15 +96,15 @@
             String otherText = "/* lineward:key=k1 from=1 */ select rows=7";
             StandInClient.Statement statement = reconnected.prepare(otherText);
             assertEquals(reconnected.open(statement).code(), 1210, "the key belongs to another statement");
-            assertEquals(executions(), 1);
+            assertEquals(executionCount(), 1);
         }
-        try (StandInClient other = client("other")) {
-            StandInClient.Result foreign = other.query("/* lineward:key=k1 from=200 */" + text);
-            StandInClient.Result unknown = other.query("/* lineward:key=k9 from=200 */" + text);
+        try (StandInClient otherUser = client("other")) {
+            StandInClient.Result foreign = otherUser.query("/* lineward:key=k1 from=200 */" + text);
+            StandInClient.Result unknown = otherUser.query("/* lineward:key=k9 from=200 */" + text);
             assertEquals(foreign.code(), 1210);
             assertEquals(foreign.message(), unknown.message(), "the error does not reveal which keys exist");
-            assertEquals(other.query("/* lineward:key=k1 */" + text).rows().size(), 1000);
-            assertEquals(executions(), 2);
+            assertEquals(otherUser.query("/* lineward:key=k1 */" + text).rows().size(), 1000);
+            assertEquals(executionCount(), 2);
         }
     }
 
@@ -116,7 +116,7 @@
         }
         Program.await("the result is stored in a file", () -> {
             try {
-                return lineward.spool.store.SpoolFolder.inspect(folder)
+                return lineward.spool.store.SpoolFolder.inspect(spoolFolder)
                                 .complete()
                                 .size()
                         == 1;
@@ -125,14 +125,14 @@
             }
         });
         program.close();
-        program = program("folder = \"" + folder + "\"\n");
+        program = program("folder = \"" + spoolFolder + "\"\n");
         try (StandInClient client = client()) {
             assertEquals(
                     client.query("/* lineward:key=k from=2000 rows=50 */" + text)
                             .rows()
                             .size(),
                     50);
-            assertEquals(executions(), 1);
+            assertEquals(executionCount(), 1);
         }
     }
 
--- a/src/test/java/lineward/mysql/session/SessionSettingsTest.java
+++ b/src/test/java/lineward/mysql/session/SessionSettingsTest.java
@@ -48,11 +48,11 @@
     }
 
     @Test(dataProvider = "supported")
-    public void forwardsSupportedSettingsAsWritten(String text, Map<String, String> engines)
+    public void forwardsSupportedSettingsAsWritten(String text, Map<String, String> forwarded)
             throws UnsupportedSettingException {
         SessionSettings settings = new SessionSettings();
         settings.set(text);
-        assertEquals(settings.forEngines(), engines);
+        assertEquals(settings.forEngines(), forwarded);
         settings.reset();
         assertEquals(settings.forEngines(), Map.of());
     }
@@ -109,7 +109,7 @@
             throws UnsupportedSettingException {
         SessionSettings settings = new SessionSettings();
         settings.set("set sql_mode = 'ANSI'");
-        Optional<LocalResult> result = settings.read(text);
+        Optional<LocalResult> result = settings.queryVariables(text);
         if (labels == null) {
             assertEquals(result, Optional.empty());
         } else {
@@ -121,7 +121,7 @@
     @Test
     public void changesOnlySettingsThatDiffer() {
         assertEquals(
-                SessionSettings.change(Map.of("a", "1", "b", "2"), Map.of("b", "3")),
+                SessionSettings.changeStatement(Map.of("a", "1", "b", "2"), Map.of("b", "3")),
                 "SET SESSION a=DEFAULT, SESSION b=3");
     }
 
