--- a/src/main/java/lineward/mysql/client/OpenCursor.java
+++ b/src/main/java/lineward/mysql/client/OpenCursor.java
@@ -9,7 +9,7 @@
 import lineward.mysql.session.StatementCursor;
 import lineward.mysql.wire.Dialect;
 import lineward.mysql.wire.Packets;
-import lineward.spool.ReadState;
+import lineward.spool.ReadStatus;
 import lineward.spool.ResultChunk;
 import lineward.spool.SpoolReader;
 import lineward.spool.SpooledResult;
@@ -109,8 +109,8 @@
             if (state.isFetching()) {
                 sendFetched();
             }
-            if (reader.readState() == ReadState.EXPIRED) {
-                abort(ReadState.EXPIRED);
+            if (reader.readStatus() == ReadStatus.EXPIRED) {
+                abort(ReadStatus.EXPIRED);
             }
         } finally {
             sending = false;
@@ -120,8 +120,8 @@
     private void open() {
         ResultChunk head = reader.poll();
         if (head == null) {
-            if (reader.readState() != ReadState.MORE) {
-                abort(ReadState.BROKEN);
+            if (reader.readStatus() != ReadStatus.MORE) {
+                abort(ReadStatus.BROKEN);
             }
             return;
         }
@@ -135,7 +135,7 @@
             startFetch(range.rowCount().getAsLong(), dialect.sequenceAfter(columns));
         } else {
             sink.accept(dialect.cursorColumns(channel.alloc(), columns));
-            listener.ended(ReadState.MORE, OptionalInt.empty());
+            listener.ended(ReadStatus.MORE, OptionalInt.empty());
         }
     }
 
@@ -165,7 +165,7 @@
     private void finishFetch() {
         // Looks ahead, so that the reply with the last row can say so and the client needs no empty fetch.
         boolean blockSent = state == CursorState.FETCHING && offset == rows.length;
-        if (blockSent && reader.readState() == ReadState.MORE) {
+        if (blockSent && reader.readStatus() == ReadStatus.MORE) {
             nextBlock();
         }
         if (!state.isFetching()) {
@@ -174,10 +174,10 @@
         sink.accept(dialect.end(channel.alloc(), sequence, endStatus()));
         if (range.isPage() || state == CursorState.FETCHING_LAST) {
             close();
-            listener.ended(ReadState.END, OptionalInt.empty());
+            listener.ended(ReadStatus.END, OptionalInt.empty());
         } else {
             transition(CursorState.Event.FETCH_COMPLETED);
-            listener.ended(ReadState.MORE, OptionalInt.empty());
+            listener.ended(ReadStatus.MORE, OptionalInt.empty());
         }
     }
 
@@ -199,12 +199,12 @@
             return true;
         }
         // A block without rows follows the rows; it holds the last packet of the engine's reply.
-        if (block != null || reader.readState() == ReadState.END) {
+        if (block != null || reader.readStatus() == ReadStatus.END) {
             transition(CursorState.Event.NO_ROWS_LEFT);
             return true;
         }
-        if (reader.readState() == ReadState.BROKEN) {
-            abort(ReadState.BROKEN);
+        if (reader.readStatus() == ReadStatus.BROKEN) {
+            abort(ReadStatus.BROKEN);
         }
         return false;
     }
@@ -243,7 +243,7 @@
     }
 
     /** Closes the cursor, and reports the reason to the listener if the client waits for a reply. */
-    private void abort(ReadState reason) {
+    private void abort(ReadStatus reason) {
         boolean replyPending = state.isReplyPending();
         close();
         if (replyPending) {
--- a/src/main/java/lineward/mysql/client/ReplyPump.java
+++ b/src/main/java/lineward/mysql/client/ReplyPump.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import lineward.mysql.wire.Dialect;
 import lineward.mysql.wire.ReplyStream;
-import lineward.spool.ReadState;
+import lineward.spool.ReadStatus;
 import lineward.spool.ResultChunk;
 import lineward.spool.SpoolReader;
 import lineward.spool.SpooledResult;
@@ -54,7 +54,7 @@
         sending = true;
         boolean noChunkLeft = sendWhileWritable();
         sending = false;
-        ReadState ahead = reader.readState();
+        ReadStatus ahead = reader.readStatus();
         if (isEnd(ahead, noChunkLeft)) {
             close();
             listener.ended(ahead, OptionalInt.of(nextSequence()));
@@ -93,7 +93,7 @@
     }
 
     /** Returns whether the reply has ended; a broken one ends only once its error packet can be written. */
-    private boolean isEnd(ReadState ahead, boolean noChunkLeft) {
+    private boolean isEnd(ReadStatus ahead, boolean noChunkLeft) {
         return switch (ahead) {
             case EXPIRED -> true;
             case END -> noChunkLeft;
--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpoolStream.java
@@ -8,7 +8,7 @@
 import lineward.mysql.wire.Dialect;
 import lineward.mysql.wire.Failure;
 import lineward.mysql.wire.ReplyStream;
-import lineward.spool.ReadState;
+import lineward.spool.ReadStatus;
 import lineward.spool.Spool;
 import lineward.spool.SpooledResult;
 
@@ -103,13 +103,13 @@
         }
     }
 
-    private void ended(ReadState state, OptionalInt errorSequence) {
-        if (state == ReadState.EXPIRED && !replies.channel().isWritable()) {
+    private void ended(ReadStatus state, OptionalInt errorSequence) {
+        if (state == ReadStatus.EXPIRED && !replies.channel().isWritable()) {
             // An error packet would wait behind rows that the client does not read.
             replies.close();
-        } else if (state == ReadState.BROKEN) {
+        } else if (state == ReadStatus.BROKEN) {
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.brokenOff()));
-        } else if (state == ReadState.EXPIRED) {
+        } else if (state == ReadStatus.EXPIRED) {
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.leaseExpired()));
         }
         active = null;
--- a/src/main/java/lineward/mysql/client/StreamEndListener.java
+++ b/src/main/java/lineward/mysql/client/StreamEndListener.java
@@ -1,7 +1,7 @@
 package lineward.mysql.client;
 
 import java.util.OptionalInt;
-import lineward.spool.ReadState;
+import lineward.spool.ReadStatus;
 
 /** Is notified when a {@link lineward.mysql.wire.ReplyStream} ends or pauses. */
 @FunctionalInterface
@@ -13,5 +13,5 @@
      * @param errorSequence sequence number for an error packet if the state is BROKEN or EXPIRED; ignored
      *     otherwise
      */
-    void ended(ReadState state, OptionalInt errorSequence);
+    void ended(ReadStatus state, OptionalInt errorSequence);
 }
--- a/src/main/java/lineward/spool/ReadState.java
+++ b/src/main/java/lineward/spool/ReadStatus.java
@@ -1,7 +1,7 @@
 package lineward.spool;
 
 /** What follows the blocks that a reader has read. */
-public enum ReadState {
+public enum ReadStatus {
     /** There are unread blocks, or more may arrive. */
     MORE,
     /** The whole result has been read. */
--- a/src/main/java/lineward/spool/ResultReader.java
+++ b/src/main/java/lineward/spool/ResultReader.java
@@ -62,11 +62,11 @@
     }
 
     @Override
-    public ReadState readState() {
+    public ReadStatus readStatus() {
         if (state == ReaderState.FAILED && !result.isExpired()) {
-            return ReadState.BROKEN;
+            return ReadStatus.BROKEN;
         }
-        return result.readState(nextBlock);
+        return result.readStatus(nextBlock);
     }
 
     @Override
--- a/src/main/java/lineward/spool/ResultState.java
+++ b/src/main/java/lineward/spool/ResultState.java
@@ -63,20 +63,20 @@
      *
      * @param hasMore whether there are blocks that the reader has not read
      */
-    ReadState readState(boolean hasMore) {
+    ReadStatus readStatus(boolean hasMore) {
         if (expired) {
-            return ReadState.EXPIRED;
+            return ReadStatus.EXPIRED;
         }
         if (content == Content.RELEASED) {
-            return ReadState.BROKEN;
+            return ReadStatus.BROKEN;
         }
         if (hasMore) {
-            return ReadState.MORE;
+            return ReadStatus.MORE;
         }
         return switch (content) {
-            case GROWING -> ReadState.MORE;
-            case COMPLETE -> ReadState.END;
-            default -> ReadState.BROKEN;
+            case GROWING -> ReadStatus.MORE;
+            case COMPLETE -> ReadStatus.END;
+            default -> ReadStatus.BROKEN;
         };
     }
 
--- a/src/main/java/lineward/spool/SpoolReader.java
+++ b/src/main/java/lineward/spool/SpoolReader.java
@@ -9,7 +9,7 @@
     ResultChunk poll();
 
     /** Returns what follows the blocks read so far. */
-    ReadState readState();
+    ReadStatus readStatus();
 
     /**
      * Moves to the block that contains a row. Must not be called for results without a key, which remove
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -241,7 +241,7 @@
     /**
      * Returns a new reader.
      *
-     * @param onProgress run when {@link SpoolReader#poll} or {@link SpoolReader#readState} may return
+     * @param onProgress run when {@link SpoolReader#poll} or {@link SpoolReader#readStatus} may return
      *     another value
      */
     public SpoolReader read(Runnable onProgress) {
@@ -283,9 +283,9 @@
     }
 
     /** Returns what follows the blocks that a reader has read, given the number of its next block. */
-    ReadState readState(int nextBlock) {
+    ReadStatus readStatus(int nextBlock) {
         boolean hasMore = nextBlock < blocks.end() || !buffer.isEmpty();
-        return state.readState(hasMore);
+        return state.readStatus(hasMore);
     }
 
     void readerClosed(ResultReader reader) {
--- a/src/test/java/lineward/spool/SpoolTest.java
+++ b/src/test/java/lineward/spool/SpoolTest.java
@@ -77,7 +77,7 @@
 
     private byte[] drain(SpoolReader reader) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        while (reader.readState() == ReadState.MORE) {
+        while (reader.readStatus() == ReadStatus.MORE) {
             ResultChunk chunk = reader.poll();
             if (chunk == null) {
                 runNextTask();
@@ -114,7 +114,7 @@
                 }
                 result.complete();
                 read.writeBytes(drain(reader));
-                assertEquals(reader.readState(), ReadState.END);
+                assertEquals(reader.readStatus(), ReadStatus.END);
                 assertEquals(read.toByteArray(), wrote.toByteArray(), "seed " + seed);
                 // Waits until every block has been written and released, and only then closes the reader.
                 for (Runnable task = eventLoop.poll(200, TimeUnit.MILLISECONDS);
@@ -213,7 +213,7 @@
             assertTrue(rows < 100, "no backpressure after " + rows + " rows");
             SpoolReader reader = result.read(() -> {});
             int readBytes = 0;
-            while (reader.readState() == ReadState.MORE) {
+            while (reader.readStatus() == ReadStatus.MORE) {
                 ResultChunk chunk = reader.poll();
                 if (chunk == null) {
                     break;
@@ -239,7 +239,7 @@
             now = 1001;
             spool.tick();
             assertTrue(notifications[0] > 0);
-            assertEquals(reader.readState(), ReadState.EXPIRED);
+            assertEquals(reader.readStatus(), ReadStatus.EXPIRED);
             reader.close();
             assertEquals(spool.statistics().memoryBytes(), 0);
             assertEquals(spool.statistics().expired(), 1);
@@ -253,9 +253,9 @@
             SpoolReader reader = result.read(() -> {});
             append(result, new byte[100], true);
             result.fail();
-            assertEquals(reader.readState(), ReadState.MORE);
+            assertEquals(reader.readStatus(), ReadStatus.MORE);
             assertEquals(reader.poll().bytes().length, 100);
-            assertEquals(reader.readState(), ReadState.BROKEN);
+            assertEquals(reader.readStatus(), ReadStatus.BROKEN);
             reader.close();
             assertEquals(spool.statistics().results(), 0);
         }
--- a/src/test/java/lineward/spool/StoredSpoolTest.java
+++ b/src/test/java/lineward/spool/StoredSpoolTest.java
@@ -106,7 +106,7 @@
     private byte[] read(SpooledResult result) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         SpoolReader reader = result.read(() -> {});
-        while (reader.readState() == ReadState.MORE) {
+        while (reader.readStatus() == ReadStatus.MORE) {
             ResultChunk chunk = reader.poll();
             if (chunk == null) {
                 runNextTask(eventLoop);
@@ -114,7 +114,7 @@
                 all.writeBytes(chunk.bytes());
             }
         }
-        assertEquals(reader.readState(), ReadState.END);
+        assertEquals(reader.readStatus(), ReadStatus.END);
         reader.close();
         return all.toByteArray();
     }
