--- a/src/main/java/lineward/mysql/client/OpenCursor.java
+++ b/src/main/java/lineward/mysql/client/OpenCursor.java
@@ -121,7 +121,7 @@
         ResultChunk head = reader.poll();
         if (head == null) {
             if (reader.readStatus() != ReadStatus.MORE) {
-                abort(ReadStatus.BROKEN);
+                abort(ReadStatus.FAILED);
             }
             return;
         }
@@ -203,8 +203,8 @@
             transition(CursorState.Event.NO_ROWS_LEFT);
             return true;
         }
-        if (reader.readStatus() == ReadStatus.BROKEN) {
-            abort(ReadStatus.BROKEN);
+        if (reader.readStatus() == ReadStatus.FAILED) {
+            abort(ReadStatus.FAILED);
         }
         return false;
     }
--- a/src/main/java/lineward/mysql/client/ReplyPump.java
+++ b/src/main/java/lineward/mysql/client/ReplyPump.java
@@ -97,7 +97,7 @@
         return switch (ahead) {
             case EXPIRED -> true;
             case END -> noChunkLeft;
-            case BROKEN -> noChunkLeft && channel.isWritable();
+            case FAILED -> noChunkLeft && channel.isWritable();
             default -> false;
         };
     }
--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpoolStream.java
@@ -107,7 +107,7 @@
         if (state == ReadStatus.EXPIRED && !replies.channel().isWritable()) {
             // An error packet would wait behind rows that the client does not read.
             replies.close();
-        } else if (state == ReadStatus.BROKEN) {
+        } else if (state == ReadStatus.FAILED) {
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.brokenOff()));
         } else if (state == ReadStatus.EXPIRED) {
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, Failure.leaseExpired()));
--- a/src/main/java/lineward/spool/ReadStatus.java
+++ b/src/main/java/lineward/spool/ReadStatus.java
@@ -7,7 +7,7 @@
     /** The whole result has been read. */
     END,
     /** The rest can't be read: the attempt failed, the file can't be read or the result was released. */
-    BROKEN,
+    FAILED,
     /** The lease of the result has expired. */
     EXPIRED
 }
--- a/src/main/java/lineward/spool/ResultReader.java
+++ b/src/main/java/lineward/spool/ResultReader.java
@@ -64,7 +64,7 @@
     @Override
     public ReadStatus readStatus() {
         if (state == ReaderState.FAILED && !result.isExpired()) {
-            return ReadStatus.BROKEN;
+            return ReadStatus.FAILED;
         }
         return result.readStatus(nextBlock);
     }
--- a/src/main/java/lineward/spool/ResultState.java
+++ b/src/main/java/lineward/spool/ResultState.java
@@ -68,7 +68,7 @@
             return ReadStatus.EXPIRED;
         }
         if (content == Content.RELEASED) {
-            return ReadStatus.BROKEN;
+            return ReadStatus.FAILED;
         }
         if (hasMore) {
             return ReadStatus.MORE;
@@ -76,7 +76,7 @@
         return switch (content) {
             case GROWING -> ReadStatus.MORE;
             case COMPLETE -> ReadStatus.END;
-            default -> ReadStatus.BROKEN;
+            default -> ReadStatus.FAILED;
         };
     }
 
--- a/src/test/java/lineward/spool/SpoolTest.java
+++ b/src/test/java/lineward/spool/SpoolTest.java
@@ -255,7 +255,7 @@
             result.fail();
             assertEquals(reader.readStatus(), ReadStatus.MORE);
             assertEquals(reader.poll().bytes().length, 100);
-            assertEquals(reader.readStatus(), ReadStatus.BROKEN);
+            assertEquals(reader.readStatus(), ReadStatus.FAILED);
             reader.close();
             assertEquals(spool.statistics().results(), 0);
         }
