--- a/src/main/java/lineward/spool/ResultState.java
+++ b/src/main/java/lineward/spool/ResultState.java
@@ -11,7 +11,7 @@
     /** The engine has sent the whole result. */
     COMPLETE(Content.COMPLETE, false),
     /** The attempt failed, so the missing blocks will never arrive. */
-    BROKEN(Content.BROKEN, false),
+    FAILED(Content.FAILED, false),
     /** Memory and file have been released. */
     RELEASED(Content.RELEASED, false),
     /** The lease expired; the engine is still sending. */
@@ -19,14 +19,14 @@
     /** The lease expired; the engine has sent the whole result. */
     EXPIRED_COMPLETE(Content.COMPLETE, true),
     /** The lease expired; the attempt failed, so the missing blocks will never arrive. */
-    EXPIRED_BROKEN(Content.BROKEN, true),
+    EXPIRED_FAILED(Content.FAILED, true),
     /** The lease expired; memory and file have been released. */
     EXPIRED_RELEASED(Content.RELEASED, true);
 
     private enum Content {
         GROWING,
         COMPLETE,
-        BROKEN,
+        FAILED,
         RELEASED
     }
 
@@ -45,7 +45,7 @@
 
     /** Marks the attempt as failed; has an effect only while the engine is sending. */
     ResultState fail() {
-        return content == Content.GROWING ? of(Content.BROKEN, expired) : this;
+        return content == Content.GROWING ? of(Content.FAILED, expired) : this;
     }
 
     /** Marks the lease as expired. */
@@ -84,7 +84,7 @@
         return switch (content) {
             case GROWING -> expired ? EXPIRED_GROWING : GROWING;
             case COMPLETE -> expired ? EXPIRED_COMPLETE : COMPLETE;
-            case BROKEN -> expired ? EXPIRED_BROKEN : BROKEN;
+            case FAILED -> expired ? EXPIRED_FAILED : FAILED;
             case RELEASED -> expired ? EXPIRED_RELEASED : RELEASED;
         };
     }
@@ -93,8 +93,8 @@
         return content == Content.COMPLETE;
     }
 
-    boolean isBroken() {
-        return content == Content.BROKEN;
+    boolean isFailed() {
+        return content == Content.FAILED;
     }
 
     boolean isReleased() {
--- a/src/test/java/lineward/spool/ResultStateTest.java
+++ b/src/test/java/lineward/spool/ResultStateTest.java
@@ -1,11 +1,11 @@
 package lineward.spool;
 
-import static lineward.spool.ResultState.BROKEN;
 import static lineward.spool.ResultState.COMPLETE;
-import static lineward.spool.ResultState.EXPIRED_BROKEN;
 import static lineward.spool.ResultState.EXPIRED_COMPLETE;
+import static lineward.spool.ResultState.EXPIRED_FAILED;
 import static lineward.spool.ResultState.EXPIRED_GROWING;
 import static lineward.spool.ResultState.EXPIRED_RELEASED;
+import static lineward.spool.ResultState.FAILED;
 import static lineward.spool.ResultState.GROWING;
 import static lineward.spool.ResultState.RELEASED;
 import static org.testng.Assert.assertEquals;
@@ -23,13 +23,13 @@
     public Object[][] transitions() {
         return new Object[][] {
             // state; next state after complete, fail, expire, release
-            {GROWING, COMPLETE, BROKEN, EXPIRED_GROWING, RELEASED},
+            {GROWING, COMPLETE, FAILED, EXPIRED_GROWING, RELEASED},
             {COMPLETE, COMPLETE, COMPLETE, EXPIRED_COMPLETE, RELEASED},
-            {BROKEN, BROKEN, BROKEN, EXPIRED_BROKEN, RELEASED},
+            {FAILED, FAILED, FAILED, EXPIRED_FAILED, RELEASED},
             {RELEASED, RELEASED, RELEASED, EXPIRED_RELEASED, RELEASED},
-            {EXPIRED_GROWING, EXPIRED_COMPLETE, EXPIRED_BROKEN, EXPIRED_GROWING, EXPIRED_RELEASED},
+            {EXPIRED_GROWING, EXPIRED_COMPLETE, EXPIRED_FAILED, EXPIRED_GROWING, EXPIRED_RELEASED},
             {EXPIRED_COMPLETE, EXPIRED_COMPLETE, EXPIRED_COMPLETE, EXPIRED_COMPLETE, EXPIRED_RELEASED},
-            {EXPIRED_BROKEN, EXPIRED_BROKEN, EXPIRED_BROKEN, EXPIRED_BROKEN, EXPIRED_RELEASED},
+            {EXPIRED_FAILED, EXPIRED_FAILED, EXPIRED_FAILED, EXPIRED_FAILED, EXPIRED_RELEASED},
             {EXPIRED_RELEASED, EXPIRED_RELEASED, EXPIRED_RELEASED, EXPIRED_RELEASED, EXPIRED_RELEASED},
         };
     }
