--- a/src/main/java/lineward/spool/ResultState.java
+++ b/src/main/java/lineward/spool/ResultState.java
@@ -7,7 +7,7 @@
  */
 enum ResultState {
     /** The engine is still sending the result. */
-    GROWING(Content.GROWING, false),
+    RECEIVING(Content.RECEIVING, false),
     /** The engine has sent the whole result. */
     COMPLETE(Content.COMPLETE, false),
     /** The attempt failed, so the missing blocks will never arrive. */
@@ -15,7 +15,7 @@
     /** Memory and file have been released. */
     RELEASED(Content.RELEASED, false),
     /** The lease expired; the engine is still sending. */
-    EXPIRED_GROWING(Content.GROWING, true),
+    EXPIRED_RECEIVING(Content.RECEIVING, true),
     /** The lease expired; the engine has sent the whole result. */
     EXPIRED_COMPLETE(Content.COMPLETE, true),
     /** The lease expired; the attempt failed, so the missing blocks will never arrive. */
@@ -24,7 +24,7 @@
     EXPIRED_RELEASED(Content.RELEASED, true);
 
     private enum Content {
-        GROWING,
+        RECEIVING,
         COMPLETE,
         FAILED,
         RELEASED
@@ -40,12 +40,12 @@
 
     /** Marks the result as complete; has an effect only while the engine is sending. */
     ResultState complete() {
-        return content == Content.GROWING ? of(Content.COMPLETE, expired) : this;
+        return content == Content.RECEIVING ? of(Content.COMPLETE, expired) : this;
     }
 
     /** Marks the attempt as failed; has an effect only while the engine is sending. */
     ResultState fail() {
-        return content == Content.GROWING ? of(Content.FAILED, expired) : this;
+        return content == Content.RECEIVING ? of(Content.FAILED, expired) : this;
     }
 
     /** Marks the lease as expired. */
@@ -74,7 +74,7 @@
             return ReadStatus.MORE;
         }
         return switch (content) {
-            case GROWING -> ReadStatus.MORE;
+            case RECEIVING -> ReadStatus.MORE;
             case COMPLETE -> ReadStatus.END;
             default -> ReadStatus.FAILED;
         };
@@ -82,7 +82,7 @@
 
     private static ResultState of(Content content, boolean expired) {
         return switch (content) {
-            case GROWING -> expired ? EXPIRED_GROWING : GROWING;
+            case RECEIVING -> expired ? EXPIRED_RECEIVING : RECEIVING;
             case COMPLETE -> expired ? EXPIRED_COMPLETE : COMPLETE;
             case FAILED -> expired ? EXPIRED_FAILED : FAILED;
             case RELEASED -> expired ? EXPIRED_RELEASED : RELEASED;
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -19,7 +19,7 @@
     private final BlockSequence blocks = new BlockSequence();
     private final BlockBuffer buffer = new BlockBuffer();
     private final List<ResultReader> readers = new ArrayList<>();
-    private ResultState state = ResultState.GROWING;
+    private ResultState state = ResultState.RECEIVING;
     /** Number of rows of all blocks, including removed ones. */
     private long rows;
     /** Number of bytes received so far, including removed blocks. */
@@ -291,7 +291,7 @@
     void readerClosed(ResultReader reader) {
         readers.remove(reader);
         boolean isReleasable = spool.policy().readerClosed(id, spool.now());
-        boolean isRereadable = description.isKeyed() && state == ResultState.GROWING;
+        boolean isRereadable = description.isKeyed() && state == ResultState.RECEIVING;
         if (isReleasable && !isRereadable) {
             release();
         }
--- a/src/test/java/lineward/spool/ResultStateTest.java
+++ b/src/test/java/lineward/spool/ResultStateTest.java
@@ -3,10 +3,10 @@
 import static lineward.spool.ResultState.COMPLETE;
 import static lineward.spool.ResultState.EXPIRED_COMPLETE;
 import static lineward.spool.ResultState.EXPIRED_FAILED;
-import static lineward.spool.ResultState.EXPIRED_GROWING;
+import static lineward.spool.ResultState.EXPIRED_RECEIVING;
 import static lineward.spool.ResultState.EXPIRED_RELEASED;
 import static lineward.spool.ResultState.FAILED;
-import static lineward.spool.ResultState.GROWING;
+import static lineward.spool.ResultState.RECEIVING;
 import static lineward.spool.ResultState.RELEASED;
 import static org.testng.Assert.assertEquals;
 
@@ -23,11 +23,11 @@
     public Object[][] transitions() {
         return new Object[][] {
             // state; next state after complete, fail, expire, release
-            {GROWING, COMPLETE, FAILED, EXPIRED_GROWING, RELEASED},
+            {RECEIVING, COMPLETE, FAILED, EXPIRED_RECEIVING, RELEASED},
             {COMPLETE, COMPLETE, COMPLETE, EXPIRED_COMPLETE, RELEASED},
             {FAILED, FAILED, FAILED, EXPIRED_FAILED, RELEASED},
             {RELEASED, RELEASED, RELEASED, EXPIRED_RELEASED, RELEASED},
-            {EXPIRED_GROWING, EXPIRED_COMPLETE, EXPIRED_FAILED, EXPIRED_GROWING, EXPIRED_RELEASED},
+            {EXPIRED_RECEIVING, EXPIRED_COMPLETE, EXPIRED_FAILED, EXPIRED_RECEIVING, EXPIRED_RELEASED},
             {EXPIRED_COMPLETE, EXPIRED_COMPLETE, EXPIRED_COMPLETE, EXPIRED_COMPLETE, EXPIRED_RELEASED},
             {EXPIRED_FAILED, EXPIRED_FAILED, EXPIRED_FAILED, EXPIRED_FAILED, EXPIRED_RELEASED},
             {EXPIRED_RELEASED, EXPIRED_RELEASED, EXPIRED_RELEASED, EXPIRED_RELEASED, EXPIRED_RELEASED},
