--- a/src/main/java/lineward/spool/ResultFileState.java
+++ b/src/main/java/lineward/spool/ResultFileState.java
@@ -5,7 +5,7 @@
     /** No write has been started. */
     ABSENT,
     /** At least one block has been submitted for writing, and more may follow. */
-    GROWING,
+    APPENDABLE,
     /** The manifest and the index have been submitted or were recovered; no more blocks are written. */
     SEALED;
 
@@ -14,7 +14,7 @@
         if (this == SEALED) {
             throw new IllegalStateException("block written to a sealed file");
         }
-        return GROWING;
+        return APPENDABLE;
     }
 
     /** Submits the manifest; a file is sealed only once. */
--- a/src/test/java/lineward/spool/ResultFileStateTest.java
+++ b/src/test/java/lineward/spool/ResultFileStateTest.java
@@ -1,7 +1,7 @@
 package lineward.spool;
 
 import static lineward.spool.ResultFileState.ABSENT;
-import static lineward.spool.ResultFileState.GROWING;
+import static lineward.spool.ResultFileState.APPENDABLE;
 import static lineward.spool.ResultFileState.SEALED;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
@@ -16,8 +16,8 @@
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
-            {ABSENT, GROWING, SEALED},
-            {GROWING, GROWING, SEALED},
+            {ABSENT, APPENDABLE, SEALED},
+            {APPENDABLE, APPENDABLE, SEALED},
             {SEALED, null, null}
         };
     }
