--- a/src/main/java/lineward/app/SpoolCommand.java
+++ b/src/main/java/lineward/app/SpoolCommand.java
@@ -50,7 +50,7 @@
         SpoolFolder.Recovered contents = read(folder);
         printUnusable(contents);
         int intact = 0;
-        for (Segment.Found result : contents.complete()) {
+        for (Segment.Result result : contents.complete()) {
             Optional<String> fault = findFault(result);
             String state = fault.map(reason -> "spoilt: " + reason).orElse("good");
             print("%s %s%n", fileName(result.segment().path()), state);
@@ -70,10 +70,10 @@
             throw ConfigException.unusable(folder + " is not a folder");
         }
         try (SpoolFolder locked = SpoolFolder.acquire(folder)) {
-            List<Segment.Found> selected = SpoolFolder.inspect(folder).complete().stream()
+            List<Segment.Result> selected = SpoolFolder.inspect(folder).complete().stream()
                     .filter(result -> matches(result.manifest(), user, key))
                     .toList();
-            for (Segment.Found result : selected) {
+            for (Segment.Result result : selected) {
                 Files.deleteIfExists(result.segment().path());
             }
             print("%d dropped from %s%n", selected.size(), locked);
@@ -99,7 +99,7 @@
     }
 
     /** Returns the fault of the first block that can't be read; empty if all blocks can be read. */
-    private static Optional<String> findFault(Segment.Found result) {
+    private static Optional<String> findFault(Segment.Result result) {
         for (Segment.Extent block : result.blocks()) {
             try {
                 result.segment().read(block);
@@ -110,7 +110,7 @@
         return Optional.empty();
     }
 
-    private void printResult(Segment.Found result) {
+    private void printResult(Segment.Result result) {
         Manifest manifest = result.manifest();
         print(
                 "%s user=%s key=%s rows=%d bytes=%d stored=%d blocks=%d created=%s%n",
--- a/src/main/java/lineward/spool/Spool.java
+++ b/src/main/java/lineward/spool/Spool.java
@@ -53,7 +53,7 @@
     /** Adds the complete results of an earlier process; of two with the same key, the newer one is kept. */
     public void restore(SpoolFolder.Recovered recovered) {
         recovered.complete().stream()
-                .sorted(Comparator.comparingLong(found -> found.manifest().createdMs()))
+                .sorted(Comparator.comparingLong(stored -> stored.manifest().createdMs()))
                 .forEach(this::restore);
         LOG.info(
                 "spool recovered: results={} unusable={}",
@@ -67,13 +67,13 @@
                         segment.reason()));
     }
 
-    private void restore(Segment.Found found) {
-        Manifest manifest = found.manifest();
+    private void restore(Segment.Result stored) {
+        Manifest manifest = stored.manifest();
         forget(manifest.user(), manifest.key());
-        long id = policy.restore(manifest.user(), found.fileBytes(), now());
+        long id = policy.restore(manifest.user(), stored.fileBytes(), now());
         String statement = manifest.statement();
         ResultDescription description = new ResultDescription(manifest.user(), manifest.key(), statement);
-        SpooledResult result = SpooledResult.restore(this, id, description, found);
+        SpooledResult result = SpooledResult.restore(this, id, description, stored);
         results.put(id, result);
         resultsByKey.put(ResultKey.of(description), result);
     }
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -40,10 +40,10 @@
     }
 
     /** Returns a complete result of an earlier process. */
-    static SpooledResult restore(Spool spool, long id, ResultDescription description, Segment.Found found) {
-        ResultFile file = ResultFile.ofRestoredResult(spool, id, found.segment());
+    static SpooledResult restore(Spool spool, long id, ResultDescription description, Segment.Result stored) {
+        ResultFile file = ResultFile.ofRestoredResult(spool, id, stored.segment());
         SpooledResult result = new SpooledResult(spool, id, description, file);
-        for (Segment.Extent location : found.blocks()) {
+        for (Segment.Extent location : stored.blocks()) {
             result.blocks.add(Block.onFile(location));
             result.rows += location.rows();
             result.bytes += location.rawBytes();
--- a/src/main/java/lineward/spool/store/Segment.java
+++ b/src/main/java/lineward/spool/store/Segment.java
@@ -32,7 +32,7 @@
      * @param blocks locations of the blocks, in order
      * @param fileBytes length of the file
      */
-    public record Found(Segment segment, Manifest manifest, List<Extent> blocks, long fileBytes) {}
+    public record Result(Segment segment, Manifest manifest, List<Extent> blocks, long fileBytes) {}
 
     private final Path path;
     /** Length of the file, and offset of the next block. */
@@ -124,7 +124,7 @@
      *
      * @throws CorruptSegmentException if it is not a complete result
      */
-    static Found open(Path path) throws IOException {
+    static Result open(Path path) throws IOException {
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
             long size = channel.size();
             checkHeader(channel, size);
@@ -132,7 +132,7 @@
             SegmentFooter footer = readFooter(channel, footerOffset, size);
             Segment segment = new Segment(path);
             segment.end = size;
-            return new Found(segment, footer.manifest(), footer.blocks(), size);
+            return new Result(segment, footer.manifest(), footer.blocks(), size);
         }
     }
 
--- a/src/main/java/lineward/spool/store/SpoolFolder.java
+++ b/src/main/java/lineward/spool/store/SpoolFolder.java
@@ -29,7 +29,7 @@
      * @param complete complete results, in arbitrary order
      * @param unusable segments that can't be used
      */
-    public record Recovered(List<Segment.Found> complete, List<UnusableSegment> unusable) {}
+    public record Recovered(List<Segment.Result> complete, List<UnusableSegment> unusable) {}
 
     /**
      * A segment that can't be used.
@@ -115,7 +115,7 @@
 
     /** Returns the segments in a folder, which need not be locked, and changes nothing. */
     public static Recovered inspect(Path folder) throws IOException {
-        List<Segment.Found> complete = new ArrayList<>();
+        List<Segment.Result> complete = new ArrayList<>();
         List<UnusableSegment> unusable = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + SEGMENT_SUFFIX)) {
             for (Path file : files) {
--- a/src/measure/java/lineward/spool/store/SpoolFixture.java
+++ b/src/measure/java/lineward/spool/store/SpoolFixture.java
@@ -69,7 +69,7 @@
             }
             Files.write(file, corrupt);
             try {
-                Segment.Found found = Segment.open(file);
+                Segment.Result found = Segment.open(file);
                 for (int i = 0; i < found.blocks().size(); i++) {
                     byte[] read = found.segment().read(found.blocks().get(i));
                     wrong += Arrays.equals(read, blocks.get(i)) ? 0 : 1;
--- a/src/test/java/lineward/spool/store/SegmentTest.java
+++ b/src/test/java/lineward/spool/store/SegmentTest.java
@@ -65,7 +65,7 @@
 
     /** Returns whether the file is accepted and yields wrong bytes, or has another number of blocks. */
     private static boolean servesWrongBytes(Path file, List<byte[]> blocks) {
-        Segment.Found found;
+        Segment.Result found;
         try {
             found = Segment.open(file);
         } catch (IOException | RuntimeException e) {
@@ -196,7 +196,7 @@
     public void removedOrReplacedFileFailsTheRead() throws IOException {
         Path one = write("one", blocks(new Random(4), 2));
         Path two = write("two", blocks(new Random(5), 2));
-        Segment.Found found = Segment.open(one);
+        Segment.Result found = Segment.open(one);
         Files.move(two, one, StandardCopyOption.REPLACE_EXISTING);
         assertThrows(
                 IOException.class, () -> found.segment().read(found.blocks().get(1)));
--- a/src/test/java/lineward/spool/store/StoredSegmentTest.java
+++ b/src/test/java/lineward/spool/store/StoredSegmentTest.java
@@ -74,7 +74,7 @@
         try (SpoolFolder lockedFolder = SpoolFolder.acquire(folder)) {
             SpoolFolder.Recovered recovered = lockedFolder.recover();
             assertEquals(recovered.unusable(), List.of());
-            Segment.Found found = recovered.complete().get(0);
+            Segment.Result found = recovered.complete().get(0);
             assertEquals(found.manifest(), MANIFEST);
             assertEquals(found.fileBytes(), stored().length);
             assertEquals(found.blocks().size(), blocks().size());
