--- a/src/main/java/lineward/app/SpoolCommand.java
+++ b/src/main/java/lineward/app/SpoolCommand.java
@@ -39,7 +39,7 @@
 
     @Command(name = "ls", description = "Lists the complete results and the unusable files.")
     int list(@Parameters(paramLabel = "FOLDER") Path folder) {
-        SpoolFolder.Recovered contents = read(folder);
+        SpoolFolder.Contents contents = read(folder);
         contents.complete().forEach(this::printResult);
         printUnusable(contents);
         return STATUS_OK;
@@ -47,7 +47,7 @@
 
     @Command(name = "verify", description = "Verifies every result; ends with status 1 if any is corrupt.")
     int verify(@Parameters(paramLabel = "FOLDER") Path folder) {
-        SpoolFolder.Recovered contents = read(folder);
+        SpoolFolder.Contents contents = read(folder);
         printUnusable(contents);
         int intact = 0;
         for (Segment.Result result : contents.complete()) {
@@ -83,7 +83,7 @@
         }
     }
 
-    private static SpoolFolder.Recovered read(Path folder) {
+    private static SpoolFolder.Contents read(Path folder) {
         try {
             return SpoolFolder.inspect(folder);
         } catch (IOException e) {
@@ -124,7 +124,7 @@
                 Instant.ofEpochMilli(manifest.createdMs()));
     }
 
-    private void printUnusable(SpoolFolder.Recovered contents) {
+    private void printUnusable(SpoolFolder.Contents contents) {
         contents.unusable().forEach(file -> print("%s unusable: %s%n", fileName(file.path()), file.reason()));
     }
 
--- a/src/main/java/lineward/app/SpoolWiring.java
+++ b/src/main/java/lineward/app/SpoolWiring.java
@@ -36,7 +36,7 @@
 
     private static Spool onFiles(FrontEndContext context, MysqlConfig.Spooling config) {
         SpoolFolder folder;
-        SpoolFolder.Recovered recovered;
+        SpoolFolder.Contents recovered;
         try {
             folder = SpoolFolder.acquire(config.folder());
             recovered = folder.recover();
--- a/src/main/java/lineward/spool/Spool.java
+++ b/src/main/java/lineward/spool/Spool.java
@@ -51,16 +51,15 @@
     }
 
     /** Adds the complete results of an earlier process; of two with the same key, the newer one is kept. */
-    public void restore(SpoolFolder.Recovered recovered) {
-        recovered.complete().stream()
+    public void restore(SpoolFolder.Contents contents) {
+        contents.complete().stream()
                 .sorted(Comparator.comparingLong(stored -> stored.manifest().createdMs()))
                 .forEach(this::restore);
         LOG.info(
                 "spool recovered: results={} unusable={}",
                 resultsByKey.size(),
-                recovered.unusable().size());
-        recovered
-                .unusable()
+                contents.unusable().size());
+        contents.unusable()
                 .forEach(segment -> LOG.info(
                         "spool segment not usable: file={} cause={}",
                         segment.path().getFileName(),
--- a/src/main/java/lineward/spool/store/SpoolFolder.java
+++ b/src/main/java/lineward/spool/store/SpoolFolder.java
@@ -29,7 +29,7 @@
      * @param complete complete results, in arbitrary order
      * @param unusable segments that can't be used
      */
-    public record Recovered(List<Segment.Result> complete, List<UnusableSegment> unusable) {}
+    public record Contents(List<Segment.Result> complete, List<UnusableSegment> unusable) {}
 
     /**
      * A segment that can't be used.
@@ -103,18 +103,18 @@
      * Returns the segments, and deletes unusable ones unless their format version is unknown; other files are
      * not changed.
      */
-    public Recovered recover() throws IOException {
-        Recovered recovered = inspect(folder);
-        for (UnusableSegment segment : recovered.unusable()) {
+    public Contents recover() throws IOException {
+        Contents contents = inspect(folder);
+        for (UnusableSegment segment : contents.unusable()) {
             if (segment.fault().isDeletedByRecovery()) {
                 Files.deleteIfExists(segment.path());
             }
         }
-        return recovered;
+        return contents;
     }
 
     /** Returns the segments in a folder, which need not be locked, and changes nothing. */
-    public static Recovered inspect(Path folder) throws IOException {
+    public static Contents inspect(Path folder) throws IOException {
         List<Segment.Result> complete = new ArrayList<>();
         List<UnusableSegment> unusable = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, "*" + SEGMENT_SUFFIX)) {
@@ -132,7 +132,7 @@
         } catch (NotDirectoryException e) {
             throw new IOException(folder + " is not a folder", e);
         }
-        return new Recovered(complete, unusable);
+        return new Contents(complete, unusable);
     }
 
     /** Creates a new segment and its file. */
--- a/src/test/java/lineward/spool/SpoolTest.java
+++ b/src/test/java/lineward/spool/SpoolTest.java
@@ -47,7 +47,7 @@
             return new Spool(limits, null, () -> now);
         }
         SpoolFolder lockedFolder = SpoolFolder.acquire(folder);
-        SpoolFolder.Recovered found = lockedFolder.recover();
+        SpoolFolder.Contents found = lockedFolder.recover();
         Spool spool = new Spool(limits, new SegmentStore(lockedFolder, eventLoop::add), () -> now);
         spool.restore(found);
         return spool;
--- a/src/test/java/lineward/spool/StoredSpoolTest.java
+++ b/src/test/java/lineward/spool/StoredSpoolTest.java
@@ -59,7 +59,7 @@
         long total = 64 * MB;
         SpoolLimits limits = new SpoolLimits(2 * MB, total, 100, 100, total, 32 * MB, MB, 0.5, 1000, 5000);
         SpoolFolder locked = SpoolFolder.acquire(folder);
-        SpoolFolder.Recovered recovered = locked.recover();
+        SpoolFolder.Contents recovered = locked.recover();
         Spool spool = new Spool(limits, new SegmentStore(locked, eventLoop::add), () -> 0);
         spool.restore(recovered);
         return spool;
--- a/src/test/java/lineward/spool/store/SegmentTest.java
+++ b/src/test/java/lineward/spool/store/SegmentTest.java
@@ -143,7 +143,7 @@
     public void foreignFileIsRecognisedByItsHeader(byte[] bytes, String reason) throws IOException {
         Path file = folder.resolve("x" + SpoolFolder.SEGMENT_SUFFIX);
         Files.write(file, bytes);
-        SpoolFolder.Recovered recovered = SpoolFolder.inspect(folder);
+        SpoolFolder.Contents recovered = SpoolFolder.inspect(folder);
         assertEquals(recovered.complete().size(), 0);
         assertTrue(
                 recovered.unusable().get(0).reason().contains(reason),
@@ -161,7 +161,7 @@
                 folder.resolve("later" + SpoolFolder.SEGMENT_SUFFIX),
                 SegmentFormat.header(1).putInt(8, 2).array());
         try (SpoolFolder lockedFolder = SpoolFolder.acquire(folder)) {
-            SpoolFolder.Recovered recovered = lockedFolder.recover();
+            SpoolFolder.Contents recovered = lockedFolder.recover();
             assertEquals(recovered.complete().size(), 1);
             assertEquals(recovered.complete().get(0).manifest().key(), "good");
         }
--- a/src/test/java/lineward/spool/store/StoredSegmentTest.java
+++ b/src/test/java/lineward/spool/store/StoredSegmentTest.java
@@ -72,7 +72,7 @@
     public void storedSegmentIsRecoveredWithManifestIndexAndBlocks() throws IOException {
         Files.write(folder.resolve(STORED), stored());
         try (SpoolFolder lockedFolder = SpoolFolder.acquire(folder)) {
-            SpoolFolder.Recovered recovered = lockedFolder.recover();
+            SpoolFolder.Contents recovered = lockedFolder.recover();
             assertEquals(recovered.unusable(), List.of());
             Segment.Result found = recovered.complete().get(0);
             assertEquals(found.manifest(), MANIFEST);
