--- a/src/main/java/lineward/spool/store/BlockCodec.java
+++ b/src/main/java/lineward/spool/store/BlockCodec.java
@@ -37,21 +37,21 @@
      * Returns the decompressed bytes of a block.
      *
      * @param payload the stored bytes: all that remain in the buffer
-     * @throws CorruptSegmentException if they don't decompress to exactly {@code rawBytes} bytes
+     * @throws UnusableSegmentException if they don't decompress to exactly {@code rawBytes} bytes
      */
-    static byte[] decode(Kind kind, ByteBuffer payload, int rawBytes) throws CorruptSegmentException {
+    static byte[] decode(Kind kind, ByteBuffer payload, int rawBytes) throws UnusableSegmentException {
         byte[] raw = new byte[rawBytes];
         int length = kind == Kind.LZ4 ? decompress(payload, raw) : copy(payload, raw);
-        CorruptSegmentException.check(length == rawBytes, "a block has not its length");
+        UnusableSegmentException.check(length == rawBytes, "a block has not its length");
         return raw;
     }
 
-    private static int decompress(ByteBuffer payload, byte[] raw) throws CorruptSegmentException {
+    private static int decompress(ByteBuffer payload, byte[] raw) throws UnusableSegmentException {
         try {
             return DECOMPRESSOR.decompress(
                     payload, payload.position(), payload.remaining(), ByteBuffer.wrap(raw), 0, raw.length);
         } catch (LZ4Exception e) {
-            throw new CorruptSegmentException("a block can't be unpacked", e);
+            throw new UnusableSegmentException("a block can't be unpacked", e);
         }
     }
 
--- a/src/main/java/lineward/spool/store/Segment.java
+++ b/src/main/java/lineward/spool/store/Segment.java
@@ -1,6 +1,6 @@
 package lineward.spool.store;
 
-import static lineward.spool.store.CorruptSegmentException.check;
+import static lineward.spool.store.UnusableSegmentException.check;
 
 import java.io.EOFException;
 import java.io.IOException;
@@ -93,7 +93,7 @@
     /**
      * Returns the bytes of a block, decompressed.
      *
-     * @throws CorruptSegmentException if the block's bytes differ from those that were written
+     * @throws UnusableSegmentException if the block's bytes differ from those that were written
      */
     public byte[] read(Extent location) throws IOException {
         ByteBuffer block = ByteBuffer.allocate(location.storedBytes());
@@ -103,7 +103,7 @@
         return decode(block.flip(), location);
     }
 
-    private static byte[] decode(ByteBuffer block, Extent location) throws CorruptSegmentException {
+    private static byte[] decode(ByteBuffer block, Extent location) throws UnusableSegmentException {
         SegmentFormat.BlockHeader header = SegmentFormat.readBlockHeader(block);
         SegmentFormat.verify(block, header);
         check(isBlockAt(location, header), "a block stands at another's place");
@@ -122,7 +122,7 @@
      * Opens an existing file and checks its header, trailer, manifest and index. A block is checked only when
      * it is read.
      *
-     * @throws CorruptSegmentException if it is not a complete result
+     * @throws UnusableSegmentException if it is not a complete result
      */
     static Result open(Path path) throws IOException {
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
--- a/src/main/java/lineward/spool/store/SegmentFooter.java
+++ b/src/main/java/lineward/spool/store/SegmentFooter.java
@@ -1,6 +1,6 @@
 package lineward.spool.store;
 
-import static lineward.spool.store.CorruptSegmentException.check;
+import static lineward.spool.store.UnusableSegmentException.check;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -36,7 +36,7 @@
      * Decodes the footer at the buffer's position.
      *
      * @param footerOffset offset of the footer's block in the file, where the last indexed block must end
-     * @throws CorruptSegmentException if the index has a gap or does not end at the footer
+     * @throws UnusableSegmentException if the index has a gap or does not end at the footer
      */
     static SegmentFooter decode(ByteBuffer footer, long footerOffset) throws IOException {
         byte[] json = new byte[footer.getInt()];
--- a/src/main/java/lineward/spool/store/SegmentFormat.java
+++ b/src/main/java/lineward/spool/store/SegmentFormat.java
@@ -1,6 +1,6 @@
 package lineward.spool.store;
 
-import static lineward.spool.store.CorruptSegmentException.check;
+import static lineward.spool.store.UnusableSegmentException.check;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -42,13 +42,13 @@
             this.code = (byte) code;
         }
 
-        private static Kind of(byte code) throws CorruptSegmentException {
+        private static Kind of(byte code) throws UnusableSegmentException {
             for (Kind kind : values()) {
                 if (kind.code == code) {
                     return kind;
                 }
             }
-            throw new CorruptSegmentException(SegmentFault.CORRUPT, "a block of an unknown kind");
+            throw new UnusableSegmentException(SegmentFault.CORRUPT, "a block of an unknown kind");
         }
     }
 
@@ -81,13 +81,13 @@
     /**
      * Returns when the segment was created, in Unix milliseconds.
      *
-     * @throws CorruptSegmentException if this is not the header of a segment of the supported version
+     * @throws UnusableSegmentException if this is not the header of a segment of the supported version
      */
-    static long readHeader(ByteBuffer header) throws CorruptSegmentException {
+    static long readHeader(ByteBuffer header) throws UnusableSegmentException {
         check(header.remaining() >= HEADER_BYTES && header.getLong(0) == MAGIC, "it is no segment");
         int version = header.getInt(8);
         if (version != VERSION) {
-            throw new CorruptSegmentException(
+            throw new UnusableSegmentException(
                     SegmentFault.UNKNOWN_VERSION, "its version is " + version + ", known is " + VERSION);
         }
         int crcOffset = HEADER_BYTES - CRC_BYTES;
@@ -114,9 +114,9 @@
     /**
      * Returns the header of the block at the buffer's position; does not move the position.
      *
-     * @throws CorruptSegmentException if this is not a block's header
+     * @throws UnusableSegmentException if this is not a block's header
      */
-    static BlockHeader readBlockHeader(ByteBuffer block) throws CorruptSegmentException {
+    static BlockHeader readBlockHeader(ByteBuffer block) throws UnusableSegmentException {
         check(block.remaining() >= BLOCK_HEADER_BYTES, "a block ends early");
         int start = block.position();
         BlockHeader header = new BlockHeader(
@@ -133,9 +133,9 @@
     /**
      * Checks a block that fills the whole buffer.
      *
-     * @throws CorruptSegmentException if its length or checksum does not match its header
+     * @throws UnusableSegmentException if its length or checksum does not match its header
      */
-    static void verify(ByteBuffer block, BlockHeader header) throws CorruptSegmentException {
+    static void verify(ByteBuffer block, BlockHeader header) throws UnusableSegmentException {
         check(block.remaining() == BLOCK_HEADER_BYTES + header.storedBytes, "a block ends early");
         check(blockCrc(block, header.storedBytes) == header.crc, "a block is spoilt");
     }
@@ -150,9 +150,9 @@
     /**
      * Returns the offset of the block with the manifest.
      *
-     * @throws CorruptSegmentException if this is not a trailer
+     * @throws UnusableSegmentException if this is not a trailer
      */
-    static long readTrailer(ByteBuffer trailer) throws CorruptSegmentException {
+    static long readTrailer(ByteBuffer trailer) throws UnusableSegmentException {
         boolean isTrailer = trailer.remaining() == TRAILER_BYTES && trailer.getInt(8) == TRAILER_MAGIC;
         int crcOffset = TRAILER_BYTES - CRC_BYTES;
         check(isTrailer && trailer.getInt(crcOffset) == crc(trailer, crcOffset), "it was never completed");
--- a/src/main/java/lineward/spool/store/SpoolFolder.java
+++ b/src/main/java/lineward/spool/store/SpoolFolder.java
@@ -121,7 +121,7 @@
             for (Path file : files) {
                 try {
                     complete.add(Segment.open(file));
-                } catch (CorruptSegmentException e) {
+                } catch (UnusableSegmentException e) {
                     unusable.add(new UnusableSegment(file, e.fault(), e.getMessage()));
                 } catch (IOException | RuntimeException e) {
                     // One unreadable segment must not prevent the start, or the recovery of other results.
--- a/src/main/java/lineward/spool/store/CorruptSegmentException.java
+++ b/src/main/java/lineward/spool/store/UnusableSegmentException.java
@@ -6,17 +6,17 @@
  * Thrown if a segment can't be used because it is truncated, corrupt, foreign or of an unknown version. The
  * message gives the reason; {@link #fault} determines whether recovery deletes the file.
  */
-public final class CorruptSegmentException extends IOException {
+public final class UnusableSegmentException extends IOException {
     private static final long serialVersionUID = 1L;
 
     private final SegmentFault fault;
 
-    CorruptSegmentException(SegmentFault fault, String message) {
+    UnusableSegmentException(SegmentFault fault, String message) {
         super(message);
         this.fault = fault;
     }
 
-    CorruptSegmentException(String message, Throwable cause) {
+    UnusableSegmentException(String message, Throwable cause) {
         super(message, cause);
         this.fault = SegmentFault.CORRUPT;
     }
@@ -27,9 +27,9 @@
     }
 
     /** Throws an exception for a corrupt segment, with this message, unless the condition holds. */
-    static void check(boolean condition, String otherwise) throws CorruptSegmentException {
+    static void check(boolean condition, String otherwise) throws UnusableSegmentException {
         if (!condition) {
-            throw new CorruptSegmentException(SegmentFault.CORRUPT, otherwise);
+            throw new UnusableSegmentException(SegmentFault.CORRUPT, otherwise);
         }
     }
 }
