--- a/src/main/java/lineward/spool/SpoolLimits.java
+++ b/src/main/java/lineward/spool/SpoolLimits.java
@@ -48,9 +48,9 @@
         return value >= 0 && value <= 1;
     }
 
-    private static void require(boolean condition, String otherwise) {
+    private static void require(boolean condition, String message) {
         if (!condition) {
-            throw new IllegalArgumentException("spool: " + otherwise);
+            throw new IllegalArgumentException("spool: " + message);
         }
     }
 
--- a/src/main/java/lineward/spool/store/UnusableSegmentException.java
+++ b/src/main/java/lineward/spool/store/UnusableSegmentException.java
@@ -27,9 +27,9 @@
     }
 
     /** Throws an exception for a corrupt segment, with this message, unless the condition holds. */
-    static void check(boolean condition, String otherwise) throws UnusableSegmentException {
+    static void check(boolean condition, String message) throws UnusableSegmentException {
         if (!condition) {
-            throw new UnusableSegmentException(SegmentFault.CORRUPT, otherwise);
+            throw new UnusableSegmentException(SegmentFault.CORRUPT, message);
         }
     }
 }
