--- a/src/main/java/lineward/mysql/engine/SpoolWriter.java
+++ b/src/main/java/lineward/mysql/engine/SpoolWriter.java
@@ -25,14 +25,14 @@
      */
     void write(ByteBuf source, int length, PacketRole role) {
         if (role.isLast()) {
-            result.seal();
+            result.endBlock();
         }
         int offset = result.reserve(length);
         source.readBytes(result.buffer(), offset, length);
         boolean row = role == PacketRole.ROW;
         result.commit(length, row, role == PacketRole.ROW_PART);
         if (role == PacketRole.HEAD_END) {
-            result.seal();
+            result.endBlock();
         }
     }
 
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -132,12 +132,12 @@
         buffer.commit(length, endsRow);
         bytes += length;
         if (buffer.isFull() && !rowContinues) {
-            seal();
+            endBlock();
         }
     }
 
     /** Ends the current block; called before and after rows, so that they share none with other packets. */
-    public void seal() {
+    public void endBlock() {
         if (buffer.isEmpty() || state.isReleased()) {
             return;
         }
@@ -174,7 +174,7 @@
         if (state.isReleased()) {
             return;
         }
-        seal();
+        endBlock();
         state = state.complete();
         spool.policy().complete(id, spool.now());
         writeManifestIfOnFile();
@@ -196,7 +196,7 @@
         if (state.isReleased() || state.isComplete()) {
             return;
         }
-        seal();
+        endBlock();
         state = state.fail();
         if (readers.isEmpty()) {
             release();
@@ -262,7 +262,7 @@
     /** Returns a block by number, null if it has not arrived; ends the current block if it is that one. */
     Block blockOrNull(int number) {
         if (number == blocks.end()) {
-            seal();
+            endBlock();
         }
         return number == blocks.end() ? null : blocks.get(number);
     }
--- a/src/test/java/lineward/spool/StoredSpoolTest.java
+++ b/src/test/java/lineward/spool/StoredSpoolTest.java
@@ -164,7 +164,7 @@
         try (Spool spool = open(folder, eventLoop)) {
             SpooledResult blocks = spool.begin(USER, "orders/2026-11", STATEMENT);
             append(blocks, head(), false);
-            blocks.seal();
+            blocks.endBlock();
             for (int i = 0; i < 20; i++) {
                 append(blocks, row(i), true);
             }
@@ -174,7 +174,7 @@
             empty.complete();
             SpooledResult incomplete = spool.begin(USER, "incomplete", STATEMENT);
             append(incomplete, head(), false);
-            incomplete.seal();
+            incomplete.endBlock();
             // Runs the completions of five block writes and two manifest writes.
             for (int i = 0; i < 7; i++) {
                 runNextTask(eventLoop);
