--- a/src/main/java/lineward/mysql/client/OpenCursor.java
+++ b/src/main/java/lineward/mysql/client/OpenCursor.java
@@ -72,7 +72,7 @@
         this.range = range;
         this.sink = sink;
         this.listener = listener;
-        this.reader = result.read(this::resume);
+        this.reader = result.openReader(this::resume);
     }
 
     private void transition(CursorState.Event event) {
--- a/src/main/java/lineward/mysql/client/ReplyPump.java
+++ b/src/main/java/lineward/mysql/client/ReplyPump.java
@@ -43,7 +43,7 @@
         this.channel = channel;
         this.sink = sink;
         this.listener = listener;
-        this.reader = result.read(this::resume);
+        this.reader = result.openReader(this::resume);
     }
 
     @Override
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -244,7 +244,7 @@
      * @param onProgress run when {@link SpoolReader#poll} or {@link SpoolReader#readStatus} may return
      *     another value
      */
-    public SpoolReader read(Runnable onProgress) {
+    public SpoolReader openReader(Runnable onProgress) {
         ResultReader reader = new ResultReader(this, onProgress);
         readers.add(reader);
         spool.policy().readerOpened(id, spool.now());
--- a/src/test/java/lineward/spool/SpoolTest.java
+++ b/src/test/java/lineward/spool/SpoolTest.java
@@ -102,7 +102,7 @@
                     append(result, row, true);
                     wrote.writeBytes(row);
                     if (i == 100) {
-                        reader = result.read(() -> {});
+                        reader = result.openReader(() -> {});
                     }
                     while (reader != null && (seed % 2 != 0 || random.nextInt(3) == 0)) {
                         ResultChunk chunk = reader.poll();
@@ -161,9 +161,9 @@
             assertNull(second.find("u", "half"), "an incomplete result is deleted");
             SpooledResult found = second.find("u", "k");
             assertEquals(found.statement(), "digest");
-            SpoolReader reader = found.read(() -> {});
+            SpoolReader reader = found.openReader(() -> {});
             assertEquals(drain(reader).length, 20 * row.length);
-            SpoolReader page = found.read(() -> {});
+            SpoolReader page = found.openReader(() -> {});
             int before = page.seek(15);
             ResultChunk chunk = null;
             while (chunk == null) {
@@ -211,7 +211,7 @@
                 }
             }
             assertTrue(rows < 100, "no backpressure after " + rows + " rows");
-            SpoolReader reader = result.read(() -> {});
+            SpoolReader reader = result.openReader(() -> {});
             int readBytes = 0;
             while (reader.readStatus() == ReadStatus.MORE) {
                 ResultChunk chunk = reader.poll();
@@ -233,7 +233,7 @@
             SpooledResult result = spool.begin("u", "", "");
             append(result, new byte[200_000], true);
             int[] notifications = new int[1];
-            SpoolReader reader = result.read(() -> notifications[0]++);
+            SpoolReader reader = result.openReader(() -> notifications[0]++);
             reader.poll();
             result.complete();
             now = 1001;
@@ -250,7 +250,7 @@
     public void failedResultIsReportedAfterItsLastByte() throws IOException {
         try (Spool spool = spool(false)) {
             SpooledResult result = spool.begin("u", "", "");
-            SpoolReader reader = result.read(() -> {});
+            SpoolReader reader = result.openReader(() -> {});
             append(result, new byte[100], true);
             result.fail();
             assertEquals(reader.readStatus(), ReadStatus.MORE);
--- a/src/test/java/lineward/spool/StoredSpoolTest.java
+++ b/src/test/java/lineward/spool/StoredSpoolTest.java
@@ -105,7 +105,7 @@
 
     private byte[] read(SpooledResult result) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        SpoolReader reader = result.read(() -> {});
+        SpoolReader reader = result.openReader(() -> {});
         while (reader.readStatus() == ReadStatus.MORE) {
             ResultChunk chunk = reader.poll();
             if (chunk == null) {
@@ -141,7 +141,7 @@
 
     @Test
     public void readerFindsTheBlockOfEachRow() {
-        SpoolReader reader = spool.find(USER, "orders/2026-11").read(() -> {});
+        SpoolReader reader = spool.find(USER, "orders/2026-11").openReader(() -> {});
         for (int row = 0; row < 20; row++) {
             int rowsBefore = reader.seek(row);
             ResultChunk chunk = reader.poll();
