--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -147,7 +147,7 @@
         if (isCurrent(query)) {
             stream.start(query);
         } else {
-            query.spooledResult().abandon();
+            query.spooledResult().releaseUnlessRetained();
         }
     }
 
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -206,7 +206,7 @@
     }
 
     /** Releases the result of a disconnected client unless it can be read later: complete and with a key. */
-    public void abandon() {
+    public void releaseUnlessRetained() {
         if (!description.isKeyed() || !state.isComplete()) {
             release();
         }
