--- a/src/main/java/lineward/mysql/client/SpoolStream.java
+++ b/src/main/java/lineward/mysql/client/SpoolStream.java
@@ -46,7 +46,7 @@
             }
             return hint.requestsPage();
         }
-        if (!result.statement().equals(digest)) {
+        if (!result.digest().equals(digest)) {
             replies.sendError(Failure.otherResult());
         } else if (hint.requestsPage() && !result.isComplete()) {
             replies.sendError(Failure.noResult());
--- a/src/main/java/lineward/spool/ResultDescription.java
+++ b/src/main/java/lineward/spool/ResultDescription.java
@@ -5,9 +5,9 @@
  *
  * @param user owner of the result
  * @param key under which the client may request the result again; empty if it has none
- * @param statement digest of the statement and its arguments
+ * @param digest digest of the statement and its arguments
  */
-record ResultDescription(String user, String key, String statement) {
+record ResultDescription(String user, String key, String digest) {
     boolean isKeyed() {
         return !key.isEmpty();
     }
--- a/src/main/java/lineward/spool/Spool.java
+++ b/src/main/java/lineward/spool/Spool.java
@@ -70,8 +70,8 @@
         Manifest manifest = stored.manifest();
         forget(manifest.user(), manifest.key());
         long id = policy.restore(manifest.user(), stored.fileBytes(), now());
-        String statement = manifest.statement();
-        ResultDescription description = new ResultDescription(manifest.user(), manifest.key(), statement);
+        String digest = manifest.statement();
+        ResultDescription description = new ResultDescription(manifest.user(), manifest.key(), digest);
         SpooledResult result = SpooledResult.restore(this, id, description, stored);
         results.put(id, result);
         resultsByKey.put(ResultKey.of(description), result);
@@ -86,11 +86,11 @@
      * Begins a result, after releasing others that are not in use if capacity is short.
      *
      * @param key under which the client may request the result again; empty if it has none
-     * @param statement digest of the statement and its arguments
+     * @param digest digest of the statement and its arguments
      */
-    public SpooledResult begin(String user, String key, String statement) {
+    public SpooledResult begin(String user, String key, String digest) {
         reclaimFor(user);
-        ResultDescription description = new ResultDescription(user, key, statement);
+        ResultDescription description = new ResultDescription(user, key, digest);
         long id = policy.begin(user, description.isKeyed(), now());
         SpooledResult result = SpooledResult.begin(this, id, description);
         results.put(id, result);
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -61,8 +61,8 @@
     }
 
     /** Returns the digest of the statement and its arguments. */
-    public String statement() {
-        return description.statement();
+    public String digest() {
+        return description.digest();
     }
 
     /** Returns whether the result has been released. */
@@ -186,7 +186,7 @@
         if (isDurable && file.maySeal()) {
             long createdMs = System.currentTimeMillis();
             String user = description.user();
-            Manifest manifest = new Manifest(user, description.key(), statement(), createdMs, rows, bytes);
+            Manifest manifest = new Manifest(user, description.key(), digest(), createdMs, rows, bytes);
             file.seal(manifest, blocks.locations());
         }
     }
--- a/src/test/java/lineward/spool/SpoolTest.java
+++ b/src/test/java/lineward/spool/SpoolTest.java
@@ -160,7 +160,7 @@
             assertNull(second.find("other", "k"));
             assertNull(second.find("u", "half"), "an incomplete result is deleted");
             SpooledResult found = second.find("u", "k");
-            assertEquals(found.statement(), "digest");
+            assertEquals(found.digest(), "digest");
             SpoolReader reader = found.openReader(() -> {});
             assertEquals(drain(reader).length, 20 * row.length);
             SpoolReader page = found.openReader(() -> {});
--- a/src/test/java/lineward/spool/StoredSpoolTest.java
+++ b/src/test/java/lineward/spool/StoredSpoolTest.java
@@ -122,7 +122,7 @@
     @Test
     public void resultOfSeveralBlocksIsReadToTheByte() {
         SpooledResult result = spool.find(USER, "orders/2026-11");
-        assertEquals(result.statement(), STATEMENT);
+        assertEquals(result.digest(), STATEMENT);
         assertTrue(result.isComplete());
         assertEquals(read(result), expected(20));
     }
