--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -154,7 +154,7 @@
         text.counter("spool_lapsed_total", "Results given back because nobody read.", now.expired());
         text.counter("spool_refused_total", "Statements refused because the spool was full.", now.rejected());
         String slowed = "Results whose engine had to wait for the reader.";
-        text.counter("spool_slowed_total", slowed, now.backpressured());
+        text.counter("spool_slowed_total", slowed, now.backpressureCount());
     }
 
     private static int sum(Collection<ProtocolServer> servers, ToIntFunction<Coordinator<?>> gauge) {
--- a/src/main/java/lineward/spool/BlockPlacement.java
+++ b/src/main/java/lineward/spool/BlockPlacement.java
@@ -12,7 +12,7 @@
     private final SpoolLimits limits;
     private final SpoolLedger ledger;
     private final FileBackoff fileBackoff;
-    private long backpressured;
+    private long backpressureCount;
 
     BlockPlacement(SpoolLimits limits, SpoolLedger ledger, FileBackoff fileBackoff) {
         this.limits = limits;
@@ -38,7 +38,7 @@
             return Placement.MEMORY;
         }
         if (!account.hasBackpressure()) {
-            backpressured++;
+            backpressureCount++;
             account.startBackpressure(nowMs);
         }
         return Placement.MEMORY_WITH_BACKPRESSURE;
@@ -77,7 +77,7 @@
     }
 
     /** Returns how many times backpressure has started, over all results. */
-    long backpressured() {
-        return backpressured;
+    long backpressureCount() {
+        return backpressureCount;
     }
 }
--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -43,7 +43,7 @@
      * @param released results released so far
      * @param expired results that expired so far
      * @param rejected statements rejected so far
-     * @param backpressured number of times so far that an engine had to wait for readers
+     * @param backpressureCount number of times so far that an engine had to wait for readers
      */
     public record Statistics(
             long memoryBytes,
@@ -53,7 +53,7 @@
             long released,
             long expired,
             long rejected,
-            long backpressured) {}
+            long backpressureCount) {}
 
     private final SpoolLimits limits;
     private final SpoolLedger ledger = new SpoolLedger();
@@ -213,6 +213,6 @@
                 released,
                 expired,
                 admission.rejected(),
-                placement.backpressured());
+                placement.backpressureCount());
     }
 }
