--- a/src/main/java/lineward/spool/Spool.java
+++ b/src/main/java/lineward/spool/Spool.java
@@ -115,7 +115,7 @@
 
     /** Ends expired results and resumes reads from engines if possible; called ten times a second. */
     public void tick() {
-        for (long id : policy.expire(now())) {
+        for (long id : policy.selectExpired(now())) {
             SpooledResult result = results.get(id);
             if (result != null) {
                 result.expire();
--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -192,7 +192,7 @@
     }
 
     /** Counts the results that have expired and returns their ids; the caller ends and releases them. */
-    public List<Long> expire(double nowMs) {
+    public List<Long> selectExpired(double nowMs) {
         List<Long> due = new ArrayList<>();
         ledger.accountsById().forEach((id, account) -> {
             if (leases.isExpired(account, nowMs)) {
--- a/src/test/java/lineward/spool/SpoolPolicyTest.java
+++ b/src/test/java/lineward/spool/SpoolPolicyTest.java
@@ -102,14 +102,14 @@
         long keyed = policy.begin("a", true, 0);
         policy.complete(keyed, 0);
         long growing = policy.begin("a", false, 0);
-        assertEquals(policy.expire(1000), List.of());
+        assertEquals(policy.selectExpired(1000), List.of());
         policy.blockRead(read, 900);
-        assertEquals(policy.expire(1800), List.of());
-        assertEquals(policy.expire(1901), List.of(read));
+        assertEquals(policy.selectExpired(1800), List.of());
+        assertEquals(policy.selectExpired(1901), List.of(read));
         policy.release(read, 1901);
-        assertEquals(policy.expire(5001), List.of(keyed));
+        assertEquals(policy.selectExpired(5001), List.of(keyed));
         policy.release(keyed, 5001);
-        assertEquals(policy.expire(1e9), List.of(), "the attempt's timeout limits incomplete results");
+        assertEquals(policy.selectExpired(1e9), List.of(), "the attempt's timeout limits incomplete results");
         policy.release(growing, 1e9);
         assertEquals(policy.statistics().expired(), 2);
     }
@@ -121,8 +121,8 @@
         for (int i = 0; i < 9; i++) {
             policy.allocate(id, MB, 0);
         }
-        assertEquals(policy.expire(LeasePolicy.MAX_STALL_MS), List.of());
-        assertEquals(policy.expire(LeasePolicy.MAX_STALL_MS + 1), List.of(id));
+        assertEquals(policy.selectExpired(LeasePolicy.MAX_STALL_MS), List.of());
+        assertEquals(policy.selectExpired(LeasePolicy.MAX_STALL_MS + 1), List.of(id));
     }
 
     @Test
