--- a/src/main/java/lineward/spool/ResultFile.java
+++ b/src/main/java/lineward/spool/ResultFile.java
@@ -45,7 +45,7 @@
             spool.logWriteFailure(failure);
             if (failure == null) {
                 block.written(location);
-                spool.policy().blockStored(resultId, block.rawBytes(), location.storedBytes());
+                spool.policy().bytesStored(resultId, block.rawBytes(), location.storedBytes());
             } else {
                 block.writeFailed();
                 spool.policy().writeFailed(resultId, block.rawBytes(), spool.now());
@@ -69,7 +69,7 @@
                 long blockBytes = locations.stream()
                         .mapToLong(Segment.Extent::storedBytes)
                         .sum();
-                spool.policy().blockStored(resultId, blockBytes, fileBytes);
+                spool.policy().bytesStored(resultId, blockBytes, fileBytes);
             }
         });
     }
--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -100,14 +100,14 @@
 
     /**
      * Decides where a block is stored, and counts its bytes there. A block on disk counts with its raw length
-     * until {@link #blockStored} replaces that by its stored length.
+     * until {@link #bytesStored} replaces that by its stored length.
      */
     public Placement allocate(long id, long bytes, double nowMs) {
         return placement.allocate(ledger.account(id), bytes, nowMs);
     }
 
     /** Replaces the allocated bytes by the bytes stored on disk, once the write has succeeded. */
-    public void blockStored(long id, long allocatedBytes, long storedBytes) {
+    public void bytesStored(long id, long allocatedBytes, long storedBytes) {
         ResultAccount account = ledger.account(id);
         if (account != null) {
             ledger.addToFile(account, storedBytes - allocatedBytes);
--- a/src/test/java/lineward/spool/SpoolPolicyTest.java
+++ b/src/test/java/lineward/spool/SpoolPolicyTest.java
@@ -204,7 +204,7 @@
                             policy.writeFailed(id, bytes, now);
                             inMemory.get(id).add(bytes);
                         } else {
-                            policy.blockStored(id, bytes, bytes / 2);
+                            policy.bytesStored(id, bytes, bytes / 2);
                         }
                     }
                 }
