--- a/src/main/java/lineward/spool/BlockPlacement.java
+++ b/src/main/java/lineward/spool/BlockPlacement.java
@@ -10,13 +10,13 @@
     private static final int RESUME_DIVISOR = 2;
 
     private final SpoolLimits limits;
-    private final SpoolLedger ledger;
+    private final SpoolUsage usage;
     private final FileBackoff fileBackoff;
     private long backpressureCount;
 
-    BlockPlacement(SpoolLimits limits, SpoolLedger ledger, FileBackoff fileBackoff) {
+    BlockPlacement(SpoolLimits limits, SpoolUsage usage, FileBackoff fileBackoff) {
         this.limits = limits;
-        this.ledger = ledger;
+        this.usage = usage;
         this.fileBackoff = fileBackoff;
     }
 
@@ -27,12 +27,12 @@
         boolean fitsFile = withinQuota && fitsFile(account, bytes, nowMs);
         // A result with a key is stored on disk so that it survives a restart.
         if (fitsFile && (account.isKeyed() || !fitsMemory)) {
-            ledger.addFile(account);
-            ledger.addToFile(account, bytes);
+            usage.addFile(account);
+            usage.addToFile(account, bytes);
             account.endBackpressure();
             return Placement.FILE;
         }
-        ledger.addToMemory(account, bytes);
+        usage.addToMemory(account, bytes);
         if (fitsMemory) {
             account.endBackpressure();
             return Placement.MEMORY;
@@ -46,19 +46,19 @@
 
     private boolean isWithinQuota(ResultAccount account, long bytes) {
         return account.bytes() + bytes <= limits.resultBytes()
-                && ledger.bytesOf(account.user()) + bytes <= limits.userBytes();
+                && usage.bytesOf(account.user()) + bytes <= limits.userBytes();
     }
 
     private boolean fitsMemory(ResultAccount account, long bytes) {
         // Without files, one result may use all memory, as its blocks can't be stored elsewhere.
         double resultMemoryBytes = RESULT_MEMORY_RATIO * limits.memoryBytes();
         boolean withinRatio = !limits.hasFiles() || account.memoryBytes() + bytes <= resultMemoryBytes;
-        return withinRatio && ledger.memoryBytes() + bytes <= limits.memoryBytes();
+        return withinRatio && usage.memoryBytes() + bytes <= limits.memoryBytes();
     }
 
     private boolean fitsFile(ResultAccount account, long bytes, double nowMs) {
-        boolean mayHaveFile = account.hasFile() || ledger.files() < limits.files();
-        boolean hasSpace = ledger.fileBytes() + bytes <= limits.fileBytes();
+        boolean mayHaveFile = account.hasFile() || usage.fileCount() < limits.files();
+        boolean hasSpace = usage.fileBytes() + bytes <= limits.fileBytes();
         return mayHaveFile && hasSpace && fileBackoff.hasElapsed(nowMs);
     }
 
@@ -71,9 +71,9 @@
     }
 
     private boolean hasCapacityToResume(ResultAccount account) {
-        return ledger.memoryBytes() <= limits.memoryBytes() / RESUME_DIVISOR
+        return usage.memoryBytes() <= limits.memoryBytes() / RESUME_DIVISOR
                 && account.bytes() <= limits.resultBytes() / RESUME_DIVISOR
-                && ledger.bytesOf(account.user()) <= limits.userBytes() / RESUME_DIVISOR;
+                && usage.bytesOf(account.user()) <= limits.userBytes() / RESUME_DIVISOR;
     }
 
     /** Returns how many times backpressure has started, over all results. */
--- a/src/main/java/lineward/spool/ResultAccount.java
+++ b/src/main/java/lineward/spool/ResultAccount.java
@@ -4,7 +4,7 @@
 
 /**
  * The usage data of one result: its owner, bytes, readers and lease. Times are milliseconds of the spool's
- * clock. Only {@link SpoolLedger} may change the byte counts and add the file, as it keeps the totals.
+ * clock. Only {@link SpoolUsage} may change the byte counts and add the file, as it keeps the totals.
  */
 final class ResultAccount {
     private final String user;
--- a/src/main/java/lineward/spool/SpoolAdmission.java
+++ b/src/main/java/lineward/spool/SpoolAdmission.java
@@ -19,14 +19,14 @@
     private static final double DEFAULT_MS_PER_MB = 20;
 
     private final SpoolLimits limits;
-    private final SpoolLedger ledger;
+    private final SpoolUsage usage;
     private final FileBackoff fileBackoff;
     private final ReleaseRate releaseRate;
     private long rejected;
 
-    SpoolAdmission(SpoolLimits limits, SpoolLedger ledger, FileBackoff fileBackoff, ReleaseRate releaseRate) {
+    SpoolAdmission(SpoolLimits limits, SpoolUsage usage, FileBackoff fileBackoff, ReleaseRate releaseRate) {
         this.limits = limits;
-        this.ledger = ledger;
+        this.usage = usage;
         this.fileBackoff = fileBackoff;
         this.releaseRate = releaseRate;
     }
@@ -48,27 +48,27 @@
     }
 
     private boolean isMemoryAboveHighWater() {
-        return ledger.memoryBytes() > HIGH_WATER_RATIO * limits.memoryBytes();
+        return usage.memoryBytes() > HIGH_WATER_RATIO * limits.memoryBytes();
     }
 
     private boolean isTotalAboveHighWater() {
-        return ledger.bytes() > HIGH_WATER_RATIO * (limits.memoryBytes() + limits.fileBytes());
+        return usage.bytes() > HIGH_WATER_RATIO * (limits.memoryBytes() + limits.fileBytes());
     }
 
     private boolean isUserAboveHighWater(String user) {
-        return ledger.bytesOf(user) > HIGH_WATER_RATIO * limits.userBytes();
+        return usage.bytesOf(user) > HIGH_WATER_RATIO * limits.userBytes();
     }
 
     private boolean isResultCountReached() {
-        return ledger.results() >= limits.results();
+        return usage.resultCount() >= limits.results();
     }
 
     private boolean isFileCountReached() {
-        return limits.files() > 0 && ledger.files() >= limits.files();
+        return limits.files() > 0 && usage.fileCount() >= limits.files();
     }
 
     private boolean canReclaim(String user, boolean onlyFromUser) {
-        return ledger.accounts().stream().anyMatch(account -> isCandidate(account, user, onlyFromUser));
+        return usage.accounts().stream().anyMatch(account -> isCandidate(account, user, onlyFromUser));
     }
 
     private static boolean isCandidate(ResultAccount account, String user, boolean onlyFromUser) {
@@ -90,7 +90,7 @@
         if (!scarceForAll && !isUserAboveHighWater(user)) {
             return OptionalLong.empty();
         }
-        return ledger.accountsById().entrySet().stream()
+        return usage.accountsById().entrySet().stream()
                 .filter(entry -> isCandidate(entry.getValue(), user, !scarceForAll))
                 .min(Comparator.comparingDouble(entry -> entry.getValue().lastUsedMs()))
                 .map(Map.Entry::getKey)
--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -56,7 +56,7 @@
             long backpressureCount) {}
 
     private final SpoolLimits limits;
-    private final SpoolLedger ledger = new SpoolLedger();
+    private final SpoolUsage usage = new SpoolUsage();
     private final FileBackoff fileBackoff = new FileBackoff();
     private final ReleaseRate releaseRate = new ReleaseRate();
     private final BlockPlacement placement;
@@ -68,8 +68,8 @@
     /** Creates the policy of an empty spool. */
     public SpoolPolicy(SpoolLimits limits) {
         this.limits = limits;
-        this.placement = new BlockPlacement(limits, ledger, fileBackoff);
-        this.admission = new SpoolAdmission(limits, ledger, fileBackoff, releaseRate);
+        this.placement = new BlockPlacement(limits, usage, fileBackoff);
+        this.admission = new SpoolAdmission(limits, usage, fileBackoff, releaseRate);
         this.leases = new LeasePolicy(limits);
     }
 
@@ -85,16 +85,16 @@
 
     /** Opens the account of a new result, and returns its id. */
     public long begin(String user, boolean keyed, double nowMs) {
-        return ledger.open(user, keyed, nowMs);
+        return usage.openAccount(user, keyed, nowMs);
     }
 
     /** Opens the account of a complete result of an earlier process, and returns its id. */
     public long restore(String user, long fileBytes, double nowMs) {
-        long id = ledger.open(user, true, nowMs);
-        ResultAccount account = ledger.account(id);
+        long id = usage.openAccount(user, true, nowMs);
+        ResultAccount account = usage.account(id);
         account.complete(nowMs);
-        ledger.addFile(account);
-        ledger.addToFile(account, fileBytes);
+        usage.addFile(account);
+        usage.addToFile(account, fileBytes);
         return id;
     }
 
@@ -103,30 +103,30 @@
      * until {@link #bytesStored} replaces that by its stored length.
      */
     public Placement allocate(long id, long bytes, double nowMs) {
-        return placement.allocate(ledger.account(id), bytes, nowMs);
+        return placement.allocate(usage.account(id), bytes, nowMs);
     }
 
     /** Replaces the allocated bytes by the bytes stored on disk, once the write has succeeded. */
     public void bytesStored(long id, long allocatedBytes, long storedBytes) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         if (account != null) {
-            ledger.addToFile(account, storedBytes - allocatedBytes);
+            usage.addToFile(account, storedBytes - allocatedBytes);
         }
     }
 
     /** Moves the bytes of a block whose write failed back to memory, and starts the backoff of writes. */
     public void writeFailed(long id, long allocatedBytes, double nowMs) {
         fileBackoff.writeFailed(nowMs);
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         if (account != null) {
-            ledger.addToFile(account, -allocatedBytes);
-            ledger.addToMemory(account, allocatedBytes);
+            usage.addToFile(account, -allocatedBytes);
+            usage.addToMemory(account, allocatedBytes);
         }
     }
 
     /** Returns whether the engine may be read to receive more of this result; false after its release. */
     public boolean mayReadEngine(long id) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         return account != null && placement.mayReadEngine(account);
     }
 
@@ -138,7 +138,7 @@
      * @param timeoutMs timeout of the attempt
      */
     public boolean shouldStartResponse(long id, long bytes, double ageMs, double timeoutMs) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         boolean hasBackpressure = account != null && account.hasBackpressure();
         boolean isOld = ageMs > limits.responseDelayRatio() * timeoutMs;
         return hasBackpressure || isOld || bytes > limits.responseBufferBytes();
@@ -146,17 +146,17 @@
 
     /** Marks a result as complete, which ends backpressure and renews the lease. */
     public void complete(long id, double nowMs) {
-        ledger.account(id).complete(nowMs);
+        usage.account(id).complete(nowMs);
     }
 
     /** Adds a reader to a result, which renews the lease. */
     public void readerOpened(long id, double nowMs) {
-        ledger.account(id).readerOpened(nowMs);
+        usage.account(id).readerOpened(nowMs);
     }
 
     /** Records the read of a block, which renews the lease and restarts the stall timeout. */
     public void blockRead(long id, double nowMs) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         if (account != null) {
             account.blockRead(nowMs);
         }
@@ -164,7 +164,7 @@
 
     /** Removes a reader; returns whether it was the last one and the result is not retained without one. */
     public boolean readerClosed(long id, double nowMs) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         if (account == null) {
             return false;
         }
@@ -174,27 +174,27 @@
 
     /** Subtracts a block in memory that has been read and removed. */
     public void memoryReleased(long id, long bytes, double nowMs) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         if (account != null) {
-            ledger.addToMemory(account, -bytes);
+            usage.addToMemory(account, -bytes);
             releaseRate.add(bytes, nowMs);
         }
     }
 
     /** Releases a result, with all its bytes and its file. */
     public void release(long id, double nowMs) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         if (account != null) {
             released++;
             releaseRate.add(account.bytes(), nowMs);
-            ledger.close(id);
+            usage.closeAccount(id);
         }
     }
 
     /** Counts the results that have expired and returns their ids; the caller ends and releases them. */
     public List<Long> selectExpired(double nowMs) {
         List<Long> due = new ArrayList<>();
-        ledger.accountsById().forEach((id, account) -> {
+        usage.accountsById().forEach((id, account) -> {
             if (leases.isExpired(account, nowMs)) {
                 due.add(id);
             }
@@ -206,10 +206,10 @@
     /** Returns the current gauges and counters. */
     public Statistics statistics() {
         return new Statistics(
-                ledger.memoryBytes(),
-                ledger.fileBytes(),
-                ledger.results(),
-                ledger.accounts().stream().mapToInt(ResultAccount::readers).sum(),
+                usage.memoryBytes(),
+                usage.fileBytes(),
+                usage.resultCount(),
+                usage.accounts().stream().mapToInt(ResultAccount::readers).sum(),
                 released,
                 expired,
                 admission.rejected(),
--- a/src/main/java/lineward/spool/SpoolLedger.java
+++ b/src/main/java/lineward/spool/SpoolUsage.java
@@ -8,9 +8,9 @@
 
 /**
  * Accounts for the bytes and files of all results: by result, by user, in memory and on disk. Every byte
- * added is subtracted again, at the latest by {@link #close}.
+ * added is subtracted again, at the latest by {@link #closeAccount}.
  */
-final class SpoolLedger {
+final class SpoolUsage {
     /** By result id, in the order in which the accounts were opened. */
     private final Map<Long, ResultAccount> accounts = new LinkedHashMap<>();
 
@@ -18,10 +18,10 @@
     private long lastId;
     private long memoryBytes;
     private long fileBytes;
-    private int files;
+    private int fileCount;
 
     /** Opens an account and returns the id of its result. */
-    long open(String user, boolean keyed, double nowMs) {
+    long openAccount(String user, boolean keyed, double nowMs) {
         lastId++;
         accounts.put(lastId, new ResultAccount(user, keyed, nowMs));
         return lastId;
@@ -33,12 +33,12 @@
     }
 
     /** Closes an account and subtracts its bytes and file; returns it, or null if it was already closed. */
-    ResultAccount close(long id) {
+    ResultAccount closeAccount(long id) {
         ResultAccount account = accounts.remove(id);
         if (account != null) {
             addToMemory(account, -account.memoryBytes());
             addToFile(account, -account.fileBytes());
-            files -= account.hasFile() ? 1 : 0;
+            fileCount -= account.hasFile() ? 1 : 0;
         }
         return account;
     }
@@ -64,7 +64,7 @@
     void addFile(ResultAccount account) {
         if (!account.hasFile()) {
             account.addFile();
-            files++;
+            fileCount++;
         }
     }
 
@@ -76,7 +76,7 @@
         return accountsById().values();
     }
 
-    int results() {
+    int resultCount() {
         return accounts.size();
     }
 
@@ -96,7 +96,7 @@
         return fileBytes;
     }
 
-    int files() {
-        return files;
+    int fileCount() {
+        return fileCount;
     }
 }
