--- a/src/main/java/lineward/spool/LeasePolicy.java
+++ b/src/main/java/lineward/spool/LeasePolicy.java
@@ -21,6 +21,6 @@
     }
 
     private double leaseMs(ResultAccount account) {
-        return account.isKeyed() && account.readers() == 0 ? limits.keyLeaseMs() : limits.leaseMs();
+        return account.isKeyed() && account.readerCount() == 0 ? limits.keyLeaseMs() : limits.leaseMs();
     }
 }
--- a/src/main/java/lineward/spool/ResultAccount.java
+++ b/src/main/java/lineward/spool/ResultAccount.java
@@ -10,7 +10,7 @@
     private final String user;
     private final boolean keyed;
     private boolean complete;
-    private int readers;
+    private int readerCount;
     private long memoryBytes;
     private long fileBytes;
     private boolean hasFile;
@@ -33,13 +33,13 @@
 
     /** Adds a reader, which renews the lease. */
     void readerOpened(double nowMs) {
-        readers++;
+        readerCount++;
         lastUsedMs = nowMs;
     }
 
     /** Removes a reader, whether or not it has read the whole result; renews the lease. */
     void readerClosed(double nowMs) {
-        readers--;
+        readerCount--;
         lastUsedMs = nowMs;
     }
 
@@ -84,8 +84,8 @@
         return keyed;
     }
 
-    int readers() {
-        return readers;
+    int readerCount() {
+        return readerCount;
     }
 
     long memoryBytes() {
@@ -111,7 +111,7 @@
 
     /** Returns whether the lease applies; the attempt's timeout limits an unread incomplete result. */
     boolean hasLease() {
-        return complete || readers > 0;
+        return complete || readerCount > 0;
     }
 
     /** Returns whether the result is retained after its last reader has been closed. */
@@ -121,7 +121,7 @@
 
     /** Returns whether the result may be released to make space for other results. */
     boolean isReclaimable() {
-        return isRetained() && readers == 0;
+        return isRetained() && readerCount == 0;
     }
 
     /** Returns whether the engine has to wait for the readers. */
--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -169,7 +169,7 @@
             return false;
         }
         account.readerClosed(nowMs);
-        return account.readers() == 0 && !account.isRetained();
+        return account.readerCount() == 0 && !account.isRetained();
     }
 
     /** Subtracts a block in memory that has been read and removed. */
@@ -209,7 +209,7 @@
                 usage.memoryBytes(),
                 usage.fileBytes(),
                 usage.resultCount(),
-                usage.accounts().stream().mapToInt(ResultAccount::readers).sum(),
+                usage.accounts().stream().mapToInt(ResultAccount::readerCount).sum(),
                 released,
                 expired,
                 admission.rejected(),
--- a/src/test/java/lineward/spool/ResultAccountTest.java
+++ b/src/test/java/lineward/spool/ResultAccountTest.java
@@ -54,7 +54,7 @@
         assertEquals(account.lastUsedMs(), 30.0);
         account.readerClosed(40);
         assertEquals(account.lastUsedMs(), 40.0);
-        assertEquals(account.readers(), 0);
+        assertEquals(account.readerCount(), 0);
     }
 
     @Test
