--- a/src/main/java/lineward/spool/BlockPlacement.java
+++ b/src/main/java/lineward/spool/BlockPlacement.java
@@ -11,13 +11,13 @@
 
     private final SpoolLimits limits;
     private final SpoolUsage usage;
-    private final FileBackoff fileBackoff;
+    private final WriteBackoff writeBackoff;
     private long backpressureCount;
 
-    BlockPlacement(SpoolLimits limits, SpoolUsage usage, FileBackoff fileBackoff) {
+    BlockPlacement(SpoolLimits limits, SpoolUsage usage, WriteBackoff writeBackoff) {
         this.limits = limits;
         this.usage = usage;
-        this.fileBackoff = fileBackoff;
+        this.writeBackoff = writeBackoff;
     }
 
     /** Decides where a block is stored, and counts its bytes there. */
@@ -59,7 +59,7 @@
     private boolean fitsFile(ResultAccount account, long bytes, double nowMs) {
         boolean mayHaveFile = account.hasFile() || usage.fileCount() < limits.files();
         boolean hasSpace = usage.fileBytes() + bytes <= limits.fileBytes();
-        return mayHaveFile && hasSpace && fileBackoff.hasElapsed(nowMs);
+        return mayHaveFile && hasSpace && writeBackoff.hasElapsed(nowMs);
     }
 
     /**
--- a/src/main/java/lineward/spool/SpoolAdmission.java
+++ b/src/main/java/lineward/spool/SpoolAdmission.java
@@ -20,14 +20,14 @@
 
     private final SpoolLimits limits;
     private final SpoolUsage usage;
-    private final FileBackoff fileBackoff;
+    private final WriteBackoff writeBackoff;
     private final ReleaseRate releaseRate;
     private long rejected;
 
-    SpoolAdmission(SpoolLimits limits, SpoolUsage usage, FileBackoff fileBackoff, ReleaseRate releaseRate) {
+    SpoolAdmission(SpoolLimits limits, SpoolUsage usage, WriteBackoff writeBackoff, ReleaseRate releaseRate) {
         this.limits = limits;
         this.usage = usage;
-        this.fileBackoff = fileBackoff;
+        this.writeBackoff = writeBackoff;
         this.releaseRate = releaseRate;
     }
 
@@ -43,7 +43,7 @@
     }
 
     private boolean isAboveHighWater(double nowMs) {
-        boolean mayUseFiles = limits.hasFiles() && fileBackoff.hasElapsed(nowMs);
+        boolean mayUseFiles = limits.hasFiles() && writeBackoff.hasElapsed(nowMs);
         return mayUseFiles ? isTotalAboveHighWater() : isMemoryAboveHighWater();
     }
 
--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -57,7 +57,7 @@
 
     private final SpoolLimits limits;
     private final SpoolUsage usage = new SpoolUsage();
-    private final FileBackoff fileBackoff = new FileBackoff();
+    private final WriteBackoff writeBackoff = new WriteBackoff();
     private final ReleaseRate releaseRate = new ReleaseRate();
     private final BlockPlacement placement;
     private final SpoolAdmission admission;
@@ -68,8 +68,8 @@
     /** Creates the policy of an empty spool. */
     public SpoolPolicy(SpoolLimits limits) {
         this.limits = limits;
-        this.placement = new BlockPlacement(limits, usage, fileBackoff);
-        this.admission = new SpoolAdmission(limits, usage, fileBackoff, releaseRate);
+        this.placement = new BlockPlacement(limits, usage, writeBackoff);
+        this.admission = new SpoolAdmission(limits, usage, writeBackoff, releaseRate);
         this.leases = new LeasePolicy(limits);
     }
 
@@ -116,7 +116,7 @@
 
     /** Moves the bytes of a block whose write failed back to memory, and starts the backoff of writes. */
     public void writeFailed(long id, long allocatedBytes, double nowMs) {
-        fileBackoff.writeFailed(nowMs);
+        writeBackoff.writeFailed(nowMs);
         ResultAccount account = usage.account(id);
         if (account != null) {
             usage.addToFile(account, -allocatedBytes);
--- a/src/main/java/lineward/spool/FileBackoff.java
+++ b/src/main/java/lineward/spool/WriteBackoff.java
@@ -3,7 +3,7 @@
 import java.util.OptionalDouble;
 
 /** Suspends writes for a fixed time after a failed write; new blocks stay in memory meanwhile. */
-final class FileBackoff {
+final class WriteBackoff {
     static final double BACKOFF_MS = 5000;
 
     /** Empty before the first failed write. */
--- a/src/test/java/lineward/spool/SpoolPolicyTest.java
+++ b/src/test/java/lineward/spool/SpoolPolicyTest.java
@@ -63,7 +63,7 @@
         assertEquals(policy.statistics().memoryBytes(), MB);
         assertEquals(policy.statistics().fileBytes(), 0);
         assertEquals(policy.allocate(id, MB, 10), Placement.MEMORY);
-        assertEquals(policy.allocate(id, MB, FileBackoff.BACKOFF_MS), Placement.FILE);
+        assertEquals(policy.allocate(id, MB, WriteBackoff.BACKOFF_MS), Placement.FILE);
     }
 
     @Test
