--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -61,7 +61,7 @@
     private final ReleaseRate releaseRate = new ReleaseRate();
     private final BlockPlacement placement;
     private final SpoolAdmission admission;
-    private final LeasePolicy leases;
+    private final LeasePolicy leasePolicy;
     private long released;
     private long expired;
 
@@ -70,7 +70,7 @@
         this.limits = limits;
         this.placement = new BlockPlacement(limits, usage, writeBackoff);
         this.admission = new SpoolAdmission(limits, usage, writeBackoff, releaseRate);
-        this.leases = new LeasePolicy(limits);
+        this.leasePolicy = new LeasePolicy(limits);
     }
 
     /** Admits a user's statement, or rejects it before it runs. */
@@ -195,7 +195,7 @@
     public List<Long> selectExpired(double nowMs) {
         List<Long> due = new ArrayList<>();
         usage.accountsById().forEach((id, account) -> {
-            if (leases.isExpired(account, nowMs)) {
+            if (leasePolicy.isExpired(account, nowMs)) {
                 due.add(id);
             }
         });
