--- a/src/main/java/lineward/spool/SpoolAdmission.java
+++ b/src/main/java/lineward/spool/SpoolAdmission.java
@@ -34,7 +34,7 @@
     /** Admits a statement if there is capacity or a result can be released for it; rejects it otherwise. */
     SpoolPolicy.Admission admit(String user, double nowMs) {
         boolean userAboveHighWater = isUserAboveHighWater(user);
-        boolean hasCapacity = !userAboveHighWater && !isAboveHighWater(nowMs) && !isResultCountReached();
+        boolean hasCapacity = !userAboveHighWater && !isAboveHighWater(nowMs) && !isResultLimitReached();
         if (hasCapacity || canReclaim(user, userAboveHighWater)) {
             return new SpoolPolicy.Admitted();
         }
@@ -59,19 +59,19 @@
         return usage.bytesOf(user) > HIGH_WATER_RATIO * limits.userBytes();
     }
 
-    private boolean isResultCountReached() {
+    private boolean isResultLimitReached() {
         return usage.resultCount() >= limits.results();
     }
 
-    private boolean isFileCountReached() {
+    private boolean isFileLimitReached() {
         return limits.files() > 0 && usage.fileCount() >= limits.files();
     }
 
     private boolean canReclaim(String user, boolean onlyFromUser) {
-        return usage.accounts().stream().anyMatch(account -> isCandidate(account, user, onlyFromUser));
+        return usage.accounts().stream().anyMatch(account -> isReclaimCandidate(account, user, onlyFromUser));
     }
 
-    private static boolean isCandidate(ResultAccount account, String user, boolean onlyFromUser) {
+    private static boolean isReclaimCandidate(ResultAccount account, String user, boolean onlyFromUser) {
         return account.isReclaimable() && (!onlyFromUser || account.user().equals(user));
     }
 
@@ -86,12 +86,12 @@
 
     /** Returns the id of the result to release before a new one begins; empty if there is none. */
     OptionalLong selectForReclaim(String user) {
-        boolean scarceForAll = isTotalAboveHighWater() || isFileCountReached() || isResultCountReached();
+        boolean scarceForAll = isTotalAboveHighWater() || isFileLimitReached() || isResultLimitReached();
         if (!scarceForAll && !isUserAboveHighWater(user)) {
             return OptionalLong.empty();
         }
         return usage.accountsById().entrySet().stream()
-                .filter(entry -> isCandidate(entry.getValue(), user, !scarceForAll))
+                .filter(entry -> isReclaimCandidate(entry.getValue(), user, !scarceForAll))
                 .min(Comparator.comparingDouble(entry -> entry.getValue().lastUsedMs()))
                 .map(Map.Entry::getKey)
                 .map(OptionalLong::of)
