--- a/src/main/java/lineward/spool/SpoolAdmission.java
+++ b/src/main/java/lineward/spool/SpoolAdmission.java
@@ -86,12 +86,12 @@
 
     /** Returns the id of the result to release before a new one begins; empty if there is none. */
     OptionalLong selectForReclaim(String user) {
-        boolean scarceForAll = isTotalAboveHighWater() || isFileLimitReached() || isResultLimitReached();
-        if (!scarceForAll && !isUserAboveHighWater(user)) {
+        boolean spoolNearLimit = isTotalAboveHighWater() || isFileLimitReached() || isResultLimitReached();
+        if (!spoolNearLimit && !isUserAboveHighWater(user)) {
             return OptionalLong.empty();
         }
         return usage.accountsById().entrySet().stream()
-                .filter(entry -> isReclaimCandidate(entry.getValue(), user, !scarceForAll))
+                .filter(entry -> isReclaimCandidate(entry.getValue(), user, !spoolNearLimit))
                 .min(Comparator.comparingDouble(entry -> entry.getValue().lastUsedMs()))
                 .map(Map.Entry::getKey)
                 .map(OptionalLong::of)
--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -193,14 +193,14 @@
 
     /** Counts the results that have expired and returns their ids; the caller ends and releases them. */
     public List<Long> selectExpired(double nowMs) {
-        List<Long> due = new ArrayList<>();
+        List<Long> expiredIds = new ArrayList<>();
         usage.accountsById().forEach((id, account) -> {
             if (leasePolicy.isExpired(account, nowMs)) {
-                due.add(id);
+                expiredIds.add(id);
             }
         });
-        expired += due.size();
-        return due;
+        expired += expiredIds.size();
+        return expiredIds;
     }
 
     /** Returns the current gauges and counters. */
