--- a/src/main/java/lineward/spool/Spool.java
+++ b/src/main/java/lineward/spool/Spool.java
@@ -149,7 +149,7 @@
         return store;
     }
 
-    boolean diskKeepsUp() {
+    boolean hasWriteCapacity() {
         return pendingWriteBytes < MAX_PENDING_WRITE_BYTES;
     }
 
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -90,7 +90,7 @@
 
     /** Returns whether the engine may be read: memory and disk have capacity, or the result is released. */
     public boolean mayReadEngine() {
-        boolean hasCapacity = spool.policy().mayReadEngine(id) && spool.diskKeepsUp();
+        boolean hasCapacity = spool.policy().mayReadEngine(id) && spool.hasWriteCapacity();
         return state.isReleased() || hasCapacity;
     }
 
