--- a/src/main/java/lineward/spool/Spool.java
+++ b/src/main/java/lineward/spool/Spool.java
@@ -68,7 +68,7 @@
 
     private void restore(Segment.Result stored) {
         Manifest manifest = stored.manifest();
-        forget(manifest.user(), manifest.key());
+        releaseExisting(manifest.user(), manifest.key());
         long id = policy.restore(manifest.user(), stored.fileBytes(), now());
         String digest = manifest.statement();
         ResultDescription description = new ResultDescription(manifest.user(), manifest.key(), digest);
@@ -106,7 +106,7 @@
         return resultsByKey.get(new ResultKey(user, key));
     }
 
-    private void forget(String user, String key) {
+    private void releaseExisting(String user, String key) {
         SpooledResult earlier = find(user, key);
         if (earlier != null) {
             earlier.release();
