--- a/src/main/java/lineward/spool/ResultFile.java
+++ b/src/main/java/lineward/spool/ResultFile.java
@@ -42,7 +42,7 @@
         spool.store().append(handle, block.data(), block.firstRow(), block.rows(), (location, failure) -> {
             pendingWrites--;
             spool.writeEnded(block.rawBytes());
-            spool.logWriteFailure(failure);
+            spool.recordWriteOutcome(failure);
             if (failure == null) {
                 block.written(location);
                 spool.policy().bytesStored(resultId, block.rawBytes(), location.storedBytes());
@@ -63,7 +63,7 @@
     void seal(Manifest manifest, List<Segment.Extent> locations) {
         state = state.seal();
         spool.store().complete(handle, manifest, locations, (fileBytes, failure) -> {
-            spool.logWriteFailure(failure);
+            spool.recordWriteOutcome(failure);
             if (failure == null) {
                 // From now on the header, the manifest and the trailer are counted too.
                 long blockBytes = locations.stream()
@@ -82,7 +82,7 @@
     /** Deletes the file if a write was started; it may exist even if the write of every block failed. */
     void delete() {
         if (state != ResultFileState.ABSENT) {
-            spool.store().delete(handle, (nothing, failure) -> spool.logWriteFailure(failure));
+            spool.store().delete(handle, (nothing, failure) -> spool.recordWriteOutcome(failure));
         }
     }
 }
--- a/src/main/java/lineward/spool/Spool.java
+++ b/src/main/java/lineward/spool/Spool.java
@@ -162,7 +162,7 @@
     }
 
     /** Logs the first of consecutive failed writes and deletions; {@code failure} is null after a success. */
-    void logWriteFailure(IOException failure) {
+    void recordWriteOutcome(IOException failure) {
         if (failure != null && !lastWriteFailed) {
             LOG.warn("spool write or delete failed, blocks may stay in memory: cause={}", failure.toString());
         }
