--- a/src/main/java/lineward/spool/Block.java
+++ b/src/main/java/lineward/spool/Block.java
@@ -33,7 +33,7 @@
         return block;
     }
 
-    static Block onFile(Segment.Extent location) {
+    static Block onDisk(Segment.Extent location) {
         Block block = new Block(location.firstRow(), location.rows(), location.rawBytes());
         block.written(location);
         return block;
@@ -61,7 +61,7 @@
         return storage == Storage.BEING_WRITTEN;
     }
 
-    boolean isOnFile() {
+    boolean isOnDisk() {
         return storage == Storage.FILE;
     }
 
--- a/src/main/java/lineward/spool/BlockSequence.java
+++ b/src/main/java/lineward/spool/BlockSequence.java
@@ -50,8 +50,8 @@
     }
 
     /** Returns whether there is at least one block and all blocks are on disk. */
-    boolean isOnFile() {
-        return !blocks.isEmpty() && blocks.stream().allMatch(Block::isOnFile);
+    boolean isFullyOnDisk() {
+        return !blocks.isEmpty() && blocks.stream().allMatch(Block::isOnDisk);
     }
 
     List<Segment.Extent> locations() {
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -44,7 +44,7 @@
         ResultFile file = ResultFile.ofRestoredResult(spool, id, stored.segment());
         SpooledResult result = new SpooledResult(spool, id, description, file);
         for (Segment.Extent location : stored.blocks()) {
-            result.blocks.add(Block.onFile(location));
+            result.blocks.add(Block.onDisk(location));
             result.rows += location.rows();
             result.bytes += location.rawBytes();
         }
@@ -154,7 +154,7 @@
         removeReadBlocks();
         notifyFlow();
         notifyReaders();
-        writeManifestIfOnFile();
+        writeManifestIfOnDisk();
     }
 
     /** Removes the blocks that have been read, if the result has no key and thus only one reader. */
@@ -177,12 +177,12 @@
         endBlock();
         state = state.complete();
         spool.policy().complete(id, spool.now());
-        writeManifestIfOnFile();
+        writeManifestIfOnDisk();
         notifyReaders();
     }
 
-    private void writeManifestIfOnFile() {
-        boolean isDurable = description.isKeyed() && state.isComplete() && blocks.isOnFile();
+    private void writeManifestIfOnDisk() {
+        boolean isDurable = description.isKeyed() && state.isComplete() && blocks.isFullyOnDisk();
         if (isDurable && file.maySeal()) {
             long createdMs = System.currentTimeMillis();
             String user = description.user();
--- a/src/test/java/lineward/spool/BlockTest.java
+++ b/src/test/java/lineward/spool/BlockTest.java
@@ -44,15 +44,15 @@
         events.forEach(event -> event.applyTo(block));
         assertEquals(block.isInMemory(), inMemory);
         assertEquals(block.isBeingWritten(), written);
-        assertEquals(block.isOnFile(), onFile);
+        assertEquals(block.isOnDisk(), onFile);
         assertEquals(block.data() != null, hasData);
         assertEquals(block.location(), onFile ? LOCATION : null);
     }
 
     @Test
     public void restoredBlockIsOnFile() {
-        Block block = Block.onFile(LOCATION);
-        assertEquals(block.isOnFile(), true);
+        Block block = Block.onDisk(LOCATION);
+        assertEquals(block.isOnDisk(), true);
         assertEquals(block.firstRow(), 7);
         assertEquals(block.rows(), 3);
         assertEquals(block.rawBytes(), 5);
