--- a/src/main/java/lineward/spool/Block.java
+++ b/src/main/java/lineward/spool/Block.java
@@ -35,7 +35,7 @@
 
     static Block onDisk(Segment.Extent location) {
         Block block = new Block(location.firstRow(), location.rows(), location.rawBytes());
-        block.written(location);
+        block.writeSucceeded(location);
         return block;
     }
 
@@ -43,7 +43,7 @@
         storage = Storage.BEING_WRITTEN;
     }
 
-    void written(Segment.Extent newLocation) {
+    void writeSucceeded(Segment.Extent newLocation) {
         storage = Storage.FILE;
         location = newLocation;
         data = null;
--- a/src/main/java/lineward/spool/ResultFile.java
+++ b/src/main/java/lineward/spool/ResultFile.java
@@ -44,7 +44,7 @@
             spool.writeEnded(block.rawBytes());
             spool.recordWriteOutcome(failure);
             if (failure == null) {
-                block.written(location);
+                block.writeSucceeded(location);
                 spool.policy().bytesStored(resultId, block.rawBytes(), location.storedBytes());
             } else {
                 block.writeFailed();
--- a/src/test/java/lineward/spool/BlockTest.java
+++ b/src/test/java/lineward/spool/BlockTest.java
@@ -19,7 +19,7 @@
         void applyTo(Block block) {
             switch (this) {
                 case WRITE -> block.writeStarted();
-                case SUCCEED -> block.written(LOCATION);
+                case SUCCEED -> block.writeSucceeded(LOCATION);
                 case FAIL -> block.writeFailed();
             }
         }
