--- a/src/main/java/lineward/spool/BlockSequence.java
+++ b/src/main/java/lineward/spool/BlockSequence.java
@@ -40,7 +40,7 @@
     }
 
     /** Returns the number of the block that contains a row of the result, or {@link #NOT_FOUND}. */
-    int numberOfRow(long row) {
+    int blockNumberOfRow(long row) {
         for (int i = 0; i < blocks.size(); i++) {
             if (blocks.get(i).containsRow(row)) {
                 return removed + i;
--- a/src/main/java/lineward/spool/ResultReader.java
+++ b/src/main/java/lineward/spool/ResultReader.java
@@ -71,7 +71,7 @@
 
     @Override
     public int seek(long row) {
-        int number = result.numberOfBlockWith(row);
+        int number = result.blockNumberOfRow(row);
         if (number == BlockSequence.NOT_FOUND) {
             return ROW_NOT_FOUND;
         }
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -267,8 +267,8 @@
         return number == blocks.end() ? null : blocks.get(number);
     }
 
-    int numberOfBlockWith(long row) {
-        return blocks.numberOfRow(row);
+    int blockNumberOfRow(long row) {
+        return blocks.blockNumberOfRow(row);
     }
 
     void load(Block block, SegmentStore.Completion<byte[]> completion) {
