--- a/src/main/java/lineward/spool/BlockSequence.java
+++ b/src/main/java/lineward/spool/BlockSequence.java
@@ -11,26 +11,26 @@
 
     private final List<Block> blocks = new ArrayList<>();
     /** Count of the removed blocks, which is also the number of the first remaining block. */
-    private int removed;
+    private int removedCount;
 
     void add(Block block) {
         blocks.add(block);
     }
 
     /** Returns the number that the next added block will have. */
-    int end() {
-        return removed + blocks.size();
+    int nextNumber() {
+        return removedCount + blocks.size();
     }
 
     Block get(int number) {
-        return blocks.get(number - removed);
+        return blocks.get(number - removedCount);
     }
 
     /** Removes the blocks before a number; stops at the first block that is being written. */
     void removeBefore(int number, Consumer<Block> onRemoved) {
-        while (removed < number && !blocks.isEmpty() && !blocks.get(0).isBeingWritten()) {
+        while (removedCount < number && !blocks.isEmpty() && !blocks.get(0).isBeingWritten()) {
             Block block = blocks.remove(0);
-            removed++;
+            removedCount++;
             onRemoved.accept(block);
         }
     }
@@ -43,7 +43,7 @@
     int blockNumberOfRow(long row) {
         for (int i = 0; i < blocks.size(); i++) {
             if (blocks.get(i).containsRow(row)) {
-                return removed + i;
+                return removedCount + i;
             }
         }
         return NOT_FOUND;
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -261,10 +261,10 @@
 
     /** Returns a block by number, null if it has not arrived; ends the current block if it is that one. */
     Block blockOrNull(int number) {
-        if (number == blocks.end()) {
+        if (number == blocks.nextNumber()) {
             endBlock();
         }
-        return number == blocks.end() ? null : blocks.get(number);
+        return number == blocks.nextNumber() ? null : blocks.get(number);
     }
 
     int blockNumberOfRow(long row) {
@@ -284,7 +284,7 @@
 
     /** Returns what follows the blocks that a reader has read, given the number of its next block. */
     ReadStatus readStatus(int nextBlock) {
-        boolean hasMore = nextBlock < blocks.end() || !buffer.isEmpty();
+        boolean hasMore = nextBlock < blocks.nextNumber() || !buffer.isEmpty();
         return state.readStatus(hasMore);
     }
 
