--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -21,7 +21,7 @@
     private final List<ResultReader> readers = new ArrayList<>();
     private ResultState state = ResultState.RECEIVING;
     /** Number of rows of all blocks, including removed ones. */
-    private long rows;
+    private long rowCount;
     /** Number of bytes received so far, including removed blocks. */
     private long bytes;
 
@@ -45,7 +45,7 @@
         SpooledResult result = new SpooledResult(spool, id, description, file);
         for (Segment.Extent location : stored.blocks()) {
             result.blocks.add(Block.onDisk(location));
-            result.rows += location.rows();
+            result.rowCount += location.rows();
             result.bytes += location.rawBytes();
         }
         result.state = result.state.complete();
@@ -141,8 +141,8 @@
         if (buffer.isEmpty() || state.isReleased()) {
             return;
         }
-        Block block = buffer.removeBlock(rows);
-        rows += block.rows();
+        Block block = buffer.removeBlock(rowCount);
+        rowCount += block.rows();
         blocks.add(block);
         if (spool.policy().allocate(id, block.rawBytes(), spool.now()) == SpoolPolicy.Placement.FILE) {
             file.write(block, this::writeEnded);
@@ -186,7 +186,7 @@
         if (isDurable && file.maySeal()) {
             long createdMs = System.currentTimeMillis();
             String user = description.user();
-            Manifest manifest = new Manifest(user, description.key(), digest(), createdMs, rows, bytes);
+            Manifest manifest = new Manifest(user, description.key(), digest(), createdMs, rowCount, bytes);
             file.seal(manifest, blocks.locations());
         }
     }
