--- a/src/main/java/lineward/spool/Spool.java
+++ b/src/main/java/lineward/spool/Spool.java
@@ -121,7 +121,7 @@
                 result.expire();
             }
         }
-        List.copyOf(results.values()).forEach(SpooledResult::notifyFlow);
+        List.copyOf(results.values()).forEach(SpooledResult::notifyFlowListener);
     }
 
     /** Returns the current gauges and counters. */
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -84,7 +84,7 @@
         flowListener = onChange;
     }
 
-    void notifyFlow() {
+    void notifyFlowListener() {
         flowListener.run();
     }
 
@@ -152,7 +152,7 @@
 
     private void writeEnded() {
         removeReadBlocks();
-        notifyFlow();
+        notifyFlowListener();
         notifyReaders();
         writeManifestIfOnDisk();
     }
@@ -219,7 +219,7 @@
             release();
         } else {
             notifyReaders();
-            notifyFlow();
+            notifyFlowListener();
         }
     }
 
@@ -234,7 +234,7 @@
         spool.policy().release(id, spool.now());
         spool.remove(this);
         file.delete();
-        notifyFlow();
+        notifyFlowListener();
         notifyReaders();
     }
 
@@ -279,7 +279,7 @@
     void blockRead() {
         spool.policy().blockRead(id, spool.now());
         removeReadBlocks();
-        notifyFlow();
+        notifyFlowListener();
     }
 
     /** Returns what follows the blocks that a reader has read, given the number of its next block. */
