--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -291,8 +291,8 @@
     void readerClosed(ResultReader reader) {
         readers.remove(reader);
         boolean isReleasable = spool.policy().readerClosed(id, spool.now());
-        boolean isRereadable = description.isKeyed() && state == ResultState.RECEIVING;
-        if (isReleasable && !isRereadable) {
+        boolean willBeRetained = description.isKeyed() && state == ResultState.RECEIVING;
+        if (isReleasable && !willBeRetained) {
             release();
         }
     }
