--- a/src/main/java/lineward/spool/ResultReader.java
+++ b/src/main/java/lineward/spool/ResultReader.java
@@ -36,7 +36,7 @@
         }
         byte[] data = block.data() == null ? loaded : block.data();
         if (data == null) {
-            loadOnce(block);
+            startLoadIfIdle(block);
             return null;
         }
         state = state.blockRead();
@@ -46,7 +46,7 @@
         return new ResultChunk(data, block.rows());
     }
 
-    private void loadOnce(Block block) {
+    private void startLoadIfIdle(Block block) {
         if (state == ReaderState.LOADING) {
             return;
         }
