--- a/src/main/java/lineward/spool/ResultReader.java
+++ b/src/main/java/lineward/spool/ResultReader.java
@@ -9,7 +9,7 @@
     private int nextBlock;
     private ReaderState state = ReaderState.READY;
     /** The bytes of the next block; null unless the state is {@link ReaderState#LOADED}. */
-    private byte[] loaded;
+    private byte[] loadedData;
 
     ResultReader(SpooledResult result, Runnable onProgress) {
         this.result = result;
@@ -34,13 +34,13 @@
         if (block == null) {
             return null;
         }
-        byte[] data = block.data() == null ? loaded : block.data();
+        byte[] data = block.data() == null ? loadedData : block.data();
         if (data == null) {
             startLoadIfIdle(block);
             return null;
         }
         state = state.blockRead();
-        loaded = null;
+        loadedData = null;
         nextBlock++;
         result.blockRead();
         return new ResultChunk(data, block.rows());
@@ -56,7 +56,7 @@
             if (state == ReaderState.CLOSED) {
                 return;
             }
-            loaded = data;
+            loadedData = data;
             notifyProgress();
         });
     }
