--- a/src/main/java/lineward/spool/store/BlockCodec.java
+++ b/src/main/java/lineward/spool/store/BlockCodec.java
@@ -20,17 +20,17 @@
             LZ4Factory.safeInstance().safeDecompressor();
 
     /** A payload in its stored form, from the buffer's position to its limit. */
-    record Encoded(Kind kind, ByteBuffer payload) {}
+    record EncodedBlock(Kind kind, ByteBuffer payload) {}
 
     private BlockCodec() {}
 
     /** Returns the block compressed, or unchanged if compression saves too little. */
-    static Encoded encode(byte[] raw) {
+    static EncodedBlock encode(byte[] raw) {
         byte[] compressed = new byte[COMPRESSOR.maxCompressedLength(raw.length)];
         int length = COMPRESSOR.compress(raw, 0, raw.length, compressed, 0, compressed.length);
         return length <= raw.length - raw.length / MIN_SAVING_DIVISOR
-                ? new Encoded(Kind.LZ4, ByteBuffer.wrap(compressed, 0, length))
-                : new Encoded(Kind.RAW, ByteBuffer.wrap(raw));
+                ? new EncodedBlock(Kind.LZ4, ByteBuffer.wrap(compressed, 0, length))
+                : new EncodedBlock(Kind.RAW, ByteBuffer.wrap(raw));
     }
 
     /**
--- a/src/main/java/lineward/spool/store/Segment.java
+++ b/src/main/java/lineward/spool/store/Segment.java
@@ -63,7 +63,7 @@
 
     /** Appends a block of rows, compressed if that saves space, and returns where it is stored. */
     Extent append(byte[] raw, long firstRow, int rows) throws IOException {
-        BlockCodec.Encoded encoded = BlockCodec.encode(raw);
+        BlockCodec.EncodedBlock encoded = BlockCodec.encode(raw);
         ByteBuffer block = SegmentFormat.block(encoded.kind(), encoded.payload(), raw.length, firstRow, rows);
         Extent location = new Extent(end, block.remaining(), firstRow, rows, raw.length);
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.WRITE)) {
