--- a/src/main/java/lineward/spool/store/Segment.java
+++ b/src/main/java/lineward/spool/store/Segment.java
@@ -36,7 +36,7 @@
 
     private final Path path;
     /** Length of the file, and offset of the next block. */
-    private long end;
+    private long length;
 
     Segment(Path path) {
         this.path = path;
@@ -49,7 +49,7 @@
 
     /** Returns the current length of the file, in bytes. */
     public long length() {
-        return end;
+        return length;
     }
 
     /** Creates the file, which must not exist yet. */
@@ -58,18 +58,18 @@
         try (FileChannel channel = FileChannel.open(path, options)) {
             writeFully(channel, SegmentFormat.header(createdMs), 0);
         }
-        end = SegmentFormat.HEADER_BYTES;
+        length = SegmentFormat.HEADER_BYTES;
     }
 
     /** Appends a block of rows, compressed if that saves space, and returns where it is stored. */
     Extent append(byte[] raw, long firstRow, int rows) throws IOException {
         BlockCodec.EncodedBlock encoded = BlockCodec.encode(raw);
         ByteBuffer block = SegmentFormat.block(encoded.kind(), encoded.payload(), raw.length, firstRow, rows);
-        Extent location = new Extent(end, block.remaining(), firstRow, rows, raw.length);
+        Extent location = new Extent(length, block.remaining(), firstRow, rows, raw.length);
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.WRITE)) {
-            writeFully(channel, block, end);
+            writeFully(channel, block, length);
         }
-        end += location.storedBytes();
+        length += location.storedBytes();
         return location;
     }
 
@@ -80,11 +80,11 @@
             int footerBytes = footer.remaining();
             ByteBuffer block =
                     SegmentFormat.block(SegmentFormat.Kind.MANIFEST, footer, footerBytes, manifest.rows(), 0);
-            long footerOffset = end;
-            end += block.remaining();
+            long footerOffset = length;
+            length += block.remaining();
             writeFully(channel, block, footerOffset);
-            writeFully(channel, SegmentFormat.trailer(footerOffset), end);
-            end += SegmentFormat.TRAILER_BYTES;
+            writeFully(channel, SegmentFormat.trailer(footerOffset), length);
+            length += SegmentFormat.TRAILER_BYTES;
             // The result must survive a power failure, as its client may read it afterwards.
             channel.force(false);
         }
@@ -131,7 +131,7 @@
             long footerOffset = readTrailer(channel, size);
             SegmentFooter footer = readFooter(channel, footerOffset, size);
             Segment segment = new Segment(path);
-            segment.end = size;
+            segment.length = size;
             return new Result(segment, footer.manifest(), footer.blocks(), size);
         }
     }
