--- a/src/main/java/lineward/spool/store/SegmentStore.java
+++ b/src/main/java/lineward/spool/store/SegmentStore.java
@@ -51,8 +51,8 @@
 
     private final SpoolFolder folder;
     private final Executor eventLoop;
-    private final ThreadPoolExecutor writer = threads("spool-write", 1);
-    private final ThreadPoolExecutor readers = threads("spool-read", READER_THREADS);
+    private final ThreadPoolExecutor writer = createThreadPool("spool-write", 1);
+    private final ThreadPoolExecutor readers = createThreadPool("spool-read", READER_THREADS);
 
     /**
      * Creates a store, which starts its threads on demand.
@@ -65,7 +65,7 @@
         this.eventLoop = eventLoop;
     }
 
-    private static ThreadPoolExecutor threads(String name, int count) {
+    private static ThreadPoolExecutor createThreadPool(String name, int count) {
         ThreadPoolExecutor threads = new ThreadPoolExecutor(
                 count, count, THREAD_KEEP_ALIVE_S, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), task -> {
                     Thread thread = new Thread(task, name);
