--- a/src/main/java/lineward/spool/store/Segment.java
+++ b/src/main/java/lineward/spool/store/Segment.java
@@ -104,7 +104,7 @@
     }
 
     private static byte[] decode(ByteBuffer block, Extent location) throws UnusableSegmentException {
-        SegmentFormat.BlockHeader header = SegmentFormat.readBlockHeader(block);
+        SegmentFormat.BlockHeader header = SegmentFormat.decodeBlockHeader(block);
         SegmentFormat.verify(block, header);
         check(isBlockAt(location, header), "a block stands at another's place");
         ByteBuffer payload = block.slice(SegmentFormat.BLOCK_HEADER_BYTES, header.storedBytes());
@@ -138,14 +138,14 @@
 
     private static void checkHeader(FileChannel channel, long size) throws IOException {
         check(size >= SegmentFormat.HEADER_BYTES, "it is cut within its head");
-        SegmentFormat.readHeader(read(channel, 0, SegmentFormat.HEADER_BYTES));
+        SegmentFormat.decodeHeader(read(channel, 0, SegmentFormat.HEADER_BYTES));
         check(size >= SegmentFormat.MIN_COMPLETE_BYTES, "it was never completed");
     }
 
     private static long readTrailer(FileChannel channel, long size) throws IOException {
         long trailerOffset = size - SegmentFormat.TRAILER_BYTES;
         ByteBuffer trailer = read(channel, trailerOffset, SegmentFormat.TRAILER_BYTES);
-        long footerOffset = SegmentFormat.readTrailer(trailer);
+        long footerOffset = SegmentFormat.decodeTrailer(trailer);
         boolean isInFile = footerOffset >= SegmentFormat.HEADER_BYTES
                 && footerOffset <= trailerOffset - SegmentFormat.BLOCK_HEADER_BYTES;
         check(isInFile && size - footerOffset <= SegmentFormat.MAX_BLOCK_BYTES, "its trailer is spoilt");
@@ -155,7 +155,7 @@
     private static SegmentFooter readFooter(FileChannel channel, long offset, long size) throws IOException {
         int length = (int) (size - SegmentFormat.TRAILER_BYTES - offset);
         ByteBuffer block = read(channel, offset, length);
-        SegmentFormat.BlockHeader header = SegmentFormat.readBlockHeader(block);
+        SegmentFormat.BlockHeader header = SegmentFormat.decodeBlockHeader(block);
         SegmentFormat.verify(block, header);
         check(header.kind() == SegmentFormat.Kind.MANIFEST, "it has no manifest");
         return SegmentFooter.decode(block.position(SegmentFormat.BLOCK_HEADER_BYTES), offset);
--- a/src/main/java/lineward/spool/store/SegmentFormat.java
+++ b/src/main/java/lineward/spool/store/SegmentFormat.java
@@ -83,7 +83,7 @@
      *
      * @throws UnusableSegmentException if this is not the header of a segment of the supported version
      */
-    static long readHeader(ByteBuffer header) throws UnusableSegmentException {
+    static long decodeHeader(ByteBuffer header) throws UnusableSegmentException {
         check(header.remaining() >= HEADER_BYTES && header.getLong(0) == MAGIC, "it is no segment");
         int version = header.getInt(8);
         if (version != VERSION) {
@@ -116,7 +116,7 @@
      *
      * @throws UnusableSegmentException if this is not a block's header
      */
-    static BlockHeader readBlockHeader(ByteBuffer block) throws UnusableSegmentException {
+    static BlockHeader decodeBlockHeader(ByteBuffer block) throws UnusableSegmentException {
         check(block.remaining() >= BLOCK_HEADER_BYTES, "a block ends early");
         int start = block.position();
         BlockHeader header = new BlockHeader(
@@ -152,7 +152,7 @@
      *
      * @throws UnusableSegmentException if this is not a trailer
      */
-    static long readTrailer(ByteBuffer trailer) throws UnusableSegmentException {
+    static long decodeTrailer(ByteBuffer trailer) throws UnusableSegmentException {
         boolean isTrailer = trailer.remaining() == TRAILER_BYTES && trailer.getInt(8) == TRAILER_MAGIC;
         int crcOffset = TRAILER_BYTES - CRC_BYTES;
         check(isTrailer && trailer.getInt(crcOffset) == crc(trailer, crcOffset), "it was never completed");
