--- a/src/main/java/lineward/spool/store/SegmentFormat.java
+++ b/src/main/java/lineward/spool/store/SegmentFormat.java
@@ -61,10 +61,10 @@
      */
     record BlockHeader(Kind kind, int storedBytes, int rawBytes, long firstRow, int rows, int crc) {
         private boolean isWithinBounds() {
-            return isLength(storedBytes) && isLength(rawBytes) && firstRow >= 0 && rows >= 0;
+            return isValidLength(storedBytes) && isValidLength(rawBytes) && firstRow >= 0 && rows >= 0;
         }
 
-        private static boolean isLength(int bytes) {
+        private static boolean isValidLength(int bytes) {
             return bytes >= 0 && bytes <= MAX_BLOCK_BYTES;
         }
     }
