--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -167,13 +167,13 @@
      */
     private static void memory(String jar) throws Exception {
         try (Rig rig = new Rig(jar, 8, 64, """
-                [spool]
-                memory-mb = 16
-                folder = "FOLDER"
-                file-mb = 4096
-                result-mb = 64
-                user-mb = 4096
-                """)) {
+            [spool]
+            memory-mb = 16
+            folder = "FOLDER"
+            file-mb = 4096
+            result-mb = 64
+            user-mb = 4096
+            """)) {
             List<StandInClient> clients = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
                 StandInClient client = new StandInClient(rig.port);
@@ -236,7 +236,7 @@
     private static void recovery() throws IOException {
         Path folder = Files.createTempDirectory("recover");
         int megabytes = 512;
-        SpoolFixture.fill(folder, megabytes / 16, 16);
+        SpoolFixture.writeResults(folder, megabytes / 16, 16);
         long start = System.nanoTime();
         try (SpoolFolder spool = SpoolFolder.acquire(folder)) {
             int recovered = spool.recover().complete().size();
@@ -245,7 +245,7 @@
                     (System.nanoTime() - start) / MS,
                     "ms for " + recovered + " results, " + SpoolFixture.megabytes(folder) + " MB on file");
         }
-        figure("wrong-bytes", SpoolFixture.wrongBytes(folder, new Random(1), 1000), "in 1000 crash points");
+        figure("wrong-bytes", SpoolFixture.wrongBlocks(folder, new Random(1), 1000), "in 1000 crash points");
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted((a, b) -> b.compareTo(a)).forEach(f -> f.toFile().delete());
         }
--- a/src/measure/java/lineward/spool/store/SpoolFixture.java
+++ b/src/measure/java/lineward/spool/store/SpoolFixture.java
@@ -24,7 +24,7 @@
     }
 
     /** Writes results of random bytes, which don't compress. */
-    public static void fill(Path folder, int results, int megabytes) throws IOException {
+    public static void writeResults(Path folder, int results, int megabytes) throws IOException {
         for (int result = 0; result < results; result++) {
             Segment segment = new Segment(folder.resolve("r" + result + SpoolFolder.SEGMENT_SUFFIX));
             segment.create(1);
@@ -45,7 +45,7 @@
     }
 
     /** Truncates or changes a file this many times; returns how many blocks were read with wrong bytes. */
-    public static int wrongBytes(Path folder, Random random, int times) throws IOException {
+    public static int wrongBlocks(Path folder, Random random, int times) throws IOException {
         int wrong = 0;
         Path file = folder.resolve("corrupt" + SpoolFolder.SEGMENT_SUFFIX);
         List<byte[]> blocks = new ArrayList<>();
