--- a/src/main/java/lineward/mysql/client/QueryRunner.java
+++ b/src/main/java/lineward/mysql/client/QueryRunner.java
@@ -147,7 +147,7 @@
         if (isCurrent(query)) {
             resultSender.start(query);
         } else {
-            query.spooledResult().abandon();
+            query.spooledResult().releaseUnlessRetained();
         }
     }
 
--- a/src/main/java/lineward/mysql/client/SpooledResultReplyStream.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultReplyStream.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import lineward.mysql.wire.Dialect;
 import lineward.mysql.wire.ReplyStream;
-import lineward.spool.ReadState;
+import lineward.spool.ReadStatus;
 import lineward.spool.ResultChunk;
 import lineward.spool.SpoolReader;
 import lineward.spool.SpooledResult;
@@ -43,7 +43,7 @@
         this.channel = channel;
         this.sink = sink;
         this.listener = listener;
-        this.reader = result.read(this::resume);
+        this.reader = result.openReader(this::resume);
     }
 
     @Override
@@ -54,7 +54,7 @@
         sending = true;
         boolean noChunkLeft = sendWhileWritable();
         sending = false;
-        ReadState readState = reader.readState();
+        ReadStatus readState = reader.readStatus();
         if (isEnd(readState, noChunkLeft)) {
             close();
             listener.ended(readState, OptionalInt.of(nextSequence()));
@@ -93,11 +93,11 @@
     }
 
     /** Returns whether the reply has ended; a broken one ends only once its error packet can be written. */
-    private boolean isEnd(ReadState readState, boolean noChunkLeft) {
+    private boolean isEnd(ReadStatus readState, boolean noChunkLeft) {
         return switch (readState) {
             case EXPIRED -> true;
             case END -> noChunkLeft;
-            case BROKEN -> noChunkLeft && channel.isWritable();
+            case FAILED -> noChunkLeft && channel.isWritable();
             default -> false;
         };
     }
--- a/src/main/java/lineward/mysql/client/SpooledResultSender.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -8,7 +8,7 @@
 import lineward.mysql.wire.Dialect;
 import lineward.mysql.wire.ReplyStream;
 import lineward.mysql.wire.SqlError;
-import lineward.spool.ReadState;
+import lineward.spool.ReadStatus;
 import lineward.spool.Spool;
 import lineward.spool.SpooledResult;
 
@@ -46,7 +46,7 @@
             }
             return hint.requestsPage();
         }
-        if (!result.statement().equals(digest)) {
+        if (!result.digest().equals(digest)) {
             replies.sendError(SqlError.keyOfOtherStatement());
         } else if (hint.requestsPage() && !result.isComplete()) {
             replies.sendError(SqlError.unknownKey());
@@ -105,13 +105,13 @@
         }
     }
 
-    private void ended(ReadState readState, OptionalInt errorSequence) {
-        if (readState == ReadState.EXPIRED && !replies.channel().isWritable()) {
+    private void ended(ReadStatus readState, OptionalInt errorSequence) {
+        if (readState == ReadStatus.EXPIRED && !replies.channel().isWritable()) {
             // An error packet would wait behind rows that the client does not read.
             replies.close();
-        } else if (readState == ReadState.BROKEN) {
+        } else if (readState == ReadStatus.FAILED) {
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, SqlError.resultIncomplete()));
-        } else if (readState == ReadState.EXPIRED) {
+        } else if (readState == ReadStatus.EXPIRED) {
             errorSequence.ifPresent(sequence -> replies.sendError(sequence, SqlError.leaseExpired()));
         }
         active = null;
--- a/src/main/java/lineward/spool/BlockSequence.java
+++ b/src/main/java/lineward/spool/BlockSequence.java
@@ -11,26 +11,26 @@
 
     private final List<Block> blocks = new ArrayList<>();
     /** Count of the removed blocks, which is also the number of the first remaining block. */
-    private int removed;
+    private int removedCount;
 
     void add(Block block) {
         blocks.add(block);
     }
 
     /** Returns the number that the next added block will have. */
-    int end() {
-        return removed + blocks.size();
+    int nextNumber() {
+        return removedCount + blocks.size();
     }
 
     Block get(int number) {
-        return blocks.get(number - removed);
+        return blocks.get(number - removedCount);
     }
 
     /** Removes the blocks before a number; stops at the first block that is being written. */
     void removeBefore(int number, Consumer<Block> onRemoved) {
-        while (removed < number && !blocks.isEmpty() && !blocks.get(0).isBeingWritten()) {
+        while (removedCount < number && !blocks.isEmpty() && !blocks.get(0).isBeingWritten()) {
             Block block = blocks.remove(0);
-            removed++;
+            removedCount++;
             onRemoved.accept(block);
         }
     }
@@ -40,18 +40,18 @@
     }
 
     /** Returns the number of the block that contains a row of the result, or {@link #NOT_FOUND}. */
-    int numberOfRow(long row) {
+    int blockNumberOfRow(long row) {
         for (int i = 0; i < blocks.size(); i++) {
             if (blocks.get(i).containsRow(row)) {
-                return removed + i;
+                return removedCount + i;
             }
         }
         return NOT_FOUND;
     }
 
     /** Returns whether there is at least one block and all blocks are on disk. */
-    boolean isOnFile() {
-        return !blocks.isEmpty() && blocks.stream().allMatch(Block::isOnFile);
+    boolean isFullyOnDisk() {
+        return !blocks.isEmpty() && blocks.stream().allMatch(Block::isOnDisk);
     }
 
     List<Segment.Extent> locations() {
--- a/src/main/java/lineward/spool/ReadState.java
+++ b/src/main/java/lineward/spool/ReadStatus.java
@@ -1,13 +1,13 @@
 package lineward.spool;
 
 /** What follows the blocks that a reader has read. */
-public enum ReadState {
+public enum ReadStatus {
     /** There are unread blocks, or more may arrive. */
     MORE,
     /** The whole result has been read. */
     END,
     /** The rest can't be read: the attempt failed, the file can't be read or the result was released. */
-    BROKEN,
+    FAILED,
     /** The lease of the result has expired. */
     EXPIRED
 }
--- a/src/main/java/lineward/spool/ResultFile.java
+++ b/src/main/java/lineward/spool/ResultFile.java
@@ -42,10 +42,10 @@
         spool.store().append(handle, block.data(), block.firstRow(), block.rows(), (location, failure) -> {
             pendingWrites--;
             spool.writeEnded(block.rawBytes());
-            spool.logWriteFailure(failure);
+            spool.recordWriteOutcome(failure);
             if (failure == null) {
-                block.written(location);
-                spool.policy().blockStored(resultId, block.rawBytes(), location.storedBytes());
+                block.writeSucceeded(location);
+                spool.policy().bytesStored(resultId, block.rawBytes(), location.storedBytes());
             } else {
                 block.writeFailed();
                 spool.policy().writeFailed(resultId, block.rawBytes(), spool.now());
@@ -63,13 +63,13 @@
     void seal(Manifest manifest, List<Segment.Extent> locations) {
         state = state.seal();
         spool.store().complete(handle, manifest, locations, (fileBytes, failure) -> {
-            spool.logWriteFailure(failure);
+            spool.recordWriteOutcome(failure);
             if (failure == null) {
                 // From now on the header, the manifest and the trailer are counted too.
                 long blockBytes = locations.stream()
                         .mapToLong(Segment.Extent::storedBytes)
                         .sum();
-                spool.policy().blockStored(resultId, blockBytes, fileBytes);
+                spool.policy().bytesStored(resultId, blockBytes, fileBytes);
             }
         });
     }
@@ -82,7 +82,7 @@
     /** Deletes the file if a write was started; it may exist even if the write of every block failed. */
     void delete() {
         if (state != ResultFileState.ABSENT) {
-            spool.store().delete(handle, (nothing, failure) -> spool.logWriteFailure(failure));
+            spool.store().delete(handle, (nothing, failure) -> spool.recordWriteOutcome(failure));
         }
     }
 }
--- a/src/main/java/lineward/spool/ResultReader.java
+++ b/src/main/java/lineward/spool/ResultReader.java
@@ -9,7 +9,7 @@
     private int nextBlock;
     private ReaderState state = ReaderState.READY;
     /** The bytes of the next block; null unless the state is {@link ReaderState#LOADED}. */
-    private byte[] loaded;
+    private byte[] loadedData;
 
     ResultReader(SpooledResult result, Runnable onProgress) {
         this.result = result;
@@ -34,19 +34,19 @@
         if (block == null) {
             return null;
         }
-        byte[] data = block.data() == null ? loaded : block.data();
+        byte[] data = block.data() == null ? loadedData : block.data();
         if (data == null) {
-            loadOnce(block);
+            startLoadIfIdle(block);
             return null;
         }
         state = state.blockRead();
-        loaded = null;
+        loadedData = null;
         nextBlock++;
         result.blockRead();
         return new ResultChunk(data, block.rows());
     }
 
-    private void loadOnce(Block block) {
+    private void startLoadIfIdle(Block block) {
         if (state == ReaderState.LOADING) {
             return;
         }
@@ -56,22 +56,22 @@
             if (state == ReaderState.CLOSED) {
                 return;
             }
-            loaded = data;
+            loadedData = data;
             notifyProgress();
         });
     }
 
     @Override
-    public ReadState readState() {
+    public ReadStatus readStatus() {
         if (state == ReaderState.FAILED && !result.isExpired()) {
-            return ReadState.BROKEN;
+            return ReadStatus.FAILED;
         }
-        return result.readState(nextBlock);
+        return result.readStatus(nextBlock);
     }
 
     @Override
     public int seek(long row) {
-        int number = result.numberOfBlockWith(row);
+        int number = result.blockNumberOfRow(row);
         if (number == BlockSequence.NOT_FOUND) {
             return ROW_NOT_FOUND;
         }
--- a/src/main/java/lineward/spool/ResultState.java
+++ b/src/main/java/lineward/spool/ResultState.java
@@ -7,26 +7,26 @@
  */
 enum ResultState {
     /** The engine is still sending the result. */
-    GROWING(Content.GROWING, false),
+    RECEIVING(Content.RECEIVING, false),
     /** The engine has sent the whole result. */
     COMPLETE(Content.COMPLETE, false),
     /** The attempt failed, so the missing blocks will never arrive. */
-    BROKEN(Content.BROKEN, false),
+    FAILED(Content.FAILED, false),
     /** Memory and file have been released. */
     RELEASED(Content.RELEASED, false),
     /** The lease expired; the engine is still sending. */
-    EXPIRED_GROWING(Content.GROWING, true),
+    EXPIRED_RECEIVING(Content.RECEIVING, true),
     /** The lease expired; the engine has sent the whole result. */
     EXPIRED_COMPLETE(Content.COMPLETE, true),
     /** The lease expired; the attempt failed, so the missing blocks will never arrive. */
-    EXPIRED_BROKEN(Content.BROKEN, true),
+    EXPIRED_FAILED(Content.FAILED, true),
     /** The lease expired; memory and file have been released. */
     EXPIRED_RELEASED(Content.RELEASED, true);
 
     private enum Content {
-        GROWING,
+        RECEIVING,
         COMPLETE,
-        BROKEN,
+        FAILED,
         RELEASED
     }
 
@@ -40,12 +40,12 @@
 
     /** Marks the result as complete; has an effect only while the engine is sending. */
     ResultState complete() {
-        return content == Content.GROWING ? of(Content.COMPLETE, expired) : this;
+        return content == Content.RECEIVING ? of(Content.COMPLETE, expired) : this;
     }
 
     /** Marks the attempt as failed; has an effect only while the engine is sending. */
     ResultState fail() {
-        return content == Content.GROWING ? of(Content.BROKEN, expired) : this;
+        return content == Content.RECEIVING ? of(Content.FAILED, expired) : this;
     }
 
     /** Marks the lease as expired. */
@@ -63,28 +63,28 @@
      *
      * @param hasMore whether there are blocks that the reader has not read
      */
-    ReadState readState(boolean hasMore) {
+    ReadStatus readStatus(boolean hasMore) {
         if (expired) {
-            return ReadState.EXPIRED;
+            return ReadStatus.EXPIRED;
         }
         if (content == Content.RELEASED) {
-            return ReadState.BROKEN;
+            return ReadStatus.FAILED;
         }
         if (hasMore) {
-            return ReadState.MORE;
+            return ReadStatus.MORE;
         }
         return switch (content) {
-            case GROWING -> ReadState.MORE;
-            case COMPLETE -> ReadState.END;
-            default -> ReadState.BROKEN;
+            case RECEIVING -> ReadStatus.MORE;
+            case COMPLETE -> ReadStatus.END;
+            default -> ReadStatus.FAILED;
         };
     }
 
     private static ResultState of(Content content, boolean expired) {
         return switch (content) {
-            case GROWING -> expired ? EXPIRED_GROWING : GROWING;
+            case RECEIVING -> expired ? EXPIRED_RECEIVING : RECEIVING;
             case COMPLETE -> expired ? EXPIRED_COMPLETE : COMPLETE;
-            case BROKEN -> expired ? EXPIRED_BROKEN : BROKEN;
+            case FAILED -> expired ? EXPIRED_FAILED : FAILED;
             case RELEASED -> expired ? EXPIRED_RELEASED : RELEASED;
         };
     }
@@ -93,8 +93,8 @@
         return content == Content.COMPLETE;
     }
 
-    boolean isBroken() {
-        return content == Content.BROKEN;
+    boolean isFailed() {
+        return content == Content.FAILED;
     }
 
     boolean isReleased() {
--- a/src/main/java/lineward/spool/Spool.java
+++ b/src/main/java/lineward/spool/Spool.java
@@ -51,29 +51,28 @@
     }
 
     /** Adds the complete results of an earlier process; of two with the same key, the newer one is kept. */
-    public void restore(SpoolFolder.Recovered recovered) {
-        recovered.complete().stream()
-                .sorted(Comparator.comparingLong(found -> found.manifest().createdMs()))
+    public void restore(SpoolFolder.Contents contents) {
+        contents.complete().stream()
+                .sorted(Comparator.comparingLong(stored -> stored.manifest().createdMs()))
                 .forEach(this::restore);
         LOG.info(
                 "spool recovered: results={} unusable={}",
                 resultsByKey.size(),
-                recovered.unusable().size());
-        recovered
-                .unusable()
+                contents.unusable().size());
+        contents.unusable()
                 .forEach(segment -> LOG.info(
                         "spool segment not usable: file={} cause={}",
                         segment.path().getFileName(),
                         segment.reason()));
     }
 
-    private void restore(Segment.Found found) {
-        Manifest manifest = found.manifest();
-        forget(manifest.user(), manifest.key());
-        long id = policy.restore(manifest.user(), found.fileBytes(), now());
-        String statement = manifest.statement();
-        ResultDescription description = new ResultDescription(manifest.user(), manifest.key(), statement);
-        SpooledResult result = SpooledResult.restore(this, id, description, found);
+    private void restore(Segment.Result stored) {
+        Manifest manifest = stored.manifest();
+        releaseExisting(manifest.user(), manifest.key());
+        long id = policy.restore(manifest.user(), stored.fileBytes(), now());
+        String digest = manifest.statement();
+        ResultDescription description = new ResultDescription(manifest.user(), manifest.key(), digest);
+        SpooledResult result = SpooledResult.restore(this, id, description, stored);
         results.put(id, result);
         resultsByKey.put(ResultKey.of(description), result);
     }
@@ -87,11 +86,11 @@
      * Begins a result, after releasing others that are not in use if capacity is short.
      *
      * @param key under which the client may request the result again; empty if it has none
-     * @param statement digest of the statement and its arguments
+     * @param digest digest of the statement and its arguments
      */
-    public SpooledResult begin(String user, String key, String statement) {
+    public SpooledResult begin(String user, String key, String digest) {
         reclaimFor(user);
-        ResultDescription description = new ResultDescription(user, key, statement);
+        ResultDescription description = new ResultDescription(user, key, digest);
         long id = policy.begin(user, description.isKeyed(), now());
         SpooledResult result = SpooledResult.begin(this, id, description);
         results.put(id, result);
@@ -107,7 +106,7 @@
         return resultsByKey.get(new ResultKey(user, key));
     }
 
-    private void forget(String user, String key) {
+    private void releaseExisting(String user, String key) {
         SpooledResult earlier = find(user, key);
         if (earlier != null) {
             earlier.release();
@@ -116,13 +115,13 @@
 
     /** Ends expired results and resumes reads from engines if possible; called ten times a second. */
     public void tick() {
-        for (long id : policy.expire(now())) {
+        for (long id : policy.selectExpired(now())) {
             SpooledResult result = results.get(id);
             if (result != null) {
                 result.expire();
             }
         }
-        List.copyOf(results.values()).forEach(SpooledResult::notifyFlow);
+        List.copyOf(results.values()).forEach(SpooledResult::notifyFlowListener);
     }
 
     /** Returns the current gauges and counters. */
@@ -150,7 +149,7 @@
         return store;
     }
 
-    boolean diskKeepsUp() {
+    boolean hasWriteCapacity() {
         return pendingWriteBytes < MAX_PENDING_WRITE_BYTES;
     }
 
@@ -163,7 +162,7 @@
     }
 
     /** Logs the first of consecutive failed writes and deletions; {@code failure} is null after a success. */
-    void logWriteFailure(IOException failure) {
+    void recordWriteOutcome(IOException failure) {
         if (failure != null && !lastWriteFailed) {
             LOG.warn("spool write or delete failed, blocks may stay in memory: cause={}", failure.toString());
         }
--- a/src/main/java/lineward/spool/SpoolAdmission.java
+++ b/src/main/java/lineward/spool/SpoolAdmission.java
@@ -19,22 +19,22 @@
     private static final double DEFAULT_MS_PER_MB = 20;
 
     private final SpoolLimits limits;
-    private final SpoolLedger ledger;
-    private final FileBackoff fileBackoff;
+    private final SpoolUsage usage;
+    private final WriteBackoff writeBackoff;
     private final ReleaseRate releaseRate;
     private long rejected;
 
-    SpoolAdmission(SpoolLimits limits, SpoolLedger ledger, FileBackoff fileBackoff, ReleaseRate releaseRate) {
+    SpoolAdmission(SpoolLimits limits, SpoolUsage usage, WriteBackoff writeBackoff, ReleaseRate releaseRate) {
         this.limits = limits;
-        this.ledger = ledger;
-        this.fileBackoff = fileBackoff;
+        this.usage = usage;
+        this.writeBackoff = writeBackoff;
         this.releaseRate = releaseRate;
     }
 
     /** Admits a statement if there is capacity or a result can be released for it; rejects it otherwise. */
     SpoolPolicy.Admission admit(String user, double nowMs) {
         boolean userAboveHighWater = isUserAboveHighWater(user);
-        boolean hasCapacity = !userAboveHighWater && !isAboveHighWater(nowMs) && !isResultCountReached();
+        boolean hasCapacity = !userAboveHighWater && !isAboveHighWater(nowMs) && !isResultLimitReached();
         if (hasCapacity || canReclaim(user, userAboveHighWater)) {
             return new SpoolPolicy.Admitted();
         }
@@ -43,35 +43,35 @@
     }
 
     private boolean isAboveHighWater(double nowMs) {
-        boolean mayUseFiles = limits.hasFiles() && fileBackoff.hasElapsed(nowMs);
+        boolean mayUseFiles = limits.hasFiles() && writeBackoff.hasElapsed(nowMs);
         return mayUseFiles ? isTotalAboveHighWater() : isMemoryAboveHighWater();
     }
 
     private boolean isMemoryAboveHighWater() {
-        return ledger.memoryBytes() > HIGH_WATER_RATIO * limits.memoryBytes();
+        return usage.memoryBytes() > HIGH_WATER_RATIO * limits.memoryBytes();
     }
 
     private boolean isTotalAboveHighWater() {
-        return ledger.bytes() > HIGH_WATER_RATIO * (limits.memoryBytes() + limits.fileBytes());
+        return usage.bytes() > HIGH_WATER_RATIO * (limits.memoryBytes() + limits.fileBytes());
     }
 
     private boolean isUserAboveHighWater(String user) {
-        return ledger.bytesOf(user) > HIGH_WATER_RATIO * limits.userBytes();
+        return usage.bytesOf(user) > HIGH_WATER_RATIO * limits.userBytes();
     }
 
-    private boolean isResultCountReached() {
-        return ledger.results() >= limits.results();
+    private boolean isResultLimitReached() {
+        return usage.resultCount() >= limits.results();
     }
 
-    private boolean isFileCountReached() {
-        return limits.files() > 0 && ledger.files() >= limits.files();
+    private boolean isFileLimitReached() {
+        return limits.files() > 0 && usage.fileCount() >= limits.files();
     }
 
     private boolean canReclaim(String user, boolean onlyFromUser) {
-        return ledger.accounts().stream().anyMatch(account -> isCandidate(account, user, onlyFromUser));
+        return usage.accounts().stream().anyMatch(account -> isReclaimCandidate(account, user, onlyFromUser));
     }
 
-    private static boolean isCandidate(ResultAccount account, String user, boolean onlyFromUser) {
+    private static boolean isReclaimCandidate(ResultAccount account, String user, boolean onlyFromUser) {
         return account.isReclaimable() && (!onlyFromUser || account.user().equals(user));
     }
 
@@ -86,12 +86,12 @@
 
     /** Returns the id of the result to release before a new one begins; empty if there is none. */
     OptionalLong selectForReclaim(String user) {
-        boolean scarceForAll = isTotalAboveHighWater() || isFileCountReached() || isResultCountReached();
-        if (!scarceForAll && !isUserAboveHighWater(user)) {
+        boolean spoolNearLimit = isTotalAboveHighWater() || isFileLimitReached() || isResultLimitReached();
+        if (!spoolNearLimit && !isUserAboveHighWater(user)) {
             return OptionalLong.empty();
         }
-        return ledger.accountsById().entrySet().stream()
-                .filter(entry -> isCandidate(entry.getValue(), user, !scarceForAll))
+        return usage.accountsById().entrySet().stream()
+                .filter(entry -> isReclaimCandidate(entry.getValue(), user, !spoolNearLimit))
                 .min(Comparator.comparingDouble(entry -> entry.getValue().lastUsedMs()))
                 .map(Map.Entry::getKey)
                 .map(OptionalLong::of)
--- a/src/main/java/lineward/spool/SpoolPolicy.java
+++ b/src/main/java/lineward/spool/SpoolPolicy.java
@@ -43,7 +43,7 @@
      * @param released results released so far
      * @param expired results that expired so far
      * @param rejected statements rejected so far
-     * @param backpressured number of times so far that an engine had to wait for readers
+     * @param backpressureCount number of times so far that an engine had to wait for readers
      */
     public record Statistics(
             long memoryBytes,
@@ -53,24 +53,24 @@
             long released,
             long expired,
             long rejected,
-            long backpressured) {}
+            long backpressureCount) {}
 
     private final SpoolLimits limits;
-    private final SpoolLedger ledger = new SpoolLedger();
-    private final FileBackoff fileBackoff = new FileBackoff();
+    private final SpoolUsage usage = new SpoolUsage();
+    private final WriteBackoff writeBackoff = new WriteBackoff();
     private final ReleaseRate releaseRate = new ReleaseRate();
     private final BlockPlacement placement;
     private final SpoolAdmission admission;
-    private final LeasePolicy leases;
+    private final LeasePolicy leasePolicy;
     private long released;
     private long expired;
 
     /** Creates the policy of an empty spool. */
     public SpoolPolicy(SpoolLimits limits) {
         this.limits = limits;
-        this.placement = new BlockPlacement(limits, ledger, fileBackoff);
-        this.admission = new SpoolAdmission(limits, ledger, fileBackoff, releaseRate);
-        this.leases = new LeasePolicy(limits);
+        this.placement = new BlockPlacement(limits, usage, writeBackoff);
+        this.admission = new SpoolAdmission(limits, usage, writeBackoff, releaseRate);
+        this.leasePolicy = new LeasePolicy(limits);
     }
 
     /** Admits a user's statement, or rejects it before it runs. */
@@ -85,48 +85,48 @@
 
     /** Opens the account of a new result, and returns its id. */
     public long begin(String user, boolean keyed, double nowMs) {
-        return ledger.open(user, keyed, nowMs);
+        return usage.openAccount(user, keyed, nowMs);
     }
 
     /** Opens the account of a complete result of an earlier process, and returns its id. */
     public long restore(String user, long fileBytes, double nowMs) {
-        long id = ledger.open(user, true, nowMs);
-        ResultAccount account = ledger.account(id);
+        long id = usage.openAccount(user, true, nowMs);
+        ResultAccount account = usage.account(id);
         account.complete(nowMs);
-        ledger.addFile(account);
-        ledger.addToFile(account, fileBytes);
+        usage.addFile(account);
+        usage.addToFile(account, fileBytes);
         return id;
     }
 
     /**
      * Decides where a block is stored, and counts its bytes there. A block on disk counts with its raw length
-     * until {@link #blockStored} replaces that by its stored length.
+     * until {@link #bytesStored} replaces that by its stored length.
      */
     public Placement allocate(long id, long bytes, double nowMs) {
-        return placement.allocate(ledger.account(id), bytes, nowMs);
+        return placement.allocate(usage.account(id), bytes, nowMs);
     }
 
     /** Replaces the allocated bytes by the bytes stored on disk, once the write has succeeded. */
-    public void blockStored(long id, long allocatedBytes, long storedBytes) {
-        ResultAccount account = ledger.account(id);
+    public void bytesStored(long id, long allocatedBytes, long storedBytes) {
+        ResultAccount account = usage.account(id);
         if (account != null) {
-            ledger.addToFile(account, storedBytes - allocatedBytes);
+            usage.addToFile(account, storedBytes - allocatedBytes);
         }
     }
 
     /** Moves the bytes of a block whose write failed back to memory, and starts the backoff of writes. */
     public void writeFailed(long id, long allocatedBytes, double nowMs) {
-        fileBackoff.writeFailed(nowMs);
-        ResultAccount account = ledger.account(id);
+        writeBackoff.writeFailed(nowMs);
+        ResultAccount account = usage.account(id);
         if (account != null) {
-            ledger.addToFile(account, -allocatedBytes);
-            ledger.addToMemory(account, allocatedBytes);
+            usage.addToFile(account, -allocatedBytes);
+            usage.addToMemory(account, allocatedBytes);
         }
     }
 
     /** Returns whether the engine may be read to receive more of this result; false after its release. */
     public boolean mayReadEngine(long id) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         return account != null && placement.mayReadEngine(account);
     }
 
@@ -138,7 +138,7 @@
      * @param timeoutMs timeout of the attempt
      */
     public boolean shouldStartResponse(long id, long bytes, double ageMs, double timeoutMs) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         boolean hasBackpressure = account != null && account.hasBackpressure();
         boolean isOld = ageMs > limits.responseDelayRatio() * timeoutMs;
         return hasBackpressure || isOld || bytes > limits.responseBufferBytes();
@@ -146,17 +146,17 @@
 
     /** Marks a result as complete, which ends backpressure and renews the lease. */
     public void complete(long id, double nowMs) {
-        ledger.account(id).complete(nowMs);
+        usage.account(id).complete(nowMs);
     }
 
     /** Adds a reader to a result, which renews the lease. */
     public void readerOpened(long id, double nowMs) {
-        ledger.account(id).readerOpened(nowMs);
+        usage.account(id).readerOpened(nowMs);
     }
 
     /** Records the read of a block, which renews the lease and restarts the stall timeout. */
     public void blockRead(long id, double nowMs) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         if (account != null) {
             account.blockRead(nowMs);
         }
@@ -164,55 +164,55 @@
 
     /** Removes a reader; returns whether it was the last one and the result is not retained without one. */
     public boolean readerClosed(long id, double nowMs) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         if (account == null) {
             return false;
         }
         account.readerClosed(nowMs);
-        return account.readers() == 0 && !account.isRetained();
+        return account.readerCount() == 0 && !account.isRetained();
     }
 
     /** Subtracts a block in memory that has been read and removed. */
     public void memoryReleased(long id, long bytes, double nowMs) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         if (account != null) {
-            ledger.addToMemory(account, -bytes);
+            usage.addToMemory(account, -bytes);
             releaseRate.add(bytes, nowMs);
         }
     }
 
     /** Releases a result, with all its bytes and its file. */
     public void release(long id, double nowMs) {
-        ResultAccount account = ledger.account(id);
+        ResultAccount account = usage.account(id);
         if (account != null) {
             released++;
             releaseRate.add(account.bytes(), nowMs);
-            ledger.close(id);
+            usage.closeAccount(id);
         }
     }
 
     /** Counts the results that have expired and returns their ids; the caller ends and releases them. */
-    public List<Long> expire(double nowMs) {
-        List<Long> due = new ArrayList<>();
-        ledger.accountsById().forEach((id, account) -> {
-            if (leases.isExpired(account, nowMs)) {
-                due.add(id);
+    public List<Long> selectExpired(double nowMs) {
+        List<Long> expiredIds = new ArrayList<>();
+        usage.accountsById().forEach((id, account) -> {
+            if (leasePolicy.isExpired(account, nowMs)) {
+                expiredIds.add(id);
             }
         });
-        expired += due.size();
-        return due;
+        expired += expiredIds.size();
+        return expiredIds;
     }
 
     /** Returns the current gauges and counters. */
     public Statistics statistics() {
         return new Statistics(
-                ledger.memoryBytes(),
-                ledger.fileBytes(),
-                ledger.results(),
-                ledger.accounts().stream().mapToInt(ResultAccount::readers).sum(),
+                usage.memoryBytes(),
+                usage.fileBytes(),
+                usage.resultCount(),
+                usage.accounts().stream().mapToInt(ResultAccount::readerCount).sum(),
                 released,
                 expired,
                 admission.rejected(),
-                placement.backpressured());
+                placement.backpressureCount());
     }
 }
--- a/src/main/java/lineward/spool/SpooledResult.java
+++ b/src/main/java/lineward/spool/SpooledResult.java
@@ -19,9 +19,9 @@
     private final BlockSequence blocks = new BlockSequence();
     private final BlockBuffer buffer = new BlockBuffer();
     private final List<ResultReader> readers = new ArrayList<>();
-    private ResultState state = ResultState.GROWING;
+    private ResultState state = ResultState.RECEIVING;
     /** Number of rows of all blocks, including removed ones. */
-    private long rows;
+    private long rowCount;
     /** Number of bytes received so far, including removed blocks. */
     private long bytes;
 
@@ -40,12 +40,12 @@
     }
 
     /** Returns a complete result of an earlier process. */
-    static SpooledResult restore(Spool spool, long id, ResultDescription description, Segment.Found found) {
-        ResultFile file = ResultFile.ofRestoredResult(spool, id, found.segment());
+    static SpooledResult restore(Spool spool, long id, ResultDescription description, Segment.Result stored) {
+        ResultFile file = ResultFile.ofRestoredResult(spool, id, stored.segment());
         SpooledResult result = new SpooledResult(spool, id, description, file);
-        for (Segment.Extent location : found.blocks()) {
-            result.blocks.add(Block.onFile(location));
-            result.rows += location.rows();
+        for (Segment.Extent location : stored.blocks()) {
+            result.blocks.add(Block.onDisk(location));
+            result.rowCount += location.rows();
             result.bytes += location.rawBytes();
         }
         result.state = result.state.complete();
@@ -61,8 +61,8 @@
     }
 
     /** Returns the digest of the statement and its arguments. */
-    public String statement() {
-        return description.statement();
+    public String digest() {
+        return description.digest();
     }
 
     /** Returns whether the result has been released. */
@@ -84,13 +84,13 @@
         flowListener = onChange;
     }
 
-    void notifyFlow() {
+    void notifyFlowListener() {
         flowListener.run();
     }
 
     /** Returns whether the engine may be read: memory and disk have capacity, or the result is released. */
     public boolean mayReadEngine() {
-        boolean hasCapacity = spool.policy().mayReadEngine(id) && spool.diskKeepsUp();
+        boolean hasCapacity = spool.policy().mayReadEngine(id) && spool.hasWriteCapacity();
         return state.isReleased() || hasCapacity;
     }
 
@@ -132,17 +132,17 @@
         buffer.commit(length, endsRow);
         bytes += length;
         if (buffer.isFull() && !rowContinues) {
-            seal();
+            endBlock();
         }
     }
 
     /** Ends the current block; called before and after rows, so that they share none with other packets. */
-    public void seal() {
+    public void endBlock() {
         if (buffer.isEmpty() || state.isReleased()) {
             return;
         }
-        Block block = buffer.removeBlock(rows);
-        rows += block.rows();
+        Block block = buffer.removeBlock(rowCount);
+        rowCount += block.rows();
         blocks.add(block);
         if (spool.policy().allocate(id, block.rawBytes(), spool.now()) == SpoolPolicy.Placement.FILE) {
             file.write(block, this::writeEnded);
@@ -152,9 +152,9 @@
 
     private void writeEnded() {
         removeReadBlocks();
-        notifyFlow();
+        notifyFlowListener();
         notifyReaders();
-        writeManifestIfOnFile();
+        writeManifestIfOnDisk();
     }
 
     /** Removes the blocks that have been read, if the result has no key and thus only one reader. */
@@ -174,19 +174,19 @@
         if (state.isReleased()) {
             return;
         }
-        seal();
+        endBlock();
         state = state.complete();
         spool.policy().complete(id, spool.now());
-        writeManifestIfOnFile();
+        writeManifestIfOnDisk();
         notifyReaders();
     }
 
-    private void writeManifestIfOnFile() {
-        boolean isDurable = description.isKeyed() && state.isComplete() && blocks.isOnFile();
+    private void writeManifestIfOnDisk() {
+        boolean isDurable = description.isKeyed() && state.isComplete() && blocks.isFullyOnDisk();
         if (isDurable && file.maySeal()) {
             long createdMs = System.currentTimeMillis();
             String user = description.user();
-            Manifest manifest = new Manifest(user, description.key(), statement(), createdMs, rows, bytes);
+            Manifest manifest = new Manifest(user, description.key(), digest(), createdMs, rowCount, bytes);
             file.seal(manifest, blocks.locations());
         }
     }
@@ -196,7 +196,7 @@
         if (state.isReleased() || state.isComplete()) {
             return;
         }
-        seal();
+        endBlock();
         state = state.fail();
         if (readers.isEmpty()) {
             release();
@@ -206,7 +206,7 @@
     }
 
     /** Releases the result of a disconnected client unless it can be read later: complete and with a key. */
-    public void abandon() {
+    public void releaseUnlessRetained() {
         if (!description.isKeyed() || !state.isComplete()) {
             release();
         }
@@ -219,7 +219,7 @@
             release();
         } else {
             notifyReaders();
-            notifyFlow();
+            notifyFlowListener();
         }
     }
 
@@ -234,17 +234,17 @@
         spool.policy().release(id, spool.now());
         spool.remove(this);
         file.delete();
-        notifyFlow();
+        notifyFlowListener();
         notifyReaders();
     }
 
     /**
      * Returns a new reader.
      *
-     * @param onProgress run when {@link SpoolReader#poll} or {@link SpoolReader#readState} may return
+     * @param onProgress run when {@link SpoolReader#poll} or {@link SpoolReader#readStatus} may return
      *     another value
      */
-    public SpoolReader read(Runnable onProgress) {
+    public SpoolReader openReader(Runnable onProgress) {
         ResultReader reader = new ResultReader(this, onProgress);
         readers.add(reader);
         spool.policy().readerOpened(id, spool.now());
@@ -261,14 +261,14 @@
 
     /** Returns a block by number, null if it has not arrived; ends the current block if it is that one. */
     Block blockOrNull(int number) {
-        if (number == blocks.end()) {
-            seal();
+        if (number == blocks.nextNumber()) {
+            endBlock();
         }
-        return number == blocks.end() ? null : blocks.get(number);
+        return number == blocks.nextNumber() ? null : blocks.get(number);
     }
 
-    int numberOfBlockWith(long row) {
-        return blocks.numberOfRow(row);
+    int blockNumberOfRow(long row) {
+        return blocks.blockNumberOfRow(row);
     }
 
     void load(Block block, SegmentStore.Completion<byte[]> completion) {
@@ -279,20 +279,20 @@
     void blockRead() {
         spool.policy().blockRead(id, spool.now());
         removeReadBlocks();
-        notifyFlow();
+        notifyFlowListener();
     }
 
     /** Returns what follows the blocks that a reader has read, given the number of its next block. */
-    ReadState readState(int nextBlock) {
-        boolean hasMore = nextBlock < blocks.end() || !buffer.isEmpty();
-        return state.readState(hasMore);
+    ReadStatus readStatus(int nextBlock) {
+        boolean hasMore = nextBlock < blocks.nextNumber() || !buffer.isEmpty();
+        return state.readStatus(hasMore);
     }
 
     void readerClosed(ResultReader reader) {
         readers.remove(reader);
         boolean isReleasable = spool.policy().readerClosed(id, spool.now());
-        boolean isRereadable = description.isKeyed() && state == ResultState.GROWING;
-        if (isReleasable && !isRereadable) {
+        boolean willBeRetained = description.isKeyed() && state == ResultState.RECEIVING;
+        if (isReleasable && !willBeRetained) {
             release();
         }
     }
--- a/src/main/java/lineward/spool/store/BlockCodec.java
+++ b/src/main/java/lineward/spool/store/BlockCodec.java
@@ -20,38 +20,38 @@
             LZ4Factory.safeInstance().safeDecompressor();
 
     /** A payload in its stored form, from the buffer's position to its limit. */
-    record Encoded(Kind kind, ByteBuffer payload) {}
+    record EncodedBlock(Kind kind, ByteBuffer payload) {}
 
     private BlockCodec() {}
 
     /** Returns the block compressed, or unchanged if compression saves too little. */
-    static Encoded encode(byte[] raw) {
+    static EncodedBlock encode(byte[] raw) {
         byte[] compressed = new byte[COMPRESSOR.maxCompressedLength(raw.length)];
         int length = COMPRESSOR.compress(raw, 0, raw.length, compressed, 0, compressed.length);
         return length <= raw.length - raw.length / MIN_SAVING_DIVISOR
-                ? new Encoded(Kind.LZ4, ByteBuffer.wrap(compressed, 0, length))
-                : new Encoded(Kind.RAW, ByteBuffer.wrap(raw));
+                ? new EncodedBlock(Kind.LZ4, ByteBuffer.wrap(compressed, 0, length))
+                : new EncodedBlock(Kind.RAW, ByteBuffer.wrap(raw));
     }
 
     /**
      * Returns the decompressed bytes of a block.
      *
      * @param payload the stored bytes: all that remain in the buffer
-     * @throws CorruptSegmentException if they don't decompress to exactly {@code rawBytes} bytes
+     * @throws UnusableSegmentException if they don't decompress to exactly {@code rawBytes} bytes
      */
-    static byte[] decode(Kind kind, ByteBuffer payload, int rawBytes) throws CorruptSegmentException {
+    static byte[] decode(Kind kind, ByteBuffer payload, int rawBytes) throws UnusableSegmentException {
         byte[] raw = new byte[rawBytes];
         int length = kind == Kind.LZ4 ? decompress(payload, raw) : copy(payload, raw);
-        CorruptSegmentException.check(length == rawBytes, "a block has not its length");
+        UnusableSegmentException.check(length == rawBytes, "a block has not its length");
         return raw;
     }
 
-    private static int decompress(ByteBuffer payload, byte[] raw) throws CorruptSegmentException {
+    private static int decompress(ByteBuffer payload, byte[] raw) throws UnusableSegmentException {
         try {
             return DECOMPRESSOR.decompress(
                     payload, payload.position(), payload.remaining(), ByteBuffer.wrap(raw), 0, raw.length);
         } catch (LZ4Exception e) {
-            throw new CorruptSegmentException("a block can't be unpacked", e);
+            throw new UnusableSegmentException("a block can't be unpacked", e);
         }
     }
 
--- a/src/main/java/lineward/spool/store/Segment.java
+++ b/src/main/java/lineward/spool/store/Segment.java
@@ -1,6 +1,6 @@
 package lineward.spool.store;
 
-import static lineward.spool.store.CorruptSegmentException.check;
+import static lineward.spool.store.UnusableSegmentException.check;
 
 import java.io.EOFException;
 import java.io.IOException;
@@ -32,11 +32,11 @@
      * @param blocks locations of the blocks, in order
      * @param fileBytes length of the file
      */
-    public record Found(Segment segment, Manifest manifest, List<Extent> blocks, long fileBytes) {}
+    public record Result(Segment segment, Manifest manifest, List<Extent> blocks, long fileBytes) {}
 
     private final Path path;
     /** Length of the file, and offset of the next block. */
-    private long end;
+    private long length;
 
     Segment(Path path) {
         this.path = path;
@@ -49,7 +49,7 @@
 
     /** Returns the current length of the file, in bytes. */
     public long length() {
-        return end;
+        return length;
     }
 
     /** Creates the file, which must not exist yet. */
@@ -58,18 +58,18 @@
         try (FileChannel channel = FileChannel.open(path, options)) {
             writeFully(channel, SegmentFormat.header(createdMs), 0);
         }
-        end = SegmentFormat.HEADER_BYTES;
+        length = SegmentFormat.HEADER_BYTES;
     }
 
     /** Appends a block of rows, compressed if that saves space, and returns where it is stored. */
     Extent append(byte[] raw, long firstRow, int rows) throws IOException {
-        BlockCodec.Encoded encoded = BlockCodec.encode(raw);
+        BlockCodec.EncodedBlock encoded = BlockCodec.encode(raw);
         ByteBuffer block = SegmentFormat.block(encoded.kind(), encoded.payload(), raw.length, firstRow, rows);
-        Extent location = new Extent(end, block.remaining(), firstRow, rows, raw.length);
+        Extent location = new Extent(length, block.remaining(), firstRow, rows, raw.length);
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.WRITE)) {
-            writeFully(channel, block, end);
+            writeFully(channel, block, length);
         }
-        end += location.storedBytes();
+        length += location.storedBytes();
         return location;
     }
 
@@ -80,11 +80,11 @@
             int footerBytes = footer.remaining();
             ByteBuffer block =
                     SegmentFormat.block(SegmentFormat.Kind.MANIFEST, footer, footerBytes, manifest.rows(), 0);
-            long footerOffset = end;
-            end += block.remaining();
+            long footerOffset = length;
+            length += block.remaining();
             writeFully(channel, block, footerOffset);
-            writeFully(channel, SegmentFormat.trailer(footerOffset), end);
-            end += SegmentFormat.TRAILER_BYTES;
+            writeFully(channel, SegmentFormat.trailer(footerOffset), length);
+            length += SegmentFormat.TRAILER_BYTES;
             // The result must survive a power failure, as its client may read it afterwards.
             channel.force(false);
         }
@@ -93,7 +93,7 @@
     /**
      * Returns the bytes of a block, decompressed.
      *
-     * @throws CorruptSegmentException if the block's bytes differ from those that were written
+     * @throws UnusableSegmentException if the block's bytes differ from those that were written
      */
     public byte[] read(Extent location) throws IOException {
         ByteBuffer block = ByteBuffer.allocate(location.storedBytes());
@@ -103,8 +103,8 @@
         return decode(block.flip(), location);
     }
 
-    private static byte[] decode(ByteBuffer block, Extent location) throws CorruptSegmentException {
-        SegmentFormat.BlockHeader header = SegmentFormat.readBlockHeader(block);
+    private static byte[] decode(ByteBuffer block, Extent location) throws UnusableSegmentException {
+        SegmentFormat.BlockHeader header = SegmentFormat.decodeBlockHeader(block);
         SegmentFormat.verify(block, header);
         check(isBlockAt(location, header), "a block stands at another's place");
         ByteBuffer payload = block.slice(SegmentFormat.BLOCK_HEADER_BYTES, header.storedBytes());
@@ -122,30 +122,30 @@
      * Opens an existing file and checks its header, trailer, manifest and index. A block is checked only when
      * it is read.
      *
-     * @throws CorruptSegmentException if it is not a complete result
+     * @throws UnusableSegmentException if it is not a complete result
      */
-    static Found open(Path path) throws IOException {
+    static Result open(Path path) throws IOException {
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
             long size = channel.size();
             checkHeader(channel, size);
             long footerOffset = readTrailer(channel, size);
             SegmentFooter footer = readFooter(channel, footerOffset, size);
             Segment segment = new Segment(path);
-            segment.end = size;
-            return new Found(segment, footer.manifest(), footer.blocks(), size);
+            segment.length = size;
+            return new Result(segment, footer.manifest(), footer.blocks(), size);
         }
     }
 
     private static void checkHeader(FileChannel channel, long size) throws IOException {
         check(size >= SegmentFormat.HEADER_BYTES, "it is cut within its head");
-        SegmentFormat.readHeader(read(channel, 0, SegmentFormat.HEADER_BYTES));
+        SegmentFormat.decodeHeader(read(channel, 0, SegmentFormat.HEADER_BYTES));
         check(size >= SegmentFormat.MIN_COMPLETE_BYTES, "it was never completed");
     }
 
     private static long readTrailer(FileChannel channel, long size) throws IOException {
         long trailerOffset = size - SegmentFormat.TRAILER_BYTES;
         ByteBuffer trailer = read(channel, trailerOffset, SegmentFormat.TRAILER_BYTES);
-        long footerOffset = SegmentFormat.readTrailer(trailer);
+        long footerOffset = SegmentFormat.decodeTrailer(trailer);
         boolean isInFile = footerOffset >= SegmentFormat.HEADER_BYTES
                 && footerOffset <= trailerOffset - SegmentFormat.BLOCK_HEADER_BYTES;
         check(isInFile && size - footerOffset <= SegmentFormat.MAX_BLOCK_BYTES, "its trailer is spoilt");
@@ -155,7 +155,7 @@
     private static SegmentFooter readFooter(FileChannel channel, long offset, long size) throws IOException {
         int length = (int) (size - SegmentFormat.TRAILER_BYTES - offset);
         ByteBuffer block = read(channel, offset, length);
-        SegmentFormat.BlockHeader header = SegmentFormat.readBlockHeader(block);
+        SegmentFormat.BlockHeader header = SegmentFormat.decodeBlockHeader(block);
         SegmentFormat.verify(block, header);
         check(header.kind() == SegmentFormat.Kind.MANIFEST, "it has no manifest");
         return SegmentFooter.decode(block.position(SegmentFormat.BLOCK_HEADER_BYTES), offset);
--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -238,7 +238,7 @@
     private static void measureRecovery() throws IOException {
         Path folder = Files.createTempDirectory("recover");
         int megabytes = 512;
-        SpoolFixture.fill(folder, megabytes / 16, 16);
+        SpoolFixture.writeResults(folder, megabytes / 16, 16);
         long start = System.nanoTime();
         try (SpoolFolder spool = SpoolFolder.acquire(folder)) {
             int recovered = spool.recover().complete().size();
@@ -247,7 +247,7 @@
                     (System.nanoTime() - start) / NANOS_PER_MS,
                     "ms for " + recovered + " results, " + SpoolFixture.megabytes(folder) + " MB on file");
         }
-        print("wrong-bytes", SpoolFixture.wrongBytes(folder, new Random(1), 1000), "in 1000 crash points");
+        print("wrong-bytes", SpoolFixture.wrongBlocks(folder, new Random(1), 1000), "in 1000 crash points");
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted((a, b) -> b.compareTo(a)).forEach(f -> f.toFile().delete());
         }
--- a/src/measure/java/lineward/spool/store/SpoolFixture.java
+++ b/src/measure/java/lineward/spool/store/SpoolFixture.java
@@ -24,7 +24,7 @@
     }
 
     /** Writes results of random bytes, which don't compress. */
-    public static void fill(Path folder, int results, int megabytes) throws IOException {
+    public static void writeResults(Path folder, int results, int megabytes) throws IOException {
         for (int result = 0; result < results; result++) {
             Segment segment = new Segment(folder.resolve("r" + result + SpoolFolder.SEGMENT_SUFFIX));
             segment.create(1);
@@ -45,7 +45,7 @@
     }
 
     /** Truncates or changes a file this many times; returns how many blocks were read with wrong bytes. */
-    public static int wrongBytes(Path folder, Random random, int times) throws IOException {
+    public static int wrongBlocks(Path folder, Random random, int times) throws IOException {
         int wrong = 0;
         Path file = folder.resolve("corrupt" + SpoolFolder.SEGMENT_SUFFIX);
         List<byte[]> blocks = new ArrayList<>();
@@ -69,7 +69,7 @@
             }
             Files.write(file, corrupt);
             try {
-                Segment.Found found = Segment.open(file);
+                Segment.Result found = Segment.open(file);
                 for (int i = 0; i < found.blocks().size(); i++) {
                     byte[] read = found.segment().read(found.blocks().get(i));
                     wrong += Arrays.equals(read, blocks.get(i)) ? 0 : 1;
--- a/src/test/java/lineward/spool/SpoolTest.java
+++ b/src/test/java/lineward/spool/SpoolTest.java
@@ -47,7 +47,7 @@
             return new Spool(limits, null, () -> now);
         }
         SpoolFolder lockedFolder = SpoolFolder.acquire(folder);
-        SpoolFolder.Recovered found = lockedFolder.recover();
+        SpoolFolder.Contents found = lockedFolder.recover();
         Spool spool = new Spool(limits, new SegmentStore(lockedFolder, eventLoop::add), () -> now);
         spool.restore(found);
         return spool;
@@ -77,7 +77,7 @@
 
     private byte[] drain(SpoolReader reader) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        while (reader.readState() == ReadState.MORE) {
+        while (reader.readStatus() == ReadStatus.MORE) {
             ResultChunk chunk = reader.poll();
             if (chunk == null) {
                 runNextTask();
@@ -102,7 +102,7 @@
                     append(result, row, true);
                     wrote.writeBytes(row);
                     if (i == 100) {
-                        reader = result.read(() -> {});
+                        reader = result.openReader(() -> {});
                     }
                     while (reader != null && (seed % 2 != 0 || random.nextInt(3) == 0)) {
                         ResultChunk chunk = reader.poll();
@@ -114,7 +114,7 @@
                 }
                 result.complete();
                 read.writeBytes(drain(reader));
-                assertEquals(reader.readState(), ReadState.END);
+                assertEquals(reader.readStatus(), ReadStatus.END);
                 assertEquals(read.toByteArray(), wrote.toByteArray(), "seed " + seed);
                 // Waits until every block has been written and released, and only then closes the reader.
                 for (Runnable task = eventLoop.poll(200, TimeUnit.MILLISECONDS);
@@ -160,10 +160,10 @@
             assertNull(second.find("other", "k"));
             assertNull(second.find("u", "half"), "an incomplete result is deleted");
             SpooledResult found = second.find("u", "k");
-            assertEquals(found.statement(), "digest");
-            SpoolReader reader = found.read(() -> {});
+            assertEquals(found.digest(), "digest");
+            SpoolReader reader = found.openReader(() -> {});
             assertEquals(drain(reader).length, 20 * row.length);
-            SpoolReader page = found.read(() -> {});
+            SpoolReader page = found.openReader(() -> {});
             int before = page.seek(15);
             ResultChunk chunk = null;
             while (chunk == null) {
@@ -211,9 +211,9 @@
                 }
             }
             assertTrue(rows < 100, "no backpressure after " + rows + " rows");
-            SpoolReader reader = result.read(() -> {});
+            SpoolReader reader = result.openReader(() -> {});
             int readBytes = 0;
-            while (reader.readState() == ReadState.MORE) {
+            while (reader.readStatus() == ReadStatus.MORE) {
                 ResultChunk chunk = reader.poll();
                 if (chunk == null) {
                     break;
@@ -233,13 +233,13 @@
             SpooledResult result = spool.begin("u", "", "");
             append(result, new byte[200_000], true);
             int[] notifications = new int[1];
-            SpoolReader reader = result.read(() -> notifications[0]++);
+            SpoolReader reader = result.openReader(() -> notifications[0]++);
             reader.poll();
             result.complete();
             now = 1001;
             spool.tick();
             assertTrue(notifications[0] > 0);
-            assertEquals(reader.readState(), ReadState.EXPIRED);
+            assertEquals(reader.readStatus(), ReadStatus.EXPIRED);
             reader.close();
             assertEquals(spool.statistics().memoryBytes(), 0);
             assertEquals(spool.statistics().expired(), 1);
@@ -250,12 +250,12 @@
     public void failedResultIsReportedAfterItsLastByte() throws IOException {
         try (Spool spool = spool(false)) {
             SpooledResult result = spool.begin("u", "", "");
-            SpoolReader reader = result.read(() -> {});
+            SpoolReader reader = result.openReader(() -> {});
             append(result, new byte[100], true);
             result.fail();
-            assertEquals(reader.readState(), ReadState.MORE);
+            assertEquals(reader.readStatus(), ReadStatus.MORE);
             assertEquals(reader.poll().bytes().length, 100);
-            assertEquals(reader.readState(), ReadState.BROKEN);
+            assertEquals(reader.readStatus(), ReadStatus.FAILED);
             reader.close();
             assertEquals(spool.statistics().results(), 0);
         }
--- a/src/test/java/lineward/spool/StoredSpoolTest.java
+++ b/src/test/java/lineward/spool/StoredSpoolTest.java
@@ -59,7 +59,7 @@
         long total = 64 * MB;
         SpoolLimits limits = new SpoolLimits(2 * MB, total, 100, 100, total, 32 * MB, MB, 0.5, 1000, 5000);
         SpoolFolder locked = SpoolFolder.acquire(folder);
-        SpoolFolder.Recovered recovered = locked.recover();
+        SpoolFolder.Contents recovered = locked.recover();
         Spool spool = new Spool(limits, new SegmentStore(locked, eventLoop::add), () -> 0);
         spool.restore(recovered);
         return spool;
@@ -105,8 +105,8 @@
 
     private byte[] read(SpooledResult result) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        SpoolReader reader = result.read(() -> {});
-        while (reader.readState() == ReadState.MORE) {
+        SpoolReader reader = result.openReader(() -> {});
+        while (reader.readStatus() == ReadStatus.MORE) {
             ResultChunk chunk = reader.poll();
             if (chunk == null) {
                 runNextTask(eventLoop);
@@ -114,7 +114,7 @@
                 all.writeBytes(chunk.bytes());
             }
         }
-        assertEquals(reader.readState(), ReadState.END);
+        assertEquals(reader.readStatus(), ReadStatus.END);
         reader.close();
         return all.toByteArray();
     }
@@ -122,7 +122,7 @@
     @Test
     public void resultOfSeveralBlocksIsReadToTheByte() {
         SpooledResult result = spool.find(USER, "orders/2026-11");
-        assertEquals(result.statement(), STATEMENT);
+        assertEquals(result.digest(), STATEMENT);
         assertTrue(result.isComplete());
         assertEquals(read(result), expected(20));
     }
@@ -141,7 +141,7 @@
 
     @Test
     public void readerFindsTheBlockOfEachRow() {
-        SpoolReader reader = spool.find(USER, "orders/2026-11").read(() -> {});
+        SpoolReader reader = spool.find(USER, "orders/2026-11").openReader(() -> {});
         for (int row = 0; row < 20; row++) {
             int rowsBefore = reader.seek(row);
             ResultChunk chunk = reader.poll();
@@ -164,7 +164,7 @@
         try (Spool spool = open(folder, eventLoop)) {
             SpooledResult blocks = spool.begin(USER, "orders/2026-11", STATEMENT);
             append(blocks, head(), false);
-            blocks.seal();
+            blocks.endBlock();
             for (int i = 0; i < 20; i++) {
                 append(blocks, row(i), true);
             }
@@ -174,7 +174,7 @@
             empty.complete();
             SpooledResult incomplete = spool.begin(USER, "incomplete", STATEMENT);
             append(incomplete, head(), false);
-            incomplete.seal();
+            incomplete.endBlock();
             // Runs the completions of five block writes and two manifest writes.
             for (int i = 0; i < 7; i++) {
                 runNextTask(eventLoop);
--- a/src/test/java/lineward/spool/store/SegmentTest.java
+++ b/src/test/java/lineward/spool/store/SegmentTest.java
@@ -65,7 +65,7 @@
 
     /** Returns whether the file is accepted and yields wrong bytes, or has another number of blocks. */
     private static boolean servesWrongBytes(Path file, List<byte[]> blocks) {
-        Segment.Found found;
+        Segment.Result found;
         try {
             found = Segment.open(file);
         } catch (IOException | RuntimeException e) {
@@ -143,7 +143,7 @@
     public void foreignFileIsRecognisedByItsHeader(byte[] bytes, String reason) throws IOException {
         Path file = folder.resolve("x" + SpoolFolder.SEGMENT_SUFFIX);
         Files.write(file, bytes);
-        SpoolFolder.Recovered recovered = SpoolFolder.inspect(folder);
+        SpoolFolder.Contents recovered = SpoolFolder.inspect(folder);
         assertEquals(recovered.complete().size(), 0);
         assertTrue(
                 recovered.unusable().get(0).reason().contains(reason),
@@ -161,7 +161,7 @@
                 folder.resolve("later" + SpoolFolder.SEGMENT_SUFFIX),
                 SegmentFormat.header(1).putInt(8, 2).array());
         try (SpoolFolder lockedFolder = SpoolFolder.acquire(folder)) {
-            SpoolFolder.Recovered recovered = lockedFolder.recover();
+            SpoolFolder.Contents recovered = lockedFolder.recover();
             assertEquals(recovered.complete().size(), 1);
             assertEquals(recovered.complete().get(0).manifest().key(), "good");
         }
@@ -196,7 +196,7 @@
     public void removedOrReplacedFileFailsTheRead() throws IOException {
         Path one = write("one", blocks(new Random(4), 2));
         Path two = write("two", blocks(new Random(5), 2));
-        Segment.Found found = Segment.open(one);
+        Segment.Result found = Segment.open(one);
         Files.move(two, one, StandardCopyOption.REPLACE_EXISTING);
         assertThrows(
                 IOException.class, () -> found.segment().read(found.blocks().get(1)));
--- a/src/test/java/lineward/spool/store/StoredSegmentTest.java
+++ b/src/test/java/lineward/spool/store/StoredSegmentTest.java
@@ -72,9 +72,9 @@
     public void storedSegmentIsRecoveredWithManifestIndexAndBlocks() throws IOException {
         Files.write(folder.resolve(STORED), stored());
         try (SpoolFolder lockedFolder = SpoolFolder.acquire(folder)) {
-            SpoolFolder.Recovered recovered = lockedFolder.recover();
+            SpoolFolder.Contents recovered = lockedFolder.recover();
             assertEquals(recovered.unusable(), List.of());
-            Segment.Found found = recovered.complete().get(0);
+            Segment.Result found = recovered.complete().get(0);
             assertEquals(found.manifest(), MANIFEST);
             assertEquals(found.fileBytes(), stored().length);
             assertEquals(found.blocks().size(), blocks().size());
