--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -60,12 +60,12 @@
     /**
      * Limits on the resources that clients use.
      *
-     * @param clients maximum number of client connections
-     * @param statementBytes maximum bytes of the statements of open requests; others are rejected
-     * @param unreadBytes maximum bytes of responses that are not completely written, because clients do
+     * @param maxClients maximum number of client connections
+     * @param maxStatementBytes maximum bytes of the statements of open requests; others are rejected
+     * @param maxUnreadBytes maximum bytes of responses that are not completely written, because clients do
      *     not read them; beyond it the client with the most such bytes is closed
      */
-    public record Bounds(int clients, long statementBytes, long unreadBytes) {}
+    public record Bounds(int maxClients, long maxStatementBytes, long maxUnreadBytes) {}
 
     /**
      * The services of the program that the server uses.
@@ -119,10 +119,10 @@
         this.driver = new CoordinatorDriver<>(coordinator, services.clock(), services.tick());
         this.engines = engines;
         this.clients = new ClientRegistry<>(
-                bounds.clients(), System::nanoTime, ClientHandler::close, ClientHandler::closeGracefully);
+                bounds.maxClients(), System::nanoTime, ClientHandler::close, ClientHandler::closeGracefully);
         Metrics metrics = services.metrics();
-        this.calls = new OpenCalls(names, bounds.statementBytes(), this.driver, metrics);
-        this.responses = new ResponseSender(clients, bounds.unreadBytes());
+        this.calls = new OpenCalls(names, bounds.maxStatementBytes(), this.driver, metrics);
+        this.responses = new ResponseSender(clients, bounds.maxUnreadBytes());
         this.forwarder = new CallForwarder(this.driver, engines, calls, services);
         metrics.setUnreadBytes(responses::unreadBytes);
     }
