--- a/src/main/java/lineward/thrift/CallForwarder.java
+++ b/src/main/java/lineward/thrift/CallForwarder.java
@@ -20,14 +20,14 @@
     private final CoordinatorDriver<Call> driver;
     private final EngineCluster engines;
     private final OpenCalls calls;
-    private final Consumer<byte[]> peers;
+    private final Consumer<byte[]> gossipSender;
 
     /** @param services used only for their sender of gossip datagrams */
     CallForwarder(CoordinatorDriver<Call> driver, EngineCluster engines, OpenCalls calls, Services services) {
         this.driver = driver;
         this.engines = engines;
         this.calls = calls;
-        this.peers = services.gossip();
+        this.gossipSender = services.gossipSender();
     }
 
     @Override
@@ -71,7 +71,7 @@
 
     @Override
     public void broadcastGossip(Command.BroadcastGossip<Call> command) {
-        peers.accept(command.payload());
+        gossipSender.accept(command.payload());
     }
 
     @Override
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -71,11 +71,12 @@
      * The services of the program that the server uses.
      *
      * @param clock monotonic time in milliseconds
-     * @param tick schedules a call of {@link ThriftServer#tick}
+     * @param tickRequest schedules a call of {@link ThriftServer#tick}
      * @param metrics counts the requests that end before the coordinator has admitted them
-     * @param gossip sends a datagram to the other front ends
+     * @param gossipSender sends a datagram to the other front ends
      */
-    public record Services(DoubleSupplier clock, Runnable tick, Metrics metrics, Consumer<byte[]> gossip) {}
+    public record Services(
+            DoubleSupplier clock, Runnable tickRequest, Metrics metrics, Consumer<byte[]> gossipSender) {}
 
     private final Listener listener;
     private final CoordinatorDriver<Call> driver;
@@ -116,7 +117,7 @@
             EngineCluster engines,
             Services services) {
         this.listener = listener;
-        this.driver = new CoordinatorDriver<>(coordinator, services.clock(), services.tick());
+        this.driver = new CoordinatorDriver<>(coordinator, services.clock(), services.tickRequest());
         this.engines = engines;
         this.clients = new ClientRegistry<>(
                 bounds.maxClients(), System::nanoTime, ClientHandler::close, ClientHandler::closeGracefully);
