--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -7,8 +7,8 @@
 import lineward.engine.EngineWarmup;
 import lineward.scheduling.execution.SpeculativeScheduler;
 import lineward.thrift.Call;
-import lineward.thrift.ProtocolWarmup;
 import lineward.thrift.ThriftServer;
+import lineward.thrift.ThriftWarmup;
 
 /** Wires the platform's protocol: the Thrift server, the connections to engines and a coordinator. */
 final class ThriftWiring {
@@ -105,7 +105,7 @@
     /** Loads and compiles the code that the first requests use; runs it with a separate coordinator. */
     private void loadClasses(EngineCluster cluster) {
         EngineWarmup.run();
-        ProtocolWarmup.run(names, bounds, coordinator(0, new LogTracer<>()), cluster, context.clock());
+        ThriftWarmup.run(names, bounds, coordinator(0, new LogTracer<>()), cluster, context.clock());
     }
 
     private EndpointList endpoints(EndpointList.Listener listener) {
--- a/src/main/java/lineward/thrift/ProtocolWarmup.java
+++ b/src/main/java/lineward/thrift/ThriftWarmup.java
@@ -17,7 +17,7 @@
  * Runs requests through a server without sockets or engines before the program listens, so that the JVM loads
  * and compiles the code. This would otherwise delay the first request by many milliseconds.
  */
-public final class ProtocolWarmup {
+public final class ThriftWarmup {
     private static final int REQUESTS = 60;
     /** Below the maximum number of open calls on a connection, because queued requests stay open. */
     private static final int REQUESTS_PER_CONNECTION = 25;
@@ -25,7 +25,7 @@
     private static final int TIME_LEFT_MS = 2_000;
     private static final String STATEMENT = "select a from warmup_1.t where b = 'c'";
 
-    private ProtocolWarmup() {}
+    private ThriftWarmup() {}
 
     /**
      * Runs the requests. Called once, on the event loop.
