--- a/src/main/java/lineward/thrift/Call.java
+++ b/src/main/java/lineward/thrift/Call.java
@@ -24,7 +24,7 @@
     private final CallFields fields;
     private final ByteBuf statement;
     private State state = State.OPEN;
-    private long requestId = NOT_ADMITTED;
+    private long coordinatorRequestId = NOT_ADMITTED;
     /** The latest attempt; null before the first one. */
     private QueryAttempt attempt;
 
@@ -69,13 +69,13 @@
     }
 
     /** Returns the coordinator's id of the request; the call must have been admitted. */
-    long requestId() {
-        return requestId;
+    long coordinatorRequestId() {
+        return coordinatorRequestId;
     }
 
     /** Records the id under which the coordinator has admitted the call. */
     void admitted(long id) {
-        requestId = id;
+        coordinatorRequestId = id;
     }
 
     /** Records an attempt that the coordinator has started; it replaces the previous one. */
--- a/src/main/java/lineward/thrift/CallForwarder.java
+++ b/src/main/java/lineward/thrift/CallForwarder.java
@@ -111,7 +111,7 @@
 
         @Override
         public void ended(AttemptOutcome outcome, ByteBuf result) {
-            if (driver.attemptEnded(call.requestId(), attemptNumber, outcome)) {
+            if (driver.attemptEnded(call.coordinatorRequestId(), attemptNumber, outcome)) {
                 respond(call, ThriftWriter.result(allocator(call), call.sequenceNumber(), result));
             } else if (result != null) {
                 result.release();
@@ -120,7 +120,7 @@
 
         @Override
         public void progressed(ProgressKind kind, double amount) {
-            driver.attemptProgressed(call.requestId(), attemptNumber, kind, amount);
+            driver.attemptProgressed(call.coordinatorRequestId(), attemptNumber, kind, amount);
         }
     }
 }
--- a/src/main/java/lineward/thrift/OpenCalls.java
+++ b/src/main/java/lineward/thrift/OpenCalls.java
@@ -76,18 +76,18 @@
         if (!admission.mayAdmit(bytes)) {
             return false;
         }
-        OptionalLong requestId = driver.admit(call.fields().attributes(), call);
-        if (requestId.isEmpty()) {
+        OptionalLong coordinatorRequestId = driver.admit(call.fields().attributes(), call);
+        if (coordinatorRequestId.isEmpty()) {
             return false;
         }
         admission.recordAdmitted(bytes);
-        call.admitted(requestId.getAsLong());
+        call.admitted(coordinatorRequestId.getAsLong());
         return true;
     }
 
     /** Cancels a call whose client no longer waits for it. */
     void cancel(Call call) {
-        driver.cancel(call.requestId());
+        driver.cancel(call.coordinatorRequestId());
         complete(call);
     }
 
