--- a/src/main/java/lineward/thrift/ClientHandler.java
+++ b/src/main/java/lineward/thrift/ClientHandler.java
@@ -32,7 +32,7 @@
     private final OpenCalls calls;
     private final ResponseSender responses;
     private final FrameDecoder frameDecoder;
-    private final Map<Integer, Call> openCalls = new HashMap<>();
+    private final Map<Integer, Call> callsBySequenceNumber = new HashMap<>();
     private Channel channel;
     private long unreadBytes;
     /** Responses that are not completely written. The client still regards their calls as open. */
@@ -103,7 +103,7 @@
         if (sequenceNumber.isEmpty() || sequenceNumber.getAsInt() > lastSequenceNumber) {
             throw new DecoderException("abort of an unknown request");
         }
-        Call call = openCalls.remove(sequenceNumber.getAsInt());
+        Call call = callsBySequenceNumber.remove(sequenceNumber.getAsInt());
         if (call != null) {
             calls.cancel(call);
             becomeIdleIfNoCallIsOpen();
@@ -126,7 +126,7 @@
             send(ThriftWriter.overloaded(channel.alloc(), sequenceNumber, RETRY_AFTER_MS));
             return;
         }
-        openCalls.put(sequenceNumber, call);
+        callsBySequenceNumber.put(sequenceNumber, call);
         clients.becameWaiting(this);
     }
 
@@ -136,20 +136,20 @@
             throw new DecoderException("sequence number " + sequenceNumber + " is not above the last one");
         }
         lastSequenceNumber = sequenceNumber;
-        if (openCalls.size() + unsentResponses >= MAX_OPEN_CALLS) {
+        if (callsBySequenceNumber.size() + unsentResponses >= MAX_OPEN_CALLS) {
             throw new DecoderException("more than " + MAX_OPEN_CALLS + " open requests");
         }
     }
 
     private void becomeIdleIfNoCallIsOpen() {
-        if (openCalls.isEmpty()) {
+        if (callsBySequenceNumber.isEmpty()) {
             clients.becameIdle(this);
         }
     }
 
     /** Sends the final response of a call, or releases it if the client no longer waits for it. */
     void respond(Call call, ByteBuf response) {
-        if (openCalls.remove(call.sequenceNumber(), call)) {
+        if (callsBySequenceNumber.remove(call.sequenceNumber(), call)) {
             send(response);
             becomeIdleIfNoCallIsOpen();
         } else {
@@ -168,7 +168,7 @@
 
     /** Returns whether no call is open, no frame partly received and no response still being written. */
     boolean isIdle() {
-        return openCalls.isEmpty() && unsentResponses == 0 && !frameDecoder.hasPartialFrame();
+        return callsBySequenceNumber.isEmpty() && unsentResponses == 0 && !frameDecoder.hasPartialFrame();
     }
 
     /** Closes the connection if it is still idle once the bytes that have arrived are read. */
@@ -217,7 +217,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         clients.disconnected(this);
-        new ArrayList<>(openCalls.values()).forEach(calls::cancel);
-        openCalls.clear();
+        new ArrayList<>(callsBySequenceNumber.values()).forEach(calls::cancel);
+        callsBySequenceNumber.clear();
     }
 }
