--- a/src/main/java/lineward/thrift/ClientHandler.java
+++ b/src/main/java/lineward/thrift/ClientHandler.java
@@ -74,13 +74,13 @@
         if (header.isAbort()) {
             abort(ThriftReader.readAbortedSequenceNumber(frame));
         } else if (header.isCall()) {
-            call(header, frame);
+            handleCall(header, frame);
         } else {
             throw new DecoderException("unexpected message type " + header.kind() + " of " + header.method());
         }
     }
 
-    private void call(ThriftReader.Header header, ByteBuf frame) {
+    private void handleCall(ThriftReader.Header header, ByteBuf frame) {
         int sequenceNumber = header.sequenceNumber();
         switch (header.method()) {
             case ThriftProtocol.INVOKE -> invoke(sequenceNumber, ThriftReader.readInvocation(frame));
