--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -40,7 +40,7 @@
      * A connection is closed if no request arrives within this time after it was opened, or if a frame stays
      * incomplete for this time.
      */
-    private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
+    private static final long RECEIVE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
     /**
      * Time for writing the last responses after {@link #failOpenRequests}, before all connections are closed.
      * It ends before the process is killed.
@@ -205,9 +205,9 @@
     @Override
     public void closeUnresponsive() {
         engines.keepAlive();
-        clients.closeSilent(SILENCE_TIMEOUT_NANOS);
+        clients.closeSilent(RECEIVE_TIMEOUT_NANOS);
         clients.all().stream()
-                .filter(client -> client.isStalled(SILENCE_TIMEOUT_NANOS))
+                .filter(client -> client.isStalled(RECEIVE_TIMEOUT_NANOS))
                 .forEach(ClientHandler::close);
         calls.expireIds();
     }
