--- a/src/main/java/lineward/thrift/ClientHandler.java
+++ b/src/main/java/lineward/thrift/ClientHandler.java
@@ -76,7 +76,7 @@
         } else if (header.isCall()) {
             handleCall(header, frame);
         } else {
-            throw new DecoderException("unexpected message type " + header.kind() + " of " + header.method());
+            throw new DecoderException("unexpected message type " + header.type() + " of " + header.method());
         }
     }
 
--- a/src/main/java/lineward/thrift/ThriftProtocol.java
+++ b/src/main/java/lineward/thrift/ThriftProtocol.java
@@ -9,7 +9,7 @@
     static final int VERSION = 0x80010000;
 
     static final int VERSION_MASK = 0xffff0000;
-    static final int MESSAGE_KIND_MASK = 0xff;
+    static final int MESSAGE_TYPE_MASK = 0xff;
 
     /** Message types. */
     static final int CALL = 1;
--- a/src/main/java/lineward/thrift/ThriftReader.java
+++ b/src/main/java/lineward/thrift/ThriftReader.java
@@ -19,15 +19,15 @@
     /**
      * The header of a message.
      *
-     * @param kind one of the message types in {@link ThriftProtocol}
+     * @param type one of the message types in {@link ThriftProtocol}
      */
-    record Header(int kind, String method, int sequenceNumber) {
+    record Header(int type, String method, int sequenceNumber) {
         boolean isCall() {
-            return kind == ThriftProtocol.CALL;
+            return type == ThriftProtocol.CALL;
         }
 
         boolean isAbort() {
-            return kind == ThriftProtocol.ONEWAY && method.equals(ThriftProtocol.ABORT);
+            return type == ThriftProtocol.ONEWAY && method.equals(ThriftProtocol.ABORT);
         }
     }
 
@@ -44,8 +44,8 @@
     /** Reads the header of a message; the reader index is then at the arguments. */
     static Header readHeader(ByteBuf in) {
         try {
-            int versionAndKind = in.readInt();
-            if ((versionAndKind & ThriftProtocol.VERSION_MASK) != ThriftProtocol.VERSION) {
+            int versionAndType = in.readInt();
+            if ((versionAndType & ThriftProtocol.VERSION_MASK) != ThriftProtocol.VERSION) {
                 throw new CorruptedFrameException("not a message of the strict binary protocol");
             }
             int length = in.readInt();
@@ -53,7 +53,7 @@
                 throw new CorruptedFrameException("method name of " + length + " bytes");
             }
             String method = in.readCharSequence(length, StandardCharsets.UTF_8).toString();
-            return new Header(versionAndKind & ThriftProtocol.MESSAGE_KIND_MASK, method, in.readInt());
+            return new Header(versionAndType & ThriftProtocol.MESSAGE_TYPE_MASK, method, in.readInt());
         } catch (IndexOutOfBoundsException e) {
             throw new CorruptedFrameException("message header is truncated");
         }
--- a/src/main/java/lineward/thrift/ThriftWriter.java
+++ b/src/main/java/lineward/thrift/ThriftWriter.java
@@ -110,10 +110,10 @@
         return buffer.writeBoolean(served).writeByte(ThriftProtocol.STOP).writeByte(ThriftProtocol.STOP);
     }
 
-    private static ByteBuf begin(ByteBufAllocator alloc, int messageKind, String method, int sequenceNumber) {
+    private static ByteBuf begin(ByteBufAllocator alloc, int messageType, String method, int sequenceNumber) {
         ByteBuf buffer = alloc.buffer();
         // The first word is the length of the frame, which framed() sets.
-        buffer.writeInt(0).writeInt(ThriftProtocol.VERSION | messageKind);
+        buffer.writeInt(0).writeInt(ThriftProtocol.VERSION | messageType);
         writeString(buffer, method);
         return buffer.writeInt(sequenceNumber);
     }
