--- a/src/main/java/lineward/thrift/ThriftProtocol.java
+++ b/src/main/java/lineward/thrift/ThriftProtocol.java
@@ -59,7 +59,7 @@
     static final int RESULT_OK = 3;
 
     /** Field id in the struct of a declared exception: a map of strings. */
-    static final int DECLARED_FIELDS = 1;
+    static final int DECLARED_EXCEPTION_FIELDS = 1;
     /** Key in that map for the time in milliseconds after which the client should retry. */
     static final String RETRY_AFTER_FIELD = "pushback";
 
--- a/src/main/java/lineward/thrift/ThriftWriter.java
+++ b/src/main/java/lineward/thrift/ThriftWriter.java
@@ -81,7 +81,7 @@
             ByteBufAllocator alloc, int sequenceNumber, int fieldId, Map<String, String> fields) {
         ByteBuf buffer = begin(alloc, ThriftProtocol.REPLY, ThriftProtocol.INVOKE, sequenceNumber);
         writeFieldHeader(buffer, ThriftProtocol.STRUCT, fieldId);
-        writeStringMap(buffer, ThriftProtocol.DECLARED_FIELDS, fields);
+        writeStringMap(buffer, ThriftProtocol.DECLARED_EXCEPTION_FIELDS, fields);
         buffer.writeByte(ThriftProtocol.STOP).writeByte(ThriftProtocol.STOP);
         return framed(buffer);
     }
