--- a/src/main/java/lineward/thrift/ThriftWriter.java
+++ b/src/main/java/lineward/thrift/ThriftWriter.java
@@ -104,10 +104,10 @@
         return buffer;
     }
 
-    private static ByteBuf endSuccess(ByteBuf buffer, boolean served) {
+    private static ByteBuf endSuccess(ByteBuf buffer, boolean ok) {
         writeStringMap(buffer, ThriftProtocol.RESULT_FIELDS, Map.of());
         writeFieldHeader(buffer, ThriftProtocol.BOOL, ThriftProtocol.RESULT_OK);
-        return buffer.writeBoolean(served).writeByte(ThriftProtocol.STOP).writeByte(ThriftProtocol.STOP);
+        return buffer.writeBoolean(ok).writeByte(ThriftProtocol.STOP).writeByte(ThriftProtocol.STOP);
     }
 
     private static ByteBuf begin(ByteBufAllocator alloc, int messageType, String method, int sequenceNumber) {
