--- a/src/main/java/lineward/thrift/CallFields.java
+++ b/src/main/java/lineward/thrift/CallFields.java
@@ -35,7 +35,7 @@
             throw InvalidCallException.noStatement();
         }
         Map<CallField, String> fields = invocation.fields();
-        String id = matching(fields, CallField.ID, REQUEST_ID);
+        String id = requireMatch(fields, CallField.ID, REQUEST_ID);
         String requestClass = fields.getOrDefault(CallField.REQUEST_CLASS, "");
         int classIndex = names.classes().indexOf(requestClass);
         require(classIndex >= 0, CallField.REQUEST_CLASS);
@@ -63,7 +63,7 @@
     }
 
     private static int timeLeftMs(Map<CallField, String> fields, double maxMs) throws InvalidCallException {
-        int timeLeftMs = Integer.parseInt(matching(fields, CallField.TIME_LEFT_MS, INTEGER));
+        int timeLeftMs = Integer.parseInt(requireMatch(fields, CallField.TIME_LEFT_MS, INTEGER));
         boolean inRange = timeLeftMs > 0 && timeLeftMs <= maxMs;
         require(inRange, CallField.TIME_LEFT_MS);
         return timeLeftMs;
@@ -81,21 +81,21 @@
         if (!fields.containsKey(field)) {
             return RequestAttributes.NO_ESTIMATE;
         }
-        double value = Double.parseDouble(matching(fields, field, DECIMAL));
+        double value = Double.parseDouble(requireMatch(fields, field, DECIMAL));
         require(value <= maximum, field);
         return value;
     }
 
-    private static String matching(Map<CallField, String> fields, CallField field, Pattern form)
+    private static String requireMatch(Map<CallField, String> fields, CallField field, Pattern pattern)
             throws InvalidCallException {
         String value = fields.getOrDefault(field, "");
-        require(form.matcher(value).matches(), field);
+        require(pattern.matcher(value).matches(), field);
         return value;
     }
 
     private static void require(boolean isValid, CallField field) throws InvalidCallException {
         if (!isValid) {
-            throw InvalidCallException.invalid(field);
+            throw InvalidCallException.invalidField(field);
         }
     }
 }
--- a/src/main/java/lineward/thrift/InvalidCallException.java
+++ b/src/main/java/lineward/thrift/InvalidCallException.java
@@ -9,7 +9,7 @@
     }
 
     /** Returns the error for a field that is absent, malformed or out of range. */
-    static InvalidCallException invalid(CallField field) {
+    static InvalidCallException invalidField(CallField field) {
         return new InvalidCallException("field " + field.wireName() + " is missing or can't be used");
     }
 
