--- a/src/main/java/lineward/thrift/OpenCalls.java
+++ b/src/main/java/lineward/thrift/OpenCalls.java
@@ -29,8 +29,8 @@
     }
 
     /** Sets which clients and requests are admitted from now on. */
-    void setAdmission(ServerAdmissionPolicy.Phase next) {
-        admission.enter(next);
+    void setAdmission(ServerAdmissionPolicy.Phase phase) {
+        admission.enter(phase);
     }
 
     /** Returns whether clients that can choose among front ends should use this one. */
