--- a/src/test/java/lineward/testing/TestingEngine.java
+++ b/src/test/java/lineward/testing/TestingEngine.java
@@ -101,22 +101,22 @@
 
     /** Returns the number of received attempts. */
     public long requests() {
-        return count(TestingLineProtocol.START_QUERY);
+        return count(TestingEngineCodec.START_QUERY);
     }
 
     /** Returns the number of received attempts of one request. */
     public long requests(String requestId) {
-        return count(TestingLineProtocol.START_QUERY + ' ' + requestId);
+        return count(TestingEngineCodec.START_QUERY + ' ' + requestId);
     }
 
     /** Returns the number of received cancels. */
     public long cancels() {
-        return count(TestingLineProtocol.CANCEL_QUERY);
+        return count(TestingEngineCodec.CANCEL_QUERY);
     }
 
     /** Returns the number of received pings, which are health checks and heartbeats. */
     public long healthChecks() {
-        return count(TestingLineProtocol.HEALTH_CHECK);
+        return count(TestingEngineCodec.HEALTH_CHECK);
     }
 
     private long count(String prefix) {
@@ -126,7 +126,7 @@
     /** Returns the ids of the received requests, in order. */
     public List<String> requestIds() {
         return receivedLines.stream()
-                .filter(line -> line.startsWith(TestingLineProtocol.START_QUERY + ' '))
+                .filter(line -> line.startsWith(TestingEngineCodec.START_QUERY + ' '))
                 .map(line -> line.split(" ", -1)[1])
                 .toList();
     }
@@ -164,11 +164,11 @@
         try (socket;
                 InputStream in = new BufferedInputStream(socket.getInputStream())) {
             while (true) {
-                String line = TestingLineProtocol.readLine(in);
+                String line = TestingEngineCodec.readLine(in);
                 receivedLines.add(line);
                 String[] parts = line.split(" ", -1);
                 switch (parts[0]) {
-                    case TestingLineProtocol.START_QUERY -> {
+                    case TestingEngineCodec.START_QUERY -> {
                         if (behavior == EngineBehavior.RESET_MID_REQUEST) {
                             reset(socket);
                         } else {
@@ -176,16 +176,16 @@
                             unresponsive = startQuery(socket, parts[1], running);
                         }
                     }
-                    case TestingLineProtocol.HEALTH_CHECK -> {
+                    case TestingEngineCodec.HEALTH_CHECK -> {
                         if (!unresponsive) {
-                            TestingLineProtocol.write(socket, TestingLineProtocol.healthy(parts[1]), "");
+                            TestingEngineCodec.write(socket, TestingEngineCodec.healthy(parts[1]), "");
                         }
                     }
-                    case TestingLineProtocol.READ_PAGE -> {
+                    case TestingEngineCodec.READ_PAGE -> {
                         int page = Integer.parseInt(parts[2]);
                         readPage(socket, parts[1], page);
                     }
-                    case TestingLineProtocol.CANCEL_QUERY -> cancelQuery(socket, parts[1], running);
+                    case TestingEngineCodec.CANCEL_QUERY -> cancelQuery(socket, parts[1], running);
                     default -> {}
                 }
             }
@@ -200,8 +200,8 @@
     private void readBody(InputStream in, int length) throws IOException {
         byte[] bytes = in.readNBytes(length);
         String body = new String(bytes, StandardCharsets.UTF_8);
-        TestingLineProtocol.readLine(in);
-        receivedLines.add(TestingLineProtocol.bodyLine(body));
+        TestingEngineCodec.readLine(in);
+        receivedLines.add(TestingEngineCodec.bodyLine(body));
     }
 
     /** Starts a query; returns whether the connection stops responding to pings. */
@@ -223,23 +223,23 @@
     }
 
     private void readPage(Socket socket, String id, int page) throws IOException {
-        String head = TestingLineProtocol.nextPage(id, page);
+        String head = TestingEngineCodec.nextPage(id, page);
         if (behavior == EngineBehavior.DUPLICATE_RESPONSES) {
-            TestingLineProtocol.write(socket, head, PAGES.get(page));
+            TestingEngineCodec.write(socket, head, PAGES.get(page));
         }
         if (behavior == EngineBehavior.LARGE_RESULT) {
-            TestingLineProtocol.write(socket, head, LARGE_PAGE);
+            TestingEngineCodec.write(socket, head, LARGE_PAGE);
         } else if (behavior == EngineBehavior.ERROR_ON_NEXT_PAGE) {
-            TestingLineProtocol.write(socket, TestingLineProtocol.pageError(id), "");
+            TestingEngineCodec.write(socket, TestingEngineCodec.pageError(id), "");
         } else {
-            TestingLineProtocol.write(socket, head, PAGES.get(page));
+            TestingEngineCodec.write(socket, head, PAGES.get(page));
         }
     }
 
     private void cancelQuery(Socket socket, String id, Set<String> running) throws IOException {
         end(id, running);
         if (behavior == EngineBehavior.RESPOND_AFTER_CANCEL) {
-            TestingLineProtocol.write(socket, TestingLineProtocol.firstPage(id, 1), PAGES.get(0));
+            TestingEngineCodec.write(socket, TestingEngineCodec.firstPage(id, 1), PAGES.get(0));
         }
     }
 
@@ -255,32 +255,32 @@
             return;
         }
         end(id, running);
-        String firstPage = TestingLineProtocol.firstPage(id, PAGES.size());
-        String onlyPage = TestingLineProtocol.firstPage(id, 1);
+        String firstPage = TestingEngineCodec.firstPage(id, PAGES.size());
+        String onlyPage = TestingEngineCodec.firstPage(id, 1);
         switch (current) {
             case UNRESPONSIVE -> {}
             case DUPLICATE_RESPONSES -> {
-                TestingLineProtocol.write(socket, TestingLineProtocol.firstPage(UNKNOWN_ID, 1), PAGES.get(0));
-                TestingLineProtocol.write(socket, firstPage, PAGES.get(0));
-                TestingLineProtocol.write(socket, firstPage, PAGES.get(0));
+                TestingEngineCodec.write(socket, TestingEngineCodec.firstPage(UNKNOWN_ID, 1), PAGES.get(0));
+                TestingEngineCodec.write(socket, firstPage, PAGES.get(0));
+                TestingEngineCodec.write(socket, firstPage, PAGES.get(0));
             }
             case PROGRESS_REPORTS -> reportProgress(socket, id, firstPage);
-            case CONTROL_CHARACTER -> TestingLineProtocol.write(socket, onlyPage, "a\tb\u0001\tc\n");
+            case CONTROL_CHARACTER -> TestingEngineCodec.write(socket, onlyPage, "a\tb\u0001\tc\n");
             case MISSING_PAGE_COUNT -> {
-                String head = TestingLineProtocol.firstPageWithoutCount(id);
-                TestingLineProtocol.write(socket, head, PAGES.get(0));
+                String head = TestingEngineCodec.firstPageWithoutCount(id);
+                TestingEngineCodec.write(socket, head, PAGES.get(0));
             }
-            case TRUNCATED_REPLY -> TestingLineProtocol.writeStart(socket, onlyPage, ANNOUNCED_BYTES, "a\tb");
+            case TRUNCATED_REPLY -> TestingEngineCodec.writeStart(socket, onlyPage, ANNOUNCED_BYTES, "a\tb");
             case LARGE_RESULT -> {
-                String head = TestingLineProtocol.firstPage(id, LARGE_PAGES);
-                TestingLineProtocol.write(socket, head, LARGE_PAGE);
+                String head = TestingEngineCodec.firstPage(id, LARGE_PAGES);
+                TestingEngineCodec.write(socket, head, LARGE_PAGE);
             }
-            case EXPIRED -> TestingLineProtocol.write(socket, TestingLineProtocol.expired(id), "");
+            case EXPIRED -> TestingEngineCodec.write(socket, TestingEngineCodec.expired(id), "");
             case CLOSE -> socket.close();
             case REJECT_TWICE -> rejectTwice(socket, id);
             case ENDLESS_REPLY -> writeEndlessly(socket, onlyPage);
-            case ERROR -> TestingLineProtocol.write(socket, TestingLineProtocol.error(id), "");
-            case REJECT -> TestingLineProtocol.write(socket, TestingLineProtocol.rejected(id), "");
+            case ERROR -> TestingEngineCodec.write(socket, TestingEngineCodec.error(id), "");
+            case REJECT -> TestingEngineCodec.write(socket, TestingEngineCodec.rejected(id), "");
             case RESET, RESET_LIMITED -> {
                 if (resetsLeft.decrementAndGet() == 0) {
                     behavior = EngineBehavior.SERVE;
@@ -289,30 +289,30 @@
             }
             case MALFORMED_REPLY_ONCE -> {
                 behavior = EngineBehavior.SERVE;
-                TestingLineProtocol.write(socket, TestingLineProtocol.malformed(), "x");
+                TestingEngineCodec.write(socket, TestingEngineCodec.malformed(), "x");
             }
-            case MALFORMED_REPLY -> TestingLineProtocol.write(socket, TestingLineProtocol.malformed(), "x");
-            default -> TestingLineProtocol.write(socket, firstPage, PAGES.get(0));
+            case MALFORMED_REPLY -> TestingEngineCodec.write(socket, TestingEngineCodec.malformed(), "x");
+            default -> TestingEngineCodec.write(socket, firstPage, PAGES.get(0));
         }
     }
 
     private static void reportProgress(Socket socket, String id, String firstPage) throws IOException {
-        for (String fields : TestingLineProtocol.PROGRESS) {
-            TestingLineProtocol.write(socket, TestingLineProtocol.progress(id, fields), "");
+        for (String fields : TestingEngineCodec.PROGRESS) {
+            TestingEngineCodec.write(socket, TestingEngineCodec.progress(id, fields), "");
         }
-        TestingLineProtocol.write(socket, TestingLineProtocol.unhealthy("t0"), "");
-        TestingLineProtocol.write(socket, firstPage, PAGES.get(0));
-        TestingLineProtocol.write(socket, TestingLineProtocol.progress(id, "n=done,datum=1"), "");
+        TestingEngineCodec.write(socket, TestingEngineCodec.unhealthy("t0"), "");
+        TestingEngineCodec.write(socket, firstPage, PAGES.get(0));
+        TestingEngineCodec.write(socket, TestingEngineCodec.progress(id, "n=done,datum=1"), "");
     }
 
     /** Rejects the request now, and once more when the next attempt arrives. */
     private void rejectTwice(Socket socket, String id) throws IOException {
-        TestingLineProtocol.write(socket, TestingLineProtocol.rejected(id), "");
+        TestingEngineCodec.write(socket, TestingEngineCodec.rejected(id), "");
         behavior = EngineBehavior.SERVE;
         onRequest = () -> {
             onRequest = () -> {};
             try {
-                TestingLineProtocol.write(socket, TestingLineProtocol.rejected(id), "");
+                TestingEngineCodec.write(socket, TestingEngineCodec.rejected(id), "");
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -320,7 +320,7 @@
     }
 
     private static void writeEndlessly(Socket socket, String head) throws IOException {
-        TestingLineProtocol.writeStart(socket, head, ANNOUNCED_BYTES, "");
+        TestingEngineCodec.writeStart(socket, head, ANNOUNCED_BYTES, "");
         OutputStream out = socket.getOutputStream();
         for (int i = 0; i < ENDLESS_BYTES; i++) {
             out.write('a');
--- a/src/test/java/lineward/testing/TestingLineProtocol.java
+++ b/src/test/java/lineward/testing/TestingEngineCodec.java
@@ -10,7 +10,7 @@
 import java.util.List;
 
 /** The codec of {@link TestingEngine}, with the tokens of the line protocol. */
-public final class TestingLineProtocol {
+public final class TestingEngineCodec {
     static final String START_QUERY = "want";
     static final String CANCEL_QUERY = "never_mind";
     static final String READ_PAGE = "turn";
@@ -21,7 +21,7 @@
 
     private static final String BODY = "body ";
 
-    private TestingLineProtocol() {}
+    private TestingEngineCodec() {}
 
     /** Returns the beginning of the line that starts a query of that class. */
     public static String startQueryPrefix(String requestId, String requestClass) {
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/PlatformRulesTest.java
@@ -16,7 +16,7 @@
 import lineward.testing.RequestFields;
 import lineward.testing.TestingClient;
 import lineward.testing.TestingEngine;
-import lineward.testing.TestingLineProtocol;
+import lineward.testing.TestingEngineCodec;
 import lineward.testing.TestingPlatform;
 import lineward.testing.TestingServiceDiscovery;
 import org.testng.annotations.AfterMethod;
@@ -63,8 +63,8 @@
             TestingEngine engine = firstIsUnused ? platform.second() : platform.first();
             String id = fields.get(RequestFields.REQUEST_ID);
             List<String> received = engine.receivedLines();
-            assertTrue(received.get(0).startsWith(TestingLineProtocol.startQueryPrefix(id, "look")));
-            assertEquals(received.get(1), TestingLineProtocol.bodyLine(statement));
+            assertTrue(received.get(0).startsWith(TestingEngineCodec.startQueryPrefix(id, "look")));
+            assertEquals(received.get(1), TestingEngineCodec.bodyLine(statement));
         }
     }
 
