--- a/src/test/java/lineward/operations/AdminServerTest.java
+++ b/src/test/java/lineward/operations/AdminServerTest.java
@@ -67,7 +67,7 @@
     @Test(dataProvider = "requests")
     public void eachRequestGetsItsResponseInTime(String bytes, int status) throws IOException {
         long startNanos = System.nanoTime();
-        assertEquals(operator.raw(bytes).status(), status);
+        assertEquals(operator.sendRaw(bytes).status(), status);
         assertTrue(AdminClient.millisSince(startNanos) < 2000, "no response or close within 2 s");
     }
 
--- a/src/test/java/lineward/testing/AdminClient.java
+++ b/src/test/java/lineward/testing/AdminClient.java
@@ -9,7 +9,7 @@
 /** A client of the admin endpoint. */
 public final class AdminClient {
     /** A response with its body; the status is 0 if the connection was closed without a response. */
-    public record Answer(int status, String body) {}
+    public record Response(int status, String body) {}
 
     private static final String HEADERS_END = "\r\n\r\n";
 
@@ -21,30 +21,30 @@
     }
 
     /** Sends these bytes and returns the response, which ends when the connection is closed. */
-    public Answer raw(String bytes) throws IOException {
+    public Response sendRaw(String bytes) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
             String response = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            return response.isEmpty() ? new Answer(0, "") : parse(response);
+            return response.isEmpty() ? new Response(0, "") : parse(response);
         }
     }
 
-    private static Answer parse(String response) {
+    private static Response parse(String response) {
         String status = response.split(" ", 3)[1];
         String body = response.substring(response.indexOf(HEADERS_END) + HEADERS_END.length());
-        return new Answer(Integer.parseInt(status), body);
+        return new Response(Integer.parseInt(status), body);
     }
 
     /** Sends a GET request. */
-    public Answer get(String path) throws IOException {
-        return raw("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+    public Response get(String path) throws IOException {
+        return sendRaw("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
     }
 
     /** Sends a POST request; the body is ASCII. */
-    public Answer post(String path, String body) throws IOException {
+    public Response post(String path, String body) throws IOException {
         String headers = "Host: x\r\nContent-Length: " + body.length();
-        return raw("POST " + path + " HTTP/1.1\r\n" + headers + HEADERS_END + body);
+        return sendRaw("POST " + path + " HTTP/1.1\r\n" + headers + HEADERS_END + body);
     }
 
     /** Returns whether the program reports that it is ready. */
--- a/src/test/java/lineward/testing/ProgramMetrics.java
+++ b/src/test/java/lineward/testing/ProgramMetrics.java
@@ -19,16 +19,16 @@
 
     /** Returns the values of all metrics, by name and labels. */
     public static Map<String, Integer> read(Program program) throws IOException {
-        AdminClient.Answer answer = new AdminClient(program).get("/ops/stats");
-        assertEquals(answer.status(), 200);
-        Map<String, Integer> all = new TreeMap<>();
-        answer.body()
+        AdminClient.Response response = new AdminClient(program).get("/ops/stats");
+        assertEquals(response.status(), 200);
+        Map<String, Integer> values = new TreeMap<>();
+        response.body()
                 .lines()
                 .filter(line -> !line.startsWith("#"))
-                .forEach(line -> all.put(
+                .forEach(line -> values.put(
                         line.substring(0, line.lastIndexOf(' ')),
                         Integer.valueOf(line.substring(line.lastIndexOf(' ') + 1))));
-        return all;
+        return values;
     }
 
     /** Returns the value of one metric; fails the test if the program can't be reached. */
