--- a/src/test/java/lineward/StartTest.java
+++ b/src/test/java/lineward/StartTest.java
@@ -42,7 +42,7 @@
         boolean withFile = command.equals("mysql");
         String[] words = withFile ? new String[] {command, file.toString()} : new String[] {command};
         try (Program program = new Program(Map.of("RELAY_CONFIG", file.toString()), words)) {
-            assertEquals(program.status(), 2);
+            assertEquals(program.awaitExitStatus(), 2);
             Program.await("the error is logged", () -> program.log().contains(says));
             assertEquals(program.log().lines().count(), 1, program.log());
         }
--- a/src/test/java/lineward/mysql/MysqlFrontTest.java
+++ b/src/test/java/lineward/mysql/MysqlFrontTest.java
@@ -146,9 +146,9 @@
         try (StandInClient client = client()) {
             client.send(3, "select rows=1");
             Program.await("an engine executes the statement", () -> executionsOf("select rows=1") == 1);
-            program.terminate();
+            program.sendSigterm();
             assertEquals(client.wire.read()[0] & 0xff, 0xff);
-            assertEquals(program.status(), 0);
+            assertEquals(program.awaitExitStatus(), 0);
         }
     }
 }
--- a/src/test/java/lineward/mysql/SpoolCursorTest.java
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -141,11 +141,11 @@
         try (StandInClient client = client()) {
             StandInClient.Statement statement = client.prepare("select rows=300");
             client.open(statement);
-            program.terminate();
+            program.sendSigterm();
             Program.await("the shutdown begins", () -> program.log().contains("SIGTERM"));
             assertEquals(client.fetch(statement, 100).rows().size(), 100);
             assertEquals(client.fetch(statement, 300).rows().size(), 200);
-            assertEquals(program.status(), 0);
+            assertEquals(program.awaitExitStatus(), 0);
         }
     }
 }
--- a/src/test/java/lineward/mysql/SpoolFrontTest.java
+++ b/src/test/java/lineward/mysql/SpoolFrontTest.java
@@ -150,7 +150,7 @@
     public void failsToStartOnALockedFolderButNotOnAnUnusableOne() throws IOException, InterruptedException {
         program.port();
         try (Program second = program("folder = \"" + folder + "\"\n")) {
-            assertEquals(second.status(), 2);
+            assertEquals(second.awaitExitStatus(), 2);
             assertTrue(second.log().contains("is held by another process"), second.log());
         }
         program.close();
--- a/src/test/java/lineward/operations/AdminServerTest.java
+++ b/src/test/java/lineward/operations/AdminServerTest.java
@@ -39,7 +39,7 @@
     }
 
     private Socket connect() throws IOException {
-        return new Socket(InetAddress.getLoopbackAddress(), platform.program().operations());
+        return new Socket(InetAddress.getLoopbackAddress(), platform.program().adminPort());
     }
 
     /** Bytes sent, and the status of the response; 0 if the connection is closed without a response. */
--- a/src/test/java/lineward/testing/AdminClient.java
+++ b/src/test/java/lineward/testing/AdminClient.java
@@ -17,7 +17,7 @@
 
     /** Creates a client of that program's admin endpoint. */
     public AdminClient(Program program) {
-        this.port = program.operations();
+        this.port = program.adminPort();
     }
 
     /** Sends these bytes and returns the response, which ends when the connection is closed. */
--- a/src/test/java/lineward/testing/Program.java
+++ b/src/test/java/lineward/testing/Program.java
@@ -11,8 +11,8 @@
 
 /** Runs the program as a child process, and reads its ports from its log. */
 public final class Program implements AutoCloseable {
-    private static final String LISTENS = "server listening: address=";
-    private static final String OPERATIONS = "admin endpoint listening: address=";
+    private static final String LISTENING_LINE = "server listening: address=";
+    private static final String ADMIN_LISTENING_LINE = "admin endpoint listening: address=";
     /** Null if a {@link SocketActivator} started the program. */
     private final Process process;
 
@@ -49,18 +49,19 @@
 
     /** Waits until the program listens, and returns the port of its first listener. */
     public int port() {
-        return portIn(LISTENS);
+        return portIn(LISTENING_LINE);
     }
 
     /** Waits until the admin endpoint listens, and returns its port. */
-    public int operations() {
-        return portIn(OPERATIONS);
+    public int adminPort() {
+        return portIn(ADMIN_LISTENING_LINE);
     }
 
-    private int portIn(String message) {
-        await(message, () -> log().contains(message) || !isAlive());
+    private int portIn(String lineStart) {
+        await(lineStart, () -> log().contains(lineStart) || !isAlive());
         String text = log();
-        String line = text.substring(text.indexOf(message)).lines().findFirst().orElseThrow();
+        String line =
+                text.substring(text.indexOf(lineStart)).lines().findFirst().orElseThrow();
         return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).strip());
     }
 
@@ -91,24 +92,24 @@
     }
 
     /** Sends SIGTERM. */
-    public void terminate() {
+    public void sendSigterm() {
         handle.destroy();
     }
 
     /** Sends SIGHUP. */
-    public void hangUp() throws IOException, InterruptedException {
-        signal("HUP");
+    public void sendSighup() throws IOException, InterruptedException {
+        sendSignal("HUP");
     }
 
     /** Sends a signal: STOP suspends the process, CONT resumes it. */
-    public void signal(String name) throws IOException, InterruptedException {
+    public void sendSignal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(handle.pid()))
                 .start()
                 .waitFor();
     }
 
     /** Waits until the program exits, and returns its exit status. */
-    public int status() throws InterruptedException {
+    public int awaitExitStatus() throws InterruptedException {
         if (!process.waitFor(30, TimeUnit.SECONDS)) {
             throw new AssertionError("the program has not exited within 30 s:\n" + log());
         }
@@ -116,11 +117,11 @@
     }
 
     /** Waits until the condition holds; fails the test after 20 seconds. */
-    public static void await(String what, BooleanSupplier holds) {
+    public static void await(String description, BooleanSupplier holds) {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("condition not met within 20 s: " + what);
+                throw new AssertionError("condition not met within 20 s: " + description);
             }
             Thread.onSpinWait();
             try {
--- a/src/test/java/lineward/thrift/HotRestartHandoverTest.java
+++ b/src/test/java/lineward/thrift/HotRestartHandoverTest.java
@@ -59,7 +59,7 @@
             assertTrue(serves(kept.get(i)));
         }
         int before = ProgramMetrics.read(next).get("edge_relay_relayed_total");
-        platform.program().terminate();
+        platform.program().sendSigterm();
         Program.await("SIGTERM was received", () -> platform.program().log().contains("SIGTERM"));
         for (TestingClient caller : kept) {
             assertTrue(serves(caller), "an open connection is still served");
@@ -95,7 +95,7 @@
                 () -> platform.first().requests() + platform.second().requests() >= 5);
         boolean nextHasRequests = ProgramMetrics.read(next).get("edge_relay_open_requests") > 0;
         Program first = nextHasRequests ? next : platform.program();
-        first.terminate();
+        first.sendSigterm();
         int answered = 0;
         try {
             while (true) {
--- a/src/test/java/lineward/thrift/LargeFleetTest.java
+++ b/src/test/java/lineward/thrift/LargeFleetTest.java
@@ -55,7 +55,7 @@
             next.publish(true);
             next.publish(true, platform.engines(engines + 1, 2 * engines, "ready"));
             platform.configure(next);
-            program.hangUp();
+            program.sendSighup();
             awaitEngines(program, engines);
             assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "after reload");
         }
--- a/src/test/java/lineward/thrift/MaintenanceTest.java
+++ b/src/test/java/lineward/thrift/MaintenanceTest.java
@@ -81,7 +81,7 @@
                         "the old process has read the orders",
                         () -> platform.program().log().contains("engine maintenance started: engine=s-2")
                                 && platform.program().log().contains("engine maintenance ended: engine=s-1"));
-                platform.program().terminate();
+                platform.program().sendSigterm();
                 Program.await("the old process exits", () -> !platform.program().isAlive());
                 serve(platform, 20);
                 assertEquals(platform.second().requests(), 0);
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/PlatformRulesTest.java
@@ -286,7 +286,7 @@
     @Test
     public void sighupChangesTheServiceDiscoveryAndIgnoresAnInvalidFile() throws Exception {
         platform.configure("{");
-        platform.program().hangUp();
+        platform.program().sendSighup();
         String logLine = "configuration not reloaded: cause=";
         Program.await("the error is logged", () -> platform.program().log().contains(logLine));
         try (TestingServiceDiscovery next = new TestingServiceDiscovery();
@@ -294,8 +294,8 @@
             String portOfTwo = "" + platform.second().port();
             next.publish(true, "s-1", "" + platform.first().port(), "ready", "s-2", portOfTwo, "ready");
             platform.configure(next);
-            platform.program().hangUp();
-            platform.program().hangUp();
+            platform.program().sendSighup();
+            platform.program().sendSighup();
             Program.await("the new service is polled", () -> next.polls() > 0);
             platform.discovery().close();
             next.publish(false, "s-1", "" + platform.first().port(), "gone");
@@ -305,10 +305,10 @@
                 assertEquals(call(caller, 2000).field(), SERVED);
             }
             assertEquals(platform.first().requests(), before);
-            platform.program().terminate();
-            platform.program().hangUp();
+            platform.program().sendSigterm();
+            platform.program().sendSighup();
         }
-        assertEquals(platform.program().status(), 0, "SIGHUP during the shutdown");
+        assertEquals(platform.program().awaitExitStatus(), 0, "SIGHUP during the shutdown");
     }
 
     @Test
@@ -320,9 +320,9 @@
             caller.send(TestingClient.fields(9000), "select 1");
             Program.await("the request runs", () -> requests() == 1);
             long start = System.nanoTime();
-            platform.program().terminate();
+            platform.program().sendSigterm();
             assertEquals(caller.read().field(), FAILED);
-            assertEquals(platform.program().status(), 0);
+            assertEquals(platform.program().awaitExitStatus(), 0);
             assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(3700), "exits in time");
         }
     }
@@ -331,7 +331,7 @@
     public void servesNewRequestsDuringGracefulShutdown() throws Exception {
         try (TestingClient open = platform.client()) {
             assertTrue(open.callMethod("ping").good());
-            platform.program().terminate();
+            platform.program().sendSigterm();
             Program.await(
                     "the shutdown has started", () -> platform.program().log().contains("SIGTERM"));
             try (TestingClient late = platform.client()) {
@@ -341,7 +341,7 @@
             platform.setBehavior(EngineBehavior.NO_RESPONSE);
             open.send(TestingClient.fields(2000), "select 1");
             assertEquals(open.read().kind(), REPLY);
-            assertEquals(platform.program().status(), 0);
+            assertEquals(platform.program().awaitExitStatus(), 0);
         }
     }
 }
--- a/src/test/java/lineward/thrift/ShutdownSignalTest.java
+++ b/src/test/java/lineward/thrift/ShutdownSignalTest.java
@@ -60,11 +60,11 @@
         try (TestingClient caller = platform.client()) {
             byte[] frame = caller.encode(TestingClient.fields(2000), "select 1");
             caller.sendRaw(Arrays.copyOf(frame, frame.length / 2));
-            platform.program().terminate();
+            platform.program().sendSigterm();
             Program.await("the program accepts no connections", () -> !isListening());
             caller.sendRaw(Arrays.copyOfRange(frame, frame.length / 2, frame.length));
             assertEquals(caller.read().field(), SERVED);
-            assertEquals(platform.program().status(), 0);
+            assertEquals(platform.program().awaitExitStatus(), 0);
         }
     }
 
@@ -75,15 +75,15 @@
         try (TestingClient caller = platform.client()) {
             caller.send(TestingClient.fields(9000), "select 1");
             Program.await("the request runs", () -> platform.requests() == 1);
-            platform.program().hangUp();
-            platform.program().terminate();
+            platform.program().sendSighup();
+            platform.program().sendSigterm();
             Program.await(
                     "the shutdown has started", () -> platform.program().log().contains("SIGTERM"));
-            platform.program().terminate();
-            platform.program().hangUp();
+            platform.program().sendSigterm();
+            platform.program().sendSighup();
             assertEquals(caller.read().field(), FAILED, "the final response");
             assertTrue(caller.isClosed(), "closed without a second response");
-            assertEquals(platform.program().status(), 0);
+            assertEquals(platform.program().awaitExitStatus(), 0);
         }
     }
 
@@ -100,8 +100,8 @@
                 Program.await("the request runs", () -> platform.requests() >= most);
             }
             long start = System.nanoTime();
-            platform.program().terminate();
-            assertEquals(platform.program().status(), 0);
+            platform.program().sendSigterm();
+            assertEquals(platform.program().awaitExitStatus(), 0);
             assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(3700), "exits in time");
         }
     }
@@ -117,11 +117,11 @@
             assertTrue(caller.callMethod("ping").good());
             assertEquals(operator.post("/ops/drain/start", "").status(), 200);
             long drains = System.nanoTime();
-            platform.program().signal("STOP");
+            platform.program().sendSignal("STOP");
             caller.send(TestingClient.fields(5000), "select 1");
             long closeDueNanos = TimeUnit.MILLISECONDS.toNanos(1550);
             Program.await("the close is due", () -> System.nanoTime() - drains > closeDueNanos);
-            platform.program().signal("CONT");
+            platform.program().sendSignal("CONT");
             assertEquals(caller.read().field(), SERVED);
         }
     }
@@ -154,7 +154,7 @@
         try (Program program = new Program(Map.of("RELAY_CONFIG", pipe.toString()), "serve")) {
             // Opening the pipe blocks until the program opens it to read its configuration.
             try (OutputStream out = Files.newOutputStream(pipe)) {
-                program.hangUp();
+                program.sendSighup();
                 out.write(config.getBytes(StandardCharsets.UTF_8));
             }
             // SIGHUP makes the program read the configuration again, so the pipe is written again.
@@ -162,13 +162,13 @@
             try (TestingClient caller = new TestingClient(program.port())) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
-            program.terminate();
-            assertEquals(program.status(), 0);
+            program.sendSigterm();
+            assertEquals(program.awaitExitStatus(), 0);
         }
         try (Program program = new Program(Map.of("RELAY_CONFIG", pipe.toString()), "serve")) {
             try (OutputStream out = Files.newOutputStream(pipe)) {
-                program.terminate();
-                assertTrue(program.status() != 2, "no configuration error");
+                program.sendSigterm();
+                assertTrue(program.awaitExitStatus() != 2, "no configuration error");
                 assertFalse(program.log().contains("listening"), program.log());
                 assertTrue(out != null);
             }
