--- a/src/test/java/lineward/testing/TestingEngine.java
+++ b/src/test/java/lineward/testing/TestingEngine.java
@@ -100,12 +100,12 @@
     }
 
     /** Returns the number of received attempts. */
-    public long requests() {
+    public long attempts() {
         return count(TestingEngineCodec.START_QUERY);
     }
 
     /** Returns the number of received attempts of one request. */
-    public long requests(String requestId) {
+    public long attempts(String requestId) {
         return count(TestingEngineCodec.START_QUERY + ' ' + requestId);
     }
 
@@ -115,8 +115,8 @@
     }
 
     /** Returns the number of received pings, which are health checks and heartbeats. */
-    public long healthChecks() {
-        return count(TestingEngineCodec.HEALTH_CHECK);
+    public long pings() {
+        return count(TestingEngineCodec.PING);
     }
 
     private long count(String prefix) {
@@ -176,7 +176,7 @@
                             unresponsive = startQuery(socket, parts[1], running);
                         }
                     }
-                    case TestingEngineCodec.HEALTH_CHECK -> {
+                    case TestingEngineCodec.PING -> {
                         if (!unresponsive) {
                             TestingEngineCodec.write(socket, TestingEngineCodec.healthy(parts[1]), "");
                         }
--- a/src/test/java/lineward/testing/TestingEngineCodec.java
+++ b/src/test/java/lineward/testing/TestingEngineCodec.java
@@ -14,7 +14,7 @@
     static final String START_QUERY = "want";
     static final String CANCEL_QUERY = "never_mind";
     static final String READ_PAGE = "turn";
-    static final String HEALTH_CHECK = "there";
+    static final String PING = "there";
 
     /** Fields of progress reports: a known kind, an unknown kind, an invalid amount, and no fields. */
     static final List<String> PROGRESS = List.of("n=done,datum=0.5", "n=mood,datum=9", "n=done,datum=7", "-");
--- a/src/test/java/lineward/testing/TestingPlatform.java
+++ b/src/test/java/lineward/testing/TestingPlatform.java
@@ -13,15 +13,16 @@
 /** The program with two fake engines, a fake service discovery and a configuration file. */
 public final class TestingPlatform implements AutoCloseable {
     private static final String SETTINGS = """
-            {"az":0,"classes":[{"name":"look","aim":500,"aim-stretch":2,"deadline":2500,"value":1,
-             "effect":"retryable","dedup-scope":"all","late-share":0.1}],"peers-total":2,"ordinal":0,
-             "limits":{"cancel":true,"max-attempts":6,"retry-after":true,"max-retry-after":2000,
-             "connect-timeout":250,"conn-idle":30000,"streams-per-conn":100},
-             "obligations":{"drain-grace":1000,"cold":15000,"cold-share":0.34,"overload-factor":2.5,
-             "fall":1500},
-             "specifics":{"cpu-of-kind":[8],"ram-of-kind-mb":[16384],"grants":true,"lanes-count":true,
-             "threads-by-class":[1]},"skus":["std"],"zones":["east"],
-             "tenants":[{"name":"west","quota-rps":50}]}""";
+        {"az":0,"classes":[{"name":"look","aim":500,"aim-stretch":2,"deadline":2500,"value":1,
+         "effect":"retryable","dedup-scope":"all","late-share":0.1}],"peers-total":2,"ordinal":0,
+         "limits":{"cancel":true,"max-attempts":6,"retry-after":true,"max-retry-after":2000,
+         "connect-timeout":250,"conn-idle":30000,"streams-per-conn":100},
+         "obligations":{"drain-grace":1000,"cold":15000,"cold-share":0.34,"overload-factor":2.5,
+         "fall":1500},
+         "specifics":{"cpu-of-kind":[8],"ram-of-kind-mb":[16384],"grants":true,"lanes-count":true,
+         "threads-by-class":[1]},"skus":["std"],"zones":["east"],
+         "tenants":[{"name":"west","quota-rps":50}]}\
+        """;
 
     private final TestingServiceDiscovery discovery = new TestingServiceDiscovery();
     private final ConcurrentRuns concurrentRuns = new ConcurrentRuns();
@@ -110,8 +111,8 @@
     }
 
     /** Returns the number of attempts that both engines have received. */
-    public long requests() {
-        return first.requests() + second.requests();
+    public long attempts() {
+        return first.attempts() + second.attempts();
     }
 
     /** Publishes the state of both engines and waits until the program has received it. */
--- a/src/test/java/lineward/thrift/ClientDisconnectTest.java
+++ b/src/test/java/lineward/thrift/ClientDisconnectTest.java
@@ -172,7 +172,7 @@
             go(client, seqid, how);
             int out = ProgramMetrics.read(platform.program()).get("edge_relay_relayed_total");
             assertTrue(out > 0 && out < MAX_OPEN_CALLS, out + " requests are forwarded, the others queued");
-            Program.await("the engines have received them", () -> platform.requests() == out);
+            Program.await("the engines have received them", () -> platform.attempts() == out);
             platform.setBehavior(EngineBehavior.SERVE);
             String next = serveAnother();
             assertFalse(ids().contains(last.get(RequestFields.REQUEST_ID)));
@@ -193,7 +193,7 @@
                 assertTrue(i < 200, "the buffers must be full by now");
                 client.send(TestingClient.fields(9000), "select 1");
                 int asked = i;
-                Program.await("request served", () -> platform.requests() >= asked && open() == 0);
+                Program.await("request served", () -> platform.attempts() >= asked && open() == 0);
             }
             platform.publishBoth("draining");
             Map<String, String> last = TestingClient.fields(9000);
--- a/src/test/java/lineward/thrift/EngineConnectionTest.java
+++ b/src/test/java/lineward/thrift/EngineConnectionTest.java
@@ -61,7 +61,7 @@
             fields.put(RequestFields.REQUEST_CLASS, "load");
             int field = caller.call(fields, "insert into t select 1").field();
             assertEquals(field, neverRan ? REJECTED : FAILED);
-            long attempts = platform.requests();
+            long attempts = platform.attempts();
             assertTrue(neverRan ? attempts > 1 : attempts == 1, attempts + " attempts");
             assertTrue(caller.callMethod("ping").good(), "no second response");
         }
@@ -97,7 +97,7 @@
         platform.first().setBehavior(EngineBehavior.REJECT_TWICE);
         try (TestingClient caller = platform.client()) {
             assertEquals(caller.call(TestingClient.fields(2000), "select 1").body(), ROWS);
-            assertEquals(platform.first().requests(), 2);
+            assertEquals(platform.first().attempts(), 2);
         }
     }
 
@@ -107,14 +107,14 @@
         platform.setBehavior(EngineBehavior.RESPOND_AFTER_CANCEL);
         try (TestingClient caller = platform.client()) {
             int seqid = caller.send(TestingClient.fields(2000), "select 1");
-            Program.await("the request runs", () -> platform.requests() == 1);
+            Program.await("the request runs", () -> platform.attempts() == 1);
             caller.abort(seqid);
             Program.await(
                     "the engine has received the cancel",
                     () -> platform.first().cancels() + platform.second().cancels() == 1);
             platform.setBehavior(EngineBehavior.SERVE);
             assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), ROWS);
-            assertEquals(platform.requests(), 2);
+            assertEquals(platform.attempts(), 2);
         }
     }
 
@@ -146,7 +146,7 @@
             String portOfTwo = "" + platform.second().port();
             platform.discovery().publish(false, "s-9", "" + late.port(), state, "s-2", portOfTwo, "ready");
             assertEquals(caller.read().body(), ROWS, "served by the other engine");
-            assertEquals(platform.second().requests(), 1);
+            assertEquals(platform.second().attempts(), 1);
             TestingEngine engine = late.open();
             platform.discovery().publish(false, "s-2", portOfTwo, "gone", "s-10", "" + late.port(), "ready");
             platform.awaitNotified();
@@ -182,7 +182,7 @@
                     return caller.call(TestingClient.fields(2400), "select 1")
                                     .body()
                                     .equals(ROWS)
-                            && engine.requests() > 0;
+                            && engine.attempts() > 0;
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
@@ -223,8 +223,8 @@
             platform.first().writeToAll("00");
             assertTrue(caller.callMethod("ping").good());
             assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), ROWS);
-            assertEquals(platform.first().requests(), 2, "no request is retried");
-            Program.await("the engine is pinged", () -> platform.first().healthChecks() > 0);
+            assertEquals(platform.first().attempts(), 2, "no request is retried");
+            Program.await("the engine is pinged", () -> platform.first().pings() > 0);
         }
     }
 }
--- a/src/test/java/lineward/thrift/InvalidClientTest.java
+++ b/src/test/java/lineward/thrift/InvalidClientTest.java
@@ -57,7 +57,7 @@
     }
 
     private long requests() {
-        return platform.first().requests() + platform.second().requests();
+        return platform.first().attempts() + platform.second().attempts();
     }
 
     @Test
--- a/src/test/java/lineward/thrift/MaintenanceTest.java
+++ b/src/test/java/lineward/thrift/MaintenanceTest.java
@@ -34,7 +34,7 @@
             AdminClient operator = new AdminClient(platform.program());
             Program.await("the program is ready", operator::isReady);
             serve(platform, 30);
-            boolean first = platform.first().requests() > 0;
+            boolean first = platform.first().attempts() > 0;
             TestingEngine used = first ? platform.first() : platform.second();
             String id = first ? "s-1" : "s-2";
             assertEquals(operator.post(DOWN, "s-3").status(), 404);
@@ -42,7 +42,7 @@
             assertEquals(operator.post(DOWN, "").status(), 404);
             assertEquals(operator.post(DOWN, id).status(), 200);
             assertEquals(operator.post(DOWN, id + "\n").status(), 200);
-            long before = used.requests();
+            long before = used.attempts();
             assertTrue(before > 0, "the engine was used");
             serve(platform, 30);
             assertEquals((int) ProgramMetrics.read(platform.program()).get("edge_relay_out_of_rotation"), 1);
@@ -54,11 +54,11 @@
                         () -> platform.discovery().polls() > polls + 1);
                 serve(platform, 30);
             }
-            assertEquals(used.requests(), before);
+            assertEquals(used.attempts(), before);
             assertEquals(operator.post(UP, id).status(), 200);
             long start = System.nanoTime();
             serve(platform, 1);
-            assertEquals(used.requests(), before + 1, "the released engine serves it");
+            assertEquals(used.attempts(), before + 1, "the released engine serves it");
             assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(5));
             assertEquals((int) ProgramMetrics.read(platform.program()).get("edge_relay_out_of_rotation"), 0);
         }
@@ -84,8 +84,8 @@
                 platform.program().sendSigterm();
                 Program.await("the old process exits", () -> !platform.program().isAlive());
                 serve(platform, 20);
-                assertEquals(platform.second().requests(), 0);
-                assertEquals(platform.first().requests(), 20);
+                assertEquals(platform.second().attempts(), 0);
+                assertEquals(platform.first().attempts(), 20);
             }
         }
     }
--- a/src/test/java/lineward/thrift/MetricsTest.java
+++ b/src/test/java/lineward/thrift/MetricsTest.java
@@ -43,7 +43,7 @@
             assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.REJECTED + "\"}"), answers[1]);
             assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.FAILED + "\"}"), answers[2] + 1);
             assertTrue(answers[0] > 50 && answers[1] >= 10, "some are served and some rejected");
-            long wants = platform.first().requests() + platform.second().requests();
+            long wants = platform.first().attempts() + platform.second().attempts();
             assertTrue(wants > answers[0], "some were retried");
             assertEquals((int) seen.get("edge_relay_relayed_total"), wants);
             assertEquals((int) seen.get("edge_relay_open_requests"), 0);
@@ -62,7 +62,7 @@
             }
             Program.await(
                     "the requests run",
-                    () -> platform.first().requests() + platform.second().requests() == 3);
+                    () -> platform.first().attempts() + platform.second().attempts() == 3);
             assertEquals((int) ProgramMetrics.read(platform.program()).get("edge_relay_open_requests"), 3);
             platform.first().close();
             platform.second().setBehavior(EngineBehavior.SERVE);
--- a/src/test/java/lineward/thrift/OverloadTest.java
+++ b/src/test/java/lineward/thrift/OverloadTest.java
@@ -50,7 +50,7 @@
                 assertEquals(other.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
             Program.await("no request stays open", () -> figure(platform, "edge_relay_open_requests") == 0);
-            assertTrue(platform.requests() <= 10 * MAX_OPEN_CALLS + 11, platform.requests() + " attempts");
+            assertTrue(platform.attempts() <= 10 * MAX_OPEN_CALLS + 11, platform.attempts() + " attempts");
             assertTrue(
                     platform.program().memoryMb() <= MEMORY_MB,
                     platform.program().memoryMb() + " MB");
@@ -86,11 +86,11 @@
             platform.discovery().publish(false, platform.engines(1, 1, "draining"));
             platform.discovery().setBroken(false);
             platform.awaitNotified();
-            long before = platform.first().requests();
+            long before = platform.first().attempts();
             try (TestingClient late = platform.client()) {
                 assertEquals(late.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
-            assertEquals(platform.first().requests(), before, "the drain is in effect");
+            assertEquals(platform.first().attempts(), before, "the drain is in effect");
             assertTrue(
                     platform.program().memoryMb() <= MEMORY_MB,
                     platform.program().memoryMb() + " MB");
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/PlatformRulesTest.java
@@ -47,7 +47,7 @@
     }
 
     private long requests() {
-        return platform.first().requests() + platform.second().requests();
+        return platform.first().attempts() + platform.second().attempts();
     }
 
     @Test
@@ -100,10 +100,10 @@
     public void retriesAtAnotherEngine(EngineBehavior mode) throws IOException {
         platform.first().setBehavior(mode);
         try (TestingClient caller = platform.client()) {
-            while (platform.first().requests() == 0) {
+            while (platform.first().attempts() == 0) {
                 assertEquals(call(caller, 2000).field(), SERVED);
             }
-            assertTrue(platform.second().requests() > 0);
+            assertTrue(platform.second().attempts() > 0);
         }
     }
 
@@ -123,7 +123,7 @@
     }
 
     private boolean oneRunsAtEach() {
-        return platform.first().requests() == 1 && platform.second().requests() == 1;
+        return platform.first().attempts() == 1 && platform.second().attempts() == 1;
     }
 
     private void startOneAtEach(TestingClient caller) throws IOException {
@@ -152,7 +152,7 @@
             serveAtOnce(caller, 6);
             assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "the malformed reply was sent");
             String first = platform.first().receivedLines().get(0).split(" ", -1)[1];
-            assertEquals(platform.second().requests(first) + platform.first().cancels(), 0);
+            assertEquals(platform.second().attempts(first) + platform.first().cancels(), 0);
         }
     }
 
@@ -241,11 +241,11 @@
             while (System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(1500)) {
                 call(caller, 2000);
                 if (System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(1000)) {
-                    late = platform.first().requests();
+                    late = platform.first().attempts();
                 }
             }
-            assertEquals(platform.first().requests(), late);
-            assertTrue(platform.second().requests() > 0);
+            assertEquals(platform.first().attempts(), late);
+            assertTrue(platform.second().attempts() > 0);
         }
     }
 
@@ -270,10 +270,10 @@
                                 "" + port,
                                 "ready");
                 platform.discovery().setBroken(false);
-                long before = platform.second().requests();
+                long before = platform.second().attempts();
                 Program.await("the new engine serves", () -> {
                     try {
-                        return call(caller, 2000).field() == SERVED && next.requests() > 0;
+                        return call(caller, 2000).field() == SERVED && next.attempts() > 0;
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
@@ -300,11 +300,11 @@
             platform.discovery().close();
             next.publish(false, "s-1", "" + platform.first().port(), "gone");
             Program.await("the event has been received", () -> next.lastDelivered() == 2);
-            long before = platform.first().requests();
+            long before = platform.first().attempts();
             for (int i = 0; i < 10; i++) {
                 assertEquals(call(caller, 2000).field(), SERVED);
             }
-            assertEquals(platform.first().requests(), before);
+            assertEquals(platform.first().attempts(), before);
             platform.program().sendSigterm();
             platform.program().sendSighup();
         }
--- a/src/test/java/lineward/thrift/ShutdownSignalTest.java
+++ b/src/test/java/lineward/thrift/ShutdownSignalTest.java
@@ -74,7 +74,7 @@
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client()) {
             caller.send(TestingClient.fields(9000), "select 1");
-            Program.await("the request runs", () -> platform.requests() == 1);
+            Program.await("the request runs", () -> platform.attempts() == 1);
             platform.program().sendSighup();
             platform.program().sendSigterm();
             Program.await(
@@ -97,7 +97,7 @@
                 deaf.send(TestingClient.fields(2000), "select 1");
                 int most = ++asked;
                 assertTrue(most < 200, "the buffers must be full by now");
-                Program.await("the request runs", () -> platform.requests() >= most);
+                Program.await("the request runs", () -> platform.attempts() >= most);
             }
             long start = System.nanoTime();
             platform.program().sendSigterm();
@@ -140,7 +140,7 @@
             try (TestingClient next = platform.client()) {
                 assertEquals(next.call(TestingClient.fields(2000), "select 2").field(), SERVED);
             }
-            assertEquals(platform.requests(), 1);
+            assertEquals(platform.attempts(), 1);
         }
     }
 
