--- a/src/test/java/lineward/testing/TestingEngine.java
+++ b/src/test/java/lineward/testing/TestingEngine.java
@@ -42,7 +42,7 @@
 
     private volatile EngineBehavior behavior = EngineBehavior.SERVE;
     /** Number of received requests that the behavior has not handled yet. */
-    private final AtomicInteger unhandled = new AtomicInteger();
+    private final AtomicInteger pendingRequests = new AtomicInteger();
     /** Number of connections that {@link EngineBehavior#RESET_LIMITED} still resets. */
     private final AtomicInteger resetsLeft = new AtomicInteger();
 
@@ -140,7 +140,7 @@
 
     /** Returns whether the behavior has handled all received requests. */
     public boolean isIdle() {
-        return unhandled.get() == 0;
+        return pendingRequests.get() == 0;
     }
 
     private void accept() {
@@ -208,17 +208,17 @@
     private boolean startQuery(Socket socket, String id, Set<String> running) throws IOException {
         runs.started(id);
         running.add(id);
-        unhandled.incrementAndGet();
+        pendingRequests.incrementAndGet();
         try {
             onRequest.run();
             EngineBehavior current = behavior;
             boolean unresponsive = current == EngineBehavior.UNRESPONSIVE
                     || current == EngineBehavior.TRUNCATED_REPLY
                     || current == EngineBehavior.ENDLESS_REPLY;
-            answer(socket, id, running);
+            respond(socket, id, running);
             return unresponsive;
         } finally {
-            unhandled.decrementAndGet();
+            pendingRequests.decrementAndGet();
         }
     }
 
@@ -237,24 +237,24 @@
     }
 
     private void cancelQuery(Socket socket, String id, Set<String> running) throws IOException {
-        end(id, running);
+        endRun(id, running);
         if (behavior == EngineBehavior.RESPOND_AFTER_CANCEL) {
             TestingEngineCodec.write(socket, TestingEngineCodec.firstPage(id, 1), PAGES.get(0));
         }
     }
 
-    private void end(String id, Set<String> running) {
+    private void endRun(String id, Set<String> running) {
         if (running.remove(id)) {
             runs.ended(id);
         }
     }
 
-    private void answer(Socket socket, String id, Set<String> running) throws IOException {
+    private void respond(Socket socket, String id, Set<String> running) throws IOException {
         EngineBehavior current = behavior;
         if (current == EngineBehavior.NO_RESPONSE || current == EngineBehavior.RESPOND_AFTER_CANCEL) {
             return;
         }
-        end(id, running);
+        endRun(id, running);
         String firstPage = TestingEngineCodec.firstPage(id, PAGES.size());
         String onlyPage = TestingEngineCodec.firstPage(id, 1);
         switch (current) {
