--- a/src/test/java/lineward/testing/TestingPlatform.java
+++ b/src/test/java/lineward/testing/TestingPlatform.java
@@ -26,8 +26,8 @@
 
     private final TestingServiceDiscovery discovery = new TestingServiceDiscovery();
     private final ConcurrentRuns concurrentRuns = new ConcurrentRuns();
-    private final TestingEngine first = new TestingEngine(concurrentRuns);
-    private final TestingEngine second = new TestingEngine(concurrentRuns);
+    private final TestingEngine engine1 = new TestingEngine(concurrentRuns);
+    private final TestingEngine engine2 = new TestingEngine(concurrentRuns);
     private final Program program;
     private final SocketActivator activator;
     private final int sockets;
@@ -84,7 +84,7 @@
     public String[] engines(int from, int to, String state) {
         return IntStream.rangeClosed(from, to)
                 .boxed()
-                .flatMap(i -> Stream.of("s-" + i, "" + (i % 2 == 1 ? first : second).port(), state))
+                .flatMap(i -> Stream.of("s-" + i, "" + (i % 2 == 1 ? engine1 : engine2).port(), state))
                 .toArray(String[]::new);
     }
 
@@ -112,7 +112,7 @@
 
     /** Returns the number of attempts that both engines have received. */
     public long attempts() {
-        return first.attempts() + second.attempts();
+        return engine1.attempts() + engine2.attempts();
     }
 
     /** Publishes the state of both engines and waits until the program has received it. */
@@ -152,8 +152,8 @@
 
     /** Sets the behavior of both engines. */
     public void setBehavior(EngineBehavior behavior) {
-        first.setBehavior(behavior);
-        second.setBehavior(behavior);
+        engine1.setBehavior(behavior);
+        engine2.setBehavior(behavior);
     }
 
     public TestingClient client() throws IOException {
@@ -179,13 +179,13 @@
     }
 
     /** Returns the engine of the endpoints with odd numbers, such as s-1. */
-    public TestingEngine first() {
-        return first;
+    public TestingEngine engine1() {
+        return engine1;
     }
 
     /** Returns the engine of the endpoints with even numbers, such as s-2. */
-    public TestingEngine second() {
-        return second;
+    public TestingEngine engine2() {
+        return engine2;
     }
 
     /** Returns the record of requests that ran more than once at the same time. */
@@ -201,8 +201,8 @@
     @Override
     public void close() throws IOException {
         program.close();
-        first.close();
-        second.close();
+        engine1.close();
+        engine2.close();
         discovery.close();
         try (Stream<Path> files = Files.list(folder)) {
             files.forEach(file -> file.toFile().delete());
--- a/src/test/java/lineward/thrift/ClientDisconnectTest.java
+++ b/src/test/java/lineward/thrift/ClientDisconnectTest.java
@@ -75,7 +75,7 @@
     }
 
     private List<String> ids() {
-        return List.of(platform.first(), platform.second()).stream()
+        return List.of(platform.engine1(), platform.engine2()).stream()
                 .flatMap(e -> e.requestIds().stream())
                 .toList();
     }
@@ -114,7 +114,7 @@
     public void cancelsARequestBetweenTwoAttempts(Disconnect how) throws IOException {
         platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
         CountDownLatch drained = new CountDownLatch(1);
-        for (TestingEngine engine : List.of(platform.first(), platform.second())) {
+        for (TestingEngine engine : List.of(platform.engine1(), platform.engine2())) {
             engine.setBehavior(EngineBehavior.REJECT);
             engine.onRequest(() -> {
                 platform.publishBoth("draining");
@@ -128,8 +128,8 @@
             Program.await("the attempt has ended", () -> open() == 1 && enginesAreIdle());
             go(client, seqid, how);
             platform.setBehavior(EngineBehavior.SERVE);
-            platform.first().onRequest(() -> {});
-            platform.second().onRequest(() -> {});
+            platform.engine1().onRequest(() -> {});
+            platform.engine2().onRequest(() -> {});
             platform.publishBoth("ready");
             assertEquals(ids().size(), 1);
             String next = serveAnother();
@@ -147,7 +147,7 @@
      * reads anything else.
      */
     private boolean enginesAreIdle() {
-        return platform.first().isIdle() && platform.second().isIdle();
+        return platform.engine1().isIdle() && platform.engine2().isIdle();
     }
 
     private int open() {
--- a/src/test/java/lineward/thrift/EndpointListPollTest.java
+++ b/src/test/java/lineward/thrift/EndpointListPollTest.java
@@ -39,13 +39,13 @@
     }
 
     private static void assertOneGetsNothing(TestingPlatform platform) throws IOException {
-        long before = platform.first().attempts();
+        long before = platform.engine1().attempts();
         try (TestingClient caller = platform.client()) {
             for (int i = 0; i < 10; i++) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
         }
-        assertEquals(platform.first().attempts(), before);
+        assertEquals(platform.engine1().attempts(), before);
     }
 
     /** Events are repeated and states come in any order; the last event applies. */
@@ -58,14 +58,14 @@
             platform.discovery().publish(false, platform.engines(1, 1, "draining"));
             platform.awaitNotified();
             assertOneGetsNothing(platform);
-            long before = platform.first().attempts();
+            long before = platform.engine1().attempts();
             platform.discovery().publish(false, platform.engines(1, 1, "ready"));
             platform.discovery().publish(false, platform.engines(2, 2, "gone"));
             platform.awaitNotified();
             try (TestingClient caller = platform.client()) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
-            assertTrue(platform.first().attempts() > before, "the engine is used again");
+            assertTrue(platform.engine1().attempts() > before, "the engine is used again");
         }
     }
 
--- a/src/test/java/lineward/thrift/EngineConnectionTest.java
+++ b/src/test/java/lineward/thrift/EngineConnectionTest.java
@@ -71,10 +71,10 @@
     @Test(dataProvider = "attemptEnds")
     public void retriesASafeRequestAtAnotherEngine(EngineBehavior mode, boolean neverRan) throws IOException {
         platform = new TestingPlatform(Map.of());
-        platform.publishOnly("s-1", platform.first());
-        platform.first().setBehavior(mode);
-        platform.first().onRequest(() -> {
-            platform.first().onRequest(() -> {});
+        platform.publishOnly("s-1", platform.engine1());
+        platform.engine1().setBehavior(mode);
+        platform.engine1().onRequest(() -> {
+            platform.engine1().onRequest(() -> {});
             platform.discovery().publish(false, platform.engines(2, 2, "ready"));
             platform.awaitNotified();
         });
@@ -93,11 +93,11 @@
     @Test
     public void aDuplicateResponseDoesNotEndTheNextAttempt() throws IOException {
         platform = new TestingPlatform(Map.of());
-        platform.publishOnly("s-1", platform.first());
-        platform.first().setBehavior(EngineBehavior.REJECT_TWICE);
+        platform.publishOnly("s-1", platform.engine1());
+        platform.engine1().setBehavior(EngineBehavior.REJECT_TWICE);
         try (TestingClient caller = platform.client()) {
             assertEquals(caller.call(TestingClient.fields(2000), "select 1").body(), ROWS);
-            assertEquals(platform.first().attempts(), 2);
+            assertEquals(platform.engine1().attempts(), 2);
         }
     }
 
@@ -111,7 +111,7 @@
             caller.abort(seqid);
             Program.await(
                     "the engine has received the cancel",
-                    () -> platform.first().cancels() + platform.second().cancels() == 1);
+                    () -> platform.engine1().cancels() + platform.engine2().cancels() == 1);
             platform.setBehavior(EngineBehavior.SERVE);
             assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), ROWS);
             assertEquals(platform.attempts(), 2);
@@ -143,10 +143,10 @@
             platform.awaitNotified();
             caller.send(TestingClient.fields(9000), "select 1");
             late.awaitConnecting();
-            String portOfTwo = "" + platform.second().port();
+            String portOfTwo = "" + platform.engine2().port();
             platform.discovery().publish(false, "s-9", "" + late.port(), state, "s-2", portOfTwo, "ready");
             assertEquals(caller.read().body(), ROWS, "served by the other engine");
-            assertEquals(platform.second().attempts(), 1);
+            assertEquals(platform.engine2().attempts(), 1);
             TestingEngine engine = late.open();
             platform.discovery().publish(false, "s-2", portOfTwo, "gone", "s-10", "" + late.port(), "ready");
             platform.awaitNotified();
@@ -163,7 +163,7 @@
         platform = new TestingPlatform(Map.of());
         try (FullBacklogListener late = new FullBacklogListener();
                 TestingClient caller = platform.client()) {
-            String portOfTwo = "" + platform.second().port();
+            String portOfTwo = "" + platform.engine2().port();
             platform.discovery().publish(true, "s-9", "" + late.port(), "ready", "s-2", portOfTwo, "ready");
             platform.awaitNotified();
             Program.await("a connection is being established", () -> {
@@ -197,7 +197,7 @@
         platform = new TestingPlatform(Map.of());
         try (FullBacklogListener late = new FullBacklogListener();
                 TestingClient caller = platform.client()) {
-            String portOfTwo = "" + platform.second().port();
+            String portOfTwo = "" + platform.engine2().port();
             platform.discovery().publish(true, "s-9", "" + late.port(), "ready", "s-2", portOfTwo, "ready");
             platform.awaitNotified();
             Program.await("the engine is ejected", () -> {
@@ -217,14 +217,14 @@
     @Test
     public void anIncompleteLineOnAnIdleConnectionFailsNoRequest() throws IOException {
         platform = new TestingPlatform(Map.of());
-        platform.publishOnly("s-1", platform.first());
+        platform.publishOnly("s-1", platform.engine1());
         try (TestingClient caller = platform.client()) {
             assertEquals(caller.call(TestingClient.fields(2000), "select 1").body(), ROWS);
-            platform.first().writeToAll("00");
+            platform.engine1().writeToAll("00");
             assertTrue(caller.callMethod("ping").good());
             assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), ROWS);
-            assertEquals(platform.first().attempts(), 2, "no request is retried");
-            Program.await("the engine is pinged", () -> platform.first().pings() > 0);
+            assertEquals(platform.engine1().attempts(), 2, "no request is retried");
+            Program.await("the engine is pinged", () -> platform.engine1().pings() > 0);
         }
     }
 }
--- a/src/test/java/lineward/thrift/GracefulShutdownTest.java
+++ b/src/test/java/lineward/thrift/GracefulShutdownTest.java
@@ -36,7 +36,7 @@
             busy.send(TestingClient.fields(2400), "select 1");
             Program.await(
                     "the request runs",
-                    () -> platform.first().attempts() + platform.second().attempts() > 0);
+                    () -> platform.engine1().attempts() + platform.engine2().attempts() > 0);
             long start = System.nanoTime();
             assertEquals(operator.post("/ops/drain/start", "").status(), 200);
             assertFalse(operator.isReady());
--- a/src/test/java/lineward/thrift/HotRestartHandoverTest.java
+++ b/src/test/java/lineward/thrift/HotRestartHandoverTest.java
@@ -92,7 +92,7 @@
         }
         Program.await(
                 "the requests run",
-                () -> platform.first().attempts() + platform.second().attempts() >= 5);
+                () -> platform.engine1().attempts() + platform.engine2().attempts() >= 5);
         boolean nextHasRequests = ProgramMetrics.read(next).get("edge_relay_open_requests") > 0;
         Program first = nextHasRequests ? next : platform.program();
         first.sendSigterm();
--- a/src/test/java/lineward/thrift/InvalidClientTest.java
+++ b/src/test/java/lineward/thrift/InvalidClientTest.java
@@ -57,7 +57,7 @@
     }
 
     private long requests() {
-        return platform.first().attempts() + platform.second().attempts();
+        return platform.engine1().attempts() + platform.engine2().attempts();
     }
 
     @Test
--- a/src/test/java/lineward/thrift/MaintenanceTest.java
+++ b/src/test/java/lineward/thrift/MaintenanceTest.java
@@ -34,8 +34,8 @@
             AdminClient operator = new AdminClient(platform.program());
             Program.await("the program is ready", operator::isReady);
             serve(platform, 30);
-            boolean first = platform.first().attempts() > 0;
-            TestingEngine used = first ? platform.first() : platform.second();
+            boolean first = platform.engine1().attempts() > 0;
+            TestingEngine used = first ? platform.engine1() : platform.engine2();
             String id = first ? "s-1" : "s-2";
             assertEquals(operator.post(DOWN, "s-3").status(), 404);
             assertEquals(operator.post(UP, "s-3").status(), 404);
@@ -84,8 +84,8 @@
                 platform.program().sendSigterm();
                 Program.await("the old process exits", () -> !platform.program().isAlive());
                 serve(platform, 20);
-                assertEquals(platform.second().attempts(), 0);
-                assertEquals(platform.first().attempts(), 20);
+                assertEquals(platform.engine2().attempts(), 0);
+                assertEquals(platform.engine1().attempts(), 20);
             }
         }
     }
--- a/src/test/java/lineward/thrift/MetricsTest.java
+++ b/src/test/java/lineward/thrift/MetricsTest.java
@@ -30,7 +30,7 @@
                 EngineBehavior.SERVE
             };
             for (int i = 0; i < 100; i++) {
-                platform.first().setBehavior(modes[i / 20]);
+                platform.engine1().setBehavior(modes[i / 20]);
                 answers[
                         caller.call(TestingClient.fields(i % 10 == 0 ? 30 : 2000), "select 1")
                                 .field()]++;
@@ -43,7 +43,7 @@
             assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.REJECTED + "\"}"), answers[1]);
             assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.FAILED + "\"}"), answers[2] + 1);
             assertTrue(answers[0] > 50 && answers[1] >= 10, "some are served and some rejected");
-            long wants = platform.first().attempts() + platform.second().attempts();
+            long wants = platform.engine1().attempts() + platform.engine2().attempts();
             assertTrue(wants > answers[0], "some were retried");
             assertEquals((int) seen.get("edge_relay_relayed_total"), wants);
             assertEquals((int) seen.get("edge_relay_open_requests"), 0);
@@ -62,10 +62,10 @@
             }
             Program.await(
                     "the requests run",
-                    () -> platform.first().attempts() + platform.second().attempts() == 3);
+                    () -> platform.engine1().attempts() + platform.engine2().attempts() == 3);
             assertEquals((int) ProgramMetrics.read(platform.program()).get("edge_relay_open_requests"), 3);
-            platform.first().close();
-            platform.second().setBehavior(EngineBehavior.SERVE);
+            platform.engine1().close();
+            platform.engine2().setBehavior(EngineBehavior.SERVE);
             Program.await("the closed engine is ejected", () -> {
                 try {
                     caller.call(TestingClient.fields(2000), "select 1");
@@ -74,7 +74,7 @@
                     throw new AssertionError(e);
                 }
             });
-            platform.discovery().publish(false, "s-1", "" + platform.first().port(), "gone");
+            platform.discovery().publish(false, "s-1", "" + platform.engine1().port(), "gone");
             Program.await("the engine is not listed", () -> {
                 try {
                     Map<String, Integer> seen = ProgramMetrics.read(platform.program());
--- a/src/test/java/lineward/thrift/OverloadTest.java
+++ b/src/test/java/lineward/thrift/OverloadTest.java
@@ -86,11 +86,11 @@
             platform.discovery().publish(false, platform.engines(1, 1, "draining"));
             platform.discovery().setBroken(false);
             platform.awaitNotified();
-            long before = platform.first().attempts();
+            long before = platform.engine1().attempts();
             try (TestingClient late = platform.client()) {
                 assertEquals(late.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
-            assertEquals(platform.first().attempts(), before, "the drain is in effect");
+            assertEquals(platform.engine1().attempts(), before, "the drain is in effect");
             assertTrue(
                     platform.program().memoryMb() <= MEMORY_MB,
                     platform.program().memoryMb() + " MB");
@@ -106,7 +106,7 @@
     public void endlessRepliesAreBounded() throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of("JAVA_TOOL_OPTIONS", LIMITS));
                 TestingClient caller = platform.client()) {
-            platform.first().setBehavior(EngineBehavior.ENDLESS_REPLY);
+            platform.engine1().setBehavior(EngineBehavior.ENDLESS_REPLY);
             for (int i = 0; i < 20; i++) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/PlatformRulesTest.java
@@ -47,7 +47,7 @@
     }
 
     private long requests() {
-        return platform.first().attempts() + platform.second().attempts();
+        return platform.engine1().attempts() + platform.engine2().attempts();
     }
 
     @Test
@@ -59,8 +59,8 @@
             assertEquals(answer.field(), SERVED);
             assertTrue(answer.good());
             assertEquals(answer.body(), String.join("", TestingEngine.PAGES));
-            boolean firstIsUnused = platform.first().receivedLines().isEmpty();
-            TestingEngine engine = firstIsUnused ? platform.second() : platform.first();
+            boolean firstIsUnused = platform.engine1().receivedLines().isEmpty();
+            TestingEngine engine = firstIsUnused ? platform.engine2() : platform.engine1();
             String id = fields.get(RequestFields.REQUEST_ID);
             List<String> received = engine.receivedLines();
             assertTrue(received.get(0).startsWith(TestingEngineCodec.startQueryPrefix(id, "look")));
@@ -98,12 +98,12 @@
 
     @Test(dataProvider = "faults")
     public void retriesAtAnotherEngine(EngineBehavior mode) throws IOException {
-        platform.first().setBehavior(mode);
+        platform.engine1().setBehavior(mode);
         try (TestingClient caller = platform.client()) {
-            while (platform.first().attempts() == 0) {
+            while (platform.engine1().attempts() == 0) {
                 assertEquals(call(caller, 2000).field(), SERVED);
             }
-            assertTrue(platform.second().attempts() > 0);
+            assertTrue(platform.engine2().attempts() > 0);
         }
     }
 
@@ -119,11 +119,11 @@
     }
 
     private long cancels() {
-        return platform.first().cancels() + platform.second().cancels();
+        return platform.engine1().cancels() + platform.engine2().cancels();
     }
 
     private boolean oneRunsAtEach() {
-        return platform.first().attempts() == 1 && platform.second().attempts() == 1;
+        return platform.engine1().attempts() == 1 && platform.engine2().attempts() == 1;
     }
 
     private void startOneAtEach(TestingClient caller) throws IOException {
@@ -147,12 +147,12 @@
         try (TestingClient open = platform.client();
                 TestingClient caller = platform.client()) {
             startOneAtEach(open);
-            platform.second().setBehavior(EngineBehavior.SERVE);
-            platform.first().setBehavior(EngineBehavior.MALFORMED_REPLY_ONCE);
+            platform.engine2().setBehavior(EngineBehavior.SERVE);
+            platform.engine1().setBehavior(EngineBehavior.MALFORMED_REPLY_ONCE);
             serveAtOnce(caller, 6);
-            assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "the malformed reply was sent");
-            String first = platform.first().receivedLines().get(0).split(" ", -1)[1];
-            assertEquals(platform.second().attempts(first) + platform.first().cancels(), 0);
+            assertEquals(platform.engine1().behavior(), EngineBehavior.SERVE, "the malformed reply was sent");
+            String first = platform.engine1().receivedLines().get(0).split(" ", -1)[1];
+            assertEquals(platform.engine2().attempts(first) + platform.engine1().cancels(), 0);
         }
     }
 
@@ -162,10 +162,10 @@
                 TestingClient caller = platform.client()) {
             startOneAtEach(open);
             platform.setBehavior(EngineBehavior.SERVE);
-            platform.first().limitResets(3);
-            platform.first().setBehavior(EngineBehavior.RESET_LIMITED);
+            platform.engine1().limitResets(3);
+            platform.engine1().setBehavior(EngineBehavior.RESET_LIMITED);
             serveAtOnce(caller, 12);
-            assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "three connections were reset");
+            assertEquals(platform.engine1().behavior(), EngineBehavior.SERVE, "three connections were reset");
             assertFalse(
                     platform.program().log().contains("resets"),
                     platform.program().log());
@@ -174,7 +174,7 @@
 
     @Test
     public void eachOpenRequestGetsOneResponseAndNoConcurrentAttempts() throws IOException {
-        platform.first().setBehavior(EngineBehavior.NO_RESPONSE);
+        platform.engine1().setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client()) {
             Set<Integer> open = new HashSet<>();
             for (int i = 0; i < 32; i++) {
@@ -234,18 +234,18 @@
 
     @Test
     public void forwardsNoRequestToADrainingEngine() throws IOException, InterruptedException {
-        platform.discovery().publish(false, "s-1", "" + platform.first().port(), "draining");
+        platform.discovery().publish(false, "s-1", "" + platform.engine1().port(), "draining");
         long told = System.nanoTime();
         try (TestingClient caller = platform.client()) {
             long late = 0;
             while (System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(1500)) {
                 call(caller, 2000);
                 if (System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(1000)) {
-                    late = platform.first().attempts();
+                    late = platform.engine1().attempts();
                 }
             }
-            assertEquals(platform.first().attempts(), late);
-            assertTrue(platform.second().attempts() > 0);
+            assertEquals(platform.engine1().attempts(), late);
+            assertTrue(platform.engine2().attempts() > 0);
         }
     }
 
@@ -254,8 +254,8 @@
         try (TestingClient caller = platform.client()) {
             call(caller, 2000);
             platform.discovery().setBroken(true);
-            int port = platform.first().port();
-            platform.first().close();
+            int port = platform.engine1().port();
+            platform.engine1().close();
             try (TestingEngine next = new TestingEngine(port)) {
                 platform.discovery()
                         .publish(
@@ -264,13 +264,13 @@
                                 "" + port,
                                 "gone",
                                 "s-2",
-                                "" + platform.second().port(),
+                                "" + platform.engine2().port(),
                                 "gone",
                                 "s-9",
                                 "" + port,
                                 "ready");
                 platform.discovery().setBroken(false);
-                long before = platform.second().attempts();
+                long before = platform.engine2().attempts();
                 Program.await("the new engine serves", () -> {
                     try {
                         return call(caller, 2000).field() == SERVED && next.attempts() > 0;
@@ -291,20 +291,20 @@
         Program.await("the error is logged", () -> platform.program().log().contains(logLine));
         try (TestingServiceDiscovery next = new TestingServiceDiscovery();
                 TestingClient caller = platform.client()) {
-            String portOfTwo = "" + platform.second().port();
-            next.publish(true, "s-1", "" + platform.first().port(), "ready", "s-2", portOfTwo, "ready");
+            String portOfTwo = "" + platform.engine2().port();
+            next.publish(true, "s-1", "" + platform.engine1().port(), "ready", "s-2", portOfTwo, "ready");
             platform.configure(next);
             platform.program().sendSighup();
             platform.program().sendSighup();
             Program.await("the new service is polled", () -> next.polls() > 0);
             platform.discovery().close();
-            next.publish(false, "s-1", "" + platform.first().port(), "gone");
+            next.publish(false, "s-1", "" + platform.engine1().port(), "gone");
             Program.await("the event has been received", () -> next.lastDelivered() == 2);
-            long before = platform.first().attempts();
+            long before = platform.engine1().attempts();
             for (int i = 0; i < 10; i++) {
                 assertEquals(call(caller, 2000).field(), SERVED);
             }
-            assertEquals(platform.first().attempts(), before);
+            assertEquals(platform.engine1().attempts(), before);
             platform.program().sendSigterm();
             platform.program().sendSighup();
         }
