--- a/src/test/java/lineward/telemetry/TelemetryTest.java
+++ b/src/test/java/lineward/telemetry/TelemetryTest.java
@@ -84,7 +84,7 @@
         spans.clear();
         metrics.clear();
         try (TestingPlatform platform = new TestingPlatform(variables(collector))) {
-            platform.exercise(1);
+            platform.sendServedAndOneRejected(1);
             Program.await("three spans", () -> spans.size() >= 3);
             Span attempt = spans.stream()
                     .filter(s -> s.getName().equals("attempt"))
@@ -115,7 +115,7 @@
         spans.clear();
         try (TestingPlatform platform = new TestingPlatform(variables(collector))) {
             long start = System.nanoTime();
-            platform.exercise(200);
+            platform.sendServedAndOneRejected(200);
             assertTrue((System.nanoTime() - start) / 1e9 < 10, "200 requests took 10 s or longer");
             Program.await("the first batch", () -> !spans.isEmpty());
             assertTrue(spans.size() <= 16, spans.size() + " spans, with a queue of 8 and a batch of 8");
--- a/src/test/java/lineward/testing/TestingPlatform.java
+++ b/src/test/java/lineward/testing/TestingPlatform.java
@@ -30,10 +30,10 @@
     private final TestingEngine engine2 = new TestingEngine(concurrentRuns);
     private final Program program;
     private final SocketActivator activator;
-    private final int sockets;
+    private final int maxDescriptors;
     private final String settings;
     private final Path folder = Files.createTempDirectory("shared");
-    private final Path config = folder.resolve("config.json");
+    private final Path configFile = folder.resolve("config.json");
 
     public TestingPlatform(Map<String, String> environment) throws IOException {
         this(environment, null);
@@ -50,38 +50,42 @@
     }
 
     public TestingPlatform(
-            Map<String, String> environment, SocketActivator activator, int fronts, int engines, int sockets)
+            Map<String, String> environment,
+            SocketActivator activator,
+            int frontEnds,
+            int endpointCount,
+            int maxDescriptors)
             throws IOException {
-        this(environment, activator, fronts, engines, sockets, text -> text);
+        this(environment, activator, frontEnds, endpointCount, maxDescriptors, text -> text);
     }
 
     /**
-     * @param fronts number of front ends according to the settings
-     * @param engines number of endpoints: s-1, s-2 and so on, which alternate between the two engines
-     * @param sockets maximum number of the program's file descriptors
+     * @param frontEnds number of front ends according to the settings
+     * @param endpointCount number of endpoints: s-1, s-2 and so on, which alternate between the two engines
+     * @param maxDescriptors maximum number of the program's file descriptors
      */
     private TestingPlatform(
             Map<String, String> environment,
             SocketActivator activator,
-            int fronts,
-            int engines,
-            int sockets,
+            int frontEnds,
+            int endpointCount,
+            int maxDescriptors,
             UnaryOperator<String> change)
             throws IOException {
         this.activator = activator;
-        this.sockets = sockets;
-        this.settings = change.apply(SETTINGS.replace("\"peers-total\":2", "\"peers-total\":" + fronts));
-        discovery.publish(true, engines(1, engines, "ready"));
+        this.maxDescriptors = maxDescriptors;
+        this.settings = change.apply(SETTINGS.replace("\"peers-total\":2", "\"peers-total\":" + frontEnds));
+        discovery.publish(true, endpoints(1, endpointCount, "ready"));
         configure(discovery);
-        Map<String, String> all = new HashMap<>(environment);
-        all.put("RELAY_CONFIG", config.toString());
-        all.put("TMPDIR", folder.toString());
-        program = activator == null ? new Program(all, "serve") : startAgain();
+        Map<String, String> variables = new HashMap<>(environment);
+        variables.put("RELAY_CONFIG", configFile.toString());
+        variables.put("TMPDIR", folder.toString());
+        program = activator == null ? new Program(variables, "serve") : startOnSharedSocket();
         program.port();
     }
 
     /** Returns the arguments of an endpoint update: id, port and state for each endpoint of the range. */
-    public String[] engines(int from, int to, String state) {
+    public String[] endpoints(int from, int to, String state) {
         return IntStream.rangeClosed(from, to)
                 .boxed()
                 .flatMap(i -> Stream.of("s-" + i, "" + (i % 2 == 1 ? engine1 : engine2).port(), state))
@@ -89,8 +93,8 @@
     }
 
     /** Starts one more process of the program, on the activator's socket. */
-    public Program startAgain() throws IOException {
-        return new Program(activator, "RELAY_CONFIG=" + config + ";TMPDIR=" + folder);
+    public Program startOnSharedSocket() throws IOException {
+        return new Program(activator, "RELAY_CONFIG=" + configFile + ";TMPDIR=" + folder);
     }
 
     /** Returns settings with a long connect timeout, latency objective and deadline. */
@@ -101,7 +105,7 @@
     }
 
     /** Returns settings with another class, "load", whose requests are not idempotent. */
-    public static String withUnsafeClass(String settings) {
+    public static String withNonIdempotentClass(String settings) {
         return settings.replace(
                         "\"classes\":[",
                         "\"classes\":[{\"name\":\"load\",\"aim\":2000,"
@@ -117,37 +121,37 @@
 
     /** Publishes the state of both engines and waits until the program has received it. */
     public void publishBoth(String state) {
-        discovery.publish(false, engines(1, 2, state));
-        awaitNotified();
+        discovery.publish(false, endpoints(1, 2, state));
+        awaitEventsReceived();
     }
 
     /** Publishes a full snapshot that lists only this engine. */
     public void publishOnly(String id, TestingEngine engine) {
         discovery.publish(true, id, "" + engine.port(), "ready");
-        awaitNotified();
+        awaitEventsReceived();
     }
 
     /** Waits until the program has received all events. */
-    public void awaitNotified() {
-        BooleanSupplier isNotified = () -> discovery.lastDelivered() == discovery.lastPublished();
-        Program.await("the program has received all events", isNotified);
+    public void awaitEventsReceived() {
+        BooleanSupplier allReceived = () -> discovery.lastDelivered() == discovery.lastPublished();
+        Program.await("the program has received all events", allReceived);
     }
 
     /** Starts a second program with the current configuration, on a socket of its own. */
-    public Program startAnother() throws IOException {
-        return new Program(Map.of("RELAY_CONFIG", config.toString()), "serve");
+    public Program startOnOwnSocket() throws IOException {
+        return new Program(Map.of("RELAY_CONFIG", configFile.toString()), "serve");
     }
 
     /** Writes a configuration that uses this service discovery. */
     public void configure(TestingServiceDiscovery service) throws IOException {
         configure("{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"1f\",\"limits\":"
-                + "{\"sockets\":" + sockets + "},\"journal\":\"" + service.address()
+                + "{\"sockets\":" + maxDescriptors + "},\"journal\":\"" + service.address()
                 + "\",\"management\":\"127.0.0.1:0\",\"known\":" + service.eventsAfter(0)
                 + ",\"settings\":" + settings + "}");
     }
 
     public void configure(String text) throws IOException {
-        Files.writeString(config, text);
+        Files.writeString(configFile, text);
     }
 
     /** Sets the behavior of both engines. */
@@ -161,9 +165,9 @@
     }
 
     /** Sends requests that are served, and one that is rejected because its time left is too short. */
-    public void exercise(int served) throws IOException {
+    public void sendServedAndOneRejected(int servedCount) throws IOException {
         try (TestingClient client = client()) {
-            for (int i = 0; i < served; i++) {
+            for (int i = 0; i < servedCount; i++) {
                 client.call(TestingClient.fields(2000), "select 1");
             }
             client.call(TestingClient.fields(20), "select 1");
@@ -194,8 +198,8 @@
     }
 
     /** Returns the configuration file. */
-    public Path config() {
-        return config;
+    public Path configFile() {
+        return configFile;
     }
 
     @Override
--- a/src/test/java/lineward/thrift/ClientDisconnectTest.java
+++ b/src/test/java/lineward/thrift/ClientDisconnectTest.java
@@ -100,7 +100,7 @@
         try (FullBacklogListener late = new FullBacklogListener();
                 TestingClient client = platform.client()) {
             platform.discovery().publish(true, "s-9", "" + late.port(), "ready");
-            platform.awaitNotified();
+            platform.awaitEventsReceived();
             int seqid = client.send(TestingClient.fields(9000), "select 1");
             late.awaitConnecting();
             go(client, seqid, how);
--- a/src/test/java/lineward/thrift/EndpointListPollTest.java
+++ b/src/test/java/lineward/thrift/EndpointListPollTest.java
@@ -29,9 +29,9 @@
                     "a poll is open that gets no response",
                     () -> platform.discovery().polls() > polls);
             long publishedNanos = System.nanoTime();
-            platform.discovery().publish(false, platform.engines(1, 1, "draining"));
+            platform.discovery().publish(false, platform.endpoints(1, 1, "draining"));
             platform.discovery().setUnresponsive(false);
-            platform.awaitNotified();
+            platform.awaitEventsReceived();
             long maxNanos = TimeUnit.MILLISECONDS.toNanos(MAX_NOTIFICATION_MS);
             assertTrue(System.nanoTime() - publishedNanos < maxNanos, "notified in time");
             assertOneGetsNothing(platform);
@@ -52,16 +52,16 @@
     @Test
     public void appliesTheLastOfRepeatedDrainEvents() throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of())) {
-            platform.discovery().publish(false, platform.engines(1, 1, "draining"));
-            platform.discovery().publish(false, platform.engines(1, 1, "draining"));
-            platform.discovery().publish(false, platform.engines(1, 1, "gone"));
-            platform.discovery().publish(false, platform.engines(1, 1, "draining"));
-            platform.awaitNotified();
+            platform.discovery().publish(false, platform.endpoints(1, 1, "draining"));
+            platform.discovery().publish(false, platform.endpoints(1, 1, "draining"));
+            platform.discovery().publish(false, platform.endpoints(1, 1, "gone"));
+            platform.discovery().publish(false, platform.endpoints(1, 1, "draining"));
+            platform.awaitEventsReceived();
             assertOneGetsNothing(platform);
             long before = platform.engine1().attempts();
-            platform.discovery().publish(false, platform.engines(1, 1, "ready"));
-            platform.discovery().publish(false, platform.engines(2, 2, "gone"));
-            platform.awaitNotified();
+            platform.discovery().publish(false, platform.endpoints(1, 1, "ready"));
+            platform.discovery().publish(false, platform.endpoints(2, 2, "gone"));
+            platform.awaitEventsReceived();
             try (TestingClient caller = platform.client()) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
@@ -80,7 +80,7 @@
     public void startsWithoutServiceDiscovery(String state) throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of());
                 TestingServiceDiscovery other = new TestingServiceDiscovery()) {
-            other.publish(true, platform.engines(1, 2, "ready"));
+            other.publish(true, platform.endpoints(1, 2, "ready"));
             other.setBroken(state.equals("broken"));
             other.setUnresponsive(state.equals("silent"));
             platform.configure(other);
@@ -88,13 +88,13 @@
                 other.stop();
             }
             long start = System.nanoTime();
-            try (Program again = platform.startAnother();
+            try (Program again = platform.startOnOwnSocket();
                     TestingClient caller = new TestingClient(again.port())) {
                 assertTrue(caller.callMethod("ping").good());
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
                 assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(10), "ready in time");
                 if (!state.equals("gone")) {
-                    other.publish(false, platform.engines(1, 1, "gone"));
+                    other.publish(false, platform.endpoints(1, 1, "gone"));
                     other.setBroken(false);
                     other.setUnresponsive(false);
                     Program.await("the program has received the event", () -> other.lastDelivered() == 2);
--- a/src/test/java/lineward/thrift/EngineConnectionTest.java
+++ b/src/test/java/lineward/thrift/EngineConnectionTest.java
@@ -54,7 +54,7 @@
     /** A non-idempotent request is retried only if it never ran; otherwise it fails. */
     @Test(dataProvider = "attemptEnds")
     public void runsAnUnsafeRequestAtMostOnce(EngineBehavior mode, boolean neverRan) throws IOException {
-        platform = new TestingPlatform(TestingPlatform::withUnsafeClass);
+        platform = new TestingPlatform(TestingPlatform::withNonIdempotentClass);
         platform.setBehavior(mode);
         try (TestingClient caller = platform.client()) {
             Map<String, String> fields = TestingClient.fields(3000);
@@ -75,12 +75,12 @@
         platform.engine1().setBehavior(mode);
         platform.engine1().onRequest(() -> {
             platform.engine1().onRequest(() -> {});
-            platform.discovery().publish(false, platform.engines(2, 2, "ready"));
-            platform.awaitNotified();
+            platform.discovery().publish(false, platform.endpoints(2, 2, "ready"));
+            platform.awaitEventsReceived();
         });
         if (mode == EngineBehavior.RESET_MID_REQUEST) {
-            platform.discovery().publish(false, platform.engines(2, 2, "ready"));
-            platform.awaitNotified();
+            platform.discovery().publish(false, platform.endpoints(2, 2, "ready"));
+            platform.awaitEventsReceived();
         }
         try (TestingClient caller = platform.client()) {
             assertEquals(caller.call(TestingClient.fields(2400), "select 1").body(), ROWS);
@@ -140,7 +140,7 @@
         try (FullBacklogListener late = new FullBacklogListener();
                 TestingClient caller = platform.client()) {
             platform.discovery().publish(true, "s-9", "" + late.port(), "ready");
-            platform.awaitNotified();
+            platform.awaitEventsReceived();
             caller.send(TestingClient.fields(9000), "select 1");
             late.awaitConnecting();
             String portOfTwo = "" + platform.engine2().port();
@@ -149,7 +149,7 @@
             assertEquals(platform.engine2().attempts(), 1);
             TestingEngine engine = late.open();
             platform.discovery().publish(false, "s-2", portOfTwo, "gone", "s-10", "" + late.port(), "ready");
-            platform.awaitNotified();
+            platform.awaitEventsReceived();
             Map<String, String> fields = TestingClient.fields(9000);
             assertEquals(caller.call(fields, "select 2").body(), ROWS);
             String id = fields.get(RequestFields.REQUEST_ID);
@@ -165,7 +165,7 @@
                 TestingClient caller = platform.client()) {
             String portOfTwo = "" + platform.engine2().port();
             platform.discovery().publish(true, "s-9", "" + late.port(), "ready", "s-2", portOfTwo, "ready");
-            platform.awaitNotified();
+            platform.awaitEventsReceived();
             Program.await("a connection is being established", () -> {
                 try {
                     return caller.call(TestingClient.fields(2400), "select 1")
@@ -199,7 +199,7 @@
                 TestingClient caller = platform.client()) {
             String portOfTwo = "" + platform.engine2().port();
             platform.discovery().publish(true, "s-9", "" + late.port(), "ready", "s-2", portOfTwo, "ready");
-            platform.awaitNotified();
+            platform.awaitEventsReceived();
             Program.await("the engine is ejected", () -> {
                 try {
                     return caller.call(TestingClient.fields(2400), "select 1")
--- a/src/test/java/lineward/thrift/HotRestartHandoverTest.java
+++ b/src/test/java/lineward/thrift/HotRestartHandoverTest.java
@@ -35,7 +35,7 @@
     public void start() throws IOException {
         holder = new SocketActivator();
         platform = new TestingPlatform(Map.of(), holder);
-        next = platform.startAgain();
+        next = platform.startOnSharedSocket();
         operator = new AdminClient(next);
         Program.await("the new process is ready", operator::isReady);
     }
--- a/src/test/java/lineward/thrift/LargeFleetTest.java
+++ b/src/test/java/lineward/thrift/LargeFleetTest.java
@@ -40,7 +40,7 @@
             assertTrue(attempts <= 2 * SOCKETS * 1.05, attempts + " attempts: too many relaunches");
             assertTrue(program.descriptors() <= SOCKETS, program.descriptors() + " descriptors");
             assertTrue(program.memoryMb() <= MEMORY_MB, program.memoryMb() + " MB");
-            platform.discovery().publish(false, platform.engines(1, engines / 2, "gone"));
+            platform.discovery().publish(false, platform.endpoints(1, engines / 2, "gone"));
             awaitEngines(program, engines - engines / 2);
             for (int i = engines / 2 + 1; i <= engines; i++) {
                 assertEquals(
@@ -53,7 +53,7 @@
             assertEquals(outOfRotation, engines - engines / 2);
             next.publish(true);
             next.publish(true);
-            next.publish(true, platform.engines(engines + 1, 2 * engines, "ready"));
+            next.publish(true, platform.endpoints(engines + 1, 2 * engines, "ready"));
             platform.configure(next);
             program.sendSighup();
             awaitEngines(program, engines);
--- a/src/test/java/lineward/thrift/MaintenanceTest.java
+++ b/src/test/java/lineward/thrift/MaintenanceTest.java
@@ -71,7 +71,7 @@
             AdminClient old = new AdminClient(platform.program());
             Program.await("the program is ready", old::isReady);
             assertEquals(old.post(DOWN, "s-1").status(), 200);
-            try (Program next = platform.startAgain()) {
+            try (Program next = platform.startOnSharedSocket()) {
                 AdminClient operator = new AdminClient(next);
                 Program.await("the new process is ready", operator::isReady);
                 assertTrue(next.log().contains("engine maintenance started: engine=s-1"), next.log());
--- a/src/test/java/lineward/thrift/OverloadTest.java
+++ b/src/test/java/lineward/thrift/OverloadTest.java
@@ -83,9 +83,9 @@
                 int now = platform.program().descriptors();
                 assertTrue(now <= most, now + " descriptors");
             }
-            platform.discovery().publish(false, platform.engines(1, 1, "draining"));
+            platform.discovery().publish(false, platform.endpoints(1, 1, "draining"));
             platform.discovery().setBroken(false);
-            platform.awaitNotified();
+            platform.awaitEventsReceived();
             long before = platform.engine1().attempts();
             try (TestingClient late = platform.client()) {
                 assertEquals(late.call(TestingClient.fields(2000), "select 1").field(), SERVED);
--- a/src/test/java/lineward/thrift/ShutdownSignalTest.java
+++ b/src/test/java/lineward/thrift/ShutdownSignalTest.java
@@ -150,7 +150,7 @@
         Path folder = Files.createTempDirectory("start");
         Path pipe = folder.resolve("config.json");
         assertEquals(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor(), 0);
-        String config = Files.readString(platform.config());
+        String config = Files.readString(platform.configFile());
         try (Program program = new Program(Map.of("RELAY_CONFIG", pipe.toString()), "serve")) {
             // Opening the pipe blocks until the program opens it to read its configuration.
             try (OutputStream out = Files.newOutputStream(pipe)) {
