--- a/src/test/java/lineward/testing/TestingServiceDiscovery.java
+++ b/src/test/java/lineward/testing/TestingServiceDiscovery.java
@@ -17,7 +17,7 @@
     private final HttpServer server;
     private final List<String> events = new ArrayList<>();
     /** Whether polls get an error. */
-    private volatile boolean broken;
+    private volatile boolean failing;
     /** Whether polls get no response while their connections stay open. */
     private volatile boolean unresponsive;
 
@@ -40,8 +40,8 @@
     }
 
     /** Sets whether polls get an error. */
-    public void setBroken(boolean broken) {
-        this.broken = broken;
+    public void setFailing(boolean failing) {
+        this.failing = failing;
     }
 
     /** Sets whether polls get no response while their connections stay open. */
@@ -106,9 +106,9 @@
         }
         try (exchange) {
             int after = Integer.parseInt(query[1]);
-            String response = broken ? "{" : awaitEventsAfter(after, Integer.parseInt(query[3]));
+            String response = failing ? "{" : awaitEventsAfter(after, Integer.parseInt(query[3]));
             byte[] bytes = response.getBytes(StandardCharsets.UTF_8);
-            exchange.sendResponseHeaders(broken ? 500 : 200, bytes.length);
+            exchange.sendResponseHeaders(failing ? 500 : 200, bytes.length);
             exchange.getResponseBody().write(bytes);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/test/java/lineward/thrift/EndpointListPollTest.java
+++ b/src/test/java/lineward/thrift/EndpointListPollTest.java
@@ -81,7 +81,7 @@
         try (TestingPlatform platform = new TestingPlatform(Map.of());
                 TestingServiceDiscovery other = new TestingServiceDiscovery()) {
             other.publish(true, platform.endpoints(1, 2, "ready"));
-            other.setBroken(state.equals("broken"));
+            other.setFailing(state.equals("broken"));
             other.setUnresponsive(state.equals("silent"));
             platform.configure(other);
             if (state.equals("gone")) {
@@ -95,7 +95,7 @@
                 assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(10), "ready in time");
                 if (!state.equals("gone")) {
                     other.publish(false, platform.endpoints(1, 1, "gone"));
-                    other.setBroken(false);
+                    other.setFailing(false);
                     other.setUnresponsive(false);
                     Program.await("the program has received the event", () -> other.lastDelivered() == 2);
                 }
--- a/src/test/java/lineward/thrift/OverloadTest.java
+++ b/src/test/java/lineward/thrift/OverloadTest.java
@@ -67,7 +67,7 @@
         List<Socket> crowd = new ArrayList<>();
         Map<String, String> variables = Map.of("JAVA_TOOL_OPTIONS", LIMITS);
         try (TestingPlatform platform = new TestingPlatform(variables, null, 2, 2, SOCKETS)) {
-            platform.discovery().setBroken(true);
+            platform.discovery().setFailing(true);
             int most = platform.program().descriptors() + SOCKETS * MAX_PERCENT / 100;
             for (int i = 0; i < 2 * SOCKETS; i++) {
                 crowd.add(new Socket(
@@ -84,7 +84,7 @@
                 assertTrue(now <= most, now + " descriptors");
             }
             platform.discovery().publish(false, platform.endpoints(1, 1, "draining"));
-            platform.discovery().setBroken(false);
+            platform.discovery().setFailing(false);
             platform.awaitEventsReceived();
             long before = platform.engine1().attempts();
             try (TestingClient late = platform.client()) {
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/PlatformRulesTest.java
@@ -253,7 +253,7 @@
     public void usesANewEngineAtAnOldAddressAfterDiscoveryErrors() throws IOException {
         try (TestingClient caller = platform.client()) {
             call(caller, 2000);
-            platform.discovery().setBroken(true);
+            platform.discovery().setFailing(true);
             int port = platform.engine1().port();
             platform.engine1().close();
             try (TestingEngine next = new TestingEngine(port)) {
@@ -269,7 +269,7 @@
                                 "s-9",
                                 "" + port,
                                 "ready");
-                platform.discovery().setBroken(false);
+                platform.discovery().setFailing(false);
                 long before = platform.engine2().attempts();
                 Program.await("the new engine serves", () -> {
                     try {
