--- a/src/test/java/lineward/testing/FullBacklogListener.java
+++ b/src/test/java/lineward/testing/FullBacklogListener.java
@@ -14,7 +14,7 @@
 /** An engine's listening socket whose backlog is full: no connection is established until {@link #open}. */
 public final class FullBacklogListener implements AutoCloseable {
     /** Time after which a connect that has not succeeded shows that the backlog is full. */
-    private static final int CONNECTS_MS = 200;
+    private static final int TIMEOUT_MS = 200;
 
     private static final String SYN_SENT = "02";
 
@@ -26,7 +26,7 @@
         while (fillers.size() < 8) {
             Socket filler = new Socket();
             try {
-                filler.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port()), CONNECTS_MS);
+                filler.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port()), TIMEOUT_MS);
                 fillers.add(filler);
             } catch (IOException e) {
                 filler.close();
@@ -47,12 +47,12 @@
 
     /** Returns whether a client is connecting: its socket is in state SYN_SENT. */
     public boolean isConnecting() {
-        String end = String.format(":%04X %s", port(), SYN_SENT);
+        String remoteAndState = String.format(":%04X %s", port(), SYN_SENT);
         try {
             return Stream.concat(
                             Files.readAllLines(Path.of("/proc/net/tcp")).stream(),
                             Files.readAllLines(Path.of("/proc/net/tcp6")).stream())
-                    .anyMatch(l -> l.contains(end));
+                    .anyMatch(line -> line.contains(remoteAndState));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/lineward/testing/SocketActivator.java
+++ b/src/test/java/lineward/testing/SocketActivator.java
@@ -11,26 +11,26 @@
  */
 public final class SocketActivator implements AutoCloseable {
     private static final String SCRIPT = """
-            use Socket; use Fcntl; use POSIX (); $| = 1; $SIG{CHLD} = 'IGNORE';
-            socket(my $s, PF_INET, SOCK_STREAM, 0); setsockopt($s, SOL_SOCKET, SO_REUSEADDR, 1);
-            bind($s, sockaddr_in(0, INADDR_LOOPBACK)) && listen($s, 64) or die;
-            my ($port) = sockaddr_in(getsockname($s));
-            open(my $in, '<&', \\*STDIN);
-            print "$port\\n";
-            while (my $line = <$in>) {
-                chomp $line;
-                if ($line eq 'blocking') { fcntl($s, F_SETFL, fcntl($s, F_GETFL, 0) & ~O_NONBLOCK); next; }
-                my ($out, $env, @command) = split /\\t/, $line;
-                my $pid = fork;
-                if (!$pid) {
-                    POSIX::dup2(fileno($s), 0);
-                    open(STDOUT, '>', $out); open(STDERR, '>&', \\*STDOUT);
-                    for (split /;/, $env) { my ($k, $v) = split /=/, $_, 2; $ENV{$k} = $v; }
-                    exec @command;
-                }
-                print "$pid\\n";
+        use Socket; use Fcntl; use POSIX (); $| = 1; $SIG{CHLD} = 'IGNORE';
+        socket(my $s, PF_INET, SOCK_STREAM, 0); setsockopt($s, SOL_SOCKET, SO_REUSEADDR, 1);
+        bind($s, sockaddr_in(0, INADDR_LOOPBACK)) && listen($s, 64) or die;
+        my ($port) = sockaddr_in(getsockname($s));
+        open(my $in, '<&', \\*STDIN);
+        print "$port\\n";
+        while (my $line = <$in>) {
+            chomp $line;
+            if ($line eq 'blocking') { fcntl($s, F_SETFL, fcntl($s, F_GETFL, 0) & ~O_NONBLOCK); next; }
+            my ($out, $env, @command) = split /\\t/, $line;
+            my $pid = fork;
+            if (!$pid) {
+                POSIX::dup2(fileno($s), 0);
+                open(STDOUT, '>', $out); open(STDERR, '>&', \\*STDOUT);
+                for (split /;/, $env) { my ($k, $v) = split /=/, $_, 2; $ENV{$k} = $v; }
+                exec @command;
             }
-            """;
+            print "$pid\\n";
+        }
+        """;
     private final Process process;
     private final int port;
 
@@ -65,15 +65,15 @@
     }
 
     /** Starts a program, and redirects its output to the file {@code out}. */
-    public ProcessHandle start(String out, String environment, List<String> command) throws IOException {
-        send(out + '\t' + environment + '\t' + String.join("\t", command));
+    public ProcessHandle start(String logFile, String environment, List<String> command) throws IOException {
+        send(logFile + '\t' + environment + '\t' + String.join("\t", command));
         return ProcessHandle.of(readNumber()).orElseThrow(() -> new IOException("the program has exited"));
     }
 
     private void send(String line) throws IOException {
-        OutputStream to = process.getOutputStream();
-        to.write((line + '\n').getBytes(StandardCharsets.UTF_8));
-        to.flush();
+        OutputStream out = process.getOutputStream();
+        out.write((line + '\n').getBytes(StandardCharsets.UTF_8));
+        out.flush();
     }
 
     @Override
--- a/src/test/java/lineward/testing/TestingClient.java
+++ b/src/test/java/lineward/testing/TestingClient.java
@@ -27,11 +27,11 @@
         this(port, 0);
     }
 
-    /** @param receiveBuffer size in bytes of the socket's receive buffer; 0 for the system's default */
-    public TestingClient(int port, int receiveBuffer) throws IOException {
+    /** @param receiveBufferBytes size in bytes of the socket's receive buffer; 0 for the system's default */
+    public TestingClient(int port, int receiveBufferBytes) throws IOException {
         socket = new Socket();
-        if (receiveBuffer > 0) {
-            socket.setReceiveBufferSize(receiveBuffer);
+        if (receiveBufferBytes > 0) {
+            socket.setReceiveBufferSize(receiveBufferBytes);
         }
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         socket.setSoTimeout(20_000);
@@ -59,8 +59,8 @@
     }
 
     /** Sets the sequence number of the next request. */
-    public void renumber(int next) {
-        seqid = next - 1;
+    public void setNextSeqid(int nextSeqid) {
+        seqid = nextSeqid - 1;
     }
 
     public int send(Map<String, String> fields, String statement) throws IOException {
--- a/src/test/java/lineward/thrift/InvalidClientTest.java
+++ b/src/test/java/lineward/thrift/InvalidClientTest.java
@@ -99,7 +99,7 @@
         InvalidClient behind = caller -> caller.send(TestingClient.fields(2000), "select 1", new byte[] {0});
         InvalidClient twice = caller -> {
             caller.send(TestingClient.fields(2000), "select 1");
-            caller.renumber(1);
+            caller.setNextSeqid(1);
             caller.send(TestingClient.fields(2000), "select 1");
         };
         InvalidClient abort = caller -> caller.abort(7);
