--- a/src/test/java/lineward/thrift/GracefulShutdownTest.java
+++ b/src/test/java/lineward/thrift/OperatorDrainTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.Test;
 
 /** A drain that an operator starts and stops at the admin endpoint. */
-public class GracefulShutdownTest {
+public class OperatorDrainTest {
     private static final int REJECTED = 1;
 
     @Test
