--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/ThriftServerTest.java
@@ -25,7 +25,7 @@
 import org.testng.annotations.Test;
 
 /** The platform's rules for front ends, each tested over real sockets. */
-public class PlatformRulesTest {
+public class ThriftServerTest {
     private static final int REPLY = 2;
     private static final int SERVED = 0;
     private static final int REJECTED = 1;
