--- a/src/test/java/lineward/thrift/MaintenanceTest.java
+++ b/src/test/java/lineward/thrift/AdminMaintenanceTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 /** Operators put an engine under maintenance and release it. */
-public class MaintenanceTest {
+public class AdminMaintenanceTest {
     private static final String DOWN = "/ops/query-engines/down";
     private static final String UP = "/ops/query-engines/up";
 
--- a/src/test/java/lineward/thrift/LargeFleetTest.java
+++ b/src/test/java/lineward/thrift/LargeFleetResourcesTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.Test;
 
 /** The program in a fleet of many front ends and engines, within the resource limits of a small one. */
-public class LargeFleetTest {
+public class LargeFleetResourcesTest {
     private static final String LIMITS = "-Xmx64m -Xss512k -XX:MaxMetaspaceSize=48m";
     private static final int SOCKETS = 128;
     private static final int MEMORY_MB = 192;
