--- a/src/test/java/lineward/StartTest.java
+++ b/src/test/java/lineward/InvalidConfigurationTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 /** An invalid configuration ends the start with exit status 2 and a single line that names the error. */
-public class StartTest {
+public class InvalidConfigurationTest {
     private static final String GOOD =
             "\"listen\":\"127.0.0.1:0\",\"journal\":\"127.0.0.1:1\",\"known\":{\"pos\":0,\"entries\":[]}";
 
