--- a/src/test/java/lineward/InvalidConfigurationTest.java
+++ b/src/test/java/lineward/InvalidConfigurationTest.java
@@ -12,17 +12,17 @@
 
 /** An invalid configuration ends the start with exit status 2 and a single line that names the error. */
 public class InvalidConfigurationTest {
-    private static final String GOOD =
+    private static final String VALID_FIELDS =
             "\"listen\":\"127.0.0.1:0\",\"journal\":\"127.0.0.1:1\",\"known\":{\"pos\":0,\"entries\":[]}";
 
     @DataProvider
-    public Object[][] bad() {
+    public Object[][] invalidConfigurations() {
         return new Object[][] {
             {"serve", "{", "not JSON"},
             {"serve", "{}", "no settings"},
             {"serve", "{\"settings\":{}}", "listen is not an address"},
-            {"serve", "{" + GOOD + ",\"settings\":{}}", "classes"},
-            {"serve", "{" + GOOD + ",\"settings\":{},\"limits\":{\"sockets\":-1}}", "sockets is no"},
+            {"serve", "{" + VALID_FIELDS + ",\"settings\":{}}", "classes"},
+            {"serve", "{" + VALID_FIELDS + ",\"settings\":{},\"limits\":{\"sockets\":-1}}", "sockets is no"},
             {"mysql", "listen = 5 5", "not TOML"},
             {"mysql", "", "nothing to serve"},
             {"mysql", "listen = \"127.0.0.1:0\"", "needs a user"},
@@ -34,16 +34,16 @@
         };
     }
 
-    @Test(dataProvider = "bad")
-    public void invalidConfigurationEndsTheStart(String command, String content, String says)
+    @Test(dataProvider = "invalidConfigurations")
+    public void invalidConfigurationEndsTheStart(String command, String content, String message)
             throws IOException, InterruptedException {
         Path file = Files.createTempFile("bad", ".conf");
         Files.writeString(file, content);
-        boolean withFile = command.equals("mysql");
-        String[] words = withFile ? new String[] {command, file.toString()} : new String[] {command};
-        try (Program program = new Program(Map.of("RELAY_CONFIG", file.toString()), words)) {
+        boolean takesFile = command.equals("mysql");
+        String[] arguments = takesFile ? new String[] {command, file.toString()} : new String[] {command};
+        try (Program program = new Program(Map.of("RELAY_CONFIG", file.toString()), arguments)) {
             assertEquals(program.awaitExitStatus(), 2);
-            Program.await("the error is logged", () -> program.log().contains(says));
+            Program.await("the error is logged", () -> program.log().contains(message));
             assertEquals(program.log().lines().count(), 1, program.log());
         }
         Files.delete(file);
