--- a/src/test/java/lineward/LayersTest.java
+++ b/src/test/java/lineward/LayersTest.java
@@ -54,17 +54,17 @@
     }
 
     @Test
-    public void noLayerUsesOneAboveIt() {
+    public void layersDependOnlyOnLowerLayers() {
         layered(LAYERS).check(productionClasses("lineward"));
     }
 
     @Test
-    public void noPartOfTheSchedulingModuleUsesOneAboveIt() {
+    public void schedulingLayersDependOnlyOnLowerLayers() {
         layered(SCHEDULING_LAYERS).check(productionClasses("lineward.scheduling"));
     }
 
     @Test
-    public void noPartOfTheMysqlFrontEndUsesOneAboveIt() {
+    public void mysqlLayersDependOnlyOnLowerLayers() {
         layered(MYSQL_LAYERS).check(productionClasses("lineward.mysql"));
     }
 
@@ -91,7 +91,7 @@
     }
 
     @DataProvider
-    public Object[][] plantedFaults() {
+    public Object[][] violations() {
         return new Object[][] {
             {"lineward.core..", "lineward.mysql.."},
             {"lineward.scheduling.state", "lineward.scheduling.decision"},
@@ -99,8 +99,8 @@
         };
     }
 
-    @Test(dataProvider = "plantedFaults", expectedExceptions = AssertionError.class)
-    public void aLayerThatUsesOneAboveItIsFound(String lower, String upper) {
+    @Test(dataProvider = "violations", expectedExceptions = AssertionError.class)
+    public void detectsADependencyOnAHigherLayer(String lower, String upper) {
         JavaClasses classes = new ClassFileImporter().importPackages("lineward");
         Architectures.layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
