--- a/src/test/java/lineward/DocumentationTest.java
+++ b/src/test/java/lineward/DocumentationTest.java
@@ -94,7 +94,7 @@
                 .find();
     }
 
-    private static MatchResult name(String text) {
+    private static MatchResult matchName(String text) {
         return CLASS_NAME.matcher(text).results().findFirst().orElseThrow();
     }
 
@@ -103,9 +103,9 @@
     }
 
     @Test
-    public void aWrongNameIsFound() {
-        assertTrue(exists(name("`core.Coordinator.tick`")));
-        assertFalse(exists(name("`core.NoSuchClass`")));
-        assertFalse(exists(name("`Coordinator.noSuchMember`")));
+    public void detectsNamesThatDoNotExist() {
+        assertTrue(exists(matchName("`core.Coordinator.tick`")));
+        assertFalse(exists(matchName("`core.NoSuchClass`")));
+        assertFalse(exists(matchName("`Coordinator.noSuchMember`")));
     }
 }
