--- a/src/test/java/lineward/thrift/FrameDecoderTest.java
+++ b/src/test/java/lineward/thrift/FrameDecoderTest.java
@@ -13,9 +13,9 @@
 
 /** Decoding of frames that arrive in pieces of any size. */
 public class FrameDecoderTest {
-    private static final byte[] TWO = {0, 0, 0, 2, 'a', 'b', 0, 0, 0, 3, 'c', 'd', 'e'};
+    private static final byte[] FRAMES = {0, 0, 0, 2, 'a', 'b', 0, 0, 0, 3, 'c', 'd', 'e'};
 
-    private static String next(EmbeddedChannel channel) {
+    private static String readFrame(EmbeddedChannel channel) {
         ByteBuf frame = channel.readInbound();
         try {
             return frame.toString(StandardCharsets.US_ASCII);
@@ -26,14 +26,14 @@
 
     @Test
     public void decodesFramesSplitAtAnyByte() {
-        for (int first = 0; first <= TWO.length; first++) {
-            for (int second = first; second <= TWO.length; second++) {
+        for (int firstSplit = 0; firstSplit <= FRAMES.length; firstSplit++) {
+            for (int secondSplit = firstSplit; secondSplit <= FRAMES.length; secondSplit++) {
                 EmbeddedChannel channel = new EmbeddedChannel(new FrameDecoder());
-                channel.writeInbound(Unpooled.copiedBuffer(TWO, 0, first));
-                channel.writeInbound(Unpooled.copiedBuffer(TWO, first, second - first));
-                channel.writeInbound(Unpooled.copiedBuffer(TWO, second, TWO.length - second));
-                assertEquals(next(channel), "ab");
-                assertEquals(next(channel), "cde");
+                channel.writeInbound(Unpooled.copiedBuffer(FRAMES, 0, firstSplit));
+                channel.writeInbound(Unpooled.copiedBuffer(FRAMES, firstSplit, secondSplit - firstSplit));
+                channel.writeInbound(Unpooled.copiedBuffer(FRAMES, secondSplit, FRAMES.length - secondSplit));
+                assertEquals(readFrame(channel), "ab");
+                assertEquals(readFrame(channel), "cde");
                 assertNull(channel.readInbound());
             }
         }
@@ -43,11 +43,11 @@
     public void onlyAnIncompleteFrameIsStalled() {
         FrameDecoder decoder = new FrameDecoder();
         EmbeddedChannel channel = new EmbeddedChannel(decoder);
-        for (int i = 0; i < TWO.length; i++) {
-            boolean between = i == 0 || i == 6;
-            assertEquals(decoder.isStalled(-1), !between, "after " + i + " bytes");
+        for (int i = 0; i < FRAMES.length; i++) {
+            boolean isBetweenFrames = i == 0 || i == 6;
+            assertEquals(decoder.isStalled(-1), !isBetweenFrames, "after " + i + " bytes");
             assertFalse(decoder.isStalled(Long.MAX_VALUE));
-            channel.writeInbound(Unpooled.copiedBuffer(TWO, i, 1));
+            channel.writeInbound(Unpooled.copiedBuffer(FRAMES, i, 1));
         }
         assertFalse(decoder.isStalled(-1));
         assertTrue(channel.finishAndReleaseAll());
