--- a/src/test/java/lineward/thrift/ThriftReaderTest.java
+++ b/src/test/java/lineward/thrift/ThriftReaderTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    public void readsFieldsAndBodyAndSkipsTheRest() {
+    public void readsFieldsAndStatementAndSkipsOtherArguments() {
         ThriftReader.Invocation invocation = ThriftReader.readInvocation(hex("0c 0009 08 0001 00000007 00"
                 + "0f 0005 0b 00000002 00000001 41 00000000"
                 + "0d 0001 0b 0b 00000001 00000002 6f70 00000001 78"
@@ -32,7 +32,7 @@
     }
 
     @DataProvider
-    public Object[][] heads() {
+    public Object[][] malformedHeaders() {
         return new Object[][] {
             {""},
             {"00000001"},
@@ -43,13 +43,13 @@
         };
     }
 
-    @Test(dataProvider = "heads")
-    public void rejectsMalformedHeaders(String bytes) {
-        assertThrows(CorruptedFrameException.class, () -> ThriftReader.readHeader(hex(bytes)));
+    @Test(dataProvider = "malformedHeaders")
+    public void rejectsMalformedHeaders(String hexDump) {
+        assertThrows(CorruptedFrameException.class, () -> ThriftReader.readHeader(hex(hexDump)));
     }
 
     @DataProvider
-    public Object[][] arguments() {
+    public Object[][] malformedArguments() {
         return new Object[][] {
             {""},
             {"0d 0001 0b 0b 00000001"},
@@ -65,8 +65,8 @@
         };
     }
 
-    @Test(dataProvider = "arguments")
-    public void rejectsMalformedArguments(String bytes) {
-        assertThrows(CorruptedFrameException.class, () -> ThriftReader.readInvocation(hex(bytes)));
+    @Test(dataProvider = "malformedArguments")
+    public void rejectsMalformedArguments(String hexDump) {
+        assertThrows(CorruptedFrameException.class, () -> ThriftReader.readInvocation(hex(hexDump)));
     }
 }
