--- a/src/test/java/lineward/thrift/OperatorDrainTest.java
+++ b/src/test/java/lineward/thrift/OperatorDrainTest.java
@@ -26,46 +26,47 @@
         try (TestingPlatform platform = new TestingPlatform(Map.of())) {
             AdminClient operator = new AdminClient(platform.program());
             Program.await("the program is ready", operator::isReady);
-            List<TestingClient> resting = new ArrayList<>();
+            List<TestingClient> idleClients = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                resting.add(platform.client());
-                assertTrue(resting.get(i).callMethod("ping").good());
+                idleClients.add(platform.client());
+                assertTrue(idleClients.get(i).callMethod("ping").good());
             }
             platform.setBehavior(EngineBehavior.NO_RESPONSE);
-            TestingClient busy = platform.client();
-            busy.send(TestingClient.fields(2400), "select 1");
+            TestingClient busyClient = platform.client();
+            busyClient.send(TestingClient.fields(2400), "select 1");
             Program.await(
                     "the request runs",
                     () -> platform.engine1().attempts() + platform.engine2().attempts() > 0);
-            long start = System.nanoTime();
+            long startNanos = System.nanoTime();
             assertEquals(operator.post("/ops/drain/start", "").status(), 200);
             assertFalse(operator.isReady());
-            assertFalse(busy.callMethod("ping").good());
-            for (TestingClient caller : resting) {
+            assertFalse(busyClient.callMethod("ping").good());
+            for (TestingClient caller : idleClients) {
                 assertTrue(caller.isClosed());
             }
-            long closed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
-            assertTrue(closed > 700 && closed < 3000, "closed after " + closed + " ms");
-            Program.await("new requests are rejected", () -> refuses(busy));
-            Program.await("the open request ends and its connection closes", () -> isClosed(busy));
-            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(4000));
+            long closedAfterMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
+            assertTrue(closedAfterMs > 700 && closedAfterMs < 3000, "closed after " + closedAfterMs + " ms");
+            Program.await("new requests are rejected", () -> isNextRequestRejected(busyClient));
+            Program.await("the open request ends and its connection closes", () -> isClosed(busyClient));
+            assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(4000));
             assertTrue(platform.program().isAlive());
 
             platform.setBehavior(EngineBehavior.SERVE);
             assertEquals(operator.post("/ops/drain/stop", "").status(), 200);
             assertTrue(operator.isReady());
-            try (TestingClient again = platform.client()) {
-                assertTrue(again.callMethod("ping").good());
-                assertEquals(again.call(TestingClient.fields(2000), "select 1").field(), 0);
+            try (TestingClient newClient = platform.client()) {
+                assertTrue(newClient.callMethod("ping").good());
+                assertEquals(
+                        newClient.call(TestingClient.fields(2000), "select 1").field(), 0);
             }
         }
     }
 
-    private static boolean refuses(TestingClient caller) {
+    private static boolean isNextRequestRejected(TestingClient caller) {
         try {
             int seqid = caller.send(TestingClient.fields(1500), "select 1");
-            Answer answer = caller.read();
-            return answer.seqid() == seqid && answer.field() == REJECTED;
+            Answer response = caller.read();
+            return response.seqid() == seqid && response.field() == REJECTED;
         } catch (IOException e) {
             throw new AssertionError(e);
         }
