--- a/src/test/java/lineward/thrift/LargeFleetResourcesTest.java
+++ b/src/test/java/lineward/thrift/LargeFleetResourcesTest.java
@@ -15,9 +15,9 @@
 
 /** The program in a fleet of many front ends and engines, within the resource limits of a small one. */
 public class LargeFleetResourcesTest {
-    private static final String LIMITS = "-Xmx64m -Xss512k -XX:MaxMetaspaceSize=48m";
-    private static final int SOCKETS = 128;
-    private static final int MEMORY_MB = 192;
+    private static final String JVM_OPTIONS = "-Xmx64m -Xss512k -XX:MaxMetaspaceSize=48m";
+    private static final int DESCRIPTORS = 128;
+    private static final int MAX_MEMORY_MB = 192;
 
     @DataProvider
     public Object[][] fleets() {
@@ -26,20 +26,20 @@
 
     /** There are more engines than allowed connections: idle connections are closed in favor of new ones. */
     @Test(dataProvider = "fleets")
-    public void servesALargeFleetAndFollowsItsUpdates(int fronts, int engines) throws Exception {
-        Map<String, String> variables = Map.of("JAVA_TOOL_OPTIONS", LIMITS);
-        try (TestingPlatform platform = new TestingPlatform(variables, null, fronts, engines, SOCKETS);
+    public void servesALargeFleetAndAppliesItsUpdates(int frontEnds, int engines) throws Exception {
+        Map<String, String> variables = Map.of("JAVA_TOOL_OPTIONS", JVM_OPTIONS);
+        try (TestingPlatform platform = new TestingPlatform(variables, null, frontEnds, engines, DESCRIPTORS);
                 TestingClient caller = platform.client();
-                TestingServiceDiscovery next = new TestingServiceDiscovery()) {
+                TestingServiceDiscovery newDiscovery = new TestingServiceDiscovery()) {
             Program program = platform.program();
-            for (int i = 1; i <= 2 * SOCKETS; i++) {
+            for (int i = 1; i <= 2 * DESCRIPTORS; i++) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "no. " + i);
             }
             // A few attempts are cancelled and relaunched.
             int attempts = ProgramMetrics.read(program).get("edge_relay_relayed_total");
-            assertTrue(attempts <= 2 * SOCKETS * 1.05, attempts + " attempts: too many relaunches");
-            assertTrue(program.descriptors() <= SOCKETS, program.descriptors() + " descriptors");
-            assertTrue(program.memoryMb() <= MEMORY_MB, program.memoryMb() + " MB");
+            assertTrue(attempts <= 2 * DESCRIPTORS * 1.05, attempts + " attempts: too many relaunches");
+            assertTrue(program.descriptors() <= DESCRIPTORS, program.descriptors() + " descriptors");
+            assertTrue(program.memoryMb() <= MAX_MEMORY_MB, program.memoryMb() + " MB");
             platform.discovery().publish(false, platform.endpoints(1, engines / 2, "gone"));
             awaitEngines(program, engines - engines / 2);
             for (int i = engines / 2 + 1; i <= engines; i++) {
@@ -51,10 +51,10 @@
             }
             int outOfRotation = ProgramMetrics.read(program).get("edge_relay_out_of_rotation");
             assertEquals(outOfRotation, engines - engines / 2);
-            next.publish(true);
-            next.publish(true);
-            next.publish(true, platform.endpoints(engines + 1, 2 * engines, "ready"));
-            platform.configure(next);
+            newDiscovery.publish(true);
+            newDiscovery.publish(true);
+            newDiscovery.publish(true, platform.endpoints(engines + 1, 2 * engines, "ready"));
+            platform.configure(newDiscovery);
             program.sendSighup();
             awaitEngines(program, engines);
             assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "after reload");
