--- a/src/test/java/lineward/thrift/OverloadTest.java
+++ b/src/test/java/lineward/thrift/OverloadTest.java
@@ -23,38 +23,38 @@
     private static final int SERVED = 0;
     private static final int FRAMES = 5000;
     private static final int MAX_OPEN_CALLS = 32;
-    private static final int SOCKETS = 256;
+    private static final int DESCRIPTORS = 256;
     /** Maximum percentage of the descriptors for clients and engines; the program itself uses the rest. */
     private static final int MAX_PERCENT = 85;
 
-    private static final String LIMITS = "-Xmx64m -Xss512k -XX:MaxMetaspaceSize=48m";
-    private static final int MEMORY_MB = 192;
+    private static final String JVM_OPTIONS = "-Xmx64m -Xss512k -XX:MaxMetaspaceSize=48m";
+    private static final int MAX_MEMORY_MB = 192;
 
     /** A connection sends thousands of frames at once and closes. */
     @Test
-    public void releasesTheRequestsOfAClosedFlood() throws IOException {
-        try (TestingPlatform platform = new TestingPlatform(Map.of("JAVA_TOOL_OPTIONS", LIMITS));
+    public void releasesTheRequestsOfAFloodingClient() throws IOException {
+        try (TestingPlatform platform = new TestingPlatform(Map.of("JAVA_TOOL_OPTIONS", JVM_OPTIONS));
                 TestingClient other = platform.client()) {
             assertEquals(other.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             for (int round = 0; round < 10; round++) {
-                try (TestingClient flood = platform.client()) {
-                    ByteArrayOutputStream all = new ByteArrayOutputStream();
+                try (TestingClient floodingClient = platform.client()) {
+                    ByteArrayOutputStream frames = new ByteArrayOutputStream();
                     for (int i = 0; i < FRAMES; i++) {
-                        all.write(flood.encode(TestingClient.fields(2000), "select 1"));
+                        frames.write(floodingClient.encode(TestingClient.fields(2000), "select 1"));
                     }
-                    flood.sendRaw(all.toByteArray());
-                    flood.socket().shutdownOutput();
+                    floodingClient.sendRaw(frames.toByteArray());
+                    floodingClient.socket().shutdownOutput();
                 } catch (SocketException e) {
                     assertTrue(platform.program().isAlive(), "the program closed the connection: " + e);
                 }
                 assertEquals(other.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
-            Program.await("no request stays open", () -> figure(platform, "edge_relay_open_requests") == 0);
+            Program.await("no request stays open", () -> metric(platform, "edge_relay_open_requests") == 0);
             assertTrue(platform.attempts() <= 10 * MAX_OPEN_CALLS + 11, platform.attempts() + " attempts");
             assertTrue(
-                    platform.program().memoryMb() <= MEMORY_MB,
+                    platform.program().memoryMb() <= MAX_MEMORY_MB,
                     platform.program().memoryMb() + " MB");
-            assertTrue(figure(platform, "edge_relay_unread_answer_bytes") == 0);
+            assertTrue(metric(platform, "edge_relay_unread_answer_bytes") == 0);
         }
     }
 
@@ -64,38 +64,39 @@
      */
     @Test
     public void idleClientsDoNotBlockOthers() throws IOException {
-        List<Socket> crowd = new ArrayList<>();
-        Map<String, String> variables = Map.of("JAVA_TOOL_OPTIONS", LIMITS);
-        try (TestingPlatform platform = new TestingPlatform(variables, null, 2, 2, SOCKETS)) {
+        List<Socket> sockets = new ArrayList<>();
+        Map<String, String> variables = Map.of("JAVA_TOOL_OPTIONS", JVM_OPTIONS);
+        try (TestingPlatform platform = new TestingPlatform(variables, null, 2, 2, DESCRIPTORS)) {
             platform.discovery().setFailing(true);
-            int most = platform.program().descriptors() + SOCKETS * MAX_PERCENT / 100;
-            for (int i = 0; i < 2 * SOCKETS; i++) {
-                crowd.add(new Socket(
+            int maxDescriptors = platform.program().descriptors() + DESCRIPTORS * MAX_PERCENT / 100;
+            for (int i = 0; i < 2 * DESCRIPTORS; i++) {
+                sockets.add(new Socket(
                         InetAddress.getLoopbackAddress(), platform.program().port()));
-                int now = platform.program().descriptors();
-                assertTrue(now <= most, now + " descriptors");
+                int descriptors = platform.program().descriptors();
+                assertTrue(descriptors <= maxDescriptors, descriptors + " descriptors");
             }
-            for (int i = 0; i < 2 * SOCKETS; i++) {
-                TestingClient resting = platform.client();
-                crowd.add(resting.socket());
+            for (int i = 0; i < 2 * DESCRIPTORS; i++) {
+                TestingClient idleClient = platform.client();
+                sockets.add(idleClient.socket());
                 assertEquals(
-                        resting.call(TestingClient.fields(2000), "select 1").field(), SERVED);
-                int now = platform.program().descriptors();
-                assertTrue(now <= most, now + " descriptors");
+                        idleClient.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+                int descriptors = platform.program().descriptors();
+                assertTrue(descriptors <= maxDescriptors, descriptors + " descriptors");
             }
             platform.discovery().publish(false, platform.endpoints(1, 1, "draining"));
             platform.discovery().setFailing(false);
             platform.awaitEventsReceived();
-            long before = platform.engine1().attempts();
-            try (TestingClient late = platform.client()) {
-                assertEquals(late.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+            long attemptsBefore = platform.engine1().attempts();
+            try (TestingClient newClient = platform.client()) {
+                assertEquals(
+                        newClient.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
-            assertEquals(platform.engine1().attempts(), before, "the drain is in effect");
+            assertEquals(platform.engine1().attempts(), attemptsBefore, "the drain is in effect");
             assertTrue(
-                    platform.program().memoryMb() <= MEMORY_MB,
+                    platform.program().memoryMb() <= MAX_MEMORY_MB,
                     platform.program().memoryMb() + " MB");
         } finally {
-            for (Socket socket : crowd) {
+            for (Socket socket : sockets) {
                 socket.close();
             }
         }
@@ -104,19 +105,19 @@
     /** Endless replies on each connection of one engine end only their own attempts. */
     @Test
     public void endlessRepliesAreBounded() throws IOException {
-        try (TestingPlatform platform = new TestingPlatform(Map.of("JAVA_TOOL_OPTIONS", LIMITS));
+        try (TestingPlatform platform = new TestingPlatform(Map.of("JAVA_TOOL_OPTIONS", JVM_OPTIONS));
                 TestingClient caller = platform.client()) {
             platform.engine1().setBehavior(EngineBehavior.ENDLESS_REPLY);
             for (int i = 0; i < 20; i++) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
             assertTrue(
-                    platform.program().memoryMb() <= MEMORY_MB,
+                    platform.program().memoryMb() <= MAX_MEMORY_MB,
                     platform.program().memoryMb() + " MB");
         }
     }
 
-    private static int figure(TestingPlatform platform, String name) {
+    private static int metric(TestingPlatform platform, String name) {
         try {
             return ProgramMetrics.read(platform.program()).get(name);
         } catch (IOException e) {
