--- a/src/test/java/lineward/thrift/EndpointListPollTest.java
+++ b/src/test/java/lineward/thrift/EndpointListPollTest.java
@@ -23,29 +23,29 @@
     @Test
     public void receivesADrainInTimeAfterAnUnresponsivePoll() throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of())) {
-            int polls = platform.discovery().polls();
+            int pollsBefore = platform.discovery().polls();
             platform.discovery().setUnresponsive(true);
             Program.await(
                     "a poll is open that gets no response",
-                    () -> platform.discovery().polls() > polls);
+                    () -> platform.discovery().polls() > pollsBefore);
             long publishedNanos = System.nanoTime();
             platform.discovery().publish(false, platform.endpoints(1, 1, "draining"));
             platform.discovery().setUnresponsive(false);
             platform.awaitEventsReceived();
             long maxNanos = TimeUnit.MILLISECONDS.toNanos(MAX_NOTIFICATION_MS);
             assertTrue(System.nanoTime() - publishedNanos < maxNanos, "notified in time");
-            assertOneGetsNothing(platform);
+            assertFirstEngineGetsNoAttempt(platform);
         }
     }
 
-    private static void assertOneGetsNothing(TestingPlatform platform) throws IOException {
-        long before = platform.engine1().attempts();
+    private static void assertFirstEngineGetsNoAttempt(TestingPlatform platform) throws IOException {
+        long attemptsBefore = platform.engine1().attempts();
         try (TestingClient caller = platform.client()) {
             for (int i = 0; i < 10; i++) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
         }
-        assertEquals(platform.engine1().attempts(), before);
+        assertEquals(platform.engine1().attempts(), attemptsBefore);
     }
 
     /** Events are repeated and states come in any order; the last event applies. */
@@ -57,47 +57,47 @@
             platform.discovery().publish(false, platform.endpoints(1, 1, "gone"));
             platform.discovery().publish(false, platform.endpoints(1, 1, "draining"));
             platform.awaitEventsReceived();
-            assertOneGetsNothing(platform);
-            long before = platform.engine1().attempts();
+            assertFirstEngineGetsNoAttempt(platform);
+            long attemptsBefore = platform.engine1().attempts();
             platform.discovery().publish(false, platform.endpoints(1, 1, "ready"));
             platform.discovery().publish(false, platform.endpoints(2, 2, "gone"));
             platform.awaitEventsReceived();
             try (TestingClient caller = platform.client()) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
-            assertTrue(platform.engine1().attempts() > before, "the engine is used again");
+            assertTrue(platform.engine1().attempts() > attemptsBefore, "the engine is used again");
         }
     }
 
     /** State of service discovery while the program starts. */
     @DataProvider
-    public Object[][] starts() {
+    public Object[][] discoveryStates() {
         return new Object[][] {{"gone"}, {"broken"}, {"silent"}};
     }
 
     /** The program starts with the configured list; later events arrive once the service responds. */
-    @Test(dataProvider = "starts")
-    public void startsWithoutServiceDiscovery(String state) throws IOException {
+    @Test(dataProvider = "discoveryStates")
+    public void startsWithoutServiceDiscovery(String discoveryState) throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of());
-                TestingServiceDiscovery other = new TestingServiceDiscovery()) {
-            other.publish(true, platform.endpoints(1, 2, "ready"));
-            other.setFailing(state.equals("broken"));
-            other.setUnresponsive(state.equals("silent"));
-            platform.configure(other);
-            if (state.equals("gone")) {
-                other.stop();
+                TestingServiceDiscovery discovery = new TestingServiceDiscovery()) {
+            discovery.publish(true, platform.endpoints(1, 2, "ready"));
+            discovery.setFailing(discoveryState.equals("broken"));
+            discovery.setUnresponsive(discoveryState.equals("silent"));
+            platform.configure(discovery);
+            if (discoveryState.equals("gone")) {
+                discovery.stop();
             }
-            long start = System.nanoTime();
-            try (Program again = platform.startOnOwnSocket();
-                    TestingClient caller = new TestingClient(again.port())) {
+            long startNanos = System.nanoTime();
+            try (Program program = platform.startOnOwnSocket();
+                    TestingClient caller = new TestingClient(program.port())) {
                 assertTrue(caller.callMethod("ping").good());
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
-                assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(10), "ready in time");
-                if (!state.equals("gone")) {
-                    other.publish(false, platform.endpoints(1, 1, "gone"));
-                    other.setFailing(false);
-                    other.setUnresponsive(false);
-                    Program.await("the program has received the event", () -> other.lastDelivered() == 2);
+                assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(10), "ready in time");
+                if (!discoveryState.equals("gone")) {
+                    discovery.publish(false, platform.endpoints(1, 1, "gone"));
+                    discovery.setFailing(false);
+                    discovery.setUnresponsive(false);
+                    Program.await("the program has received the event", () -> discovery.lastDelivered() == 2);
                 }
             }
         }
