--- a/src/test/java/lineward/thrift/MetricsTest.java
+++ b/src/test/java/lineward/thrift/MetricsTest.java
@@ -15,14 +15,14 @@
 
 /** The metrics agree with what clients and engines have observed. */
 public class MetricsTest {
-    private static final String ENDS = "edge_relay_operations_total{priority=\"look\",status=";
+    private static final String REQUESTS = "edge_relay_operations_total{priority=\"look\",status=";
 
     @Test
     public void metricsAgreeWithClientsAndEngines() throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of());
                 TestingClient caller = platform.client()) {
-            int[] answers = new int[3];
-            EngineBehavior[] modes = {
+            int[] counts = new int[3];
+            EngineBehavior[] behaviors = {
                 EngineBehavior.SERVE,
                 EngineBehavior.ERROR,
                 EngineBehavior.REJECT,
@@ -30,25 +30,25 @@
                 EngineBehavior.SERVE
             };
             for (int i = 0; i < 100; i++) {
-                platform.engine1().setBehavior(modes[i / 20]);
-                answers[
+                platform.engine1().setBehavior(behaviors[i / 20]);
+                counts[
                         caller.call(TestingClient.fields(i % 10 == 0 ? 30 : 2000), "select 1")
                                 .field()]++;
             }
-            Map<String, String> unusable = TestingClient.fields(1000);
-            unusable.put(RequestFields.TENANT, "nobody");
-            caller.call(unusable, "select 1");
-            Map<String, Integer> seen = ProgramMetrics.read(platform.program());
-            assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.SERVED + "\"}"), answers[0]);
-            assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.REJECTED + "\"}"), answers[1]);
-            assertEquals((int) seen.get(ENDS + "\"" + ProgramMetrics.FAILED + "\"}"), answers[2] + 1);
-            assertTrue(answers[0] > 50 && answers[1] >= 10, "some are served and some rejected");
-            long wants = platform.engine1().attempts() + platform.engine2().attempts();
-            assertTrue(wants > answers[0], "some were retried");
-            assertEquals((int) seen.get("edge_relay_relayed_total"), wants);
-            assertEquals((int) seen.get("edge_relay_open_requests"), 0);
-            assertEquals((int) seen.get("edge_relay_registry_entries"), 2);
-            assertTrue(seen.get("edge_relay_list_age_ms") < 2000);
+            Map<String, String> invalidFields = TestingClient.fields(1000);
+            invalidFields.put(RequestFields.TENANT, "nobody");
+            caller.call(invalidFields, "select 1");
+            Map<String, Integer> metrics = ProgramMetrics.read(platform.program());
+            assertEquals((int) metrics.get(REQUESTS + "\"" + ProgramMetrics.SERVED + "\"}"), counts[0]);
+            assertEquals((int) metrics.get(REQUESTS + "\"" + ProgramMetrics.REJECTED + "\"}"), counts[1]);
+            assertEquals((int) metrics.get(REQUESTS + "\"" + ProgramMetrics.FAILED + "\"}"), counts[2] + 1);
+            assertTrue(counts[0] > 50 && counts[1] >= 10, "some are served and some rejected");
+            long attempts = platform.engine1().attempts() + platform.engine2().attempts();
+            assertTrue(attempts > counts[0], "some were retried");
+            assertEquals((int) metrics.get("edge_relay_relayed_total"), attempts);
+            assertEquals((int) metrics.get("edge_relay_open_requests"), 0);
+            assertEquals((int) metrics.get("edge_relay_registry_entries"), 2);
+            assertTrue(metrics.get("edge_relay_list_age_ms") < 2000);
         }
     }
 
@@ -77,9 +77,9 @@
             platform.discovery().publish(false, "s-1", "" + platform.engine1().port(), "gone");
             Program.await("the engine is not listed", () -> {
                 try {
-                    Map<String, Integer> seen = ProgramMetrics.read(platform.program());
-                    int outOfRotation = seen.get("edge_relay_out_of_rotation");
-                    return seen.get("edge_relay_registry_entries") == 1 && outOfRotation == 0;
+                    Map<String, Integer> metrics = ProgramMetrics.read(platform.program());
+                    int outOfRotation = metrics.get("edge_relay_out_of_rotation");
+                    return metrics.get("edge_relay_registry_entries") == 1 && outOfRotation == 0;
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
