--- a/src/test/java/lineward/thrift/HotRestartHandoverTest.java
+++ b/src/test/java/lineward/thrift/HotRestartHandoverTest.java
@@ -26,25 +26,25 @@
 /** A hot restart: a new process takes over from the old one on a listening socket that both inherit. */
 public class HotRestartHandoverTest {
     private static final int SERVED = 0;
-    private SocketActivator holder;
+    private SocketActivator activator;
     private TestingPlatform platform;
     private Program next;
-    private AdminClient operator;
+    private AdminClient newAdmin;
 
     @BeforeMethod
     public void start() throws IOException {
-        holder = new SocketActivator();
-        platform = new TestingPlatform(Map.of(), holder);
+        activator = new SocketActivator();
+        platform = new TestingPlatform(Map.of(), activator);
         next = platform.startOnSharedSocket();
-        operator = new AdminClient(next);
-        Program.await("the new process is ready", operator::isReady);
+        newAdmin = new AdminClient(next);
+        Program.await("the new process is ready", newAdmin::isReady);
     }
 
     @AfterMethod(alwaysRun = true)
     public void stop() throws IOException {
         next.close();
         platform.close();
-        holder.close();
+        activator.close();
     }
 
     private static boolean serves(TestingClient caller) throws IOException {
@@ -53,15 +53,15 @@
 
     @Test
     public void servesEachRequestDuringTheHotRestart() throws IOException {
-        List<TestingClient> kept = new ArrayList<>();
+        List<TestingClient> existingClients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            kept.add(platform.client());
-            assertTrue(serves(kept.get(i)));
+            existingClients.add(platform.client());
+            assertTrue(serves(existingClients.get(i)));
         }
-        int before = ProgramMetrics.read(next).get("edge_relay_relayed_total");
+        int attemptsBefore = ProgramMetrics.read(next).get("edge_relay_relayed_total");
         platform.program().sendSigterm();
         Program.await("SIGTERM was received", () -> platform.program().log().contains("SIGTERM"));
-        for (TestingClient caller : kept) {
+        for (TestingClient caller : existingClients) {
             assertTrue(serves(caller), "an open connection is still served");
         }
         for (int i = 0; i < 20; i++) {
@@ -70,56 +70,56 @@
             }
         }
         assertTrue(
-                ProgramMetrics.read(next).get("edge_relay_relayed_total") >= before + 20,
+                ProgramMetrics.read(next).get("edge_relay_relayed_total") >= attemptsBefore + 20,
                 "new connections go to the new process");
         Program.await("the old process exits", () -> !platform.program().isAlive());
         assertFalse(
                 platform.program().log().contains("rror"), platform.program().log());
-        for (TestingClient caller : kept) {
+        for (TestingClient caller : existingClients) {
             caller.close();
         }
         assertTrue(next.isAlive());
-        assertTrue(operator.isReady());
+        assertTrue(newAdmin.isReady());
     }
 
     @Test
     public void aBusyClientDoesNotDelayTheShutdown() throws IOException {
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         TestingClient caller = platform.client();
-        Set<Integer> open = new HashSet<>();
+        Set<Integer> openSeqids = new HashSet<>();
         for (int i = 0; i < 5; i++) {
-            open.add(caller.send(TestingClient.fields(9000), "select 1"));
+            openSeqids.add(caller.send(TestingClient.fields(9000), "select 1"));
         }
         Program.await(
                 "the requests run",
                 () -> platform.engine1().attempts() + platform.engine2().attempts() >= 5);
         boolean nextHasRequests = ProgramMetrics.read(next).get("edge_relay_open_requests") > 0;
-        Program first = nextHasRequests ? next : platform.program();
-        first.sendSigterm();
-        int answered = 0;
+        Program serving = nextHasRequests ? next : platform.program();
+        serving.sendSigterm();
+        int responseCount = 0;
         try {
             while (true) {
-                assertTrue(open.remove(caller.read().seqid()));
-                answered++;
-                open.add(caller.send(TestingClient.fields(9000), "select 1"));
+                assertTrue(openSeqids.remove(caller.read().seqid()));
+                responseCount++;
+                openSeqids.add(caller.send(TestingClient.fields(9000), "select 1"));
             }
         } catch (EOFException | SocketException e) {
             // The program has closed the connection, as no request was open.
         }
-        assertTrue(answered >= 5, "all running requests were answered");
-        Program.await("the process exits", () -> !first.isAlive());
-        assertTrue(first.log().contains("graceful shutdown complete: openRequests=0"), first.log());
+        assertTrue(responseCount >= 5, "all running requests were answered");
+        Program.await("the process exits", () -> !serving.isAlive());
+        assertTrue(serving.log().contains("graceful shutdown complete: openRequests=0"), serving.log());
     }
 
     @Test
     public void anAcceptWithoutAConnectionBlocksNoClient() throws IOException {
-        holder.makeBlocking();
+        activator.makeBlocking();
         for (int i = 0; i < 200; i++) {
             try (TestingClient caller = platform.client()) {
                 assertTrue(caller.callMethod("ping").good());
             }
         }
-        assertTrue(operator.isReady());
+        assertTrue(newAdmin.isReady());
         assertTrue(new AdminClient(platform.program()).isReady());
         assertEquals(ProgramMetrics.read(next).get("edge_relay_open_requests"), (Integer) 0);
     }
