--- a/src/test/java/lineward/thrift/InvalidClientTest.java
+++ b/src/test/java/lineward/thrift/InvalidClientTest.java
@@ -25,7 +25,7 @@
 public class InvalidClientTest {
     private static final int EXCEPTION = 3;
     private static final int SERVED = 0;
-    private static final String[][] UNUSABLE = {
+    private static final String[][] INVALID_FIELDS = {
         {RequestFields.REQUEST_CLASS, "unknown"},
         {RequestFields.REQUEST_ID, "short"},
         {RequestFields.REQUEST_ID, "zzzzzzzzzzzzzzzz"},
@@ -52,8 +52,8 @@
         platform.close();
     }
 
-    private Answer call(TestingClient caller, int ttl) throws IOException {
-        return caller.call(TestingClient.fields(ttl), "select * from sales_17.orders");
+    private Answer call(TestingClient caller, int timeLeftMs) throws IOException {
+        return caller.call(TestingClient.fields(timeLeftMs), "select * from sales_17.orders");
     }
 
     private long requests() {
@@ -63,12 +63,12 @@
     @Test
     public void rejectsInvalidFields() throws IOException {
         try (TestingClient caller = platform.client()) {
-            for (String[] field : UNUSABLE) {
+            for (String[] field : INVALID_FIELDS) {
                 Map<String, String> fields = TestingClient.fields(1000);
                 fields.put(field[0], field[1]);
-                Answer answer = caller.call(fields, "select 1");
-                assertEquals(answer.kind(), EXCEPTION);
-                assertTrue(answer.body().contains(field[0]), answer.body());
+                Answer response = caller.call(fields, "select 1");
+                assertEquals(response.kind(), EXCEPTION);
+                assertTrue(response.body().contains(field[0]), response.body());
             }
             assertEquals(requests(), 0);
         }
@@ -77,9 +77,9 @@
     @Test
     public void aMalformedFrameClosesOnlyItsConnection() throws IOException {
         try (TestingClient other = platform.client()) {
-            for (String broken : new String[] {"not thrift at all", ""}) {
+            for (String malformed : new String[] {"not thrift at all", ""}) {
                 try (TestingClient caller = platform.client()) {
-                    caller.sendFrame(broken.getBytes(StandardCharsets.UTF_8));
+                    caller.sendFrame(malformed.getBytes(StandardCharsets.UTF_8));
                     assertThrows(EOFException.class, caller::read);
                 }
             }
@@ -93,26 +93,26 @@
     @DataProvider
     public Object[][] invalidClients() {
         InvalidClient silent = caller -> {};
-        InvalidClient half = caller -> caller.sendRaw(new byte[] {0, 0, 1, 0, 1});
+        InvalidClient partial = caller -> caller.sendRaw(new byte[] {0, 0, 1, 0, 1});
         InvalidClient huge = caller -> caller.sendRaw(new byte[] {3, -128, 0, 0, 1});
         InvalidClient negative = caller -> caller.sendRaw(new byte[] {-1, -1, -1, -1});
-        InvalidClient behind = caller -> caller.send(TestingClient.fields(2000), "select 1", new byte[] {0});
+        InvalidClient trailer = caller -> caller.send(TestingClient.fields(2000), "select 1", new byte[] {0});
         InvalidClient twice = caller -> {
             caller.send(TestingClient.fields(2000), "select 1");
             caller.setNextSeqid(1);
             caller.send(TestingClient.fields(2000), "select 1");
         };
         InvalidClient abort = caller -> caller.abort(7);
-        InvalidClient crowd = caller -> {
+        InvalidClient flood = caller -> {
             for (int i = 0; i < 40; i++) {
                 caller.send(TestingClient.fields(2000), "select 1");
             }
         };
-        return new Object[][] {{silent}, {half}, {huge}, {negative}, {behind}, {twice}, {abort}, {crowd}};
+        return new Object[][] {{silent}, {partial}, {huge}, {negative}, {trailer}, {twice}, {abort}, {flood}};
     }
 
     private interface InvalidClient {
-        void speak(TestingClient caller) throws IOException;
+        void send(TestingClient caller) throws IOException;
     }
 
     @Test(dataProvider = "invalidClients")
@@ -120,7 +120,7 @@
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client()) {
             caller.socket().setSoTimeout(3000);
-            invalidClient.speak(caller);
+            invalidClient.send(caller);
             assertTrue(caller.isClosed(), "not closed within 3 s");
         }
     }
@@ -133,25 +133,25 @@
             Map<String, String> fields = TestingClient.fields(2000);
             first.send(fields, "select 1");
             Program.await("the request runs", () -> requests() == 1);
-            Answer answer = second.call(fields, "select 2");
-            assertEquals(answer.kind(), EXCEPTION);
-            assertTrue(answer.body().contains(RequestFields.REQUEST_ID), answer.body());
+            Answer response = second.call(fields, "select 2");
+            assertEquals(response.kind(), EXCEPTION);
+            assertTrue(response.body().contains(RequestFields.REQUEST_ID), response.body());
         }
     }
 
     @Test
     public void closesTheLongestIdleConnectionAtTheLimit() throws IOException {
-        List<TestingClient> all = new ArrayList<>();
+        List<TestingClient> clients = new ArrayList<>();
         try {
             for (int i = 0; i < 600; i++) {
                 TestingClient caller = platform.client();
-                all.add(caller);
+                clients.add(caller);
                 assertEquals(call(caller, 2000).field(), SERVED);
             }
-            all.get(0).send(TestingClient.fields(2000), "select 1");
-            assertTrue(all.get(0).isClosed(), "the connection that was idle longest is closed");
+            clients.get(0).send(TestingClient.fields(2000), "select 1");
+            assertTrue(clients.get(0).isClosed(), "the connection that was idle longest is closed");
         } finally {
-            for (TestingClient caller : all) {
+            for (TestingClient caller : clients) {
                 caller.close();
             }
         }
