--- a/src/test/java/lineward/thrift/ClientDisconnectTest.java
+++ b/src/test/java/lineward/thrift/ClientDisconnectTest.java
@@ -46,7 +46,7 @@
     }
 
     /** Disconnects. Two pings from another client show that the program has processed the disconnect. */
-    private void go(TestingClient client, int seqid, Disconnect how) throws IOException {
+    private void disconnect(TestingClient client, int seqid, Disconnect how) throws IOException {
         Socket socket = client.socket();
         switch (how) {
             case FIN -> socket.shutdownOutput();
@@ -66,7 +66,7 @@
      * Sends another request and returns its id once it is served. Every earlier request that can be forwarded
      * has been forwarded by then.
      */
-    private String serveAnother() throws IOException {
+    private String serveAnotherRequest() throws IOException {
         try (TestingClient other = platform.client()) {
             Map<String, String> fields = TestingClient.fields(9000);
             assertEquals(other.call(fields, "select 2").field(), SERVED);
@@ -74,9 +74,9 @@
         }
     }
 
-    private List<String> ids() {
+    private List<String> receivedRequestIds() {
         return List.of(platform.engine1(), platform.engine2()).stream()
-                .flatMap(e -> e.requestIds().stream())
+                .flatMap(engine -> engine.requestIds().stream())
                 .toList();
     }
 
@@ -87,26 +87,26 @@
         try (TestingClient client = platform.client()) {
             int seqid = client.send(TestingClient.fields(9000), "select 1");
             assertTrue(client.callMethod("ping").good(), "the request is admitted and queued");
-            go(client, seqid, how);
+            disconnect(client, seqid, how);
             platform.publishBoth("ready");
-            String next = serveAnother();
-            assertEquals(ids(), List.of(next));
+            String nextId = serveAnotherRequest();
+            assertEquals(receivedRequestIds(), List.of(nextId));
         }
     }
 
     @Test(dataProvider = "disconnects")
     public void cancelsARequestThatAwaitsAnEngineConnection(Disconnect how) throws IOException {
         platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
-        try (FullBacklogListener late = new FullBacklogListener();
+        try (FullBacklogListener listener = new FullBacklogListener();
                 TestingClient client = platform.client()) {
-            platform.discovery().publish(true, "s-9", "" + late.port(), "ready");
+            platform.discovery().publish(true, "s-9", "" + listener.port(), "ready");
             platform.awaitEventsReceived();
             int seqid = client.send(TestingClient.fields(9000), "select 1");
-            late.awaitConnecting();
-            go(client, seqid, how);
-            TestingEngine engine = late.open();
-            String next = serveAnother();
-            assertEquals(engine.requestIds(), List.of(next));
+            listener.awaitConnecting();
+            disconnect(client, seqid, how);
+            TestingEngine engine = listener.open();
+            String nextId = serveAnotherRequest();
+            assertEquals(engine.requestIds(), List.of(nextId));
         }
     }
 
@@ -125,20 +125,20 @@
             Map<String, String> fields = TestingClient.fields(9000);
             int seqid = client.send(fields, "select 1");
             Program.await("an engine has received the request", () -> drained.getCount() == 0);
-            Program.await("the attempt has ended", () -> open() == 1 && enginesAreIdle());
-            go(client, seqid, how);
+            Program.await("the attempt has ended", () -> openRequests() == 1 && enginesAreIdle());
+            disconnect(client, seqid, how);
             platform.setBehavior(EngineBehavior.SERVE);
             platform.engine1().onRequest(() -> {});
             platform.engine2().onRequest(() -> {});
             platform.publishBoth("ready");
-            assertEquals(ids().size(), 1);
-            String next = serveAnother();
+            assertEquals(receivedRequestIds().size(), 1);
+            String nextId = serveAnotherRequest();
             assertEquals(
-                    ids().stream()
+                    receivedRequestIds().stream()
                             .filter(fields.get(RequestFields.REQUEST_ID)::equals)
                             .count(),
                     1);
-            assertTrue(ids().contains(next));
+            assertTrue(receivedRequestIds().contains(nextId));
         }
     }
 
@@ -150,7 +150,7 @@
         return platform.engine1().isIdle() && platform.engine2().isIdle();
     }
 
-    private int open() {
+    private int openRequests() {
         try {
             return ProgramMetrics.read(platform.program()).get("edge_relay_open_requests");
         } catch (IOException e) {
@@ -166,20 +166,22 @@
             for (int i = 1; i < MAX_OPEN_CALLS; i++) {
                 client.send(TestingClient.fields(9000), "select 1");
             }
-            Map<String, String> last = TestingClient.fields(9000);
-            int seqid = client.send(last, "select 1");
+            Map<String, String> lastFields = TestingClient.fields(9000);
+            int seqid = client.send(lastFields, "select 1");
             assertTrue(client.callMethod("ping").good(), "all requests are admitted");
-            go(client, seqid, how);
-            int out = ProgramMetrics.read(platform.program()).get("edge_relay_relayed_total");
-            assertTrue(out > 0 && out < MAX_OPEN_CALLS, out + " requests are forwarded, the others queued");
-            Program.await("the engines have received them", () -> platform.attempts() == out);
+            disconnect(client, seqid, how);
+            int forwarded = ProgramMetrics.read(platform.program()).get("edge_relay_relayed_total");
+            assertTrue(
+                    forwarded > 0 && forwarded < MAX_OPEN_CALLS,
+                    forwarded + " requests are forwarded, the others queued");
+            Program.await("the engines have received them", () -> platform.attempts() == forwarded);
             platform.setBehavior(EngineBehavior.SERVE);
-            String next = serveAnother();
-            assertFalse(ids().contains(last.get(RequestFields.REQUEST_ID)));
+            String nextId = serveAnotherRequest();
+            assertFalse(receivedRequestIds().contains(lastFields.get(RequestFields.REQUEST_ID)));
             if (how != Disconnect.ABORT) {
-                assertEquals(ids().size(), out + 1, "no other request was forwarded");
+                assertEquals(receivedRequestIds().size(), forwarded + 1, "no other request was forwarded");
             }
-            assertTrue(ids().contains(next));
+            assertTrue(receivedRequestIds().contains(nextId));
         }
     }
 
@@ -189,25 +191,25 @@
         platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
         platform.setBehavior(EngineBehavior.LARGE_RESULT);
         try (TestingClient client = new TestingClient(platform.program().port(), 4096)) {
-            for (int i = 1; unread() < 300_000; i++) {
+            for (int i = 1; unreadBytes() < 300_000; i++) {
                 assertTrue(i < 200, "the buffers must be full by now");
                 client.send(TestingClient.fields(9000), "select 1");
-                int asked = i;
-                Program.await("request served", () -> platform.attempts() >= asked && open() == 0);
+                int sent = i;
+                Program.await("request served", () -> platform.attempts() >= sent && openRequests() == 0);
             }
             platform.publishBoth("draining");
-            Map<String, String> last = TestingClient.fields(9000);
-            int seqid = client.send(last, "select 1");
-            Program.await("the request is admitted", () -> open() == 1);
-            go(client, seqid, how);
+            Map<String, String> lastFields = TestingClient.fields(9000);
+            int seqid = client.send(lastFields, "select 1");
+            Program.await("the request is admitted", () -> openRequests() == 1);
+            disconnect(client, seqid, how);
             platform.setBehavior(EngineBehavior.SERVE);
             platform.publishBoth("ready");
-            serveAnother();
-            assertFalse(ids().contains(last.get(RequestFields.REQUEST_ID)));
+            serveAnotherRequest();
+            assertFalse(receivedRequestIds().contains(lastFields.get(RequestFields.REQUEST_ID)));
         }
     }
 
-    private int unread() throws IOException {
+    private int unreadBytes() throws IOException {
         return ProgramMetrics.read(platform.program()).get("edge_relay_unread_answer_bytes");
     }
 }
