--- a/src/test/java/lineward/thrift/EngineConnectionTest.java
+++ b/src/test/java/lineward/thrift/EngineConnectionTest.java
@@ -23,7 +23,7 @@
 public class EngineConnectionTest {
     private static final int REJECTED = 1;
     private static final int FAILED = 2;
-    private static final String ROWS = String.join("", TestingEngine.PAGES);
+    private static final String RESULT = String.join("", TestingEngine.PAGES);
     private TestingPlatform platform;
 
     @AfterMethod(alwaysRun = true)
@@ -53,14 +53,14 @@
 
     /** A non-idempotent request is retried only if it never ran; otherwise it fails. */
     @Test(dataProvider = "attemptEnds")
-    public void runsAnUnsafeRequestAtMostOnce(EngineBehavior mode, boolean neverRan) throws IOException {
+    public void runsNonIdempotentRequestsAtMostOnce(EngineBehavior end, boolean neverRan) throws IOException {
         platform = new TestingPlatform(TestingPlatform::withNonIdempotentClass);
-        platform.setBehavior(mode);
+        platform.setBehavior(end);
         try (TestingClient caller = platform.client()) {
             Map<String, String> fields = TestingClient.fields(3000);
             fields.put(RequestFields.REQUEST_CLASS, "load");
-            int field = caller.call(fields, "insert into t select 1").field();
-            assertEquals(field, neverRan ? REJECTED : FAILED);
+            int resultField = caller.call(fields, "insert into t select 1").field();
+            assertEquals(resultField, neverRan ? REJECTED : FAILED);
             long attempts = platform.attempts();
             assertTrue(neverRan ? attempts > 1 : attempts == 1, attempts + " attempts");
             assertTrue(caller.callMethod("ping").good(), "no second response");
@@ -69,21 +69,21 @@
 
     /** One of two engines fails the attempt; the other serves the request once, and not concurrently. */
     @Test(dataProvider = "attemptEnds")
-    public void retriesASafeRequestAtAnotherEngine(EngineBehavior mode, boolean neverRan) throws IOException {
+    public void retriesIdempotentRequestsElsewhere(EngineBehavior end, boolean neverRan) throws IOException {
         platform = new TestingPlatform(Map.of());
         platform.publishOnly("s-1", platform.engine1());
-        platform.engine1().setBehavior(mode);
+        platform.engine1().setBehavior(end);
         platform.engine1().onRequest(() -> {
             platform.engine1().onRequest(() -> {});
             platform.discovery().publish(false, platform.endpoints(2, 2, "ready"));
             platform.awaitEventsReceived();
         });
-        if (mode == EngineBehavior.RESET_MID_REQUEST) {
+        if (end == EngineBehavior.RESET_MID_REQUEST) {
             platform.discovery().publish(false, platform.endpoints(2, 2, "ready"));
             platform.awaitEventsReceived();
         }
         try (TestingClient caller = platform.client()) {
-            assertEquals(caller.call(TestingClient.fields(2400), "select 1").body(), ROWS);
+            assertEquals(caller.call(TestingClient.fields(2400), "select 1").body(), RESULT);
             assertTrue(caller.callMethod("ping").good(), "no second response");
         }
         assertEquals(platform.concurrentRuns().duplicates(), Set.of());
@@ -96,7 +96,7 @@
         platform.publishOnly("s-1", platform.engine1());
         platform.engine1().setBehavior(EngineBehavior.REJECT_TWICE);
         try (TestingClient caller = platform.client()) {
-            assertEquals(caller.call(TestingClient.fields(2000), "select 1").body(), ROWS);
+            assertEquals(caller.call(TestingClient.fields(2000), "select 1").body(), RESULT);
             assertEquals(platform.engine1().attempts(), 2);
         }
     }
@@ -113,20 +113,20 @@
                     "the engine has received the cancel",
                     () -> platform.engine1().cancels() + platform.engine2().cancels() == 1);
             platform.setBehavior(EngineBehavior.SERVE);
-            assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), ROWS);
+            assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), RESULT);
             assertEquals(platform.attempts(), 2);
         }
     }
 
     /** Returns the log since the program listens; earlier lines may concern the engine of the warm-up. */
-    private String logged() {
+    private String logSinceListening() {
         String log = platform.program().log();
         return log.substring(log.indexOf("server listening: "));
     }
 
     /** States that an engine enters while a connection to it is being established. */
     @DataProvider
-    public Object[][] leavingStates() {
+    public Object[][] unavailableStates() {
         return new Object[][] {{"draining"}, {"gone"}};
     }
 
@@ -134,24 +134,24 @@
      * A connection that is established late must not carry the request to a draining engine, or to another
      * engine at the same address.
      */
-    @Test(dataProvider = "leavingStates")
-    public void migratesARequestThatAwaitsAConnectionOfALeavingEngine(String state) throws IOException {
+    @Test(dataProvider = "unavailableStates")
+    public void migratesARequestThatAwaitsAnUnavailableEngine(String state) throws IOException {
         platform = new TestingPlatform(TestingPlatform::withLongTimeouts);
-        try (FullBacklogListener late = new FullBacklogListener();
+        try (FullBacklogListener listener = new FullBacklogListener();
                 TestingClient caller = platform.client()) {
-            platform.discovery().publish(true, "s-9", "" + late.port(), "ready");
+            platform.discovery().publish(true, "s-9", "" + listener.port(), "ready");
             platform.awaitEventsReceived();
             caller.send(TestingClient.fields(9000), "select 1");
-            late.awaitConnecting();
-            String portOfTwo = "" + platform.engine2().port();
-            platform.discovery().publish(false, "s-9", "" + late.port(), state, "s-2", portOfTwo, "ready");
-            assertEquals(caller.read().body(), ROWS, "served by the other engine");
+            listener.awaitConnecting();
+            String port2 = "" + platform.engine2().port();
+            platform.discovery().publish(false, "s-9", "" + listener.port(), state, "s-2", port2, "ready");
+            assertEquals(caller.read().body(), RESULT, "served by the other engine");
             assertEquals(platform.engine2().attempts(), 1);
-            TestingEngine engine = late.open();
-            platform.discovery().publish(false, "s-2", portOfTwo, "gone", "s-10", "" + late.port(), "ready");
+            TestingEngine engine = listener.open();
+            platform.discovery().publish(false, "s-2", port2, "gone", "s-10", "" + listener.port(), "ready");
             platform.awaitEventsReceived();
             Map<String, String> fields = TestingClient.fields(9000);
-            assertEquals(caller.call(fields, "select 2").body(), ROWS);
+            assertEquals(caller.call(fields, "select 2").body(), RESULT);
             String id = fields.get(RequestFields.REQUEST_ID);
             assertEquals(engine.requestIds(), List.of(id), "the new engine gets only its own request");
         }
@@ -161,33 +161,33 @@
     @Test
     public void oneSlowConnectionDoesNotEjectTheEngine() throws IOException {
         platform = new TestingPlatform(Map.of());
-        try (FullBacklogListener late = new FullBacklogListener();
+        try (FullBacklogListener listener = new FullBacklogListener();
                 TestingClient caller = platform.client()) {
-            String portOfTwo = "" + platform.engine2().port();
-            platform.discovery().publish(true, "s-9", "" + late.port(), "ready", "s-2", portOfTwo, "ready");
+            String port2 = "" + platform.engine2().port();
+            platform.discovery().publish(true, "s-9", "" + listener.port(), "ready", "s-2", port2, "ready");
             platform.awaitEventsReceived();
             Program.await("a connection is being established", () -> {
                 try {
                     return caller.call(TestingClient.fields(2400), "select 1")
                                     .body()
-                                    .equals(ROWS)
-                            && late.isConnecting();
+                                    .equals(RESULT)
+                            && listener.isConnecting();
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
             });
-            TestingEngine engine = late.open();
+            TestingEngine engine = listener.open();
             Program.await("the engine serves", () -> {
                 try {
                     return caller.call(TestingClient.fields(2400), "select 1")
                                     .body()
-                                    .equals(ROWS)
+                                    .equals(RESULT)
                             && engine.attempts() > 0;
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
             });
-            assertFalse(logged().contains("engine ejected"), logged());
+            assertFalse(logSinceListening().contains("engine ejected"), logSinceListening());
         }
     }
 
@@ -195,17 +195,17 @@
     @Test
     public void slowConnectionsInARowEjectTheEngine() throws IOException {
         platform = new TestingPlatform(Map.of());
-        try (FullBacklogListener late = new FullBacklogListener();
+        try (FullBacklogListener listener = new FullBacklogListener();
                 TestingClient caller = platform.client()) {
-            String portOfTwo = "" + platform.engine2().port();
-            platform.discovery().publish(true, "s-9", "" + late.port(), "ready", "s-2", portOfTwo, "ready");
+            String port2 = "" + platform.engine2().port();
+            platform.discovery().publish(true, "s-9", "" + listener.port(), "ready", "s-2", port2, "ready");
             platform.awaitEventsReceived();
             Program.await("the engine is ejected", () -> {
                 try {
                     return caller.call(TestingClient.fields(2400), "select 1")
                                     .body()
-                                    .equals(ROWS)
-                            && logged().contains("cause=connect_failures");
+                                    .equals(RESULT)
+                            && logSinceListening().contains("cause=connect_failures");
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
@@ -219,10 +219,10 @@
         platform = new TestingPlatform(Map.of());
         platform.publishOnly("s-1", platform.engine1());
         try (TestingClient caller = platform.client()) {
-            assertEquals(caller.call(TestingClient.fields(2000), "select 1").body(), ROWS);
+            assertEquals(caller.call(TestingClient.fields(2000), "select 1").body(), RESULT);
             platform.engine1().writeToAll("00");
             assertTrue(caller.callMethod("ping").good());
-            assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), ROWS);
+            assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), RESULT);
             assertEquals(platform.engine1().attempts(), 2, "no request is retried");
             Program.await("the engine is pinged", () -> platform.engine1().pings() > 0);
         }
