--- a/src/test/java/lineward/thrift/ShutdownSignalTest.java
+++ b/src/test/java/lineward/thrift/ShutdownSignalTest.java
@@ -91,18 +91,18 @@
     @Test
     public void aClientThatReadsNothingDoesNotDelayTheShutdown() throws IOException, InterruptedException {
         platform.setBehavior(EngineBehavior.LARGE_RESULT);
-        try (TestingClient deaf = new TestingClient(platform.program().port(), 4096)) {
-            int asked = 0;
+        try (TestingClient client = new TestingClient(platform.program().port(), 4096)) {
+            int sentCount = 0;
             while (ProgramMetrics.read(platform.program()).get("edge_relay_unread_answer_bytes") < 100_000) {
-                deaf.send(TestingClient.fields(2000), "select 1");
-                int most = ++asked;
-                assertTrue(most < 200, "the buffers must be full by now");
-                Program.await("the request runs", () -> platform.attempts() >= most);
+                client.send(TestingClient.fields(2000), "select 1");
+                int expectedCount = ++sentCount;
+                assertTrue(expectedCount < 200, "the buffers must be full by now");
+                Program.await("the request runs", () -> platform.attempts() >= expectedCount);
             }
-            long start = System.nanoTime();
+            long startNanos = System.nanoTime();
             platform.program().sendSigterm();
             assertEquals(platform.program().awaitExitStatus(), 0);
-            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(3700), "exits in time");
+            assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(3700), "exits in time");
         }
     }
 
@@ -116,11 +116,11 @@
         try (TestingClient caller = platform.client()) {
             assertTrue(caller.callMethod("ping").good());
             assertEquals(operator.post("/ops/drain/start", "").status(), 200);
-            long drains = System.nanoTime();
+            long drainStartNanos = System.nanoTime();
             platform.program().sendSignal("STOP");
             caller.send(TestingClient.fields(5000), "select 1");
             long closeDueNanos = TimeUnit.MILLISECONDS.toNanos(1550);
-            Program.await("the close is due", () -> System.nanoTime() - drains > closeDueNanos);
+            Program.await("the close is due", () -> System.nanoTime() - drainStartNanos > closeDueNanos);
             platform.program().sendSignal("CONT");
             assertEquals(caller.read().field(), SERVED);
         }
@@ -137,8 +137,9 @@
             caller.send(TestingClient.fields(2000), "select 1");
             assertEquals(operator.post("/ops/drain/stop", "").status(), 200);
             assertEquals(other.isClosed(), true, "the other idle connection is closed");
-            try (TestingClient next = platform.client()) {
-                assertEquals(next.call(TestingClient.fields(2000), "select 2").field(), SERVED);
+            try (TestingClient newClient = platform.client()) {
+                assertEquals(
+                        newClient.call(TestingClient.fields(2000), "select 2").field(), SERVED);
             }
             assertEquals(platform.attempts(), 1);
         }
@@ -148,32 +149,32 @@
     @Test
     public void handlesSignalsDuringTheStart() throws Exception {
         Path folder = Files.createTempDirectory("start");
-        Path pipe = folder.resolve("config.json");
-        assertEquals(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor(), 0);
+        Path configPipe = folder.resolve("config.json");
+        assertEquals(new ProcessBuilder("mkfifo", configPipe.toString()).start().waitFor(), 0);
         String config = Files.readString(platform.configFile());
-        try (Program program = new Program(Map.of("RELAY_CONFIG", pipe.toString()), "serve")) {
+        try (Program program = new Program(Map.of("RELAY_CONFIG", configPipe.toString()), "serve")) {
             // Opening the pipe blocks until the program opens it to read its configuration.
-            try (OutputStream out = Files.newOutputStream(pipe)) {
+            try (OutputStream out = Files.newOutputStream(configPipe)) {
                 program.sendSighup();
                 out.write(config.getBytes(StandardCharsets.UTF_8));
             }
             // SIGHUP makes the program read the configuration again, so the pipe is written again.
-            Files.writeString(pipe, config);
+            Files.writeString(configPipe, config);
             try (TestingClient caller = new TestingClient(program.port())) {
                 assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
             }
             program.sendSigterm();
             assertEquals(program.awaitExitStatus(), 0);
         }
-        try (Program program = new Program(Map.of("RELAY_CONFIG", pipe.toString()), "serve")) {
-            try (OutputStream out = Files.newOutputStream(pipe)) {
+        try (Program program = new Program(Map.of("RELAY_CONFIG", configPipe.toString()), "serve")) {
+            try (OutputStream out = Files.newOutputStream(configPipe)) {
                 program.sendSigterm();
                 assertTrue(program.awaitExitStatus() != 2, "no configuration error");
                 assertFalse(program.log().contains("listening"), program.log());
                 assertTrue(out != null);
             }
         }
-        Files.delete(pipe);
+        Files.delete(configPipe);
         Files.delete(folder);
     }
 }
