--- a/src/test/java/lineward/thrift/ThriftServerTest.java
+++ b/src/test/java/lineward/thrift/ThriftServerTest.java
@@ -42,11 +42,11 @@
         platform.close();
     }
 
-    private Answer call(TestingClient caller, int ttl) throws IOException {
-        return caller.call(TestingClient.fields(ttl), "select * from sales_17.orders");
+    private Answer call(TestingClient caller, int timeLeftMs) throws IOException {
+        return caller.call(TestingClient.fields(timeLeftMs), "select * from sales_17.orders");
     }
 
-    private long requests() {
+    private long attempts() {
         return platform.engine1().attempts() + platform.engine2().attempts();
     }
 
@@ -55,10 +55,10 @@
         try (TestingClient caller = platform.client()) {
             Map<String, String> fields = TestingClient.fields(2000);
             String statement = "select 'é' -- \r\n from t";
-            Answer answer = caller.call(fields, statement);
-            assertEquals(answer.field(), SERVED);
-            assertTrue(answer.good());
-            assertEquals(answer.body(), String.join("", TestingEngine.PAGES));
+            Answer response = caller.call(fields, statement);
+            assertEquals(response.field(), SERVED);
+            assertTrue(response.good());
+            assertEquals(response.body(), String.join("", TestingEngine.PAGES));
             boolean firstIsUnused = platform.engine1().receivedLines().isEmpty();
             TestingEngine engine = firstIsUnused ? platform.engine2() : platform.engine1();
             String id = fields.get(RequestFields.REQUEST_ID);
@@ -74,10 +74,10 @@
         platform.setBehavior(EngineBehavior.PROGRESS_REPORTS);
         try (TestingClient caller = platform.client()) {
             for (int i = 0; i < 10; i++) {
-                Answer answer = call(caller, 2000);
-                assertEquals(answer.body(), String.join("", TestingEngine.PAGES));
+                Answer response = call(caller, 2000);
+                assertEquals(response.body(), String.join("", TestingEngine.PAGES));
             }
-            assertEquals(requests(), 10);
+            assertEquals(attempts(), 10);
         }
     }
 
@@ -97,8 +97,8 @@
     }
 
     @Test(dataProvider = "faults")
-    public void retriesAtAnotherEngine(EngineBehavior mode) throws IOException {
-        platform.engine1().setBehavior(mode);
+    public void retriesAtAnotherEngine(EngineBehavior behavior) throws IOException {
+        platform.engine1().setBehavior(behavior);
         try (TestingClient caller = platform.client()) {
             while (platform.engine1().attempts() == 0) {
                 assertEquals(call(caller, 2000).field(), SERVED);
@@ -113,7 +113,7 @@
         try (TestingClient caller = platform.client()) {
             for (int i = 1; i <= 20; i++) {
                 assertEquals(call(caller, 2000).body(), String.join("", TestingEngine.PAGES));
-                assertEquals(requests(), i, "no request is retried");
+                assertEquals(attempts(), i, "no request is retried");
             }
         }
     }
@@ -122,49 +122,50 @@
         return platform.engine1().cancels() + platform.engine2().cancels();
     }
 
-    private boolean oneRunsAtEach() {
+    private boolean eachEngineRunsOneRequest() {
         return platform.engine1().attempts() == 1 && platform.engine2().attempts() == 1;
     }
 
-    private void startOneAtEach(TestingClient caller) throws IOException {
+    private void startOneRequestAtEachEngine(TestingClient caller) throws IOException {
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         caller.send(TestingClient.fields(2400), "select 1");
         caller.send(TestingClient.fields(2400), "select 1");
-        Program.await("each engine runs one request", this::oneRunsAtEach);
+        Program.await("each engine runs one request", this::eachEngineRunsOneRequest);
     }
 
-    private static void serveAtOnce(TestingClient caller, int many) throws IOException {
-        for (int i = 0; i < many; i++) {
+    private static void assertServesConcurrently(TestingClient caller, int requestCount) throws IOException {
+        for (int i = 0; i < requestCount; i++) {
             caller.send(TestingClient.fields(2000), "select 1");
         }
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < requestCount; i++) {
             assertEquals(caller.read().field(), SERVED);
         }
     }
 
     @Test
     public void aMalformedReplyFailsNoRequestOfAnotherConnection() throws IOException {
-        try (TestingClient open = platform.client();
+        try (TestingClient waitingClient = platform.client();
                 TestingClient caller = platform.client()) {
-            startOneAtEach(open);
+            startOneRequestAtEachEngine(waitingClient);
             platform.engine2().setBehavior(EngineBehavior.SERVE);
             platform.engine1().setBehavior(EngineBehavior.MALFORMED_REPLY_ONCE);
-            serveAtOnce(caller, 6);
+            assertServesConcurrently(caller, 6);
             assertEquals(platform.engine1().behavior(), EngineBehavior.SERVE, "the malformed reply was sent");
-            String first = platform.engine1().receivedLines().get(0).split(" ", -1)[1];
-            assertEquals(platform.engine2().attempts(first) + platform.engine1().cancels(), 0);
+            String firstId = platform.engine1().receivedLines().get(0).split(" ", -1)[1];
+            assertEquals(
+                    platform.engine2().attempts(firstId) + platform.engine1().cancels(), 0);
         }
     }
 
     @Test
     public void resetsOfSomeConnectionsDoNotEjectTheEngine() throws IOException {
-        try (TestingClient open = platform.client();
+        try (TestingClient waitingClient = platform.client();
                 TestingClient caller = platform.client()) {
-            startOneAtEach(open);
+            startOneRequestAtEachEngine(waitingClient);
             platform.setBehavior(EngineBehavior.SERVE);
             platform.engine1().limitResets(3);
             platform.engine1().setBehavior(EngineBehavior.RESET_LIMITED);
-            serveAtOnce(caller, 12);
+            assertServesConcurrently(caller, 12);
             assertEquals(platform.engine1().behavior(), EngineBehavior.SERVE, "three connections were reset");
             assertFalse(
                     platform.program().log().contains("resets"),
@@ -176,12 +177,12 @@
     public void eachOpenRequestGetsOneResponseAndNoConcurrentAttempts() throws IOException {
         platform.engine1().setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client()) {
-            Set<Integer> open = new HashSet<>();
+            Set<Integer> openSeqids = new HashSet<>();
             for (int i = 0; i < 32; i++) {
-                open.add(caller.send(TestingClient.fields(1500), "select 1"));
+                openSeqids.add(caller.send(TestingClient.fields(1500), "select 1"));
             }
-            while (!open.isEmpty()) {
-                assertTrue(open.remove(caller.read().seqid()), "an unexpected response");
+            while (!openSeqids.isEmpty()) {
+                assertTrue(openSeqids.remove(caller.read().seqid()), "an unexpected response");
             }
             assertEquals(caller.callMethod("ping").seqid(), 33, "no second response before the ping's");
         }
@@ -194,11 +195,11 @@
             // The first response after the start of the JVM may take 50 ms longer.
             assertEquals(call(caller, 2000).field(), SERVED);
             platform.setBehavior(EngineBehavior.NO_RESPONSE);
-            long start = System.nanoTime();
-            Answer answer = call(caller, 800);
-            assertEquals(answer.field(), REJECTED);
-            assertTrue(Integer.parseInt(answer.fields().get(RequestFields.RETRY_AFTER_MS)) > 0);
-            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(850), "rejected late");
+            long startNanos = System.nanoTime();
+            Answer response = call(caller, 800);
+            assertEquals(response.field(), REJECTED);
+            assertTrue(Integer.parseInt(response.fields().get(RequestFields.RETRY_AFTER_MS)) > 0);
+            assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(850), "rejected late");
         }
     }
 
@@ -206,7 +207,7 @@
     public void rejectsARequestThatCannotMeetItsDeadline() throws IOException {
         try (TestingClient caller = platform.client()) {
             assertEquals(call(caller, 30).field(), REJECTED);
-            assertEquals(requests(), 0);
+            assertEquals(attempts(), 0);
         }
     }
 
@@ -215,7 +216,7 @@
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client()) {
             int seqid = caller.send(TestingClient.fields(2000), "select 1");
-            Program.await("the request runs", () -> requests() == 1);
+            Program.await("the request runs", () -> attempts() == 1);
             caller.abort(seqid);
             Program.await("the engine has received the cancel", () -> cancels() == 1);
             assertEquals(caller.callMethod("ping").seqid(), seqid + 2, "no response but the ping's");
@@ -227,7 +228,7 @@
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client()) {
             caller.send(TestingClient.fields(2000), "select 1");
-            Program.await("the request runs", () -> requests() == 1);
+            Program.await("the request runs", () -> attempts() == 1);
         }
         Program.await("the engine has received the cancel", () -> cancels() == 1);
     }
@@ -235,16 +236,16 @@
     @Test
     public void forwardsNoRequestToADrainingEngine() throws IOException, InterruptedException {
         platform.discovery().publish(false, "s-1", "" + platform.engine1().port(), "draining");
-        long told = System.nanoTime();
+        long publishedNanos = System.nanoTime();
         try (TestingClient caller = platform.client()) {
-            long late = 0;
-            while (System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(1500)) {
+            long attemptsInGracePeriod = 0;
+            while (System.nanoTime() - publishedNanos < TimeUnit.MILLISECONDS.toNanos(1500)) {
                 call(caller, 2000);
-                if (System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(1000)) {
-                    late = platform.engine1().attempts();
+                if (System.nanoTime() - publishedNanos < TimeUnit.MILLISECONDS.toNanos(1000)) {
+                    attemptsInGracePeriod = platform.engine1().attempts();
                 }
             }
-            assertEquals(platform.engine1().attempts(), late);
+            assertEquals(platform.engine1().attempts(), attemptsInGracePeriod);
             assertTrue(platform.engine2().attempts() > 0);
         }
     }
@@ -256,7 +257,7 @@
             platform.discovery().setFailing(true);
             int port = platform.engine1().port();
             platform.engine1().close();
-            try (TestingEngine next = new TestingEngine(port)) {
+            try (TestingEngine newEngine = new TestingEngine(port)) {
                 platform.discovery()
                         .publish(
                                 false,
@@ -270,15 +271,15 @@
                                 "" + port,
                                 "ready");
                 platform.discovery().setFailing(false);
-                long before = platform.engine2().attempts();
+                long attemptsBefore = platform.engine2().attempts();
                 Program.await("the new engine serves", () -> {
                     try {
-                        return call(caller, 2000).field() == SERVED && next.attempts() > 0;
+                        return call(caller, 2000).field() == SERVED && newEngine.attempts() > 0;
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
                 });
-                assertTrue(before >= 0);
+                assertTrue(attemptsBefore >= 0);
             }
         }
     }
@@ -289,22 +290,22 @@
         platform.program().sendSighup();
         String logLine = "configuration not reloaded: cause=";
         Program.await("the error is logged", () -> platform.program().log().contains(logLine));
-        try (TestingServiceDiscovery next = new TestingServiceDiscovery();
+        try (TestingServiceDiscovery newDiscovery = new TestingServiceDiscovery();
                 TestingClient caller = platform.client()) {
-            String portOfTwo = "" + platform.engine2().port();
-            next.publish(true, "s-1", "" + platform.engine1().port(), "ready", "s-2", portOfTwo, "ready");
-            platform.configure(next);
+            String port2 = "" + platform.engine2().port();
+            newDiscovery.publish(true, "s-1", "" + platform.engine1().port(), "ready", "s-2", port2, "ready");
+            platform.configure(newDiscovery);
             platform.program().sendSighup();
             platform.program().sendSighup();
-            Program.await("the new service is polled", () -> next.polls() > 0);
+            Program.await("the new service is polled", () -> newDiscovery.polls() > 0);
             platform.discovery().close();
-            next.publish(false, "s-1", "" + platform.engine1().port(), "gone");
-            Program.await("the event has been received", () -> next.lastDelivered() == 2);
-            long before = platform.engine1().attempts();
+            newDiscovery.publish(false, "s-1", "" + platform.engine1().port(), "gone");
+            Program.await("the event has been received", () -> newDiscovery.lastDelivered() == 2);
+            long attemptsBefore = platform.engine1().attempts();
             for (int i = 0; i < 10; i++) {
                 assertEquals(call(caller, 2000).field(), SERVED);
             }
-            assertEquals(platform.engine1().attempts(), before);
+            assertEquals(platform.engine1().attempts(), attemptsBefore);
             platform.program().sendSigterm();
             platform.program().sendSighup();
         }
@@ -315,32 +316,32 @@
     public void failsOpenRequestsBeforeSigkill() throws IOException, InterruptedException {
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client();
-                TestingClient resting = platform.client()) {
-            assertTrue(resting.callMethod("ping").good());
+                TestingClient idleClient = platform.client()) {
+            assertTrue(idleClient.callMethod("ping").good());
             caller.send(TestingClient.fields(9000), "select 1");
-            Program.await("the request runs", () -> requests() == 1);
-            long start = System.nanoTime();
+            Program.await("the request runs", () -> attempts() == 1);
+            long startNanos = System.nanoTime();
             platform.program().sendSigterm();
             assertEquals(caller.read().field(), FAILED);
             assertEquals(platform.program().awaitExitStatus(), 0);
-            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(3700), "exits in time");
+            assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(3700), "exits in time");
         }
     }
 
     @Test
     public void servesNewRequestsDuringGracefulShutdown() throws Exception {
-        try (TestingClient open = platform.client()) {
-            assertTrue(open.callMethod("ping").good());
+        try (TestingClient existingClient = platform.client()) {
+            assertTrue(existingClient.callMethod("ping").good());
             platform.program().sendSigterm();
             Program.await(
                     "the shutdown has started", () -> platform.program().log().contains("SIGTERM"));
-            try (TestingClient late = platform.client()) {
-                assertEquals(call(late, 2000).field(), SERVED);
-                assertFalse(late.callMethod("ping").good());
+            try (TestingClient newClient = platform.client()) {
+                assertEquals(call(newClient, 2000).field(), SERVED);
+                assertFalse(newClient.callMethod("ping").good());
             }
             platform.setBehavior(EngineBehavior.NO_RESPONSE);
-            open.send(TestingClient.fields(2000), "select 1");
-            assertEquals(open.read().kind(), REPLY);
+            existingClient.send(TestingClient.fields(2000), "select 1");
+            assertEquals(existingClient.read().kind(), REPLY);
             assertEquals(platform.program().awaitExitStatus(), 0);
         }
     }
