--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -123,7 +123,7 @@
 
     private LifecycleWiring.Instance instance(boolean isInherited) {
         String name = config.name() + '-' + config.addresses().listen().getPort();
-        double longestDeadlineMs = names.deadlines().stream()
+        double longestDeadlineMs = names.deadlinesMs().stream()
                 .mapToDouble(Double::doubleValue)
                 .max()
                 .orElse(LifecycleWiring.MAX_RESTART_MS);
--- a/src/main/java/lineward/thrift/CallFields.java
+++ b/src/main/java/lineward/thrift/CallFields.java
@@ -39,7 +39,7 @@
         String requestClass = fields.getOrDefault(CallField.REQUEST_CLASS, "");
         int classIndex = names.classes().indexOf(requestClass);
         require(classIndex >= 0, CallField.REQUEST_CLASS);
-        double deadlineMs = names.deadlines().get(classIndex);
+        double deadlineMs = names.deadlinesMs().get(classIndex);
         // The response names the first invalid field, so the order of validation is part of the protocol.
         int tenant = tenant(fields, names);
         int timeLeftMs = timeLeftMs(fields, deadlineMs * MAX_TIME_LEFT_PER_DEADLINE);
--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -53,9 +53,9 @@
      *
      * @param classes names of the request classes
      * @param tenants names of the tenants
-     * @param deadlines deadlines of the classes, in milliseconds
+     * @param deadlinesMs deadlines of the classes, in milliseconds
      */
-    public record Names(List<String> classes, List<String> tenants, List<Double> deadlines) {}
+    public record Names(List<String> classes, List<String> tenants, List<Double> deadlinesMs) {}
 
     /**
      * Limits on the resources that clients use.
