--- a/src/test/java/lineward/testing/TestingClient.java
+++ b/src/test/java/lineward/testing/TestingClient.java
@@ -102,7 +102,7 @@
         return bytes.toByteArray();
     }
 
-    public Answer call(Map<String, String> fields, String statement) throws IOException {
+    public ThriftResponse call(Map<String, String> fields, String statement) throws IOException {
         send(fields, statement);
         return read();
     }
@@ -116,7 +116,7 @@
         sendFrame(bytes.toByteArray());
     }
 
-    public Answer callMethod(String method) throws IOException {
+    public ThriftResponse callMethod(String method) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         begin(bytes, 1, method, ++seqid).write(new byte[] {2, 0, 1, 1, 0});
         sendFrame(bytes.toByteArray());
@@ -142,10 +142,10 @@
         out.write(framed(bytes));
     }
 
-    private static DataOutputStream begin(ByteArrayOutputStream bytes, int kind, String method, int seqid)
+    private static DataOutputStream begin(ByteArrayOutputStream bytes, int type, String method, int seqid)
             throws IOException {
         DataOutputStream message = new DataOutputStream(bytes);
-        message.writeInt(0x80010000 | kind);
+        message.writeInt(0x80010000 | type);
         text(message, method);
         message.writeInt(seqid);
         return message;
@@ -163,26 +163,26 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    public Answer read() throws IOException {
+    public ThriftResponse read() throws IOException {
         in.readInt();
-        int kind = in.readInt() & 0xff;
+        int messageType = in.readInt() & 0xff;
         text();
         int number = in.readInt();
         String body = "";
         Map<String, String> fields = new LinkedHashMap<>();
-        boolean good = false;
-        int resultField = -1;
+        boolean ok = false;
+        int fieldId = -1;
         int type = in.readByte();
         int field = in.readShort();
-        boolean nested = type == 12;
-        if (nested) {
-            resultField = field;
+        boolean hasStruct = type == 12;
+        if (hasStruct) {
+            fieldId = field;
             type = in.readByte();
             field = type == 0 ? 0 : in.readShort();
         }
         while (type != 0) {
             switch (type) {
-                case 2 -> good = in.readByte() == 1;
+                case 2 -> ok = in.readByte() == 1;
                 case 8 -> in.readInt();
                 case 11 -> body = text();
                 default -> {
@@ -195,10 +195,10 @@
             type = in.readByte();
             field = type == 0 ? 0 : in.readShort();
         }
-        if (nested) {
+        if (hasStruct) {
             in.readByte();
         }
-        return new Answer(number, kind, resultField, body, fields, good);
+        return new ThriftResponse(number, messageType, fieldId, body, fields, ok);
     }
 
     /** Returns the socket, for tests that close or configure it. */
--- a/src/test/java/lineward/thrift/AdminMaintenanceTest.java
+++ b/src/test/java/lineward/thrift/AdminMaintenanceTest.java
@@ -23,7 +23,7 @@
     private static void assertServes(TestingPlatform platform, int requestCount) throws IOException {
         try (TestingClient caller = platform.client()) {
             for (int i = 0; i < requestCount; i++) {
-                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0);
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").fieldId(), 0);
             }
         }
     }
--- a/src/test/java/lineward/thrift/ClientDisconnectTest.java
+++ b/src/test/java/lineward/thrift/ClientDisconnectTest.java
@@ -57,8 +57,8 @@
             default -> client.abort(seqid);
         }
         try (TestingClient other = platform.client()) {
-            assertTrue(other.callMethod("ping").good());
-            assertTrue(other.callMethod("ping").good());
+            assertTrue(other.callMethod("ping").ok());
+            assertTrue(other.callMethod("ping").ok());
         }
     }
 
@@ -69,7 +69,7 @@
     private String serveAnotherRequest() throws IOException {
         try (TestingClient other = platform.client()) {
             Map<String, String> fields = TestingClient.fields(9000);
-            assertEquals(other.call(fields, "select 2").field(), SERVED);
+            assertEquals(other.call(fields, "select 2").fieldId(), SERVED);
             return fields.get(RequestFields.REQUEST_ID);
         }
     }
@@ -86,7 +86,7 @@
         platform.publishBoth("draining");
         try (TestingClient client = platform.client()) {
             int seqid = client.send(TestingClient.fields(9000), "select 1");
-            assertTrue(client.callMethod("ping").good(), "the request is admitted and queued");
+            assertTrue(client.callMethod("ping").ok(), "the request is admitted and queued");
             disconnect(client, seqid, how);
             platform.publishBoth("ready");
             String nextId = serveAnotherRequest();
@@ -168,7 +168,7 @@
             }
             Map<String, String> lastFields = TestingClient.fields(9000);
             int seqid = client.send(lastFields, "select 1");
-            assertTrue(client.callMethod("ping").good(), "all requests are admitted");
+            assertTrue(client.callMethod("ping").ok(), "all requests are admitted");
             disconnect(client, seqid, how);
             int forwarded = ProgramMetrics.read(platform.program()).get("edge_relay_relayed_total");
             assertTrue(
--- a/src/test/java/lineward/thrift/EndpointListPollTest.java
+++ b/src/test/java/lineward/thrift/EndpointListPollTest.java
@@ -42,7 +42,7 @@
         long attemptsBefore = platform.engine1().attempts();
         try (TestingClient caller = platform.client()) {
             for (int i = 0; i < 10; i++) {
-                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").fieldId(), SERVED);
             }
         }
         assertEquals(platform.engine1().attempts(), attemptsBefore);
@@ -63,7 +63,7 @@
             platform.discovery().publish(false, platform.endpoints(2, 2, "gone"));
             platform.awaitEventsReceived();
             try (TestingClient caller = platform.client()) {
-                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").fieldId(), SERVED);
             }
             assertTrue(platform.engine1().attempts() > attemptsBefore, "the engine is used again");
         }
@@ -90,8 +90,8 @@
             long startNanos = System.nanoTime();
             try (Program program = platform.startOnOwnSocket();
                     TestingClient caller = new TestingClient(program.port())) {
-                assertTrue(caller.callMethod("ping").good());
-                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+                assertTrue(caller.callMethod("ping").ok());
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").fieldId(), SERVED);
                 assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(10), "ready in time");
                 if (!discoveryState.equals("gone")) {
                     discovery.publish(false, platform.endpoints(1, 1, "gone"));
--- a/src/test/java/lineward/thrift/EngineConnectionTest.java
+++ b/src/test/java/lineward/thrift/EngineConnectionTest.java
@@ -59,11 +59,11 @@
         try (TestingClient caller = platform.client()) {
             Map<String, String> fields = TestingClient.fields(3000);
             fields.put(RequestFields.REQUEST_CLASS, "load");
-            int resultField = caller.call(fields, "insert into t select 1").field();
-            assertEquals(resultField, neverRan ? REJECTED : FAILED);
+            int fieldId = caller.call(fields, "insert into t select 1").fieldId();
+            assertEquals(fieldId, neverRan ? REJECTED : FAILED);
             long attempts = platform.attempts();
             assertTrue(neverRan ? attempts > 1 : attempts == 1, attempts + " attempts");
-            assertTrue(caller.callMethod("ping").good(), "no second response");
+            assertTrue(caller.callMethod("ping").ok(), "no second response");
         }
     }
 
@@ -84,7 +84,7 @@
         }
         try (TestingClient caller = platform.client()) {
             assertEquals(caller.call(TestingClient.fields(2400), "select 1").body(), RESULT);
-            assertTrue(caller.callMethod("ping").good(), "no second response");
+            assertTrue(caller.callMethod("ping").ok(), "no second response");
         }
         assertEquals(platform.concurrentRuns().duplicates(), Set.of());
     }
@@ -221,7 +221,7 @@
         try (TestingClient caller = platform.client()) {
             assertEquals(caller.call(TestingClient.fields(2000), "select 1").body(), RESULT);
             platform.engine1().writeToAll("00");
-            assertTrue(caller.callMethod("ping").good());
+            assertTrue(caller.callMethod("ping").ok());
             assertEquals(caller.call(TestingClient.fields(2000), "select 2").body(), RESULT);
             assertEquals(platform.engine1().attempts(), 2, "no request is retried");
             Program.await("the engine is pinged", () -> platform.engine1().pings() > 0);
--- a/src/test/java/lineward/thrift/HotRestartHandoverTest.java
+++ b/src/test/java/lineward/thrift/HotRestartHandoverTest.java
@@ -48,7 +48,7 @@
     }
 
     private static boolean serves(TestingClient caller) throws IOException {
-        return caller.call(TestingClient.fields(2000), "select 1").field() == SERVED;
+        return caller.call(TestingClient.fields(2000), "select 1").fieldId() == SERVED;
     }
 
     @Test
@@ -116,7 +116,7 @@
         activator.makeBlocking();
         for (int i = 0; i < 200; i++) {
             try (TestingClient caller = platform.client()) {
-                assertTrue(caller.callMethod("ping").good());
+                assertTrue(caller.callMethod("ping").ok());
             }
         }
         assertTrue(newAdmin.isReady());
--- a/src/test/java/lineward/thrift/InvalidClientTest.java
+++ b/src/test/java/lineward/thrift/InvalidClientTest.java
@@ -10,12 +10,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import lineward.testing.Answer;
 import lineward.testing.EngineBehavior;
 import lineward.testing.Program;
 import lineward.testing.RequestFields;
 import lineward.testing.TestingClient;
 import lineward.testing.TestingPlatform;
+import lineward.testing.ThriftResponse;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
@@ -52,7 +52,7 @@
         platform.close();
     }
 
-    private Answer call(TestingClient caller, int timeLeftMs) throws IOException {
+    private ThriftResponse call(TestingClient caller, int timeLeftMs) throws IOException {
         return caller.call(TestingClient.fields(timeLeftMs), "select * from sales_17.orders");
     }
 
@@ -66,8 +66,8 @@
             for (String[] field : INVALID_FIELDS) {
                 Map<String, String> fields = TestingClient.fields(1000);
                 fields.put(field[0], field[1]);
-                Answer response = caller.call(fields, "select 1");
-                assertEquals(response.kind(), EXCEPTION);
+                ThriftResponse response = caller.call(fields, "select 1");
+                assertEquals(response.messageType(), EXCEPTION);
                 assertTrue(response.body().contains(field[0]), response.body());
             }
             assertEquals(requests(), 0);
@@ -83,9 +83,9 @@
                     assertThrows(EOFException.class, caller::read);
                 }
             }
-            assertEquals(call(other, 2000).field(), SERVED);
-            assertEquals(other.callMethod("dance").kind(), EXCEPTION);
-            assertTrue(other.callMethod("ping").good());
+            assertEquals(call(other, 2000).fieldId(), SERVED);
+            assertEquals(other.callMethod("dance").messageType(), EXCEPTION);
+            assertTrue(other.callMethod("ping").ok());
         }
     }
 
@@ -133,8 +133,8 @@
             Map<String, String> fields = TestingClient.fields(2000);
             first.send(fields, "select 1");
             Program.await("the request runs", () -> requests() == 1);
-            Answer response = second.call(fields, "select 2");
-            assertEquals(response.kind(), EXCEPTION);
+            ThriftResponse response = second.call(fields, "select 2");
+            assertEquals(response.messageType(), EXCEPTION);
             assertTrue(response.body().contains(RequestFields.REQUEST_ID), response.body());
         }
     }
@@ -146,7 +146,7 @@
             for (int i = 0; i < 600; i++) {
                 TestingClient caller = platform.client();
                 clients.add(caller);
-                assertEquals(call(caller, 2000).field(), SERVED);
+                assertEquals(call(caller, 2000).fieldId(), SERVED);
             }
             clients.get(0).send(TestingClient.fields(2000), "select 1");
             assertTrue(clients.get(0).isClosed(), "the connection that was idle longest is closed");
--- a/src/test/java/lineward/thrift/LargeFleetResourcesTest.java
+++ b/src/test/java/lineward/thrift/LargeFleetResourcesTest.java
@@ -33,7 +33,7 @@
                 TestingServiceDiscovery newDiscovery = new TestingServiceDiscovery()) {
             Program program = platform.program();
             for (int i = 1; i <= 2 * DESCRIPTORS; i++) {
-                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "no. " + i);
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").fieldId(), 0, "no. " + i);
             }
             // A few attempts are cancelled and relaunched.
             int attempts = ProgramMetrics.read(program).get("edge_relay_relayed_total");
@@ -57,7 +57,7 @@
             platform.configure(newDiscovery);
             program.sendSighup();
             awaitEngines(program, engines);
-            assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), 0, "after reload");
+            assertEquals(caller.call(TestingClient.fields(2000), "select 1").fieldId(), 0, "after reload");
         }
     }
 
--- a/src/test/java/lineward/thrift/MetricsTest.java
+++ b/src/test/java/lineward/thrift/MetricsTest.java
@@ -33,7 +33,7 @@
                 platform.engine1().setBehavior(behaviors[i / 20]);
                 counts[
                         caller.call(TestingClient.fields(i % 10 == 0 ? 30 : 2000), "select 1")
-                                .field()]++;
+                                .fieldId()]++;
             }
             Map<String, String> invalidFields = TestingClient.fields(1000);
             invalidFields.put(RequestFields.TENANT, "nobody");
--- a/src/test/java/lineward/thrift/OperatorDrainTest.java
+++ b/src/test/java/lineward/thrift/OperatorDrainTest.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import lineward.testing.AdminClient;
-import lineward.testing.Answer;
 import lineward.testing.EngineBehavior;
 import lineward.testing.Program;
 import lineward.testing.TestingClient;
 import lineward.testing.TestingPlatform;
+import lineward.testing.ThriftResponse;
 import org.testng.annotations.Test;
 
 /** A drain that an operator starts and stops at the admin endpoint. */
@@ -29,7 +29,7 @@
             List<TestingClient> idleClients = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 idleClients.add(platform.client());
-                assertTrue(idleClients.get(i).callMethod("ping").good());
+                assertTrue(idleClients.get(i).callMethod("ping").ok());
             }
             platform.setBehavior(EngineBehavior.NO_RESPONSE);
             TestingClient busyClient = platform.client();
@@ -40,7 +40,7 @@
             long startNanos = System.nanoTime();
             assertEquals(operator.post("/ops/drain/start", "").status(), 200);
             assertFalse(operator.isReady());
-            assertFalse(busyClient.callMethod("ping").good());
+            assertFalse(busyClient.callMethod("ping").ok());
             for (TestingClient caller : idleClients) {
                 assertTrue(caller.isClosed());
             }
@@ -55,9 +55,9 @@
             assertEquals(operator.post("/ops/drain/stop", "").status(), 200);
             assertTrue(operator.isReady());
             try (TestingClient newClient = platform.client()) {
-                assertTrue(newClient.callMethod("ping").good());
+                assertTrue(newClient.callMethod("ping").ok());
                 assertEquals(
-                        newClient.call(TestingClient.fields(2000), "select 1").field(), 0);
+                        newClient.call(TestingClient.fields(2000), "select 1").fieldId(), 0);
             }
         }
     }
@@ -65,8 +65,8 @@
     private static boolean isNextRequestRejected(TestingClient caller) {
         try {
             int seqid = caller.send(TestingClient.fields(1500), "select 1");
-            Answer response = caller.read();
-            return response.seqid() == seqid && response.field() == REJECTED;
+            ThriftResponse response = caller.read();
+            return response.seqid() == seqid && response.fieldId() == REJECTED;
         } catch (IOException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/lineward/thrift/OverloadTest.java
+++ b/src/test/java/lineward/thrift/OverloadTest.java
@@ -35,7 +35,7 @@
     public void releasesTheRequestsOfAFloodingClient() throws IOException {
         try (TestingPlatform platform = new TestingPlatform(Map.of("JAVA_TOOL_OPTIONS", JVM_OPTIONS));
                 TestingClient other = platform.client()) {
-            assertEquals(other.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+            assertEquals(other.call(TestingClient.fields(2000), "select 1").fieldId(), SERVED);
             for (int round = 0; round < 10; round++) {
                 try (TestingClient floodingClient = platform.client()) {
                     ByteArrayOutputStream frames = new ByteArrayOutputStream();
@@ -47,7 +47,7 @@
                 } catch (SocketException e) {
                     assertTrue(platform.program().isAlive(), "the program closed the connection: " + e);
                 }
-                assertEquals(other.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+                assertEquals(other.call(TestingClient.fields(2000), "select 1").fieldId(), SERVED);
             }
             Program.await("no request stays open", () -> metric(platform, "edge_relay_open_requests") == 0);
             assertTrue(platform.attempts() <= 10 * MAX_OPEN_CALLS + 11, platform.attempts() + " attempts");
@@ -79,7 +79,7 @@
                 TestingClient idleClient = platform.client();
                 sockets.add(idleClient.socket());
                 assertEquals(
-                        idleClient.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+                        idleClient.call(TestingClient.fields(2000), "select 1").fieldId(), SERVED);
                 int descriptors = platform.program().descriptors();
                 assertTrue(descriptors <= maxDescriptors, descriptors + " descriptors");
             }
@@ -89,7 +89,7 @@
             long attemptsBefore = platform.engine1().attempts();
             try (TestingClient newClient = platform.client()) {
                 assertEquals(
-                        newClient.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+                        newClient.call(TestingClient.fields(2000), "select 1").fieldId(), SERVED);
             }
             assertEquals(platform.engine1().attempts(), attemptsBefore, "the drain is in effect");
             assertTrue(
@@ -109,7 +109,7 @@
                 TestingClient caller = platform.client()) {
             platform.engine1().setBehavior(EngineBehavior.ENDLESS_REPLY);
             for (int i = 0; i < 20; i++) {
-                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").fieldId(), SERVED);
             }
             assertTrue(
                     platform.program().memoryMb() <= MAX_MEMORY_MB,
--- a/src/test/java/lineward/thrift/ShutdownSignalTest.java
+++ b/src/test/java/lineward/thrift/ShutdownSignalTest.java
@@ -63,7 +63,7 @@
             platform.program().sendSigterm();
             Program.await("the program accepts no connections", () -> !isListening());
             caller.sendRaw(Arrays.copyOfRange(frame, frame.length / 2, frame.length));
-            assertEquals(caller.read().field(), SERVED);
+            assertEquals(caller.read().fieldId(), SERVED);
             assertEquals(platform.program().awaitExitStatus(), 0);
         }
     }
@@ -81,7 +81,7 @@
                     "the shutdown has started", () -> platform.program().log().contains("SIGTERM"));
             platform.program().sendSigterm();
             platform.program().sendSighup();
-            assertEquals(caller.read().field(), FAILED, "the final response");
+            assertEquals(caller.read().fieldId(), FAILED, "the final response");
             assertTrue(caller.isClosed(), "closed without a second response");
             assertEquals(platform.program().awaitExitStatus(), 0);
         }
@@ -114,7 +114,7 @@
     public void servesARequestThatArrivesAsItsConnectionCloses() throws IOException, InterruptedException {
         AdminClient operator = new AdminClient(platform.program());
         try (TestingClient caller = platform.client()) {
-            assertTrue(caller.callMethod("ping").good());
+            assertTrue(caller.callMethod("ping").ok());
             assertEquals(operator.post("/ops/drain/start", "").status(), 200);
             long drainStartNanos = System.nanoTime();
             platform.program().sendSignal("STOP");
@@ -122,7 +122,7 @@
             long closeDueNanos = TimeUnit.MILLISECONDS.toNanos(1550);
             Program.await("the close is due", () -> System.nanoTime() - drainStartNanos > closeDueNanos);
             platform.program().sendSignal("CONT");
-            assertEquals(caller.read().field(), SERVED);
+            assertEquals(caller.read().fieldId(), SERVED);
         }
     }
 
@@ -131,7 +131,7 @@
         AdminClient operator = new AdminClient(platform.program());
         try (TestingClient caller = platform.client();
                 TestingClient other = platform.client()) {
-            assertTrue(caller.callMethod("ping").good());
+            assertTrue(caller.callMethod("ping").ok());
             assertEquals(operator.post("/ops/drain/start", "").status(), 200);
             assertThrows(EOFException.class, caller::read);
             caller.send(TestingClient.fields(2000), "select 1");
@@ -139,7 +139,7 @@
             assertEquals(other.isClosed(), true, "the other idle connection is closed");
             try (TestingClient newClient = platform.client()) {
                 assertEquals(
-                        newClient.call(TestingClient.fields(2000), "select 2").field(), SERVED);
+                        newClient.call(TestingClient.fields(2000), "select 2").fieldId(), SERVED);
             }
             assertEquals(platform.attempts(), 1);
         }
@@ -161,7 +161,7 @@
             // SIGHUP makes the program read the configuration again, so the pipe is written again.
             Files.writeString(configPipe, config);
             try (TestingClient caller = new TestingClient(program.port())) {
-                assertEquals(caller.call(TestingClient.fields(2000), "select 1").field(), SERVED);
+                assertEquals(caller.call(TestingClient.fields(2000), "select 1").fieldId(), SERVED);
             }
             program.sendSigterm();
             assertEquals(program.awaitExitStatus(), 0);
--- a/src/test/java/lineward/thrift/ThriftServerTest.java
+++ b/src/test/java/lineward/thrift/ThriftServerTest.java
@@ -10,7 +10,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import lineward.testing.Answer;
 import lineward.testing.EngineBehavior;
 import lineward.testing.Program;
 import lineward.testing.RequestFields;
@@ -19,6 +18,7 @@
 import lineward.testing.TestingEngineCodec;
 import lineward.testing.TestingPlatform;
 import lineward.testing.TestingServiceDiscovery;
+import lineward.testing.ThriftResponse;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
@@ -42,7 +42,7 @@
         platform.close();
     }
 
-    private Answer call(TestingClient caller, int timeLeftMs) throws IOException {
+    private ThriftResponse call(TestingClient caller, int timeLeftMs) throws IOException {
         return caller.call(TestingClient.fields(timeLeftMs), "select * from sales_17.orders");
     }
 
@@ -55,9 +55,9 @@
         try (TestingClient caller = platform.client()) {
             Map<String, String> fields = TestingClient.fields(2000);
             String statement = "select 'é' -- \r\n from t";
-            Answer response = caller.call(fields, statement);
-            assertEquals(response.field(), SERVED);
-            assertTrue(response.good());
+            ThriftResponse response = caller.call(fields, statement);
+            assertEquals(response.fieldId(), SERVED);
+            assertTrue(response.ok());
             assertEquals(response.body(), String.join("", TestingEngine.PAGES));
             boolean firstIsUnused = platform.engine1().receivedLines().isEmpty();
             TestingEngine engine = firstIsUnused ? platform.engine2() : platform.engine1();
@@ -74,7 +74,7 @@
         platform.setBehavior(EngineBehavior.PROGRESS_REPORTS);
         try (TestingClient caller = platform.client()) {
             for (int i = 0; i < 10; i++) {
-                Answer response = call(caller, 2000);
+                ThriftResponse response = call(caller, 2000);
                 assertEquals(response.body(), String.join("", TestingEngine.PAGES));
             }
             assertEquals(attempts(), 10);
@@ -101,7 +101,7 @@
         platform.engine1().setBehavior(behavior);
         try (TestingClient caller = platform.client()) {
             while (platform.engine1().attempts() == 0) {
-                assertEquals(call(caller, 2000).field(), SERVED);
+                assertEquals(call(caller, 2000).fieldId(), SERVED);
             }
             assertTrue(platform.engine2().attempts() > 0);
         }
@@ -138,7 +138,7 @@
             caller.send(TestingClient.fields(2000), "select 1");
         }
         for (int i = 0; i < requestCount; i++) {
-            assertEquals(caller.read().field(), SERVED);
+            assertEquals(caller.read().fieldId(), SERVED);
         }
     }
 
@@ -193,11 +193,11 @@
     public void rejectsWithRetryAfterBeforeTheDeadlineIfEnginesDoNotRespond() throws IOException {
         try (TestingClient caller = platform.client()) {
             // The first response after the start of the JVM may take 50 ms longer.
-            assertEquals(call(caller, 2000).field(), SERVED);
+            assertEquals(call(caller, 2000).fieldId(), SERVED);
             platform.setBehavior(EngineBehavior.NO_RESPONSE);
             long startNanos = System.nanoTime();
-            Answer response = call(caller, 800);
-            assertEquals(response.field(), REJECTED);
+            ThriftResponse response = call(caller, 800);
+            assertEquals(response.fieldId(), REJECTED);
             assertTrue(Integer.parseInt(response.fields().get(RequestFields.RETRY_AFTER_MS)) > 0);
             assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(850), "rejected late");
         }
@@ -206,7 +206,7 @@
     @Test
     public void rejectsARequestThatCannotMeetItsDeadline() throws IOException {
         try (TestingClient caller = platform.client()) {
-            assertEquals(call(caller, 30).field(), REJECTED);
+            assertEquals(call(caller, 30).fieldId(), REJECTED);
             assertEquals(attempts(), 0);
         }
     }
@@ -274,7 +274,7 @@
                 long attemptsBefore = platform.engine2().attempts();
                 Program.await("the new engine serves", () -> {
                     try {
-                        return call(caller, 2000).field() == SERVED && newEngine.attempts() > 0;
+                        return call(caller, 2000).fieldId() == SERVED && newEngine.attempts() > 0;
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
@@ -303,7 +303,7 @@
             Program.await("the event has been received", () -> newDiscovery.lastDelivered() == 2);
             long attemptsBefore = platform.engine1().attempts();
             for (int i = 0; i < 10; i++) {
-                assertEquals(call(caller, 2000).field(), SERVED);
+                assertEquals(call(caller, 2000).fieldId(), SERVED);
             }
             assertEquals(platform.engine1().attempts(), attemptsBefore);
             platform.program().sendSigterm();
@@ -317,12 +317,12 @@
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client();
                 TestingClient idleClient = platform.client()) {
-            assertTrue(idleClient.callMethod("ping").good());
+            assertTrue(idleClient.callMethod("ping").ok());
             caller.send(TestingClient.fields(9000), "select 1");
             Program.await("the request runs", () -> attempts() == 1);
             long startNanos = System.nanoTime();
             platform.program().sendSigterm();
-            assertEquals(caller.read().field(), FAILED);
+            assertEquals(caller.read().fieldId(), FAILED);
             assertEquals(platform.program().awaitExitStatus(), 0);
             assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(3700), "exits in time");
         }
@@ -331,17 +331,17 @@
     @Test
     public void servesNewRequestsDuringGracefulShutdown() throws Exception {
         try (TestingClient existingClient = platform.client()) {
-            assertTrue(existingClient.callMethod("ping").good());
+            assertTrue(existingClient.callMethod("ping").ok());
             platform.program().sendSigterm();
             Program.await(
                     "the shutdown has started", () -> platform.program().log().contains("SIGTERM"));
             try (TestingClient newClient = platform.client()) {
-                assertEquals(call(newClient, 2000).field(), SERVED);
-                assertFalse(newClient.callMethod("ping").good());
+                assertEquals(call(newClient, 2000).fieldId(), SERVED);
+                assertFalse(newClient.callMethod("ping").ok());
             }
             platform.setBehavior(EngineBehavior.NO_RESPONSE);
             existingClient.send(TestingClient.fields(2000), "select 1");
-            assertEquals(existingClient.read().kind(), REPLY);
+            assertEquals(existingClient.read().messageType(), REPLY);
             assertEquals(platform.program().awaitExitStatus(), 0);
         }
     }
