--- a/src/main/java/lineward/thrift/ThriftServer.java
+++ b/src/main/java/lineward/thrift/ThriftServer.java
@@ -40,7 +40,7 @@
      * A connection is closed if no request arrives within this time after it was opened, or if a frame stays
      * incomplete for this time.
      */
-    private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
+    private static final long RECEIVE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
     /**
      * Time for writing the last responses after {@link #failOpenRequests}, before all connections are closed.
      * It ends before the process is killed.
@@ -53,29 +53,30 @@
      *
      * @param classes names of the request classes
      * @param tenants names of the tenants
-     * @param deadlines deadlines of the classes, in milliseconds
+     * @param deadlinesMs deadlines of the classes, in milliseconds
      */
-    public record Names(List<String> classes, List<String> tenants, List<Double> deadlines) {}
+    public record Names(List<String> classes, List<String> tenants, List<Double> deadlinesMs) {}
 
     /**
      * Limits on the resources that clients use.
      *
-     * @param clients maximum number of client connections
-     * @param statementBytes maximum bytes of the statements of open requests; others are rejected
-     * @param unreadBytes maximum bytes of responses that are not completely written, because clients do
+     * @param maxClients maximum number of client connections
+     * @param maxStatementBytes maximum bytes of the statements of open requests; others are rejected
+     * @param maxUnreadBytes maximum bytes of responses that are not completely written, because clients do
      *     not read them; beyond it the client with the most such bytes is closed
      */
-    public record Bounds(int clients, long statementBytes, long unreadBytes) {}
+    public record Bounds(int maxClients, long maxStatementBytes, long maxUnreadBytes) {}
 
     /**
      * The services of the program that the server uses.
      *
      * @param clock monotonic time in milliseconds
-     * @param tick schedules a call of {@link ThriftServer#tick}
+     * @param tickRequest schedules a call of {@link ThriftServer#tick}
      * @param metrics counts the requests that end before the coordinator has admitted them
-     * @param gossip sends a datagram to the other front ends
+     * @param gossipSender sends a datagram to the other front ends
      */
-    public record Services(DoubleSupplier clock, Runnable tick, Metrics metrics, Consumer<byte[]> gossip) {}
+    public record Services(
+            DoubleSupplier clock, Runnable tickRequest, Metrics metrics, Consumer<byte[]> gossipSender) {}
 
     private final Listener listener;
     private final CoordinatorDriver<Call> driver;
@@ -116,13 +117,13 @@
             EngineCluster engines,
             Services services) {
         this.listener = listener;
-        this.driver = new CoordinatorDriver<>(coordinator, services.clock(), services.tick());
+        this.driver = new CoordinatorDriver<>(coordinator, services.clock(), services.tickRequest());
         this.engines = engines;
         this.clients = new ClientRegistry<>(
-                bounds.clients(), System::nanoTime, ClientHandler::close, ClientHandler::closeGracefully);
+                bounds.maxClients(), System::nanoTime, ClientHandler::close, ClientHandler::closeGracefully);
         Metrics metrics = services.metrics();
-        this.calls = new OpenCalls(names, bounds.statementBytes(), this.driver, metrics);
-        this.responses = new ResponseSender(clients, bounds.unreadBytes());
+        this.calls = new OpenCalls(names, bounds.maxStatementBytes(), this.driver, metrics);
+        this.responses = new ResponseSender(clients, bounds.maxUnreadBytes());
         this.forwarder = new CallForwarder(this.driver, engines, calls, services);
         metrics.setUnreadBytes(responses::unreadBytes);
     }
@@ -205,9 +206,9 @@
     @Override
     public void runPeriodicTasks() {
         engines.keepAlive();
-        clients.closeSilent(SILENCE_TIMEOUT_NANOS);
+        clients.closeSilent(RECEIVE_TIMEOUT_NANOS);
         clients.openClientConnections().stream()
-                .filter(client -> client.isStalled(SILENCE_TIMEOUT_NANOS))
+                .filter(client -> client.isStalled(RECEIVE_TIMEOUT_NANOS))
                 .forEach(ClientHandler::close);
         calls.expireIds();
     }
--- a/src/main/java/lineward/thrift/ThriftWriter.java
+++ b/src/main/java/lineward/thrift/ThriftWriter.java
@@ -81,7 +81,7 @@
             ByteBufAllocator alloc, int sequenceNumber, int fieldId, Map<String, String> fields) {
         ByteBuf buffer = begin(alloc, ThriftProtocol.REPLY, ThriftProtocol.INVOKE, sequenceNumber);
         writeFieldHeader(buffer, ThriftProtocol.STRUCT, fieldId);
-        writeStringMap(buffer, ThriftProtocol.DECLARED_FIELDS, fields);
+        writeStringMap(buffer, ThriftProtocol.DECLARED_EXCEPTION_FIELDS, fields);
         buffer.writeByte(ThriftProtocol.STOP).writeByte(ThriftProtocol.STOP);
         return framed(buffer);
     }
@@ -104,16 +104,16 @@
         return buffer;
     }
 
-    private static ByteBuf endSuccess(ByteBuf buffer, boolean served) {
+    private static ByteBuf endSuccess(ByteBuf buffer, boolean ok) {
         writeStringMap(buffer, ThriftProtocol.RESULT_FIELDS, Map.of());
         writeFieldHeader(buffer, ThriftProtocol.BOOL, ThriftProtocol.RESULT_OK);
-        return buffer.writeBoolean(served).writeByte(ThriftProtocol.STOP).writeByte(ThriftProtocol.STOP);
+        return buffer.writeBoolean(ok).writeByte(ThriftProtocol.STOP).writeByte(ThriftProtocol.STOP);
     }
 
-    private static ByteBuf begin(ByteBufAllocator alloc, int messageKind, String method, int sequenceNumber) {
+    private static ByteBuf begin(ByteBufAllocator alloc, int messageType, String method, int sequenceNumber) {
         ByteBuf buffer = alloc.buffer();
         // The first word is the length of the frame, which framed() sets.
-        buffer.writeInt(0).writeInt(ThriftProtocol.VERSION | messageKind);
+        buffer.writeInt(0).writeInt(ThriftProtocol.VERSION | messageType);
         writeString(buffer, method);
         return buffer.writeInt(sequenceNumber);
     }
--- a/src/test/java/lineward/operations/AdminServerTest.java
+++ b/src/test/java/lineward/operations/AdminServerTest.java
@@ -39,7 +39,7 @@
     }
 
     private Socket connect() throws IOException {
-        return new Socket(InetAddress.getLoopbackAddress(), platform.program().operations());
+        return new Socket(InetAddress.getLoopbackAddress(), platform.program().adminPort());
     }
 
     /** Bytes sent, and the status of the response; 0 if the connection is closed without a response. */
@@ -67,7 +67,7 @@
     @Test(dataProvider = "requests")
     public void eachRequestGetsItsResponseInTime(String bytes, int status) throws IOException {
         long startNanos = System.nanoTime();
-        assertEquals(operator.raw(bytes).status(), status);
+        assertEquals(operator.sendRaw(bytes).status(), status);
         assertTrue(AdminClient.millisSince(startNanos) < 2000, "no response or close within 2 s");
     }
 
--- a/src/test/java/lineward/thrift/PlatformRulesTest.java
+++ b/src/test/java/lineward/thrift/ThriftServerTest.java
@@ -10,22 +10,22 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import lineward.testing.Answer;
 import lineward.testing.EngineBehavior;
 import lineward.testing.Program;
 import lineward.testing.RequestFields;
 import lineward.testing.TestingClient;
 import lineward.testing.TestingEngine;
-import lineward.testing.TestingLineProtocol;
+import lineward.testing.TestingEngineCodec;
 import lineward.testing.TestingPlatform;
 import lineward.testing.TestingServiceDiscovery;
+import lineward.testing.ThriftResponse;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** The platform's rules for front ends, each tested over real sockets. */
-public class PlatformRulesTest {
+public class ThriftServerTest {
     private static final int REPLY = 2;
     private static final int SERVED = 0;
     private static final int REJECTED = 1;
@@ -42,12 +42,12 @@
         platform.close();
     }
 
-    private Answer call(TestingClient caller, int ttl) throws IOException {
-        return caller.call(TestingClient.fields(ttl), "select * from sales_17.orders");
+    private ThriftResponse call(TestingClient caller, int timeLeftMs) throws IOException {
+        return caller.call(TestingClient.fields(timeLeftMs), "select * from sales_17.orders");
     }
 
-    private long requests() {
-        return platform.first().requests() + platform.second().requests();
+    private long attempts() {
+        return platform.engine1().attempts() + platform.engine2().attempts();
     }
 
     @Test
@@ -55,16 +55,16 @@
         try (TestingClient caller = platform.client()) {
             Map<String, String> fields = TestingClient.fields(2000);
             String statement = "select 'é' -- \r\n from t";
-            Answer answer = caller.call(fields, statement);
-            assertEquals(answer.field(), SERVED);
-            assertTrue(answer.good());
-            assertEquals(answer.body(), String.join("", TestingEngine.PAGES));
-            boolean firstIsUnused = platform.first().receivedLines().isEmpty();
-            TestingEngine engine = firstIsUnused ? platform.second() : platform.first();
+            ThriftResponse response = caller.call(fields, statement);
+            assertEquals(response.fieldId(), SERVED);
+            assertTrue(response.ok());
+            assertEquals(response.body(), String.join("", TestingEngine.PAGES));
+            boolean firstIsUnused = platform.engine1().receivedLines().isEmpty();
+            TestingEngine engine = firstIsUnused ? platform.engine2() : platform.engine1();
             String id = fields.get(RequestFields.REQUEST_ID);
             List<String> received = engine.receivedLines();
-            assertTrue(received.get(0).startsWith(TestingLineProtocol.startQueryPrefix(id, "look")));
-            assertEquals(received.get(1), TestingLineProtocol.bodyLine(statement));
+            assertTrue(received.get(0).startsWith(TestingEngineCodec.startQueryPrefix(id, "look")));
+            assertEquals(received.get(1), TestingEngineCodec.bodyLine(statement));
         }
     }
 
@@ -74,10 +74,10 @@
         platform.setBehavior(EngineBehavior.PROGRESS_REPORTS);
         try (TestingClient caller = platform.client()) {
             for (int i = 0; i < 10; i++) {
-                Answer answer = call(caller, 2000);
-                assertEquals(answer.body(), String.join("", TestingEngine.PAGES));
+                ThriftResponse response = call(caller, 2000);
+                assertEquals(response.body(), String.join("", TestingEngine.PAGES));
             }
-            assertEquals(requests(), 10);
+            assertEquals(attempts(), 10);
         }
     }
 
@@ -97,13 +97,13 @@
     }
 
     @Test(dataProvider = "faults")
-    public void retriesAtAnotherEngine(EngineBehavior mode) throws IOException {
-        platform.first().setBehavior(mode);
+    public void retriesAtAnotherEngine(EngineBehavior behavior) throws IOException {
+        platform.engine1().setBehavior(behavior);
         try (TestingClient caller = platform.client()) {
-            while (platform.first().requests() == 0) {
-                assertEquals(call(caller, 2000).field(), SERVED);
+            while (platform.engine1().attempts() == 0) {
+                assertEquals(call(caller, 2000).fieldId(), SERVED);
             }
-            assertTrue(platform.second().requests() > 0);
+            assertTrue(platform.engine2().attempts() > 0);
         }
     }
 
@@ -113,59 +113,60 @@
         try (TestingClient caller = platform.client()) {
             for (int i = 1; i <= 20; i++) {
                 assertEquals(call(caller, 2000).body(), String.join("", TestingEngine.PAGES));
-                assertEquals(requests(), i, "no request is retried");
+                assertEquals(attempts(), i, "no request is retried");
             }
         }
     }
 
     private long cancels() {
-        return platform.first().cancels() + platform.second().cancels();
+        return platform.engine1().cancels() + platform.engine2().cancels();
     }
 
-    private boolean oneRunsAtEach() {
-        return platform.first().requests() == 1 && platform.second().requests() == 1;
+    private boolean eachEngineRunsOneRequest() {
+        return platform.engine1().attempts() == 1 && platform.engine2().attempts() == 1;
     }
 
-    private void startOneAtEach(TestingClient caller) throws IOException {
+    private void startOneRequestAtEachEngine(TestingClient caller) throws IOException {
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         caller.send(TestingClient.fields(2400), "select 1");
         caller.send(TestingClient.fields(2400), "select 1");
-        Program.await("each engine runs one request", this::oneRunsAtEach);
+        Program.await("each engine runs one request", this::eachEngineRunsOneRequest);
     }
 
-    private static void serveAtOnce(TestingClient caller, int many) throws IOException {
-        for (int i = 0; i < many; i++) {
+    private static void assertServesConcurrently(TestingClient caller, int requestCount) throws IOException {
+        for (int i = 0; i < requestCount; i++) {
             caller.send(TestingClient.fields(2000), "select 1");
         }
-        for (int i = 0; i < many; i++) {
-            assertEquals(caller.read().field(), SERVED);
+        for (int i = 0; i < requestCount; i++) {
+            assertEquals(caller.read().fieldId(), SERVED);
         }
     }
 
     @Test
     public void aMalformedReplyFailsNoRequestOfAnotherConnection() throws IOException {
-        try (TestingClient open = platform.client();
+        try (TestingClient waitingClient = platform.client();
                 TestingClient caller = platform.client()) {
-            startOneAtEach(open);
-            platform.second().setBehavior(EngineBehavior.SERVE);
-            platform.first().setBehavior(EngineBehavior.MALFORMED_REPLY_ONCE);
-            serveAtOnce(caller, 6);
-            assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "the malformed reply was sent");
-            String first = platform.first().receivedLines().get(0).split(" ", -1)[1];
-            assertEquals(platform.second().requests(first) + platform.first().cancels(), 0);
+            startOneRequestAtEachEngine(waitingClient);
+            platform.engine2().setBehavior(EngineBehavior.SERVE);
+            platform.engine1().setBehavior(EngineBehavior.MALFORMED_REPLY_ONCE);
+            assertServesConcurrently(caller, 6);
+            assertEquals(platform.engine1().behavior(), EngineBehavior.SERVE, "the malformed reply was sent");
+            String firstId = platform.engine1().receivedLines().get(0).split(" ", -1)[1];
+            assertEquals(
+                    platform.engine2().attempts(firstId) + platform.engine1().cancels(), 0);
         }
     }
 
     @Test
     public void resetsOfSomeConnectionsDoNotEjectTheEngine() throws IOException {
-        try (TestingClient open = platform.client();
+        try (TestingClient waitingClient = platform.client();
                 TestingClient caller = platform.client()) {
-            startOneAtEach(open);
+            startOneRequestAtEachEngine(waitingClient);
             platform.setBehavior(EngineBehavior.SERVE);
-            platform.first().limitResets(3);
-            platform.first().setBehavior(EngineBehavior.RESET_LIMITED);
-            serveAtOnce(caller, 12);
-            assertEquals(platform.first().behavior(), EngineBehavior.SERVE, "three connections were reset");
+            platform.engine1().limitResets(3);
+            platform.engine1().setBehavior(EngineBehavior.RESET_LIMITED);
+            assertServesConcurrently(caller, 12);
+            assertEquals(platform.engine1().behavior(), EngineBehavior.SERVE, "three connections were reset");
             assertFalse(
                     platform.program().log().contains("resets"),
                     platform.program().log());
@@ -174,14 +175,14 @@
 
     @Test
     public void eachOpenRequestGetsOneResponseAndNoConcurrentAttempts() throws IOException {
-        platform.first().setBehavior(EngineBehavior.NO_RESPONSE);
+        platform.engine1().setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client()) {
-            Set<Integer> open = new HashSet<>();
+            Set<Integer> openSeqids = new HashSet<>();
             for (int i = 0; i < 32; i++) {
-                open.add(caller.send(TestingClient.fields(1500), "select 1"));
+                openSeqids.add(caller.send(TestingClient.fields(1500), "select 1"));
             }
-            while (!open.isEmpty()) {
-                assertTrue(open.remove(caller.read().seqid()), "an unexpected response");
+            while (!openSeqids.isEmpty()) {
+                assertTrue(openSeqids.remove(caller.read().seqid()), "an unexpected response");
             }
             assertEquals(caller.callMethod("ping").seqid(), 33, "no second response before the ping's");
         }
@@ -192,21 +193,21 @@
     public void rejectsWithRetryAfterBeforeTheDeadlineIfEnginesDoNotRespond() throws IOException {
         try (TestingClient caller = platform.client()) {
             // The first response after the start of the JVM may take 50 ms longer.
-            assertEquals(call(caller, 2000).field(), SERVED);
+            assertEquals(call(caller, 2000).fieldId(), SERVED);
             platform.setBehavior(EngineBehavior.NO_RESPONSE);
-            long start = System.nanoTime();
-            Answer answer = call(caller, 800);
-            assertEquals(answer.field(), REJECTED);
-            assertTrue(Integer.parseInt(answer.fields().get(RequestFields.RETRY_AFTER_MS)) > 0);
-            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(850), "rejected late");
+            long startNanos = System.nanoTime();
+            ThriftResponse response = call(caller, 800);
+            assertEquals(response.fieldId(), REJECTED);
+            assertTrue(Integer.parseInt(response.fields().get(RequestFields.RETRY_AFTER_MS)) > 0);
+            assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(850), "rejected late");
         }
     }
 
     @Test
     public void rejectsARequestThatCannotMeetItsDeadline() throws IOException {
         try (TestingClient caller = platform.client()) {
-            assertEquals(call(caller, 30).field(), REJECTED);
-            assertEquals(requests(), 0);
+            assertEquals(call(caller, 30).fieldId(), REJECTED);
+            assertEquals(attempts(), 0);
         }
     }
 
@@ -215,7 +216,7 @@
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client()) {
             int seqid = caller.send(TestingClient.fields(2000), "select 1");
-            Program.await("the request runs", () -> requests() == 1);
+            Program.await("the request runs", () -> attempts() == 1);
             caller.abort(seqid);
             Program.await("the engine has received the cancel", () -> cancels() == 1);
             assertEquals(caller.callMethod("ping").seqid(), seqid + 2, "no response but the ping's");
@@ -227,25 +228,25 @@
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client()) {
             caller.send(TestingClient.fields(2000), "select 1");
-            Program.await("the request runs", () -> requests() == 1);
+            Program.await("the request runs", () -> attempts() == 1);
         }
         Program.await("the engine has received the cancel", () -> cancels() == 1);
     }
 
     @Test
     public void forwardsNoRequestToADrainingEngine() throws IOException, InterruptedException {
-        platform.discovery().publish(false, "s-1", "" + platform.first().port(), "draining");
-        long told = System.nanoTime();
+        platform.discovery().publish(false, "s-1", "" + platform.engine1().port(), "draining");
+        long publishedNanos = System.nanoTime();
         try (TestingClient caller = platform.client()) {
-            long late = 0;
-            while (System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(1500)) {
+            long attemptsInGracePeriod = 0;
+            while (System.nanoTime() - publishedNanos < TimeUnit.MILLISECONDS.toNanos(1500)) {
                 call(caller, 2000);
-                if (System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(1000)) {
-                    late = platform.first().requests();
+                if (System.nanoTime() - publishedNanos < TimeUnit.MILLISECONDS.toNanos(1000)) {
+                    attemptsInGracePeriod = platform.engine1().attempts();
                 }
             }
-            assertEquals(platform.first().requests(), late);
-            assertTrue(platform.second().requests() > 0);
+            assertEquals(platform.engine1().attempts(), attemptsInGracePeriod);
+            assertTrue(platform.engine2().attempts() > 0);
         }
     }
 
@@ -253,10 +254,10 @@
     public void usesANewEngineAtAnOldAddressAfterDiscoveryErrors() throws IOException {
         try (TestingClient caller = platform.client()) {
             call(caller, 2000);
-            platform.discovery().setBroken(true);
-            int port = platform.first().port();
-            platform.first().close();
-            try (TestingEngine next = new TestingEngine(port)) {
+            platform.discovery().setFailing(true);
+            int port = platform.engine1().port();
+            platform.engine1().close();
+            try (TestingEngine newEngine = new TestingEngine(port)) {
                 platform.discovery()
                         .publish(
                                 false,
@@ -264,21 +265,21 @@
                                 "" + port,
                                 "gone",
                                 "s-2",
-                                "" + platform.second().port(),
+                                "" + platform.engine2().port(),
                                 "gone",
                                 "s-9",
                                 "" + port,
                                 "ready");
-                platform.discovery().setBroken(false);
-                long before = platform.second().requests();
+                platform.discovery().setFailing(false);
+                long attemptsBefore = platform.engine2().attempts();
                 Program.await("the new engine serves", () -> {
                     try {
-                        return call(caller, 2000).field() == SERVED && next.requests() > 0;
+                        return call(caller, 2000).fieldId() == SERVED && newEngine.attempts() > 0;
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
                 });
-                assertTrue(before >= 0);
+                assertTrue(attemptsBefore >= 0);
             }
         }
     }
@@ -286,62 +287,62 @@
     @Test
     public void sighupChangesTheServiceDiscoveryAndIgnoresAnInvalidFile() throws Exception {
         platform.configure("{");
-        platform.program().hangUp();
+        platform.program().sendSighup();
         String logLine = "configuration not reloaded: cause=";
         Program.await("the error is logged", () -> platform.program().log().contains(logLine));
-        try (TestingServiceDiscovery next = new TestingServiceDiscovery();
+        try (TestingServiceDiscovery newDiscovery = new TestingServiceDiscovery();
                 TestingClient caller = platform.client()) {
-            String portOfTwo = "" + platform.second().port();
-            next.publish(true, "s-1", "" + platform.first().port(), "ready", "s-2", portOfTwo, "ready");
-            platform.configure(next);
-            platform.program().hangUp();
-            platform.program().hangUp();
-            Program.await("the new service is polled", () -> next.polls() > 0);
+            String port2 = "" + platform.engine2().port();
+            newDiscovery.publish(true, "s-1", "" + platform.engine1().port(), "ready", "s-2", port2, "ready");
+            platform.configure(newDiscovery);
+            platform.program().sendSighup();
+            platform.program().sendSighup();
+            Program.await("the new service is polled", () -> newDiscovery.polls() > 0);
             platform.discovery().close();
-            next.publish(false, "s-1", "" + platform.first().port(), "gone");
-            Program.await("the event has been received", () -> next.lastDelivered() == 2);
-            long before = platform.first().requests();
+            newDiscovery.publish(false, "s-1", "" + platform.engine1().port(), "gone");
+            Program.await("the event has been received", () -> newDiscovery.lastDelivered() == 2);
+            long attemptsBefore = platform.engine1().attempts();
             for (int i = 0; i < 10; i++) {
-                assertEquals(call(caller, 2000).field(), SERVED);
+                assertEquals(call(caller, 2000).fieldId(), SERVED);
             }
-            assertEquals(platform.first().requests(), before);
-            platform.program().terminate();
-            platform.program().hangUp();
+            assertEquals(platform.engine1().attempts(), attemptsBefore);
+            platform.program().sendSigterm();
+            platform.program().sendSighup();
         }
-        assertEquals(platform.program().status(), 0, "SIGHUP during the shutdown");
+        assertEquals(platform.program().awaitExitStatus(), 0, "SIGHUP during the shutdown");
     }
 
     @Test
     public void failsOpenRequestsBeforeSigkill() throws IOException, InterruptedException {
         platform.setBehavior(EngineBehavior.NO_RESPONSE);
         try (TestingClient caller = platform.client();
-                TestingClient resting = platform.client()) {
-            assertTrue(resting.callMethod("ping").good());
+                TestingClient idleClient = platform.client()) {
+            assertTrue(idleClient.callMethod("ping").ok());
             caller.send(TestingClient.fields(9000), "select 1");
-            Program.await("the request runs", () -> requests() == 1);
-            long start = System.nanoTime();
-            platform.program().terminate();
-            assertEquals(caller.read().field(), FAILED);
-            assertEquals(platform.program().status(), 0);
-            assertTrue(System.nanoTime() - start < TimeUnit.MILLISECONDS.toNanos(3700), "exits in time");
+            Program.await("the request runs", () -> attempts() == 1);
+            long startNanos = System.nanoTime();
+            platform.program().sendSigterm();
+            assertEquals(caller.read().fieldId(), FAILED);
+            assertEquals(platform.program().awaitExitStatus(), 0);
+            assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(3700), "exits in time");
         }
     }
 
     @Test
     public void servesNewRequestsDuringGracefulShutdown() throws Exception {
-        try (TestingClient open = platform.client()) {
-            assertTrue(open.callMethod("ping").good());
-            platform.program().terminate();
+        try (TestingClient existingClient = platform.client()) {
+            assertTrue(existingClient.callMethod("ping").ok());
+            platform.program().sendSigterm();
             Program.await(
                     "the shutdown has started", () -> platform.program().log().contains("SIGTERM"));
-            try (TestingClient late = platform.client()) {
-                assertEquals(call(late, 2000).field(), SERVED);
-                assertFalse(late.callMethod("ping").good());
+            try (TestingClient newClient = platform.client()) {
+                assertEquals(call(newClient, 2000).fieldId(), SERVED);
+                assertFalse(newClient.callMethod("ping").ok());
             }
             platform.setBehavior(EngineBehavior.NO_RESPONSE);
-            open.send(TestingClient.fields(2000), "select 1");
-            assertEquals(open.read().kind(), REPLY);
-            assertEquals(platform.program().status(), 0);
+            existingClient.send(TestingClient.fields(2000), "select 1");
+            assertEquals(existingClient.read().messageType(), REPLY);
+            assertEquals(platform.program().awaitExitStatus(), 0);
         }
     }
 }
