--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -125,8 +125,8 @@
         TrackedRequest request = attempt.request();
         double runMs =
                 attempt.runTimeMs(context.nowMs()) / request.type().model().slowdown();
-        OptionalDouble timeoutRatio = request.type().tauRatio();
-        boolean past = timeoutRatio.isPresent() && runMs / request.referenceRunMs() >= timeoutRatio.getAsDouble();
+        OptionalDouble limit = request.type().tauRatio();
+        boolean past = limit.isPresent() && runMs / request.referenceRunMs() >= limit.getAsDouble();
         if (!hasFreshProgress(attempt)) {
             return past;
         }
