--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -2,10 +2,10 @@
 
 import java.util.OptionalDouble;
 import java.util.function.Predicate;
-import lineward.scheduling.state.ClassState;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.EngineCapacity;
 import lineward.scheduling.state.LoadReports;
+import lineward.scheduling.state.RequestClassState;
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
@@ -180,7 +180,7 @@
                         >= request.expectedRunMs() * request.threads() / classThreadLimit;
     }
 
-    private static double threadsOf(ClassState type, Engine engine) {
+    private static double threadsOf(RequestClassState type, Engine engine) {
         long attempts = engine.attemptsInFlight().stream()
                 .filter(attempt -> attempt.request().type() == type)
                 .count();
--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -1,10 +1,10 @@
 package lineward.scheduling.decision;
 
 import lineward.scheduling.RequestClass;
-import lineward.scheduling.state.ClassState;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.EngineCapacity;
 import lineward.scheduling.state.LoadReports;
+import lineward.scheduling.state.RequestClassState;
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
@@ -64,7 +64,7 @@
      * Draws the amount by which an engine's score is lowered: the logarithm of its free cores plus Gumbel
      * noise. Front ends that see the same load thus spread over the engines in proportion to the free cores.
      */
-    public double drawNoise(ClassState type, Engine engine) {
+    public double drawNoise(RequestClassState type, Engine engine) {
         double draw = 1 - context.drawRandom() * DRAW_RANGE - DRAW_OFFSET;
         double gumbel = -Math.log(-Math.log(draw));
         double scale = TIE_BREAKING_NOISE + UNSEEN_LOAD_NOISE * limits.unseenLoadRatio();
@@ -75,9 +75,9 @@
      * Returns the engine's cores that are expected to be left over by classes that may run on fewer cores of
      * the fleet than the given class.
      */
-    private double freeCores(ClassState type, Engine engine) {
+    private double freeCores(RequestClassState type, Engine engine) {
         double occupiedRatio = 0;
-        for (ClassState other : context.classes()) {
+        for (RequestClassState other : context.classes()) {
             boolean moreRestricted =
                     other.demand().reachableCores() < type.demand().reachableCores();
             if (moreRestricted && other.settings().placement().allows(engine.endpoint())) {
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -4,8 +4,8 @@
 import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.SchedulerAction;
 import lineward.scheduling.SchedulerSettings;
-import lineward.scheduling.state.ClassState;
 import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.RequestClassState;
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
@@ -66,7 +66,7 @@
         SchedulerSettings settings = context.settings();
         double correction = request.type().model().memoryCorrection();
         boolean supported = settings.capabilities().grants();
-        double factor = supported ? request.type().grantFactor() : ClassState.INITIAL_GRANT_FACTOR;
+        double factor = supported ? request.type().grantFactor() : RequestClassState.INITIAL_GRANT_FACTOR;
         double needMb = request.estimatedMemoryMb() * correction * factor;
         return engine.memoryMb() > 0
                 ? Math.min(needMb, engine.memoryMb() * settings.memoryLimits().maxGrantRatio())
@@ -96,14 +96,14 @@
     /**
      * Adapts the grant factor to the memory that a request needed, as a multiple of its corrected estimate.
      */
-    public void recordNeed(ClassState type, double neededFactor) {
+    public void recordNeed(RequestClassState type, double neededFactor) {
         boolean tooSmall = neededFactor > type.grantFactor();
         double change = tooSmall ? 1 + GRANT_STEP * NEED_QUANTILE : 1 - GRANT_STEP * (1 - NEED_QUANTILE);
         type.setGrantFactor(type.grantFactor() * change);
     }
 
     /** Raises the grant factor, up to its maximum, after a request has spilled to disk. */
-    public void recordSpill(ClassState type) {
+    public void recordSpill(RequestClassState type) {
         type.setGrantFactor(Math.min(MAX_GRANT_FACTOR, type.grantFactor() * SPILL_GROWTH_FACTOR));
     }
 }
--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -3,7 +3,7 @@
 import java.util.OptionalDouble;
 import lineward.scheduling.estimation.ServiceTimeModel;
 import lineward.scheduling.estimation.SurvivalCurve;
-import lineward.scheduling.state.ClassState;
+import lineward.scheduling.state.RequestClassState;
 
 /**
  * Computes the speculative timeout: the run time after which a relaunch on another engine is expected to cost
@@ -25,7 +25,7 @@
      * reliable curve, the timeout is limited to the bounds for a straggler, and is the upper bound if no edge
      * saves enough load.
      */
-    public static OptionalDouble timeoutRatio(ClassState type, double nowMs) {
+    public static OptionalDouble timeoutRatio(RequestClassState type, double nowMs) {
         ServiceTimeModel model = type.model();
         if (!model.hasTypicalRatio()) {
             return OptionalDouble.empty();
--- a/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
+++ b/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
@@ -7,8 +7,8 @@
 import lineward.scheduling.decision.ConcurrencyLimits;
 import lineward.scheduling.decision.SpeculativeTimeout;
 import lineward.scheduling.state.Attempt;
-import lineward.scheduling.state.ClassState;
 import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.RequestClassState;
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
@@ -31,7 +31,7 @@
         }
         nextRunAtMs = context.nowMs() + INTERVAL_MS;
         recomputeServiceTimes();
-        for (ClassState type : context.classes()) {
+        for (RequestClassState type : context.classes()) {
             type.setTauRatio(SpeculativeTimeout.timeoutRatio(type, context.nowMs()));
         }
         context.recomputeDemand();
@@ -40,17 +40,17 @@
 
     private void recomputeServiceTimes() {
         double nowMs = context.nowMs();
-        Map<ClassState, List<Double>> inFlight = firstRunsInFlight();
+        Map<RequestClassState, List<Double>> inFlight = firstRunsInFlight();
         context.serviceTimes().recomputeSlowdown(nowMs);
-        for (ClassState type : context.classes()) {
+        for (RequestClassState type : context.classes()) {
             type.model().recompute(nowMs, inFlight.get(type));
             type.demand().decay(nowMs);
         }
         context.serviceTimes().decay(nowMs);
     }
 
-    private Map<ClassState, List<Double>> firstRunsInFlight() {
-        Map<ClassState, List<Double>> ratios = new LinkedHashMap<>();
+    private Map<RequestClassState, List<Double>> firstRunsInFlight() {
+        Map<RequestClassState, List<Double>> ratios = new LinkedHashMap<>();
         context.classes().forEach(type -> ratios.put(type, new ArrayList<>()));
         for (Engine engine : context.engines()) {
             for (Attempt attempt : engine.attemptsInFlight()) {
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -8,8 +8,8 @@
 import lineward.scheduling.SchedulerSettings;
 import lineward.scheduling.decision.LoadReportPolling;
 import lineward.scheduling.state.Attempt;
-import lineward.scheduling.state.ClassState;
 import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.RequestClassState;
 import lineward.scheduling.state.SchedulerContext;
 import lineward.scheduling.state.TrackedRequest;
 
@@ -100,7 +100,7 @@
     @Override
     public void requestArrived(SchedulerEvent.RequestArrived arrival) {
         TrackedRequest request = context.addRequest(arrival, components.speculation.drawExempt());
-        ClassState type = request.type();
+        RequestClassState type = request.type();
         if (request.hasWorkEstimate()) {
             type.model().addWork(request.expectedWorkMs(), context.nowMs());
         }
--- a/src/main/java/lineward/scheduling/state/FleetDemand.java
+++ b/src/main/java/lineward/scheduling/state/FleetDemand.java
@@ -28,12 +28,12 @@
                 .sum();
     }
 
-    void recompute(List<ClassState> classes, Collection<Engine> engines) {
+    void recompute(List<RequestClassState> classes, Collection<Engine> engines) {
         double allWorkMs = classes.stream()
                 .mapToDouble(requestClass -> requestClass.demand().workMs())
                 .sum();
         double allValue = classes.stream().mapToDouble(FleetDemand::value).sum();
-        for (ClassState requestClass : classes) {
+        for (RequestClassState requestClass : classes) {
             double workRatio = requestClass.demand().workMs() / Math.max(MIN_WORK_MS, allWorkMs);
             requestClass.demand().setRatios(workRatio, value(requestClass) / Math.max(MIN_VALUE, allValue));
             requestClass.demand().setReachableCores(reachableCores(requestClass, engines));
@@ -43,17 +43,17 @@
         threadsPerRequest = allWorkMs <= 0 ? 1 : allWorkMs / workPerThreadMs;
     }
 
-    private static double value(ClassState requestClass) {
+    private static double value(RequestClassState requestClass) {
         return requestClass.demand().requestCount()
                 * requestClass.settings().objective().priorityWeight();
     }
 
-    private static double workPerThreadMs(ClassState requestClass) {
+    private static double workPerThreadMs(RequestClassState requestClass) {
         return requestClass.demand().workMs()
                 / requestClass.settings().executionProfile().threads();
     }
 
-    private static double reachableCores(ClassState requestClass, Collection<Engine> engines) {
+    private static double reachableCores(RequestClassState requestClass, Collection<Engine> engines) {
         return engines.stream()
                 .filter(engine ->
                         engine.isReady() && requestClass.settings().placement().allows(engine.endpoint()))
--- a/src/main/java/lineward/scheduling/state/ClassState.java
+++ b/src/main/java/lineward/scheduling/state/RequestClassState.java
@@ -7,7 +7,7 @@
 import lineward.scheduling.estimation.ServiceTimeModel;
 
 /** One class of requests: its settings, its measurements, and the values that policies derive for it. */
-public final class ClassState {
+public final class RequestClassState {
     /** Ratio of memory grants to the corrected memory estimates before the first outcome. */
     public static final double INITIAL_GRANT_FACTOR = 1.25;
 
@@ -20,7 +20,7 @@
     private boolean dispatchPaused;
     private double grantFactor = INITIAL_GRANT_FACTOR;
 
-    ClassState(RequestClass settings, FleetServiceTimes fleet) {
+    RequestClassState(RequestClass settings, FleetServiceTimes fleet) {
         this.settings = settings;
         this.model = new ServiceTimeModel(settings, fleet);
     }
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -29,7 +29,7 @@
     private final TreeMap<Long, Engine> engines = new TreeMap<>();
     private final Collection<Engine> enginesView = Collections.unmodifiableCollection(engines.values());
     private final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
-    private final List<ClassState> classes;
+    private final List<RequestClassState> classes;
     private final FleetServiceTimes serviceTimes = new FleetServiceTimes();
     private final FleetDemand demand = new FleetDemand();
 
@@ -47,7 +47,7 @@
         this.settings = settings;
         this.random = new SplittableRandom(seed);
         this.classes = settings.classes().stream()
-                .map(requestClass -> new ClassState(requestClass, serviceTimes))
+                .map(requestClass -> new RequestClassState(requestClass, serviceTimes))
                 .toList();
     }
 
@@ -99,12 +99,12 @@
     }
 
     /** Returns the classes in the order of the settings. */
-    public List<ClassState> classes() {
+    public List<RequestClassState> classes() {
         return classes;
     }
 
     /** Returns the class with the given index; an index past the end selects the last class. */
-    public ClassState requestClass(int index) {
+    public RequestClassState requestClass(int index) {
         return classes.get(Math.min(index, classes.size() - 1));
     }
 
@@ -175,7 +175,7 @@
      * @param exempt whether the speculative timeout does not apply to its attempts
      */
     public TrackedRequest addRequest(SchedulerEvent.RequestArrived arrival, boolean exempt) {
-        ClassState requestClass = requestClass(arrival.requestClass());
+        RequestClassState requestClass = requestClass(arrival.requestClass());
         TrackedRequest request = new TrackedRequest(arrival, requestClass, exempt, nowMs);
         requests.put(request.id(), request);
         return request;
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -20,7 +20,7 @@
     private final long id;
     private final long key;
     private final int tableGroup;
-    private final ClassState type;
+    private final RequestClassState type;
     private final double admittedAtMs;
     private final double deadlineMs;
     private final double objectiveEndMs;
@@ -49,26 +49,30 @@
     /**
      * Creates a queued request.
      *
-     * @param exempt whether the speculative timeout does not apply to its attempts
+     * @param exemptFromSpeculativeTimeout whether the speculative timeout does not apply to its attempts
      */
-    TrackedRequest(SchedulerEvent.RequestArrived arrival, ClassState type, boolean exempt, double nowMs) {
+    TrackedRequest(
+            SchedulerEvent.RequestArrived arrival,
+            RequestClassState requestClass,
+            boolean exemptFromSpeculativeTimeout,
+            double nowMs) {
         this.id = arrival.requestId();
         this.key = arrival.key();
         this.tableGroup = arrival.tableGroup();
-        this.type = type;
-        this.exemptFromCancellation = exempt;
+        this.type = requestClass;
+        this.exemptFromCancellation = exemptFromSpeculativeTimeout;
         this.admittedAtMs = nowMs;
         this.deadlineMs = nowMs + arrival.timeLeftMs();
         this.estimatedWorkMs = arrival.estimatedWorkMs();
         this.estimatedMemoryMb = arrival.estimatedMemoryMb();
-        RequestClass.Objective objective = type.settings().objective();
+        RequestClass.Objective objective = requestClass.settings().objective();
         double estimateMs = hasWorkEstimate()
-                ? estimatedWorkMs * type.model().workCorrection() / threads()
+                ? estimatedWorkMs * requestClass.model().workCorrection() / threads()
                 : objective.latencyMs() * DEFAULT_RUN_TIME_RATIO;
         this.referenceRunMs = Math.max(1, estimateMs);
         double runMs = hasWorkEstimate()
                 ? referenceRunMs
-                : referenceRunMs * type.model().typicalRatio();
+                : referenceRunMs * requestClass.model().typicalRatio();
         double objectiveMs = nowMs + objective.latencyMs() + objective.latencyPerRunTime() * runMs;
         this.objectiveEndMs = Math.min(deadlineMs, objectiveMs);
     }
@@ -89,7 +93,7 @@
     }
 
     /** Returns the class of the request. */
-    public ClassState type() {
+    public RequestClassState type() {
         return type;
     }
 
--- a/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import lineward.scheduling.LoadReportField;
 import lineward.scheduling.RequestClass;
-import lineward.scheduling.state.ClassState;
 import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.RequestClassState;
 import lineward.scheduling.state.TrackedRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -143,7 +143,7 @@
         policies.listEngine(1);
         policies.listEngine(2);
         policies.context.requestClass(0).demand().setReachableCores(16);
-        ClassState restricted = policies.context.requestClass(1);
+        RequestClassState restricted = policies.context.requestClass(1);
         restricted.demand().setReachableCores(8);
         restricted.demand().setRatios(workRatio, 0);
         return policies;
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -9,8 +9,8 @@
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerAction;
 import lineward.scheduling.SchedulerAction.SetResourceLimits;
-import lineward.scheduling.state.ClassState;
 import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.RequestClassState;
 import lineward.scheduling.state.TrackedRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -134,7 +134,7 @@
     @Test(dataProvider = "needs")
     public void learnsTheGrantFactor(double before, double need, double afterNeed, double afterSpill) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
-        ClassState type = policies.context.requestClass(0);
+        RequestClassState type = policies.context.requestClass(0);
         type.setGrantFactor(before);
         policies.resources.recordNeed(type, need);
         assertThat(type.grantFactor()).isCloseTo(afterNeed, within(TOLERANCE));
--- a/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.OptionalDouble;
 import lineward.scheduling.estimation.ServiceTimeModel;
-import lineward.scheduling.state.ClassState;
+import lineward.scheduling.state.RequestClassState;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -22,9 +22,9 @@
     private static final double NO_TIMEOUT = Double.POSITIVE_INFINITY;
     private static final double TOLERANCE = 1e-9;
 
-    private static ClassState classWith(int usualRuns, int slowRuns, double slowRatio) {
+    private static RequestClassState classWith(int usualRuns, int slowRuns, double slowRatio) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
-        ClassState type = policies.context.requestClass(0);
+        RequestClassState type = policies.context.requestClass(0);
         ServiceTimeModel model = type.model();
         for (int run = 0; run < usualRuns; run++) {
             model.updateTypicalRatio(1);
@@ -54,7 +54,7 @@
 
     @Test(dataProvider = "runs")
     public void timeoutCostsTheLeastLoad(int usualRuns, int slowRuns, double slowRatio, double expected) {
-        ClassState type = classWith(usualRuns, slowRuns, slowRatio);
+        RequestClassState type = classWith(usualRuns, slowRuns, slowRatio);
         OptionalDouble ratio = SpeculativeTimeout.timeoutRatio(type, 0);
         if (expected == NO_TIMEOUT) {
             assertThat(ratio).isEmpty();
@@ -74,7 +74,7 @@
 
     @Test(dataProvider = "relaunches")
     public void cancelsNothingWhereRelaunchesAreSlow(double relaunchRatio, boolean saves) {
-        ClassState type = classWith(90, 10, 10);
+        RequestClassState type = classWith(90, 10, 10);
         for (int run = 0; run < 5; run++) {
             type.model().addRelaunch(relaunchRatio, 0);
         }
