--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -107,8 +107,8 @@
         if (request.isRelaunched() || request.isExemptFromCancellation() || attempt.isWaiting()) {
             return false;
         }
-        boolean noTimeoutSavesLoad =
-                request.type().model().hasCurve() && request.type().tauRatio().isEmpty();
+        boolean noTimeoutSavesLoad = request.type().model().hasCurve()
+                && request.type().speculativeTimeoutRatio().isEmpty();
         boolean enoughRuns = context.serviceTimes().completedRuns() >= ServiceTimeModel.MIN_COMPLETED_RUNS;
         return enoughRuns && !noTimeoutSavesLoad;
     }
@@ -125,7 +125,7 @@
         TrackedRequest request = attempt.request();
         double runMs =
                 attempt.runTimeMs(context.nowMs()) / request.type().model().slowdown();
-        OptionalDouble limit = request.type().tauRatio();
+        OptionalDouble limit = request.type().speculativeTimeoutRatio();
         boolean past = limit.isPresent() && runMs / request.referenceRunMs() >= limit.getAsDouble();
         if (!hasFreshProgress(attempt)) {
             return past;
--- a/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
@@ -103,6 +103,6 @@
             return 0;
         }
         double predicted = predictedMs.getAsDouble() / attempt.request().referenceRunMs();
-        return Math.min(attempt.request().type().tauRatio().orElse(predicted), predicted);
+        return Math.min(attempt.request().type().speculativeTimeoutRatio().orElse(predicted), predicted);
     }
 }
--- a/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
+++ b/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
@@ -32,7 +32,7 @@
         nextRunAtMs = context.nowMs() + INTERVAL_MS;
         recomputeServiceTimes();
         for (RequestClassState type : context.classes()) {
-            type.setTauRatio(SpeculativeTimeout.timeoutRatio(type, context.nowMs()));
+            type.setSpeculativeTimeoutRatio(SpeculativeTimeout.timeoutRatio(type, context.nowMs()));
         }
         context.recomputeDemand();
         limits.adaptQuota(requestsBlocked, INTERVAL_MS);
--- a/src/main/java/lineward/scheduling/state/RequestClassState.java
+++ b/src/main/java/lineward/scheduling/state/RequestClassState.java
@@ -15,7 +15,7 @@
     private final ServiceTimeModel model;
     private final ClassDemand demand = new ClassDemand();
 
-    private OptionalDouble tauRatio = OptionalDouble.empty();
+    private OptionalDouble speculativeTimeoutRatio = OptionalDouble.empty();
     private OptionalDouble lastStartedMs = OptionalDouble.empty();
     private boolean dispatchPaused;
     private double grantFactor = INITIAL_GRANT_FACTOR;
@@ -44,13 +44,13 @@
      * Returns the speculative timeout of the class as a multiple of the reference run time: the run time
      * after which an attempt is cancelled and relaunched on another engine; empty if there is none.
      */
-    public OptionalDouble tauRatio() {
-        return tauRatio;
+    public OptionalDouble speculativeTimeoutRatio() {
+        return speculativeTimeoutRatio;
     }
 
     /** Sets the speculative timeout as a multiple of the reference run time; empty for none. */
-    public void setTauRatio(OptionalDouble ratio) {
-        tauRatio = ratio;
+    public void setSpeculativeTimeoutRatio(OptionalDouble ratio) {
+        speculativeTimeoutRatio = ratio;
     }
 
     /** Returns whether the class gets no more attempts in the current decision. */
--- a/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
@@ -28,7 +28,7 @@
     private static PolicyFixture policiesWithTimeout(SettingsBuilder settings) {
         PolicyFixture policies = new PolicyFixture(settings);
         policies.addCompletedRuns();
-        policies.context.requestClass(0).setTauRatio(OptionalDouble.of(TIMEOUT_RATIO));
+        policies.context.requestClass(0).setSpeculativeTimeoutRatio(OptionalDouble.of(TIMEOUT_RATIO));
         policies.listEngine(1);
         policies.listEngine(2);
         return policies;
@@ -71,7 +71,7 @@
                 policies.addCompletedRuns();
             }
             if (this != TIMEOUT_KNOWN) {
-                policies.context.requestClass(0).setTauRatio(OptionalDouble.of(TIMEOUT_RATIO));
+                policies.context.requestClass(0).setSpeculativeTimeoutRatio(OptionalDouble.of(TIMEOUT_RATIO));
             }
             return policies;
         }
