--- a/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
@@ -35,7 +35,8 @@
      */
     public double dispatchPriority(TrackedRequest request) {
         RequestClass.Objective objective = request.type().settings().objective();
-        double slowedRunMs = request.expectedRunMs() * request.type().model().slowdown();
+        double slowedRunMs =
+                request.expectedRunMs() * request.type().serviceTimeModel().slowdown();
         boolean overdue = request.objectiveEndMs() - context.nowMs() - slowedRunMs < 0;
         double value = objective.priorityWeight() * (overdue ? objective.overdueValueRatio() : 1);
         double urgency = overdue ? 1 : urgency(request);
@@ -53,7 +54,7 @@
         if (context.nowMs() > request.deadlineMs() - ANSWER_MARGIN_MS) {
             return true;
         }
-        double slowdown = Math.min(request.type().model().slowdown(), MAX_ASSUMED_SLOWDOWN);
+        double slowdown = Math.min(request.type().serviceTimeModel().slowdown(), MAX_ASSUMED_SLOWDOWN);
         double endMs = context.nowMs() + requiredRunMs(request) * slowdown;
         boolean hasOverdueValue = request.type().settings().objective().overdueValueRatio() > 0;
         return endMs > (hasOverdueValue ? request.deadlineMs() : request.objectiveEndMs());
--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -97,7 +97,8 @@
     private boolean isCalm() {
         return reports.areShared()
                 ? reports.threadsPerCore() < SATURATION_THREADS_PER_CORE * LoadReports.MIN_LIMIT_JITTER
-                : context.classes().stream().allMatch(type -> type.model().slowdown() < CALM_SLOWDOWN);
+                : context.classes().stream()
+                        .allMatch(type -> type.serviceTimeModel().slowdown() < CALM_SLOWDOWN);
     }
 
     /**
--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -146,7 +146,7 @@
 
     /** Returns the run time to expect at the current slowdown of the class. */
     private static double slowedRunMs(TrackedRequest request) {
-        return request.expectedRunMs() * request.type().model().slowdown();
+        return request.expectedRunMs() * request.type().serviceTimeModel().slowdown();
     }
 
     /** Records that the engine answered an attempt, which ends its ejection. */
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -64,7 +64,7 @@
      */
     public double expectedMemoryMb(TrackedRequest request, Engine engine) {
         SchedulerSettings settings = context.settings();
-        double correction = request.type().model().memoryCorrection();
+        double correction = request.type().serviceTimeModel().memoryCorrection();
         boolean supported = settings.capabilities().grants();
         double factor = supported ? request.type().grantFactor() : RequestClassState.INITIAL_GRANT_FACTOR;
         double needMb = request.estimatedMemoryMb() * correction * factor;
@@ -83,7 +83,7 @@
             return OVERDUE_PRIORITY;
         }
         double largestMeanWorkMs = context.classes().stream()
-                .mapToDouble(type -> type.model().meanWorkMs(nowMs))
+                .mapToDouble(type -> type.serviceTimeModel().meanWorkMs(nowMs))
                 .max()
                 .orElse(0);
         if (request.expectedWorkMs() < largestMeanWorkMs * SHORT_WORK_RATIO) {
--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -77,7 +77,7 @@
 
     /** Returns the expected run time of a relaunch at the current slowdown of its class on all engines. */
     private double expectedRelaunchMs(TrackedRequest request) {
-        ServiceTimeModel model = request.type().model();
+        ServiceTimeModel model = request.type().serviceTimeModel();
         return model.relaunchRatio(context.nowMs()) * request.referenceRunMs() * model.slowdown();
     }
 
@@ -107,7 +107,7 @@
         if (request.isRelaunched() || request.isExemptFromCancellation() || attempt.isWaiting()) {
             return false;
         }
-        boolean noTimeoutSavesLoad = request.type().model().hasCurve()
+        boolean noTimeoutSavesLoad = request.type().serviceTimeModel().hasCurve()
                 && request.type().speculativeTimeoutRatio().isEmpty();
         boolean enoughRuns = context.serviceTimes().completedRuns() >= ServiceTimeModel.MIN_COMPLETED_RUNS;
         return enoughRuns && !noTimeoutSavesLoad;
@@ -123,8 +123,8 @@
             return false;
         }
         TrackedRequest request = attempt.request();
-        double runMs =
-                attempt.runTimeMs(context.nowMs()) / request.type().model().slowdown();
+        double runMs = attempt.runTimeMs(context.nowMs())
+                / request.type().serviceTimeModel().slowdown();
         OptionalDouble limit = request.type().speculativeTimeoutRatio();
         boolean past = limit.isPresent() && runMs / request.referenceRunMs() >= limit.getAsDouble();
         if (!hasFreshProgress(attempt)) {
--- a/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeTimeout.java
@@ -26,7 +26,7 @@
      * saves enough load.
      */
     public static OptionalDouble timeoutRatio(RequestClassState type, double nowMs) {
-        ServiceTimeModel model = type.model();
+        ServiceTimeModel model = type.serviceTimeModel();
         if (!model.hasTypicalRatio()) {
             return OptionalDouble.empty();
         }
--- a/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
@@ -44,7 +44,7 @@
     private void recordRunTime(Attempt attempt) {
         double nowMs = context.nowMs();
         TrackedRequest request = attempt.request();
-        ServiceTimeModel model = request.type().model();
+        ServiceTimeModel model = request.type().serviceTimeModel();
         double runMs = attempt.runTimeMs(nowMs);
         double ratio = runMs / model.slowdown() / request.referenceRunMs();
         if (attempt.isFirstRun()) {
@@ -57,7 +57,7 @@
     private void recordFirstRun(Attempt attempt, double runMs, double ratio) {
         double nowMs = context.nowMs();
         TrackedRequest request = attempt.request();
-        ServiceTimeModel model = request.type().model();
+        ServiceTimeModel model = request.type().serviceTimeModel();
         model.addFirstRun(ratio, true);
         if (!request.hasWorkEstimate()) {
             model.addWork(runMs * request.threads(), nowMs);
@@ -70,7 +70,7 @@
     }
 
     private void recordResourceUse(TrackedRequest request, SchedulerEvent.AttemptEnded end) {
-        ServiceTimeModel model = request.type().model();
+        ServiceTimeModel model = request.type().serviceTimeModel();
         if (end.memoryMb() > 0 && request.estimatedMemoryMb() > 0) {
             double logRatio = Math.log(end.memoryMb() / request.estimatedMemoryMb());
             double deviation = model.addMemoryDeviation(logRatio);
@@ -92,7 +92,7 @@
             return;
         }
         TrackedRequest request = attempt.request();
-        ServiceTimeModel model = request.type().model();
+        ServiceTimeModel model = request.type().serviceTimeModel();
         double ratio = attempt.runTimeMs(context.nowMs()) / model.slowdown() / request.referenceRunMs();
         model.addFirstRun(Math.max(ratio, minCensoredRatio(attempt)), false);
     }
--- a/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
+++ b/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
@@ -43,7 +43,7 @@
         Map<RequestClassState, List<Double>> inFlight = firstRunsInFlight();
         context.serviceTimes().recomputeSlowdown(nowMs);
         for (RequestClassState type : context.classes()) {
-            type.model().recompute(nowMs, inFlight.get(type));
+            type.serviceTimeModel().recompute(nowMs, inFlight.get(type));
             type.demand().decay(nowMs);
         }
         context.serviceTimes().decay(nowMs);
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -102,7 +102,7 @@
         TrackedRequest request = context.addRequest(arrival, components.speculation.drawExempt());
         RequestClassState type = request.type();
         if (request.hasWorkEstimate()) {
-            type.model().addWork(request.expectedWorkMs(), context.nowMs());
+            type.serviceTimeModel().addWork(request.expectedWorkMs(), context.nowMs());
         }
         components.retryBudget.recordAdmission();
         components.polling.countRequest();
--- a/src/main/java/lineward/scheduling/state/RequestClassState.java
+++ b/src/main/java/lineward/scheduling/state/RequestClassState.java
@@ -12,7 +12,7 @@
     public static final double INITIAL_GRANT_FACTOR = 1.25;
 
     private final RequestClass settings;
-    private final ServiceTimeModel model;
+    private final ServiceTimeModel serviceTimeModel;
     private final ClassDemand demand = new ClassDemand();
 
     private OptionalDouble speculativeTimeoutRatio = OptionalDouble.empty();
@@ -22,7 +22,7 @@
 
     RequestClassState(RequestClass settings, FleetServiceTimes fleet) {
         this.settings = settings;
-        this.model = new ServiceTimeModel(settings, fleet);
+        this.serviceTimeModel = new ServiceTimeModel(settings, fleet);
     }
 
     /** Returns the settings of the class. */
@@ -31,8 +31,8 @@
     }
 
     /** Returns the model of the run times of the class. */
-    public ServiceTimeModel model() {
-        return model;
+    public ServiceTimeModel serviceTimeModel() {
+        return serviceTimeModel;
     }
 
     /** Returns the measured demand of the class. */
@@ -85,6 +85,6 @@
 
     /** Returns the work by which a request counts in a slow-start budget: at least the class's mean work. */
     public double slowStartWorkMs(TrackedRequest request, double nowMs) {
-        return Math.max(request.expectedWorkMs(), model.meanWorkWithPriorMs(nowMs));
+        return Math.max(request.expectedWorkMs(), serviceTimeModel.meanWorkWithPriorMs(nowMs));
     }
 }
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -67,12 +67,12 @@
         this.estimatedMemoryMb = arrival.estimatedMemoryMb();
         RequestClass.Objective objective = requestClass.settings().objective();
         double estimateMs = hasWorkEstimate()
-                ? estimatedWorkMs * requestClass.model().workCorrection() / threads()
+                ? estimatedWorkMs * requestClass.serviceTimeModel().workCorrection() / threads()
                 : objective.latencyMs() * DEFAULT_RUN_TIME_RATIO;
         this.referenceRunMs = Math.max(1, estimateMs);
         double runMs = hasWorkEstimate()
                 ? referenceRunMs
-                : referenceRunMs * requestClass.model().typicalRatio();
+                : referenceRunMs * requestClass.serviceTimeModel().typicalRatio();
         double objectiveMs = nowMs + objective.latencyMs() + objective.latencyPerRunTime() * runMs;
         this.objectiveEndMs = Math.min(deadlineMs, objectiveMs);
     }
@@ -145,7 +145,7 @@
 
     /** Returns the expected run time at typical speed, without the current slowdown of the class. */
     public double expectedRunMs() {
-        return referenceRunMs * type.model().typicalRatio();
+        return referenceRunMs * type.serviceTimeModel().typicalRatio();
     }
 
     /** Returns the expected work, summed over all threads. */
--- a/src/test/java/lineward/scheduling/decision/PolicyFixture.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -186,9 +186,9 @@
         double nowMs = context.nowMs();
         context.classes().forEach(type -> {
             for (int run = 0; run < SLOW_RUN_COUNT; run++) {
-                type.model().addSlowdown(Math.log(factor), nowMs);
+                type.serviceTimeModel().addSlowdown(Math.log(factor), nowMs);
             }
-            type.model().recompute(nowMs, List.of());
+            type.serviceTimeModel().recompute(nowMs, List.of());
         });
     }
 }
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -107,7 +107,7 @@
         settings.workload = new RequestClass.ExecutionProfile(load, false, 1);
         PolicyFixture policies = new PolicyFixture(settings);
         if (meanWorkMs > NO_WORK) {
-            policies.context.requestClass(0).model().addWork(meanWorkMs, PolicyFixture.START_MS);
+            policies.context.requestClass(0).serviceTimeModel().addWork(meanWorkMs, PolicyFixture.START_MS);
         }
         TrackedRequest request = policies.admit();
         if (relaunched) {
--- a/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
@@ -25,7 +25,7 @@
     private static RequestClassState classWith(int usualRuns, int slowRuns, double slowRatio) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         RequestClassState type = policies.context.requestClass(0);
-        ServiceTimeModel model = type.model();
+        ServiceTimeModel model = type.serviceTimeModel();
         for (int run = 0; run < usualRuns; run++) {
             model.updateTypicalRatio(1);
             model.addFirstRun(USUAL_RATIO, true);
@@ -76,7 +76,7 @@
     public void cancelsNothingWhereRelaunchesAreSlow(double relaunchRatio, boolean saves) {
         RequestClassState type = classWith(90, 10, 10);
         for (int run = 0; run < 5; run++) {
-            type.model().addRelaunch(relaunchRatio, 0);
+            type.serviceTimeModel().addRelaunch(relaunchRatio, 0);
         }
         assertThat(SpeculativeTimeout.timeoutRatio(type, 0).isPresent()).isEqualTo(saves);
     }
