--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -175,7 +175,7 @@
     }
 
     private boolean hasWaitedForQuota(TrackedRequest request, double classThreadLimit) {
-        OptionalDouble lastStartedMs = request.type().lastStartedMs();
+        OptionalDouble lastStartedMs = request.type().lastAttemptStartedMs();
         return lastStartedMs.isEmpty()
                 || context.nowMs() - lastStartedMs.getAsDouble()
                         >= request.expectedRunMs() * request.threads() / classThreadLimit;
--- a/src/main/java/lineward/scheduling/state/RequestClassState.java
+++ b/src/main/java/lineward/scheduling/state/RequestClassState.java
@@ -16,7 +16,7 @@
     private final ClassDemand demand = new ClassDemand();
 
     private OptionalDouble speculativeTimeoutRatio = OptionalDouble.empty();
-    private OptionalDouble lastStartedMs = OptionalDouble.empty();
+    private OptionalDouble lastAttemptStartedMs = OptionalDouble.empty();
     private boolean dispatchPaused;
     private double grantFactor = INITIAL_GRANT_FACTOR;
 
@@ -74,13 +74,13 @@
     }
 
     /** Returns when an attempt of the class was last started; empty before the first one. */
-    public OptionalDouble lastStartedMs() {
-        return lastStartedMs;
+    public OptionalDouble lastAttemptStartedMs() {
+        return lastAttemptStartedMs;
     }
 
     /** Records the start of an attempt of the class. */
-    public void recordStart(double nowMs) {
-        lastStartedMs = OptionalDouble.of(nowMs);
+    public void recordAttemptStart(double nowMs) {
+        lastAttemptStartedMs = OptionalDouble.of(nowMs);
     }
 
     /** Returns the work by which a request counts in a slow-start budget: at least the class's mean work. */
--- a/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -178,7 +178,7 @@
         }
         TrackedRequest request = policies.admit();
         request.type().demand().setRatios(0, valueRatio);
-        request.type().recordStart(policies.context.nowMs());
+        request.type().recordAttemptStart(policies.context.nowMs());
         policies.advance(sinceStartMs);
         assertThat(policies.limits.withinFleetQuota(request, usable -> true)).isEqualTo(within);
     }
--- a/src/test/java/lineward/scheduling/decision/PolicyFixture.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -144,7 +144,7 @@
             budget.recordRetry();
         }
         request.startAttempt(attempt);
-        request.type().recordStart(nowMs);
+        request.type().recordAttemptStart(nowMs);
         engine.startAttempt(attempt, request.type().slowStartWorkMs(request, nowMs), nowMs);
         return attempt;
     }
