--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -104,7 +104,7 @@
 
     private boolean isSubjectToTimeout(Attempt attempt) {
         TrackedRequest request = attempt.request();
-        if (request.isRelaunched() || request.isExemptFromCancellation() || attempt.isWaiting()) {
+        if (request.isRelaunched() || request.isExemptFromSpeculativeTimeout() || attempt.isWaiting()) {
             return false;
         }
         boolean noTimeoutSavesLoad = request.type().serviceTimeModel().hasCurve()
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -172,11 +172,11 @@
     /**
      * Adds a request that has just been admitted.
      *
-     * @param exempt whether the speculative timeout does not apply to its attempts
+     * @param exemptFromTimeout whether the speculative timeout does not apply to its attempts
      */
-    public TrackedRequest addRequest(SchedulerEvent.RequestArrived arrival, boolean exempt) {
+    public TrackedRequest addRequest(SchedulerEvent.RequestArrived arrival, boolean exemptFromTimeout) {
         RequestClassState requestClass = requestClass(arrival.requestClass());
-        TrackedRequest request = new TrackedRequest(arrival, requestClass, exempt, nowMs);
+        TrackedRequest request = new TrackedRequest(arrival, requestClass, exemptFromTimeout, nowMs);
         requests.put(request.id(), request);
         return request;
     }
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/TrackedRequest.java
@@ -27,7 +27,7 @@
     private final double referenceRunMs;
     private final double estimatedWorkMs;
     private final double estimatedMemoryMb;
-    private final boolean exemptFromCancellation;
+    private final boolean exemptFromSpeculativeTimeout;
 
     private final List<Attempt> attempts = new ArrayList<>(2);
     private final List<Attempt> attemptsView = Collections.unmodifiableList(attempts);
@@ -60,7 +60,7 @@
         this.key = arrival.key();
         this.tableGroup = arrival.tableGroup();
         this.type = requestClass;
-        this.exemptFromCancellation = exemptFromSpeculativeTimeout;
+        this.exemptFromSpeculativeTimeout = exemptFromSpeculativeTimeout;
         this.admittedAtMs = nowMs;
         this.deadlineMs = nowMs + arrival.timeLeftMs();
         this.estimatedWorkMs = arrival.estimatedWorkMs();
@@ -139,8 +139,8 @@
      * Returns whether the speculative timeout does not apply to the request. A fraction of the requests is
      * exempt, so that runs beyond the timeout are still measured and the survival curve keeps its tail.
      */
-    public boolean isExemptFromCancellation() {
-        return exemptFromCancellation;
+    public boolean isExemptFromSpeculativeTimeout() {
+        return exemptFromSpeculativeTimeout;
     }
 
     /** Returns the expected run time at typical speed, without the current slowdown of the class. */
