--- a/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
@@ -1,8 +1,8 @@
 package lineward.scheduling.decision;
 
 import lineward.scheduling.RequestClass;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Orders queued requests and decides which of them can no longer be answered in time. */
 public final class AdmissionPolicy {
@@ -33,7 +33,7 @@
      * for a relaunch. It rises with the waiting time until the request can no longer meet its objective; from
      * then on only the value of a late answer counts.
      */
-    public double dispatchPriority(TrackedRequest request) {
+    public double dispatchPriority(ScheduledRequest request) {
         RequestClass.Objective objective = request.type().settings().objective();
         double slowedRunMs =
                 request.expectedRunMs() * request.type().serviceTimeModel().slowdown();
@@ -44,13 +44,13 @@
         return value * urgency * relaunchFactor / Math.max(MIN_WORK_MS, request.expectedWorkMs());
     }
 
-    private double urgency(TrackedRequest request) {
+    private double urgency(ScheduledRequest request) {
         double waitedMs = context.nowMs() - request.admittedAtMs();
         return 1 + URGENCY_GROWTH * waitedMs / Math.max(1, request.objectiveEndMs() - request.admittedAtMs());
     }
 
     /** Returns whether a queued request can no longer be answered while its answer has a value. */
-    public boolean cannotBeInTime(TrackedRequest request) {
+    public boolean cannotBeInTime(ScheduledRequest request) {
         if (context.nowMs() > request.deadlineMs() - ANSWER_MARGIN_MS) {
             return true;
         }
@@ -61,7 +61,7 @@
     }
 
     /** Returns the part of the expected run time that must fit into the remaining time. */
-    static double requiredRunMs(TrackedRequest request) {
+    static double requiredRunMs(ScheduledRequest request) {
         return REQUIRED_RUN_RATIO * request.expectedRunMs();
     }
 }
--- a/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
@@ -3,8 +3,8 @@
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.state.Attempt;
 import lineward.scheduling.state.RequestState;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Decides which attempts may be cancelled, and which are given up because a result would come too late. */
 public final class CancellationPolicy {
@@ -29,7 +29,7 @@
     }
 
     /** Returns whether no final answer exists and no part of a response has reached the client. */
-    public boolean isUnanswered(TrackedRequest request) {
+    public boolean isUnanswered(ScheduledRequest request) {
         return request.state() == RequestState.QUEUED || request.state() == RequestState.IN_FLIGHT;
     }
 
@@ -41,7 +41,7 @@
      * not permit cancellation.
      */
     public boolean shouldGiveUp(Attempt attempt) {
-        TrackedRequest request = attempt.request();
+        ScheduledRequest request = attempt.request();
         boolean mayCancel = context.settings().capabilities().cancellation();
         if (!mayCancel || !isUnanswered(request) || !request.isIdempotent()) {
             return false;
--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -6,8 +6,8 @@
 import lineward.scheduling.state.EngineCapacity;
 import lineward.scheduling.state.LoadReports;
 import lineward.scheduling.state.RequestClassState;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /**
  * Limits the threads that the attempts of this front end use on each engine and on all engines together, and
@@ -105,7 +105,7 @@
      * Returns whether the engine is below its limit, by its load report if there is a fresh one, otherwise by
      * the counts of this front end.
      */
-    public boolean hasCapacity(Engine engine, TrackedRequest request) {
+    public boolean hasCapacity(Engine engine, ScheduledRequest request) {
         if (reports.hasFreshReport(engine)) {
             double limit = SATURATION_THREADS_PER_CORE
                     * engine.cores()
@@ -121,7 +121,7 @@
         return SATURATION_THREADS_PER_CORE * engine.cores() * quota * speed;
     }
 
-    private boolean hasMemory(Engine engine, TrackedRequest request) {
+    private boolean hasMemory(Engine engine, ScheduledRequest request) {
         if (engine.memoryMb() <= 0 || engine.attemptsInFlight().isEmpty()) {
             return true;
         }
@@ -135,7 +135,7 @@
      * may still start within the quota of its class, which is the fraction that the class has of the value
      * of all requests.
      */
-    public boolean withinFleetQuota(TrackedRequest request, Predicate<Engine> isUsable) {
+    public boolean withinFleetQuota(ScheduledRequest request, Predicate<Engine> isUsable) {
         if (reports.areShared() && frontEnds <= SMALL_FLEET_FRONT_ENDS) {
             return true;
         }
@@ -167,14 +167,14 @@
      * Returns whether a request fits into the quota of its class. If that quota is less than one request, the
      * class may start single requests, at intervals that keep its mean use within the quota.
      */
-    private boolean withinClassQuota(TrackedRequest request, double inFlight, double classThreadLimit) {
+    private boolean withinClassQuota(ScheduledRequest request, double inFlight, double classThreadLimit) {
         if (inFlight > 0) {
             return inFlight + request.threads() <= classThreadLimit;
         }
         return request.threads() <= classThreadLimit || hasWaitedForQuota(request, classThreadLimit);
     }
 
-    private boolean hasWaitedForQuota(TrackedRequest request, double classThreadLimit) {
+    private boolean hasWaitedForQuota(ScheduledRequest request, double classThreadLimit) {
         OptionalDouble lastStartedMs = request.type().lastAttemptStartedMs();
         return lastStartedMs.isEmpty()
                 || context.nowMs() - lastStartedMs.getAsDouble()
--- a/src/main/java/lineward/scheduling/decision/EngineEligibility.java
+++ b/src/main/java/lineward/scheduling/decision/EngineEligibility.java
@@ -2,8 +2,8 @@
 
 import lineward.scheduling.state.Attempt;
 import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Decides whether an engine can take a request now, for a first attempt, a retry or a relaunch. */
 public final class EngineEligibility {
@@ -19,7 +19,7 @@
     }
 
     /** Returns whether the engine is ready and the placement of the request's class allows it. */
-    public static boolean mayRunOn(TrackedRequest request, Engine engine) {
+    public static boolean mayRunOn(ScheduledRequest request, Engine engine) {
         return engine.isReady() && request.type().settings().placement().allows(engine.endpoint());
     }
 
@@ -27,7 +27,7 @@
      * Returns whether the request may run on the engine and can start now: the engine is below its
      * concurrency limits, and the request fits into its slow-start budget.
      */
-    public boolean hasCapacityNow(TrackedRequest request, Engine engine) {
+    public boolean hasCapacityNow(ScheduledRequest request, Engine engine) {
         boolean hasCapacity = mayRunOn(request, engine) && limits.hasCapacity(engine, request);
         return hasCapacity && slowStart.allows(request, engine);
     }
@@ -38,7 +38,7 @@
      * overdue health checks.
      */
     public boolean hasTargetForRelaunch(Attempt attempt) {
-        TrackedRequest request = attempt.request();
+        ScheduledRequest request = attempt.request();
         for (Engine engine : context.engines()) {
             boolean healthyAlternative =
                     engine != attempt.engine() && !engine.health().isEjected();
--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -5,8 +5,8 @@
 import lineward.scheduling.state.EngineCapacity;
 import lineward.scheduling.state.LoadReports;
 import lineward.scheduling.state.RequestClassState;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Scores engines for a request by their load, in multiples of their capacity; lower is better. */
 public final class EngineLoadScore {
@@ -93,7 +93,7 @@
      * Returns the expected load of the engine with the request, relative to the engine's speed, plus
      * penalties for a table group conflict and for another zone.
      */
-    public double score(TrackedRequest request, Engine engine) {
+    public double score(ScheduledRequest request, Engine engine) {
         if (isFastEnoughWhileWarmingUp(request, engine)) {
             return NO_LOAD;
         }
@@ -111,13 +111,13 @@
      * front end rarely has a slot, so it uses one whenever the request would meet its objective even on a
      * cold engine.
      */
-    private boolean isFastEnoughWhileWarmingUp(TrackedRequest request, Engine engine) {
+    private boolean isFastEnoughWhileWarmingUp(ScheduledRequest request, Engine engine) {
         double runMs = capacity.runMsWhenCold(request);
         boolean inTime = context.nowMs() + runMs < request.objectiveEndMs();
         return capacity.isWarmingUp(engine) && slowStart.usesSlots() && inTime;
     }
 
-    private double threadLoad(TrackedRequest request, Engine engine) {
+    private double threadLoad(ScheduledRequest request, Engine engine) {
         double threads = expectedThreads(engine) + request.threads() + BASE_LOAD_RATIO * engine.cores();
         return threads / (engine.cores() * capacity.speed(engine));
     }
@@ -130,7 +130,7 @@
         return engine.threadsInFlight() + unseen;
     }
 
-    private double memoryLoad(TrackedRequest request, Engine engine) {
+    private double memoryLoad(ScheduledRequest request, Engine engine) {
         if (reports.hasFreshReport(engine) && reports.hasMemoryField()) {
             return reports.memoryInUseRatio(engine) + MEMORY_BASE_LOAD;
         }
@@ -142,7 +142,7 @@
         return MEMORY_WEIGHT * grantedMb / (engine.memoryMb() * ownRatio);
     }
 
-    private static boolean hasGroupConflict(TrackedRequest request, Engine engine) {
+    private static boolean hasGroupConflict(ScheduledRequest request, Engine engine) {
         RequestClass.ExecutionProfile workload = request.type().settings().executionProfile();
         return engine.attemptsInFlight().stream()
                 .map(attempt -> attempt.request())
--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Selects the engine of an attempt: the eligible one with the lowest load score. */
 public final class EngineSelector {
@@ -46,7 +46,7 @@
      * Returns the engine for the request's next attempt; empty if none may take it now. If the request
      * exceeds this front end's quota of the fleet, dispatch of its class is paused until the next decision.
      */
-    public Optional<Engine> selectEngine(TrackedRequest request) {
+    public Optional<Engine> selectEngine(ScheduledRequest request) {
         EngineSet engines = allowedEngines(request);
         boolean withinQuota = limits.withinFleetQuota(
                 request, engine -> engines.useEjected() || !engine.health().isEjected());
@@ -54,7 +54,7 @@
         return withinQuota ? leastLoaded(request, engines) : Optional.empty();
     }
 
-    private EngineSet allowedEngines(TrackedRequest request) {
+    private EngineSet allowedEngines(ScheduledRequest request) {
         int allowedCount = 0;
         int healthyCount = 0;
         for (Engine engine : context.engines()) {
@@ -66,7 +66,7 @@
         return new EngineSet(allowedCount, outliers.mustUseEjected(healthyCount, allowedCount));
     }
 
-    private Optional<Engine> leastLoaded(TrackedRequest request, EngineSet engines) {
+    private Optional<Engine> leastLoaded(ScheduledRequest request, EngineSet engines) {
         Engine best = null;
         double bestScore = Double.POSITIVE_INFINITY;
         for (Engine engine : context.engines()) {
@@ -89,7 +89,7 @@
      * be ejected if a recovery probe is due, and may have been tried if no untried engine is left, but must
      * not have an overdue health check.
      */
-    private boolean isCandidate(Engine engine, TrackedRequest request, boolean probe, EngineSet engines) {
+    private boolean isCandidate(Engine engine, ScheduledRequest request, boolean probe, EngineSet engines) {
         return isUsable(engine, probe, engines)
                 && !isHealthCheckOverdue(engine)
                 && !isExcludedAsTried(engine, request, engines)
@@ -102,7 +102,7 @@
         return !engine.health().isEjected() || probe || usedWhileEjected;
     }
 
-    private static boolean isExcludedAsTried(Engine engine, TrackedRequest request, EngineSet engines) {
+    private static boolean isExcludedAsTried(Engine engine, ScheduledRequest request, EngineSet engines) {
         return request.hasTried(engine) && engines.size() > request.triedEngineCount();
     }
 
--- a/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
@@ -2,8 +2,8 @@
 
 import lineward.scheduling.SchedulerAction;
 import lineward.scheduling.SchedulerSettings;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Decides the final answer of a request that is given up. */
 public final class FinalAnswerPolicy {
@@ -28,14 +28,14 @@
      * Returns a rejection, which invites the client to retry, if no attempt can have run or if a second run
      * is harmless; otherwise a failure.
      */
-    public SchedulerAction finalAnswer(TrackedRequest request) {
+    public SchedulerAction finalAnswer(ScheduledRequest request) {
         boolean neverRan = request.firstUnsuccessfulRun() == null && !request.hasAttemptInFlight();
         return neverRan || retries.mayRunTwice(request)
                 ? new SchedulerAction.Reject(request.id(), retryAfterMs(request))
                 : new SchedulerAction.Fail(request.id());
     }
 
-    private double retryAfterMs(TrackedRequest request) {
+    private double retryAfterMs(ScheduledRequest request) {
         SchedulerSettings settings = context.settings();
         if (!settings.capabilities().retryAfter()) {
             return NO_RETRY_AFTER;
--- a/src/main/java/lineward/scheduling/decision/KeyOrder.java
+++ b/src/main/java/lineward/scheduling/decision/KeyOrder.java
@@ -3,13 +3,13 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import lineward.scheduling.state.KeyedQueues;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Keeps the requests of one key in order of arrival, for classes that require it. */
 public final class KeyOrder {
     private final SchedulerContext context;
-    private final KeyedQueues<TrackedRequest> queues = new KeyedQueues<>();
+    private final KeyedQueues<ScheduledRequest> queues = new KeyedQueues<>();
     /** By key, the time from which its next request may start after an indeterminate outcome. */
     private final Map<Long, Double> settledAtMs = new LinkedHashMap<>();
 
@@ -19,14 +19,14 @@
     }
 
     /** Adds an admitted request. */
-    public void add(TrackedRequest request) {
+    public void add(ScheduledRequest request) {
         if (request.isOrdered()) {
             queues.add(request.key(), request);
         }
     }
 
     /** Removes a completed request that has no attempt in flight. */
-    public void remove(TrackedRequest request) {
+    public void remove(ScheduledRequest request) {
         queues.remove(request.key(), request);
     }
 
@@ -34,7 +34,7 @@
      * Delays the next request of the key by the settle time in the settings, because an attempt of the given
      * request may still be running.
      */
-    public void startSettleTime(TrackedRequest request) {
+    public void startSettleTime(ScheduledRequest request) {
         if (request.isOrdered()) {
             double untilMs = context.nowMs() + context.settings().rules().settleMs();
             settledAtMs.merge(request.key(), untilMs, Math::max);
@@ -45,7 +45,7 @@
      * Returns whether key order permits an attempt now: the request is the oldest of its key, and it has had
      * an attempt before or the settle time of the key has passed. Always true for an unordered request.
      */
-    public boolean isNext(TrackedRequest request) {
+    public boolean isNext(ScheduledRequest request) {
         if (!request.isOrdered()) {
             return true;
         }
--- a/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/MigrationPolicy.java
@@ -1,8 +1,8 @@
 package lineward.scheduling.decision;
 
 import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Decides which attempts that wait at their engine are cancelled and queued at another one. */
 public final class MigrationPolicy {
@@ -35,7 +35,7 @@
      * objective on another engine that can take it.
      */
     public boolean shouldMigrate(Attempt attempt) {
-        TrackedRequest request = attempt.request();
+        ScheduledRequest request = attempt.request();
         return cancellation.mayCancel(attempt)
                 && cancellation.isUnanswered(request)
                 && attempt.isWaiting()
@@ -47,7 +47,7 @@
                 && eligibility.hasTargetForRelaunch(attempt);
     }
 
-    private boolean hasMigrationsLeft(TrackedRequest request) {
+    private boolean hasMigrationsLeft(ScheduledRequest request) {
         int attempts = request.attempts().size();
         int maxAttempts = context.settings().attemptLimits().maxPerRequest();
         return attempts <= MAX_ATTEMPTS_FOR_MIGRATION && attempts < maxAttempts - 1;
--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -4,8 +4,8 @@
 import lineward.scheduling.state.EjectionCause;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.EngineHealth;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /**
  * Ejects engines that fail or stop responding, and decides which requests probe whether an ejected engine has
@@ -91,7 +91,7 @@
     }
 
     /** Returns whether a request may be the engine's next recovery probe. */
-    public boolean mayProbe(Engine engine, TrackedRequest request) {
+    public boolean mayProbe(Engine engine, ScheduledRequest request) {
         return isDueForProbe(engine) && probeBudget >= 1 && isSuitableAsProbe(request);
     }
 
@@ -101,7 +101,7 @@
         return health.isEjected() && context.nowMs() >= health.nextRecoveryProbeMs();
     }
 
-    private boolean isSuitableAsProbe(TrackedRequest request) {
+    private boolean isSuitableAsProbe(ScheduledRequest request) {
         double slackMs = request.objectiveEndMs() - context.nowMs();
         return !request.isRelaunched()
                 && request.isIdempotent()
@@ -145,7 +145,7 @@
     }
 
     /** Returns the run time to expect at the current slowdown of the class. */
-    private static double slowedRunMs(TrackedRequest request) {
+    private static double slowedRunMs(ScheduledRequest request) {
         return request.expectedRunMs() * request.type().serviceTimeModel().slowdown();
     }
 
@@ -176,7 +176,7 @@
      * Records that an engine answered a request with an error. The first error of a request counts as a
      * failure of its engine; the second error reverts that failure, as the request itself may be at fault.
      */
-    public void recordError(TrackedRequest request, Engine engine) {
+    public void recordError(ScheduledRequest request, Engine engine) {
         request.recordError(engine);
         if (request.errorCount() == 1) {
             engine.health().recordError(context.nowMs());
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -6,8 +6,8 @@
 import lineward.scheduling.SchedulerSettings;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.RequestClassState;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Decides the memory grant and the priority of a request's attempts. */
 public final class ResourceLimits {
@@ -38,7 +38,7 @@
      * Returns the limits of the request's next attempt; empty if engines support neither grants nor
      * priorities.
      */
-    public Optional<SchedulerAction> limitsFor(TrackedRequest request, Engine engine) {
+    public Optional<SchedulerAction> limitsFor(ScheduledRequest request, Engine engine) {
         SchedulerSettings.Capabilities capabilities = context.settings().capabilities();
         if (!capabilities.grants() && !capabilities.priorities()) {
             return Optional.empty();
@@ -51,7 +51,7 @@
      * Returns the grant to send to the engine. An engine that pages counts only the memory in use, which is
      * at most the need of the request, so the maximum grant costs nothing there.
      */
-    private double requestedGrantMb(TrackedRequest request, Engine engine) {
+    private double requestedGrantMb(ScheduledRequest request, Engine engine) {
         SchedulerSettings.MemoryLimits memory = context.settings().memoryLimits();
         return memory.shortageHandling() == MemoryShortageHandling.PAGE
                 ? engine.memoryMb() * memory.maxGrantRatio()
@@ -62,7 +62,7 @@
      * Returns the memory that a request is expected to need on an engine. Other policies count this amount as
      * granted, even if the grant that is sent differs.
      */
-    public double expectedMemoryMb(TrackedRequest request, Engine engine) {
+    public double expectedMemoryMb(ScheduledRequest request, Engine engine) {
         SchedulerSettings settings = context.settings();
         double correction = request.type().serviceTimeModel().memoryCorrection();
         boolean supported = settings.capabilities().grants();
@@ -77,7 +77,7 @@
      * Returns the priority; a higher one runs first. Short work comes first, then loads and relaunches, then
      * other long work; requests that are expected to miss their objective come last.
      */
-    private int priority(TrackedRequest request) {
+    private int priority(ScheduledRequest request) {
         double nowMs = context.nowMs();
         if (nowMs + request.expectedRunMs() > request.objectiveEndMs()) {
             return OVERDUE_PRIORITY;
--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -7,8 +7,8 @@
 import lineward.scheduling.state.AttemptState;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.RetryBudgetTracker;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /**
  * Decides whether a request may be attempted, retried or relaunched, according to key order, idempotence,
@@ -33,7 +33,7 @@
      * Returns whether an attempt of the request on the engine is permitted by its state, key order,
      * idempotence and retry budget, regardless of the engine's health and load.
      */
-    public boolean mayAttempt(TrackedRequest request, Engine engine) {
+    public boolean mayAttempt(ScheduledRequest request, Engine engine) {
         boolean firstAttempt = request.attempts().isEmpty();
         return isReadyForAttempt(request)
                 && keyOrder.isNext(request)
@@ -45,7 +45,7 @@
      * Returns whether the request may have an attempt now: it has no final answer and no attempt in flight,
      * its deadline has not passed, and it has attempts left.
      */
-    private boolean isReadyForAttempt(TrackedRequest request) {
+    private boolean isReadyForAttempt(ScheduledRequest request) {
         return !request.state().isCompleted()
                 && !request.hasAttemptInFlight()
                 && context.nowMs() < request.deadlineMs()
@@ -53,12 +53,12 @@
     }
 
     /** Returns whether the request has had fewer attempts than the settings allow. */
-    public boolean hasAttemptsLeft(TrackedRequest request) {
+    public boolean hasAttemptsLeft(ScheduledRequest request) {
         return request.attempts().size() < context.settings().attemptLimits().maxPerRequest();
     }
 
     /** Returns whether a second run of the request is harmless on any engine, at least for some time. */
-    public boolean mayRunTwice(TrackedRequest request) {
+    public boolean mayRunTwice(ScheduledRequest request) {
         return request.type().settings().repeatability().isRepeatableAnywhere();
     }
 
@@ -67,7 +67,7 @@
      * limited only for a request that may have run and is not idempotent: to the remaining lifetime of its
      * idempotency key, or to 0 if it has none.
      */
-    public double startWithinMs(TrackedRequest request) {
+    public double startWithinMs(ScheduledRequest request) {
         Attempt first = request.firstUnsuccessfulRun();
         if (first == null || request.isIdempotent()) {
             return SchedulerAction.StartAttempt.ANY_TIME;
@@ -75,15 +75,15 @@
         return request.isIdempotentByKey() ? keyExpiryMs(request, first) - context.nowMs() : 0;
     }
 
-    private static double keyExpiryMs(TrackedRequest request, Attempt first) {
+    private static double keyExpiryMs(ScheduledRequest request, Attempt first) {
         return first.startedAtMs() + request.type().settings().repeatability().keyTtlMs();
     }
 
-    private boolean mayRepeat(TrackedRequest request) {
+    private boolean mayRepeat(ScheduledRequest request) {
         return startWithinMs(request) > 0;
     }
 
-    private boolean mayRepeatAt(TrackedRequest request, Engine engine) {
+    private boolean mayRepeatAt(ScheduledRequest request, Engine engine) {
         Attempt first = request.firstUnsuccessfulRun();
         if (first == null || request.isIdempotent()) {
             return true;
@@ -96,7 +96,7 @@
      * Returns whether the request may be queued for another attempt after one that ended with this outcome.
      * After NOT_STARTED it may not, as it was complete or its time had run out.
      */
-    public boolean mayRetry(TrackedRequest request, AttemptOutcome outcome) {
+    public boolean mayRetry(ScheduledRequest request, AttemptOutcome outcome) {
         boolean requestAtFault = request.errorCount() >= MAX_ERRORS_PER_REQUEST;
         return outcome != AttemptOutcome.NOT_STARTED
                 && mayRepeat(request)
@@ -108,7 +108,7 @@
      * Returns whether a relaunch of the attempt in flight would be within the retry budget, which the
      * relaunches after cancellations in flight will use too, and within the lifetime of the request's key.
      */
-    public boolean mayRelaunch(TrackedRequest request) {
+    public boolean mayRelaunch(ScheduledRequest request) {
         return budget.allows(1 + cancelsInFlight()) && !mayExceedKeyTtl(request);
     }
 
@@ -123,7 +123,7 @@
      * Returns whether a relaunch might start after the key has expired. The lifetime counts from the start of
      * the first attempt, which may turn out to have run; a silent engine may delay the relaunch.
      */
-    private boolean mayExceedKeyTtl(TrackedRequest request) {
+    private boolean mayExceedKeyTtl(ScheduledRequest request) {
         return request.isIdempotentByKey()
                 && context.nowMs() + OutlierDetector.MIN_SILENCE_MS
                         > keyExpiryMs(request, request.attempts().get(0));
--- a/src/main/java/lineward/scheduling/decision/SlowStart.java
+++ b/src/main/java/lineward/scheduling/decision/SlowStart.java
@@ -4,8 +4,8 @@
 import lineward.scheduling.SchedulerSettings;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.EngineCapacity;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /**
  * Limits the work that all front ends together send to an engine that is warming up, so that they do not
@@ -60,7 +60,7 @@
      * Returns whether the request may be sent to the engine: the engine is not warming up, the settings do
      * not limit its work, or the request fits into this front end's slow-start budget.
      */
-    public boolean allows(TrackedRequest request, Engine engine) {
+    public boolean allows(ScheduledRequest request, Engine engine) {
         if (!capacity.isWarmingUp(engine) || !rule.limitsWork()) {
             return true;
         }
--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -3,8 +3,8 @@
 import java.util.OptionalDouble;
 import lineward.scheduling.estimation.ServiceTimeModel;
 import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Decides which attempts are cancelled because they are slow, to be relaunched on another engine. */
 public final class SpeculativeCancellation {
@@ -76,7 +76,7 @@
     }
 
     /** Returns the expected run time of a relaunch at the current slowdown of its class on all engines. */
-    private double expectedRelaunchMs(TrackedRequest request) {
+    private double expectedRelaunchMs(ScheduledRequest request) {
         ServiceTimeModel model = request.type().serviceTimeModel();
         return model.relaunchRatio(context.nowMs()) * request.referenceRunMs() * model.slowdown();
     }
@@ -103,7 +103,7 @@
     }
 
     private boolean isSubjectToTimeout(Attempt attempt) {
-        TrackedRequest request = attempt.request();
+        ScheduledRequest request = attempt.request();
         if (request.isRelaunched() || request.isExemptFromSpeculativeTimeout() || attempt.isWaiting()) {
             return false;
         }
@@ -122,7 +122,7 @@
         if (!isSubjectToTimeout(attempt)) {
             return false;
         }
-        TrackedRequest request = attempt.request();
+        ScheduledRequest request = attempt.request();
         double runMs = attempt.runTimeMs(context.nowMs())
                 / request.type().serviceTimeModel().slowdown();
         OptionalDouble limit = request.type().speculativeTimeoutRatio();
--- a/src/main/java/lineward/scheduling/execution/AttemptEndHandler.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptEndHandler.java
@@ -5,8 +5,8 @@
 import lineward.scheduling.decision.KeyOrder;
 import lineward.scheduling.decision.RetryPolicy;
 import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Handles ended attempts: updates state and estimates, and completes or requeues the request. */
 final class AttemptEndHandler {
@@ -38,7 +38,7 @@
         if (attempt == null) {
             return;
         }
-        TrackedRequest request = attempt.request();
+        ScheduledRequest request = attempt.request();
         attempt.end();
         request.endAttempt(attempt, end.outcome());
         attempt.engine().endAttempt(attempt);
@@ -53,7 +53,7 @@
     }
 
     private void completeOrRetry(Attempt attempt, SchedulerEvent.AttemptEnded end) {
-        TrackedRequest request = attempt.request();
+        ScheduledRequest request = attempt.request();
         if (end.requestCompleted() || end.outcome() == AttemptOutcome.OK) {
             lifecycle.complete(request);
         } else if (!request.hasAttemptInFlight()) {
@@ -62,7 +62,7 @@
     }
 
     private void retryOrGiveUp(Attempt attempt, AttemptOutcome outcome) {
-        TrackedRequest request = attempt.request();
+        ScheduledRequest request = attempt.request();
         if (retries.mayRetry(request, outcome)) {
             request.requeue(attempt);
             dispatchQueue.add(request);
--- a/src/main/java/lineward/scheduling/execution/AttemptStarter.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptStarter.java
@@ -7,8 +7,8 @@
 import lineward.scheduling.state.Attempt;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.RetryBudgetTracker;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Starts attempts on the selected engines. */
 final class AttemptStarter {
@@ -33,7 +33,7 @@
         this.resources = resources;
     }
 
-    void start(TrackedRequest request, Engine engine) {
+    void start(ScheduledRequest request, Engine engine) {
         double nowMs = context.nowMs();
         Attempt attempt = new Attempt(request, engine, resources.expectedMemoryMb(request, engine), nowMs);
         if (attempt.isRecoveryProbe()) {
--- a/src/main/java/lineward/scheduling/execution/DispatchQueue.java
+++ b/src/main/java/lineward/scheduling/execution/DispatchQueue.java
@@ -9,12 +9,12 @@
 import lineward.scheduling.decision.KeyOrder;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.RequestState;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Holds admitted requests until an engine has capacity, and dispatches them by priority. */
 final class DispatchQueue {
-    private record Prioritized(TrackedRequest request, double priority) {}
+    private record Prioritized(ScheduledRequest request, double priority) {}
 
     private static final Comparator<Prioritized> HIGHEST_PRIORITY_FIRST = Comparator.comparingDouble(
                     (Prioritized prioritized) -> -prioritized.priority())
@@ -26,7 +26,7 @@
     private final KeyOrder keyOrder;
     private final RequestLifecycle lifecycle;
     private final AttemptStarter starter;
-    private List<TrackedRequest> queue = new ArrayList<>();
+    private List<ScheduledRequest> queue = new ArrayList<>();
     private boolean blocked;
 
     DispatchQueue(
@@ -45,7 +45,7 @@
     }
 
     /** Queues a request, or gives it up at once if it cannot be answered in time. */
-    void add(TrackedRequest request) {
+    void add(ScheduledRequest request) {
         if (policy.cannotBeInTime(request)) {
             lifecycle.giveUp(request);
         } else {
@@ -65,9 +65,9 @@
             return;
         }
         context.classes().forEach(type -> type.setDispatchPaused(false));
-        List<TrackedRequest> remaining = new ArrayList<>();
+        List<ScheduledRequest> remaining = new ArrayList<>();
         for (Prioritized prioritized : prioritizedQueue()) {
-            TrackedRequest request = prioritized.request();
+            ScheduledRequest request = prioritized.request();
             if (isQueued(request) && !dispatch(request)) {
                 remaining.add(request);
             }
@@ -82,7 +82,7 @@
         return prioritized;
     }
 
-    private boolean dispatch(TrackedRequest request) {
+    private boolean dispatch(ScheduledRequest request) {
         if (!keyOrder.isNext(request)) {
             return false;
         }
@@ -95,14 +95,14 @@
 
     /** Gives up queued requests that can no longer be answered in time. */
     void giveUpOverdue() {
-        for (TrackedRequest request : queue) {
+        for (ScheduledRequest request : queue) {
             if (isQueued(request) && policy.cannotBeInTime(request)) {
                 lifecycle.giveUp(request);
             }
         }
     }
 
-    private static boolean isQueued(TrackedRequest request) {
+    private static boolean isQueued(ScheduledRequest request) {
         return request.state() == RequestState.QUEUED;
     }
 }
--- a/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
@@ -6,8 +6,8 @@
 import lineward.scheduling.decision.ResourceLimits;
 import lineward.scheduling.estimation.ServiceTimeModel;
 import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Updates the estimators and the outlier detector with the outcomes of attempts. */
 final class OutcomeRecorder {
@@ -43,7 +43,7 @@
 
     private void recordRunTime(Attempt attempt) {
         double nowMs = context.nowMs();
-        TrackedRequest request = attempt.request();
+        ScheduledRequest request = attempt.request();
         ServiceTimeModel model = request.type().serviceTimeModel();
         double runMs = attempt.runTimeMs(nowMs);
         double ratio = runMs / model.slowdown() / request.referenceRunMs();
@@ -56,7 +56,7 @@
 
     private void recordFirstRun(Attempt attempt, double runMs, double ratio) {
         double nowMs = context.nowMs();
-        TrackedRequest request = attempt.request();
+        ScheduledRequest request = attempt.request();
         ServiceTimeModel model = request.type().serviceTimeModel();
         model.addFirstRun(ratio, true);
         if (!request.hasWorkEstimate()) {
@@ -69,7 +69,7 @@
         context.serviceTimes().addSlowdown(logSlowdown, nowMs);
     }
 
-    private void recordResourceUse(TrackedRequest request, SchedulerEvent.AttemptEnded end) {
+    private void recordResourceUse(ScheduledRequest request, SchedulerEvent.AttemptEnded end) {
         ServiceTimeModel model = request.type().serviceTimeModel();
         if (end.memoryMb() > 0 && request.estimatedMemoryMb() > 0) {
             double logRatio = Math.log(end.memoryMb() / request.estimatedMemoryMb());
@@ -91,7 +91,7 @@
         if (!attempt.isFirstRun() || attempt.isCancelledForMigration()) {
             return;
         }
-        TrackedRequest request = attempt.request();
+        ScheduledRequest request = attempt.request();
         ServiceTimeModel model = request.type().serviceTimeModel();
         double ratio = attempt.runTimeMs(context.nowMs()) / model.slowdown() / request.referenceRunMs();
         model.addFirstRun(Math.max(ratio, minCensoredRatio(attempt)), false);
--- a/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
+++ b/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
@@ -9,8 +9,8 @@
 import lineward.scheduling.state.Attempt;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.RequestClassState;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Recomputes the estimates, the speculative timeouts, the demand and the quota, twice a second. */
 final class PeriodicRecomputation {
@@ -55,7 +55,7 @@
         for (Engine engine : context.engines()) {
             for (Attempt attempt : engine.attemptsInFlight()) {
                 if (attempt.isFirstRun() && attempt.isRunning()) {
-                    TrackedRequest request = attempt.request();
+                    ScheduledRequest request = attempt.request();
                     double ratio = attempt.runTimeMs(context.nowMs()) / request.referenceRunMs();
                     ratios.get(request.type()).add(ratio);
                 }
--- a/src/main/java/lineward/scheduling/execution/RequestLifecycle.java
+++ b/src/main/java/lineward/scheduling/execution/RequestLifecycle.java
@@ -6,8 +6,8 @@
 import lineward.scheduling.decision.KeyOrder;
 import lineward.scheduling.state.Attempt;
 import lineward.scheduling.state.CancelCause;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Completes requests: emits at most one final answer for each, and cancels its attempts in flight. */
 final class RequestLifecycle {
@@ -28,7 +28,7 @@
     }
 
     /** Gives a request a final answer that does not come from an engine. */
-    void giveUp(TrackedRequest request) {
+    void giveUp(ScheduledRequest request) {
         context.emit(finalAnswers.finalAnswer(request));
         complete(request);
     }
@@ -37,7 +37,7 @@
      * Completes a request that has its final answer or needs none: no further attempt is started, and those
      * in flight are cancelled if the settings permit it.
      */
-    void complete(TrackedRequest request) {
+    void complete(ScheduledRequest request) {
         request.complete();
         for (Attempt attempt : request.attempts()) {
             if (cancellation.mayCancel(attempt)) {
@@ -54,7 +54,7 @@
     }
 
     /** Removes a completed request once it has no attempt in flight. */
-    void releaseIfDone(TrackedRequest request) {
+    void releaseIfDone(ScheduledRequest request) {
         if (request.state().isCompleted() && !request.hasAttemptInFlight()) {
             context.removeRequest(request);
             keyOrder.remove(request);
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -10,8 +10,8 @@
 import lineward.scheduling.state.Attempt;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.RequestClassState;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /**
  * The scheduler of one pool of engines: passes each event to the class that handles it, sweeps over the
@@ -99,7 +99,7 @@
 
     @Override
     public void requestArrived(SchedulerEvent.RequestArrived arrival) {
-        TrackedRequest request = context.addRequest(arrival, components.speculation.drawExempt());
+        ScheduledRequest request = context.addRequest(arrival, components.speculation.drawExempt());
         RequestClassState type = request.type();
         if (request.hasWorkEstimate()) {
             type.serviceTimeModel().addWork(request.expectedWorkMs(), context.nowMs());
@@ -134,7 +134,7 @@
 
     @Override
     public void responseStarted(SchedulerEvent.ResponseStarted response) {
-        TrackedRequest request = context.findRequest(response.requestId());
+        ScheduledRequest request = context.findRequest(response.requestId());
         if (request != null) {
             request.startResponse();
         }
@@ -142,7 +142,7 @@
 
     @Override
     public void requestCancelled(SchedulerEvent.RequestCancelled cancelled) {
-        TrackedRequest request = context.findRequest(cancelled.requestId());
+        ScheduledRequest request = context.findRequest(cancelled.requestId());
         if (request != null) {
             components.lifecycle.complete(request);
         }
--- a/src/main/java/lineward/scheduling/state/Attempt.java
+++ b/src/main/java/lineward/scheduling/state/Attempt.java
@@ -8,7 +8,7 @@
 
     private record Progress(double ratioDone, double reportedAtMs) {}
 
-    private final TrackedRequest request;
+    private final ScheduledRequest request;
     private final Engine engine;
     private final int index;
     private final double startedAtMs;
@@ -28,7 +28,7 @@
     private OptionalDouble predictedSlowRunMs = OptionalDouble.empty();
 
     /** Creates an attempt that is in flight from {@code nowMs}. */
-    public Attempt(TrackedRequest request, Engine engine, double reservedMemoryMb, double nowMs) {
+    public Attempt(ScheduledRequest request, Engine engine, double reservedMemoryMb, double nowMs) {
         this.request = request;
         this.engine = engine;
         this.index = request.attempts().size();
@@ -39,7 +39,7 @@
     }
 
     /** Returns the request that the attempt belongs to. */
-    public TrackedRequest request() {
+    public ScheduledRequest request() {
         return request;
     }
 
--- a/src/main/java/lineward/scheduling/state/EngineCapacity.java
+++ b/src/main/java/lineward/scheduling/state/EngineCapacity.java
@@ -49,7 +49,7 @@
     }
 
     /** Returns the expected run time of a request on an engine that has just started. */
-    public double runMsWhenCold(TrackedRequest request) {
+    public double runMsWhenCold(ScheduledRequest request) {
         return request.expectedRunMs() / rule.initialRatio();
     }
 
--- a/src/main/java/lineward/scheduling/state/RequestClassState.java
+++ b/src/main/java/lineward/scheduling/state/RequestClassState.java
@@ -84,7 +84,7 @@
     }
 
     /** Returns the work by which a request counts in a slow-start budget: at least the class's mean work. */
-    public double slowStartWorkMs(TrackedRequest request, double nowMs) {
+    public double slowStartWorkMs(ScheduledRequest request, double nowMs) {
         return Math.max(request.expectedWorkMs(), serviceTimeModel.meanWorkWithPriorMs(nowMs));
     }
 }
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/ScheduledRequest.java
@@ -11,7 +11,7 @@
 import lineward.scheduling.SchedulerEvent;
 
 /** One admitted request: its estimates, its lifecycle and its attempts. Times are in milliseconds. */
-public final class TrackedRequest {
+public final class ScheduledRequest {
     /** Run time assumed without an estimate, as a fraction of the latency objective. */
     private static final double DEFAULT_RUN_TIME_RATIO = 0.3;
 
@@ -51,7 +51,7 @@
      *
      * @param exemptFromSpeculativeTimeout whether the speculative timeout does not apply to its attempts
      */
-    TrackedRequest(
+    ScheduledRequest(
             SchedulerEvent.RequestArrived arrival,
             RequestClassState requestClass,
             boolean exemptFromSpeculativeTimeout,
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -28,7 +28,7 @@
     private final SplittableRandom random;
     private final TreeMap<Long, Engine> engines = new TreeMap<>();
     private final Collection<Engine> enginesView = Collections.unmodifiableCollection(engines.values());
-    private final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
+    private final Map<Long, ScheduledRequest> requests = new LinkedHashMap<>();
     private final List<RequestClassState> classes;
     private final FleetServiceTimes serviceTimes = new FleetServiceTimes();
     private final FleetDemand demand = new FleetDemand();
@@ -165,7 +165,7 @@
     }
 
     /** Returns the request with the given id; null if there is none. */
-    public TrackedRequest findRequest(long id) {
+    public ScheduledRequest findRequest(long id) {
         return requests.get(id);
     }
 
@@ -174,21 +174,21 @@
      *
      * @param exemptFromTimeout whether the speculative timeout does not apply to its attempts
      */
-    public TrackedRequest addRequest(SchedulerEvent.RequestArrived arrival, boolean exemptFromTimeout) {
+    public ScheduledRequest addRequest(SchedulerEvent.RequestArrived arrival, boolean exemptFromTimeout) {
         RequestClassState requestClass = requestClass(arrival.requestClass());
-        TrackedRequest request = new TrackedRequest(arrival, requestClass, exemptFromTimeout, nowMs);
+        ScheduledRequest request = new ScheduledRequest(arrival, requestClass, exemptFromTimeout, nowMs);
         requests.put(request.id(), request);
         return request;
     }
 
     /** Removes a request that is complete and has no attempt in flight. */
-    public void removeRequest(TrackedRequest request) {
+    public void removeRequest(ScheduledRequest request) {
         requests.remove(request.id());
     }
 
     /** Returns the attempt if it is known and has not ended; else null. */
     public Attempt findAttemptInFlight(long requestId, int attemptIndex) {
-        TrackedRequest request = requests.get(requestId);
+        ScheduledRequest request = requests.get(requestId);
         if (request == null || attemptIndex >= request.attempts().size()) {
             return null;
         }
--- a/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/AdmissionPolicyTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.within;
 
 import lineward.scheduling.RequestClass;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -41,7 +41,7 @@
     public void ordersByValuePerWorkAndUrgency(
             double weight, double lateRatio, boolean relaunched, double workMs, double ageMs, double value) {
         PolicyFixture policies = policies(weight, lateRatio);
-        TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
+        ScheduledRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
         if (relaunched) {
             policies.cancelAndRequeue(policies.start(request, policies.listEngine(1)));
         }
@@ -74,7 +74,7 @@
     public void detectsRequestsThatCannotBeInTime(
             double overdueValueRatio, double workMs, double slowdown, double ageMs, boolean unanswerable) {
         PolicyFixture policies = policies(1, overdueValueRatio);
-        TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
+        ScheduledRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
         policies.advance(ageMs);
         policies.addSlowRuns(slowdown);
         assertThat(new AdmissionPolicy(policies.context).cannotBeInTime(request))
--- a/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/CancellationPolicyTest.java
@@ -8,7 +8,7 @@
 import lineward.scheduling.state.Attempt;
 import lineward.scheduling.state.CancelCause;
 import lineward.scheduling.state.RequestState;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -56,7 +56,7 @@
     @Test(dataProvider = "requestStates")
     public void isUnansweredUntilTheResponseStarts(RequestState state, boolean unanswered) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         if (state != RequestState.QUEUED) {
             policies.start(request, policies.listEngine(1));
         }
--- a/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -7,7 +7,7 @@
 import lineward.scheduling.EngineKind;
 import lineward.scheduling.LoadReportField;
 import lineward.scheduling.state.Engine;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -69,7 +69,7 @@
         for (int attempt = 0; attempt < inFlight; attempt++) {
             policies.start(policies.admit(0, PolicyFixture.NO_KEY, 200, 5_120), engine);
         }
-        TrackedRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, 5_120);
+        ScheduledRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, 5_120);
         assertThat(policies.limits.hasCapacity(engine, request)).isEqualTo(hasCapacity);
     }
 
@@ -176,7 +176,7 @@
         for (int attempt = 0; attempt < ofOther; attempt++) {
             policies.start(policies.admit(1, PolicyFixture.NO_KEY, 200, 0), engine);
         }
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         request.type().demand().setRatios(0, valueRatio);
         request.type().recordAttemptStart(policies.context.nowMs());
         policies.advance(sinceStartMs);
--- a/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineEligibilityTest.java
@@ -11,7 +11,7 @@
 import lineward.scheduling.RequestClass.Placement;
 import lineward.scheduling.state.Attempt;
 import lineward.scheduling.state.Engine;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -79,7 +79,7 @@
     public void hasCapacityWithinTheSlowStartBudget(double workMs, boolean hasCapacity) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS);
-        TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
+        ScheduledRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
         assertThat(policies.eligibility.hasCapacityNow(request, engine)).isEqualTo(hasCapacity);
     }
 
@@ -109,7 +109,7 @@
     public void relaunchesOnAHealthyUntriedEngineWithCapacity(OtherEngine condition, boolean hasTarget) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine other = policies.listEngine(2, condition == OtherEngine.GONE ? GONE : READY);
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         if (condition == OtherEngine.TRIED) {
             policies.endAndRequeue(policies.start(request, other), AttemptOutcome.ERROR);
         }
--- a/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineLoadScoreTest.java
@@ -8,7 +8,7 @@
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.RequestClassState;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -39,7 +39,7 @@
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
         Engine engine = policies.listEngine(1, zone, 0);
         policies.startAttempts(engine, inFlight);
-        TrackedRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, memoryMb);
+        ScheduledRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, memoryMb);
         assertThat(policies.loadScore.score(request, engine)).isCloseTo(score, within(TOLERANCE));
     }
 
@@ -83,7 +83,7 @@
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngine(1);
         policies.start(policies.admitWithTableGroup(1, 5), engine);
-        TrackedRequest request = policies.admitWithTableGroup(0, sameGroup ? 5 : 6);
+        ScheduledRequest request = policies.admitWithTableGroup(0, sameGroup ? 5 : 6);
         double score = policies.loadScore.score(request, engine);
         assertThat(score).isCloseTo(IDLE_SCORE + THREAD_SCORE + added, within(TOLERANCE));
     }
@@ -101,7 +101,7 @@
         settings.objective = new RequestClass.Objective(2_000, 1, 5_000, 1, 0);
         PolicyFixture policies = new PolicyFixture(settings);
         Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS);
-        TrackedRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
+        ScheduledRequest request = policies.admit(PolicyFixture.NO_KEY, workMs);
         assertThat(policies.loadScore.score(request, engine) == 0).isEqualTo(free);
     }
 
--- a/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
@@ -7,7 +7,7 @@
 import lineward.scheduling.EndpointState;
 import lineward.scheduling.Idempotence;
 import lineward.scheduling.state.Engine;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -15,7 +15,7 @@
     private static final double MAX_HEALTH_CHECK_MS = 25;
     private static final long NO_ENGINE = 0;
 
-    private static long selectedEngineId(PolicyFixture policies, TrackedRequest request) {
+    private static long selectedEngineId(PolicyFixture policies, ScheduledRequest request) {
         EngineSelector selector = new EngineSelector(
                 policies.context,
                 policies.limits,
@@ -44,7 +44,7 @@
 
         private static final int BUSY_ATTEMPTS = 6;
 
-        void apply(PolicyFixture policies, Engine engine, TrackedRequest request) {
+        void apply(PolicyFixture policies, Engine engine, ScheduledRequest request) {
             double nowMs = policies.context.nowMs();
             switch (this) {
                 case NOT_BUSY -> {}
@@ -104,7 +104,7 @@
     @Test(dataProvider = "engines")
     public void selectsTheEligibleEngineWithTheLeastLoad(Condition first, Condition second, long expectedId) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         Engine engine1 = policies.listEngine(1);
         Engine engine2 = policies.listEngine(2);
         first.apply(policies, engine1, request);
@@ -120,7 +120,7 @@
         SettingsBuilder settings = new SettingsBuilder();
         settings.idempotence = Idempotence.NON_IDEMPOTENT;
         PolicyFixture policies = new PolicyFixture(settings);
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         policies.listEngine(1);
         Condition.EJECTED_AND_PROBE_DUE.apply(policies, policies.listEngine(2), request);
         assertThat(selectedEngineId(policies, request)).isEqualTo(1);
@@ -131,7 +131,7 @@
         SettingsBuilder settings = new SettingsBuilder();
         settings.maxAttempts = 1;
         PolicyFixture policies = new PolicyFixture(settings);
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         policies.listEngine(2);
         Condition.TRIED.apply(policies, policies.listEngine(1), request);
         assertThat(selectedEngineId(policies, request)).isEqualTo(NO_ENGINE);
@@ -152,7 +152,7 @@
         settings.frontEnds = 100;
         PolicyFixture policies = new PolicyFixture(settings);
         policies.startAttempts(policies.listEngine(1), inFlight);
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         assertThat(selectedEngineId(policies, request)).isEqualTo(expectedId);
         assertThat(request.type().isDispatchPaused()).isEqualTo(paused);
     }
--- a/src/test/java/lineward/scheduling/decision/FinalAnswerPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/FinalAnswerPolicyTest.java
@@ -20,14 +20,14 @@
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerAction;
 import lineward.scheduling.state.Attempt;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 public class FinalAnswerPolicyTest {
     private static final Optional<AttemptOutcome> IN_FLIGHT = Optional.empty();
 
-    private static SchedulerAction finalAnswer(PolicyFixture policies, TrackedRequest request) {
+    private static SchedulerAction finalAnswer(PolicyFixture policies, ScheduledRequest request) {
         return new FinalAnswerPolicy(policies.context, policies.retries).finalAnswer(request);
     }
 
@@ -104,7 +104,7 @@
         settings.maxRetryAfterMs = maxRetryAfterMs;
         settings.objective = new RequestClass.Objective(latencyMs, 1, 5_000, 1, 0);
         PolicyFixture policies = new PolicyFixture(settings);
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         SchedulerAction expected = new SchedulerAction.Reject(request.id(), expectedMs);
         assertThat(finalAnswer(policies, request)).isEqualTo(expected);
     }
--- a/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
+++ b/src/test/java/lineward/scheduling/decision/KeyOrderTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import lineward.scheduling.AttemptOutcome;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -33,8 +33,8 @@
     @Test(dataProvider = "keys")
     public void runsAKeyInOrderOfArrival(boolean inOrder, long firstKey, long secondKey, boolean mayStart) {
         PolicyFixture policies = policies(inOrder);
-        TrackedRequest first = policies.admit(firstKey, PolicyFixture.WORK_MS);
-        TrackedRequest second = policies.admit(secondKey, PolicyFixture.WORK_MS);
+        ScheduledRequest first = policies.admit(firstKey, PolicyFixture.WORK_MS);
+        ScheduledRequest second = policies.admit(secondKey, PolicyFixture.WORK_MS);
         assertThat(policies.keyOrder.isNext(first)).isTrue();
         assertThat(policies.keyOrder.isNext(second)).isEqualTo(mayStart);
         policies.keyOrder.remove(first);
@@ -60,8 +60,8 @@
     public void waitsForTheSettleTimeAfterAnIndeterminateOutcome(
             boolean indeterminate, long secondKey, double sinceMs, boolean mayStart) {
         PolicyFixture policies = policies(true);
-        TrackedRequest first = policies.admit(KEY, PolicyFixture.WORK_MS);
-        TrackedRequest second = policies.admit(secondKey, PolicyFixture.WORK_MS);
+        ScheduledRequest first = policies.admit(KEY, PolicyFixture.WORK_MS);
+        ScheduledRequest second = policies.admit(secondKey, PolicyFixture.WORK_MS);
         if (indeterminate) {
             policies.keyOrder.startSettleTime(first);
         }
@@ -74,7 +74,7 @@
     @Test
     public void retriesTheRequestWhoseOutcomeWasIndeterminateAtOnce() {
         PolicyFixture policies = policies(true);
-        TrackedRequest request = policies.admit(KEY, PolicyFixture.WORK_MS);
+        ScheduledRequest request = policies.admit(KEY, PolicyFixture.WORK_MS);
         policies.endAndRequeue(policies.start(request, policies.listEngine(1)), AttemptOutcome.TIMEOUT);
         policies.keyOrder.startSettleTime(request);
         assertThat(policies.keyOrder.isNext(request)).isTrue();
@@ -83,7 +83,7 @@
     @Test
     public void waitsForTheLaterOfTwoSettleTimes() {
         PolicyFixture policies = policies(true);
-        TrackedRequest first = policies.admit(KEY, PolicyFixture.WORK_MS);
+        ScheduledRequest first = policies.admit(KEY, PolicyFixture.WORK_MS);
         policies.keyOrder.startSettleTime(first);
         policies.advance(SETTLE_MS - 1);
         policies.keyOrder.startSettleTime(first);
--- a/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/MigrationPolicyTest.java
@@ -7,7 +7,7 @@
 import lineward.scheduling.SchedulerSettings.RetryBudget;
 import lineward.scheduling.state.Attempt;
 import lineward.scheduling.state.CancelCause;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -110,7 +110,7 @@
         settings.maxAttempts = maxAttempts;
         PolicyFixture policies = new PolicyFixture(settings);
         policies.listEngine(2);
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         for (int migration = 0; migration < earlierMigrations; migration++) {
             Attempt migratedAttempt = policies.start(request, policies.listEngine(10 + migration));
             migratedAttempt.cancel(CancelCause.MIGRATION);
--- a/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/OutlierDetectorTest.java
@@ -7,7 +7,7 @@
 import lineward.scheduling.SchedulerAction;
 import lineward.scheduling.state.EjectionCause;
 import lineward.scheduling.state.Engine;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -78,7 +78,7 @@
         for (int failure = 0; failure < failures; failure++) {
             Outcome.ERROR.apply(policies, first);
         }
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         policies.outliers.recordError(request, first);
         assertThat(first.health().isEjected()).isEqualTo(ejected);
         policies.outliers.recordError(request, second);
@@ -178,7 +178,7 @@
             policies.outliers.spendRecoveryProbe(engine);
         }
         policies.advance(sinceProbeMs - ageMs);
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         if (relaunched) {
             policies.cancelAndRequeue(policies.start(request, policies.listEngine(2)));
         }
--- a/src/test/java/lineward/scheduling/decision/PolicyFixture.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -13,8 +13,8 @@
 import lineward.scheduling.state.EngineCapacity;
 import lineward.scheduling.state.LoadReports;
 import lineward.scheduling.state.RetryBudgetTracker;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** The policies of one scheduler, over a state that the test builds and a clock that the test sets. */
 final class PolicyFixture {
@@ -100,27 +100,27 @@
         return context.getOrCreateEngine(endpoint.engine());
     }
 
-    TrackedRequest admit() {
+    ScheduledRequest admit() {
         return admit(NO_KEY, WORK_MS);
     }
 
-    TrackedRequest admit(long key, double workMs) {
+    ScheduledRequest admit(long key, double workMs) {
         return admit(0, key, workMs, NO_MEMORY_ESTIMATE);
     }
 
     /** Admits a request with a table group of its own. */
-    TrackedRequest admit(int classIndex, long key, double workMs, double memoryMb) {
+    ScheduledRequest admit(int classIndex, long key, double workMs, double memoryMb) {
         lastRequest++;
         return admit(classIndex, key, workMs, memoryMb, (int) lastRequest);
     }
 
-    TrackedRequest admitWithTableGroup(int classIndex, int tableGroup) {
+    ScheduledRequest admitWithTableGroup(int classIndex, int tableGroup) {
         lastRequest++;
         return admit(classIndex, NO_KEY, WORK_MS, NO_MEMORY_ESTIMATE, tableGroup);
     }
 
-    private TrackedRequest admit(int classIndex, long key, double workMs, double memoryMb, int tableGroup) {
-        TrackedRequest request = context.addRequest(
+    private ScheduledRequest admit(int classIndex, long key, double workMs, double memoryMb, int tableGroup) {
+        ScheduledRequest request = context.addRequest(
                 new SchedulerEvent.RequestArrived(
                         lastRequest, classIndex, key, TIME_LEFT_MS, workMs, memoryMb, tableGroup, false, 0),
                 false);
@@ -129,7 +129,7 @@
     }
 
     /** Admits a request that is exempt from the speculative timeout. */
-    TrackedRequest admitExempt() {
+    ScheduledRequest admitExempt() {
         lastRequest++;
         return context.addRequest(
                 new SchedulerEvent.RequestArrived(
@@ -137,7 +137,7 @@
                 true);
     }
 
-    Attempt start(TrackedRequest request, Engine engine) {
+    Attempt start(ScheduledRequest request, Engine engine) {
         double nowMs = context.nowMs();
         Attempt attempt = new Attempt(request, engine, resources.expectedMemoryMb(request, engine), nowMs);
         if (!request.attempts().isEmpty()) {
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -11,7 +11,7 @@
 import lineward.scheduling.SchedulerAction.SetResourceLimits;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.RequestClassState;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -19,7 +19,7 @@
     private static final double TOLERANCE = 1e-9;
     private static final double NO_WORK = 0;
 
-    private static SetResourceLimits limits(PolicyFixture policies, TrackedRequest request) {
+    private static SetResourceLimits limits(PolicyFixture policies, ScheduledRequest request) {
         Optional<SchedulerAction> limits = policies.resources.limitsFor(request, policies.listEngine(1));
         return (SetResourceLimits) limits.orElseThrow();
     }
@@ -75,7 +75,7 @@
         settings.memoryShortage = shortage;
         settings.engineKind = new EngineKind(8, engineMb);
         PolicyFixture policies = new PolicyFixture(settings);
-        TrackedRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, estimateMb);
+        ScheduledRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, estimateMb);
         assertThat(limits(policies, request).grantMb()).isEqualTo(grantMb);
         assertThat(policies.resources.expectedMemoryMb(request, policies.listEngine(1)))
                 .isEqualTo(countedMb);
@@ -109,7 +109,7 @@
         if (meanWorkMs > NO_WORK) {
             policies.context.requestClass(0).serviceTimeModel().addWork(meanWorkMs, PolicyFixture.START_MS);
         }
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         if (relaunched) {
             policies.cancelAndRequeue(policies.start(request, policies.listEngine(2)));
         }
--- a/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/RetryPolicyTest.java
@@ -22,7 +22,7 @@
 import lineward.scheduling.SchedulerSettings.RetryBudget;
 import lineward.scheduling.state.Attempt;
 import lineward.scheduling.state.CancelCause;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -102,7 +102,7 @@
         SettingsBuilder settings = new SettingsBuilder();
         settings.maxAttempts = maxAttempts;
         PolicyFixture policies = new PolicyFixture(settings);
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         for (int attempt = 0; attempt < ended; attempt++) {
             policies.endAndRequeue(policies.start(request, policies.listEngine(1)), ERROR);
         }
@@ -192,7 +192,7 @@
         SettingsBuilder settings = new SettingsBuilder();
         settings.retryBudget = new RetryBudget(10_000, budget, 0);
         PolicyFixture policies = new PolicyFixture(settings);
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         for (int attempt = 0; attempt < ended; attempt++) {
             policies.endAndRequeue(policies.start(request, policies.listEngine(1)), ERROR);
         }
@@ -249,8 +249,8 @@
         SettingsBuilder settings = new SettingsBuilder();
         settings.inOrder = true;
         PolicyFixture policies = new PolicyFixture(settings);
-        TrackedRequest first = policies.admit(77, PolicyFixture.WORK_MS);
-        TrackedRequest second = policies.admit(77, PolicyFixture.WORK_MS);
+        ScheduledRequest first = policies.admit(77, PolicyFixture.WORK_MS);
+        ScheduledRequest second = policies.admit(77, PolicyFixture.WORK_MS);
         assertThat(policies.retries.mayAttempt(first, policies.listEngine(1))).isTrue();
         assertThat(policies.retries.mayAttempt(second, policies.listEngine(1))).isFalse();
     }
--- a/src/test/java/lineward/scheduling/decision/SlowStartTest.java
+++ b/src/test/java/lineward/scheduling/decision/SlowStartTest.java
@@ -4,7 +4,7 @@
 
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.state.Engine;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -68,7 +68,7 @@
     public void countsWorkSentWithinTheWindow(double agoMs, boolean allowed) {
         PolicyFixture policies = new PolicyFixture(settings(1));
         Engine engine = policies.listEngineStartedAt(1, PolicyFixture.START_MS);
-        TrackedRequest sent = policies.admit(PolicyFixture.NO_KEY, 2_000);
+        ScheduledRequest sent = policies.admit(PolicyFixture.NO_KEY, 2_000);
         policies.start(sent, engine);
         policies.advance(agoMs);
         assertThat(allows(policies, engine, 1_500)).isEqualTo(allowed);
--- a/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeCancellationTest.java
@@ -9,7 +9,7 @@
 import lineward.scheduling.state.Attempt;
 import lineward.scheduling.state.CancelCause;
 import lineward.scheduling.state.Engine;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -95,7 +95,7 @@
     @Test(dataProvider = "conditions")
     public void cancelsAtTheTimeoutIfEachConditionIsMet(Condition unmet, boolean cancelled) {
         PolicyFixture policies = unmet.policies();
-        TrackedRequest request = unmet == Condition.NOT_EXEMPT ? policies.admitExempt() : policies.admit();
+        ScheduledRequest request = unmet == Condition.NOT_EXEMPT ? policies.admitExempt() : policies.admit();
         if (unmet == Condition.NOT_RELAUNCHED) {
             policies.cancelAndRequeue(policies.start(request, policies.listEngine(4)));
         }
@@ -160,7 +160,7 @@
         SettingsBuilder settings = new SettingsBuilder();
         settings.progressIntervalMs = PROGRESS_INTERVAL_MS;
         PolicyFixture policies = policiesWithTimeout(settings);
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         policies.cancelAndRequeue(policies.start(request, policies.listEngine(3)));
         Attempt relaunch = policies.start(request, policies.listEngine(1));
         policies.advance(400);
