--- a/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
@@ -34,9 +34,9 @@
      * then on only the value of a late answer counts.
      */
     public double dispatchPriority(ScheduledRequest request) {
-        RequestClass.Objective objective = request.type().settings().objective();
-        double slowedRunMs =
-                request.expectedRunMs() * request.type().serviceTimeModel().slowdown();
+        RequestClass.Objective objective = request.requestClass().settings().objective();
+        double slowedRunMs = request.expectedRunMs()
+                * request.requestClass().serviceTimeModel().slowdown();
         boolean overdue = request.objectiveEndMs() - context.nowMs() - slowedRunMs < 0;
         double value = objective.priorityWeight() * (overdue ? objective.overdueValueRatio() : 1);
         double urgency = overdue ? 1 : urgency(request);
@@ -54,9 +54,9 @@
         if (context.nowMs() > request.deadlineMs() - ANSWER_MARGIN_MS) {
             return true;
         }
-        double slowdown = Math.min(request.type().serviceTimeModel().slowdown(), MAX_ASSUMED_SLOWDOWN);
-        double endMs = context.nowMs() + requiredRunMs(request) * slowdown;
-        boolean hasOverdueValue = request.type().settings().objective().overdueValueRatio() > 0;
+        double factor = Math.min(request.requestClass().serviceTimeModel().slowdown(), MAX_ASSUMED_SLOWDOWN);
+        double endMs = context.nowMs() + requiredRunMs(request) * factor;
+        boolean hasOverdueValue = request.requestClass().settings().objective().overdueValueRatio() > 0;
         return endMs > (hasOverdueValue ? request.deadlineMs() : request.objectiveEndMs());
     }
 
--- a/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/CancellationPolicy.java
@@ -46,7 +46,7 @@
         if (!mayCancel || !isUnanswered(request) || !request.isIdempotent()) {
             return false;
         }
-        RequestClass.Objective objective = request.type().settings().objective();
+        RequestClass.Objective objective = request.requestClass().settings().objective();
         boolean notStarted = attempt.isWaiting() && !attempt.hasProgress();
         double earliestEndMs = context.nowMs() + AdmissionPolicy.requiredRunMs(request);
         boolean waitedTooLong = notStarted && earliestEndMs > request.objectiveEndMs();
--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -151,7 +151,7 @@
                 }
                 fleetThreadLimit += engineLimit;
                 threadsInFlight += engine.threadsInFlight();
-                classThreadsInFlight += threadsOf(request.type(), engine);
+                classThreadsInFlight += threadsOf(request.requestClass(), engine);
             }
         }
         if (threadsInFlight == 0 || threadsInFlight + threads <= fleetThreadLimit) {
@@ -160,7 +160,7 @@
         return withinClassQuota(
                 request,
                 classThreadsInFlight,
-                fleetThreadLimit * request.type().demand().valueRatio());
+                fleetThreadLimit * request.requestClass().demand().valueRatio());
     }
 
     /**
@@ -175,7 +175,7 @@
     }
 
     private boolean hasWaitedForQuota(ScheduledRequest request, double classThreadLimit) {
-        OptionalDouble lastStartedMs = request.type().lastAttemptStartedMs();
+        OptionalDouble lastStartedMs = request.requestClass().lastAttemptStartedMs();
         return lastStartedMs.isEmpty()
                 || context.nowMs() - lastStartedMs.getAsDouble()
                         >= request.expectedRunMs() * request.threads() / classThreadLimit;
@@ -183,7 +183,7 @@
 
     private static double threadsOf(RequestClassState type, Engine engine) {
         long attempts = engine.attemptsInFlight().stream()
-                .filter(attempt -> attempt.request().type() == type)
+                .filter(attempt -> attempt.request().requestClass() == type)
                 .count();
         return attempts * (double) type.settings().executionProfile().threads();
     }
--- a/src/main/java/lineward/scheduling/decision/EngineEligibility.java
+++ b/src/main/java/lineward/scheduling/decision/EngineEligibility.java
@@ -20,7 +20,7 @@
 
     /** Returns whether the engine is ready and the placement of the request's class allows it. */
     public static boolean mayRunOn(ScheduledRequest request, Engine engine) {
-        return engine.isReady() && request.type().settings().placement().allows(engine.endpoint());
+        return engine.isReady() && request.requestClass().settings().placement().allows(engine.endpoint());
     }
 
     /**
--- a/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
+++ b/src/main/java/lineward/scheduling/decision/EngineLoadScore.java
@@ -143,10 +143,12 @@
     }
 
     private static boolean hasGroupConflict(ScheduledRequest request, Engine engine) {
-        RequestClass.ExecutionProfile workload = request.type().settings().executionProfile();
+        RequestClass.ExecutionProfile workload =
+                request.requestClass().settings().executionProfile();
         return engine.attemptsInFlight().stream()
                 .map(attempt -> attempt.request())
                 .filter(other -> other.tableGroup() == request.tableGroup())
-                .anyMatch(other -> other.type().settings().executionProfile().conflictsWith(workload));
+                .anyMatch(other ->
+                        other.requestClass().settings().executionProfile().conflictsWith(workload));
     }
 }
--- a/src/main/java/lineward/scheduling/decision/EngineSelector.java
+++ b/src/main/java/lineward/scheduling/decision/EngineSelector.java
@@ -50,7 +50,7 @@
         EngineSet engines = allowedEngines(request);
         boolean withinQuota = limits.withinFleetQuota(
                 request, engine -> engines.useEjected() || !engine.health().isEjected());
-        request.type().setDispatchPaused(!withinQuota);
+        request.requestClass().setDispatchPaused(!withinQuota);
         return withinQuota ? leastLoaded(request, engines) : Optional.empty();
     }
 
@@ -72,7 +72,7 @@
         for (Engine engine : context.engines()) {
             boolean probe = outliers.mayProbe(engine, request);
             if (isCandidate(engine, request, probe, engines)) {
-                double noise = loadScore.drawNoise(request.type(), engine);
+                double noise = loadScore.drawNoise(request.requestClass(), engine);
                 boolean mustBeSelected = mustBeSelected(engine, probe && !engines.useEjected());
                 double score = mustBeSelected ? SELECT_FIRST : loadScore.score(request, engine) - noise;
                 if (score < bestScore) {
--- a/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/FinalAnswerPolicy.java
@@ -40,7 +40,7 @@
         if (!settings.capabilities().retryAfter()) {
             return NO_RETRY_AFTER;
         }
-        double advisedMs = request.type().settings().objective().latencyMs() * RETRY_AFTER_RATIO;
+        double advisedMs = request.requestClass().settings().objective().latencyMs() * RETRY_AFTER_RATIO;
         return Math.min(settings.attemptLimits().maxRetryAfterMs(), advisedMs);
     }
 }
--- a/src/main/java/lineward/scheduling/decision/OutlierDetector.java
+++ b/src/main/java/lineward/scheduling/decision/OutlierDetector.java
@@ -146,7 +146,8 @@
 
     /** Returns the run time to expect at the current slowdown of the class. */
     private static double slowedRunMs(ScheduledRequest request) {
-        return request.expectedRunMs() * request.type().serviceTimeModel().slowdown();
+        return request.expectedRunMs()
+                * request.requestClass().serviceTimeModel().slowdown();
     }
 
     /** Records that the engine answered an attempt, which ends its ejection. */
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -64,9 +64,9 @@
      */
     public double expectedMemoryMb(ScheduledRequest request, Engine engine) {
         SchedulerSettings settings = context.settings();
-        double correction = request.type().serviceTimeModel().memoryCorrection();
+        double correction = request.requestClass().serviceTimeModel().memoryCorrection();
         boolean supported = settings.capabilities().grants();
-        double factor = supported ? request.type().grantFactor() : RequestClassState.INITIAL_GRANT_FACTOR;
+        double factor = supported ? request.requestClass().grantFactor() : RequestClassState.INITIAL_FACTOR;
         double needMb = request.estimatedMemoryMb() * correction * factor;
         return engine.memoryMb() > 0
                 ? Math.min(needMb, engine.memoryMb() * settings.memoryLimits().maxGrantRatio())
@@ -89,7 +89,7 @@
         if (request.expectedWorkMs() < largestMeanWorkMs * SHORT_WORK_RATIO) {
             return SHORT_PRIORITY;
         }
-        boolean load = request.type().settings().executionProfile().loadsTableGroup();
+        boolean load = request.requestClass().settings().executionProfile().loadsTableGroup();
         return load || request.isRelaunched() ? LOAD_OR_RELAUNCH_PRIORITY : LONG_PRIORITY;
     }
 
--- a/src/main/java/lineward/scheduling/decision/RetryPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/RetryPolicy.java
@@ -59,7 +59,7 @@
 
     /** Returns whether a second run of the request is harmless on any engine, at least for some time. */
     public boolean mayRunTwice(ScheduledRequest request) {
-        return request.type().settings().repeatability().isRepeatableAnywhere();
+        return request.requestClass().settings().repeatability().isRepeatableAnywhere();
     }
 
     /**
@@ -76,7 +76,8 @@
     }
 
     private static double keyExpiryMs(ScheduledRequest request, Attempt first) {
-        return first.startedAtMs() + request.type().settings().repeatability().keyTtlMs();
+        return first.startedAtMs()
+                + request.requestClass().settings().repeatability().keyTtlMs();
     }
 
     private boolean mayRepeat(ScheduledRequest request) {
@@ -88,7 +89,8 @@
         if (first == null || request.isIdempotent()) {
             return true;
         }
-        DeduplicationScope scope = request.type().settings().repeatability().scope();
+        DeduplicationScope scope =
+                request.requestClass().settings().repeatability().scope();
         return mayRepeat(request) && scope.covers(first.engine().endpoint(), engine.endpoint());
     }
 
--- a/src/main/java/lineward/scheduling/decision/SlowStart.java
+++ b/src/main/java/lineward/scheduling/decision/SlowStart.java
@@ -68,7 +68,7 @@
             return false;
         }
         double nowMs = context.nowMs();
-        double workMs = engine.sentWorkMs(nowMs) + request.type().slowStartWorkMs(request, nowMs);
+        double workMs = engine.sentWorkMs(nowMs) + request.requestClass().slowStartWorkMs(request, nowMs);
         if (!usesSlots()) {
             return workMs <= budgetMs(engine) / position.frontEndCount();
         }
--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -77,7 +77,7 @@
 
     /** Returns the expected run time of a relaunch at the current slowdown of its class on all engines. */
     private double expectedRelaunchMs(ScheduledRequest request) {
-        ServiceTimeModel model = request.type().serviceTimeModel();
+        ServiceTimeModel model = request.requestClass().serviceTimeModel();
         return model.relaunchRatio(context.nowMs()) * request.referenceRunMs() * model.slowdown();
     }
 
@@ -107,8 +107,8 @@
         if (request.isRelaunched() || request.isExemptFromSpeculativeTimeout() || attempt.isWaiting()) {
             return false;
         }
-        boolean noTimeoutSavesLoad = request.type().serviceTimeModel().hasCurve()
-                && request.type().speculativeTimeoutRatio().isEmpty();
+        boolean noTimeoutSavesLoad = request.requestClass().serviceTimeModel().hasCurve()
+                && request.requestClass().speculativeTimeoutRatio().isEmpty();
         boolean enoughRuns = context.serviceTimes().completedRuns() >= ServiceTimeModel.MIN_COMPLETED_RUNS;
         return enoughRuns && !noTimeoutSavesLoad;
     }
@@ -124,8 +124,8 @@
         }
         ScheduledRequest request = attempt.request();
         double runMs = attempt.runTimeMs(context.nowMs())
-                / request.type().serviceTimeModel().slowdown();
-        OptionalDouble limit = request.type().speculativeTimeoutRatio();
+                / request.requestClass().serviceTimeModel().slowdown();
+        OptionalDouble limit = request.requestClass().speculativeTimeoutRatio();
         boolean past = limit.isPresent() && runMs / request.referenceRunMs() >= limit.getAsDouble();
         if (!hasFreshProgress(attempt)) {
             return past;
--- a/src/main/java/lineward/scheduling/execution/AttemptStarter.java
+++ b/src/main/java/lineward/scheduling/execution/AttemptStarter.java
@@ -46,7 +46,7 @@
             budget.recordRetry();
         }
         request.startAttempt(attempt);
-        request.type().recordAttemptStart(nowMs);
-        engine.startAttempt(attempt, request.type().slowStartWorkMs(request, nowMs), nowMs);
+        request.requestClass().recordAttemptStart(nowMs);
+        engine.startAttempt(attempt, request.requestClass().slowStartWorkMs(request, nowMs), nowMs);
     }
 }
--- a/src/main/java/lineward/scheduling/execution/DispatchQueue.java
+++ b/src/main/java/lineward/scheduling/execution/DispatchQueue.java
@@ -86,7 +86,7 @@
         if (!keyOrder.isNext(request)) {
             return false;
         }
-        boolean paused = request.type().isDispatchPaused();
+        boolean paused = request.requestClass().isDispatchPaused();
         Optional<Engine> engine = paused ? Optional.empty() : selector.selectEngine(request);
         engine.ifPresent(selected -> starter.start(request, selected));
         blocked |= engine.isEmpty();
--- a/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
@@ -44,7 +44,7 @@
     private void recordRunTime(Attempt attempt) {
         double nowMs = context.nowMs();
         ScheduledRequest request = attempt.request();
-        ServiceTimeModel model = request.type().serviceTimeModel();
+        ServiceTimeModel model = request.requestClass().serviceTimeModel();
         double runMs = attempt.runTimeMs(nowMs);
         double ratio = runMs / model.slowdown() / request.referenceRunMs();
         if (attempt.isFirstRun()) {
@@ -57,7 +57,7 @@
     private void recordFirstRun(Attempt attempt, double runMs, double ratio) {
         double nowMs = context.nowMs();
         ScheduledRequest request = attempt.request();
-        ServiceTimeModel model = request.type().serviceTimeModel();
+        ServiceTimeModel model = request.requestClass().serviceTimeModel();
         model.addFirstRun(ratio, true);
         if (!request.hasWorkEstimate()) {
             model.addWork(runMs * request.threads(), nowMs);
@@ -70,11 +70,11 @@
     }
 
     private void recordResourceUse(ScheduledRequest request, SchedulerEvent.AttemptEnded end) {
-        ServiceTimeModel model = request.type().serviceTimeModel();
+        ServiceTimeModel model = request.requestClass().serviceTimeModel();
         if (end.memoryMb() > 0 && request.estimatedMemoryMb() > 0) {
             double logRatio = Math.log(end.memoryMb() / request.estimatedMemoryMb());
             double deviation = model.addMemoryDeviation(logRatio);
-            resources.recordNeed(request.type(), Math.exp(deviation));
+            resources.recordNeed(request.requestClass(), Math.exp(deviation));
         }
         if (end.workMs() > 0 && request.hasWorkEstimate()) {
             model.addWorkDeviation(Math.log(end.workMs() / request.estimatedWorkMs()));
@@ -92,7 +92,7 @@
             return;
         }
         ScheduledRequest request = attempt.request();
-        ServiceTimeModel model = request.type().serviceTimeModel();
+        ServiceTimeModel model = request.requestClass().serviceTimeModel();
         double ratio = attempt.runTimeMs(context.nowMs()) / model.slowdown() / request.referenceRunMs();
         model.addFirstRun(Math.max(ratio, minCensoredRatio(attempt)), false);
     }
@@ -103,6 +103,7 @@
             return 0;
         }
         double predicted = predictedMs.getAsDouble() / attempt.request().referenceRunMs();
-        return Math.min(attempt.request().type().speculativeTimeoutRatio().orElse(predicted), predicted);
+        return Math.min(
+                attempt.request().requestClass().speculativeTimeoutRatio().orElse(predicted), predicted);
     }
 }
--- a/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
+++ b/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
@@ -57,7 +57,7 @@
                 if (attempt.isFirstRun() && attempt.isRunning()) {
                     ScheduledRequest request = attempt.request();
                     double ratio = attempt.runTimeMs(context.nowMs()) / request.referenceRunMs();
-                    ratios.get(request.type()).add(ratio);
+                    ratios.get(request.requestClass()).add(ratio);
                 }
             }
         }
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -100,7 +100,7 @@
     @Override
     public void requestArrived(SchedulerEvent.RequestArrived arrival) {
         ScheduledRequest request = context.addRequest(arrival, components.speculation.drawExempt());
-        RequestClassState type = request.type();
+        RequestClassState type = request.requestClass();
         if (request.hasWorkEstimate()) {
             type.serviceTimeModel().addWork(request.expectedWorkMs(), context.nowMs());
         }
@@ -122,7 +122,7 @@
         attempt.setWaiting(report.kind().isWaiting(), context.nowMs());
         switch (report.kind()) {
             case RATIO_DONE -> attempt.recordProgress(report.amount(), context.nowMs());
-            case SPILLING -> components.resources.recordSpill(attempt.request().type());
+            case SPILLING -> components.resources.recordSpill(attempt.request().requestClass());
             case WAITING_FOR_MEMORY, WAITING_FOR_LOAD -> components.sweep.recordWaiting(attempt);
         }
     }
--- a/src/main/java/lineward/scheduling/state/RequestClassState.java
+++ b/src/main/java/lineward/scheduling/state/RequestClassState.java
@@ -9,7 +9,7 @@
 /** One class of requests: its settings, its measurements, and the values that policies derive for it. */
 public final class RequestClassState {
     /** Ratio of memory grants to the corrected memory estimates before the first outcome. */
-    public static final double INITIAL_GRANT_FACTOR = 1.25;
+    public static final double INITIAL_FACTOR = 1.25;
 
     private final RequestClass settings;
     private final ServiceTimeModel serviceTimeModel;
@@ -18,7 +18,7 @@
     private OptionalDouble speculativeTimeoutRatio = OptionalDouble.empty();
     private OptionalDouble lastAttemptStartedMs = OptionalDouble.empty();
     private boolean dispatchPaused;
-    private double grantFactor = INITIAL_GRANT_FACTOR;
+    private double grantFactor = INITIAL_FACTOR;
 
     RequestClassState(RequestClass settings, FleetServiceTimes fleet) {
         this.settings = settings;
--- a/src/main/java/lineward/scheduling/state/ScheduledRequest.java
+++ b/src/main/java/lineward/scheduling/state/ScheduledRequest.java
@@ -20,7 +20,7 @@
     private final long id;
     private final long key;
     private final int tableGroup;
-    private final RequestClassState type;
+    private final RequestClassState requestClass;
     private final double admittedAtMs;
     private final double deadlineMs;
     private final double objectiveEndMs;
@@ -59,7 +59,7 @@
         this.id = arrival.requestId();
         this.key = arrival.key();
         this.tableGroup = arrival.tableGroup();
-        this.type = requestClass;
+        this.requestClass = requestClass;
         this.exemptFromSpeculativeTimeout = exemptFromSpeculativeTimeout;
         this.admittedAtMs = nowMs;
         this.deadlineMs = nowMs + arrival.timeLeftMs();
@@ -93,8 +93,8 @@
     }
 
     /** Returns the class of the request. */
-    public RequestClassState type() {
-        return type;
+    public RequestClassState requestClass() {
+        return requestClass;
     }
 
     /** Returns when the request was admitted. */
@@ -145,7 +145,7 @@
 
     /** Returns the expected run time at typical speed, without the current slowdown of the class. */
     public double expectedRunMs() {
-        return referenceRunMs * type.serviceTimeModel().typicalRatio();
+        return referenceRunMs * requestClass.serviceTimeModel().typicalRatio();
     }
 
     /** Returns the expected work, summed over all threads. */
@@ -155,22 +155,22 @@
 
     /** Returns the number of threads that an attempt runs on. */
     public int threads() {
-        return type.settings().executionProfile().threads();
+        return requestClass.settings().executionProfile().threads();
     }
 
     /** Returns whether the request may run any number of times. */
     public boolean isIdempotent() {
-        return type.settings().repeatability().idempotence() == Idempotence.IDEMPOTENT;
+        return requestClass.settings().repeatability().idempotence() == Idempotence.IDEMPOTENT;
     }
 
     /** Returns whether engines deduplicate repeated runs by the idempotency key. */
     public boolean isIdempotentByKey() {
-        return type.settings().repeatability().idempotence() == Idempotence.BY_KEY;
+        return requestClass.settings().repeatability().idempotence() == Idempotence.BY_KEY;
     }
 
     /** Returns whether the request must run in order of arrival among the requests with its key. */
     public boolean isOrdered() {
-        return key != NO_KEY && type.settings().repeatability().inOrder();
+        return key != NO_KEY && requestClass.settings().repeatability().inOrder();
     }
 
     /** Returns the lifecycle state of the request. */
--- a/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ConcurrencyLimitsTest.java
@@ -177,8 +177,8 @@
             policies.start(policies.admit(1, PolicyFixture.NO_KEY, 200, 0), engine);
         }
         ScheduledRequest request = policies.admit();
-        request.type().demand().setRatios(0, valueRatio);
-        request.type().recordAttemptStart(policies.context.nowMs());
+        request.requestClass().demand().setRatios(0, valueRatio);
+        request.requestClass().recordAttemptStart(policies.context.nowMs());
         policies.advance(sinceStartMs);
         assertThat(policies.limits.withinFleetQuota(request, usable -> true)).isEqualTo(within);
     }
--- a/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
+++ b/src/test/java/lineward/scheduling/decision/EngineSelectorTest.java
@@ -154,6 +154,6 @@
         policies.startAttempts(policies.listEngine(1), inFlight);
         ScheduledRequest request = policies.admit();
         assertThat(selectedEngineId(policies, request)).isEqualTo(expectedId);
-        assertThat(request.type().isDispatchPaused()).isEqualTo(paused);
+        assertThat(request.requestClass().isDispatchPaused()).isEqualTo(paused);
     }
 }
--- a/src/test/java/lineward/scheduling/decision/PolicyFixture.java
+++ b/src/test/java/lineward/scheduling/decision/PolicyFixture.java
@@ -144,8 +144,8 @@
             budget.recordRetry();
         }
         request.startAttempt(attempt);
-        request.type().recordAttemptStart(nowMs);
-        engine.startAttempt(attempt, request.type().slowStartWorkMs(request, nowMs), nowMs);
+        request.requestClass().recordAttemptStart(nowMs);
+        engine.startAttempt(attempt, request.requestClass().slowStartWorkMs(request, nowMs), nowMs);
         return attempt;
     }
 
