--- a/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/AdmissionPolicy.java
@@ -1,8 +1,8 @@
 package lineward.scheduling.decision;
 
 import lineward.scheduling.RequestClass;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Orders queued requests and decides which of them can no longer be answered in time. */
 public final class AdmissionPolicy {
@@ -33,9 +33,10 @@
      * for a relaunch. It rises with the waiting time until the request can no longer meet its objective; from
      * then on only the value of a late answer counts.
      */
-    public double dispatchPriority(TrackedRequest request) {
-        RequestClass.Objective objective = request.type().settings().objective();
-        double slowedRunMs = request.expectedRunMs() * request.type().model().slowdown();
+    public double dispatchPriority(ScheduledRequest request) {
+        RequestClass.Objective objective = request.requestClass().settings().objective();
+        double slowedRunMs = request.expectedRunMs()
+                * request.requestClass().serviceTimeModel().slowdown();
         boolean overdue = request.objectiveEndMs() - context.nowMs() - slowedRunMs < 0;
         double value = objective.priorityWeight() * (overdue ? objective.overdueValueRatio() : 1);
         double urgency = overdue ? 1 : urgency(request);
@@ -43,24 +44,24 @@
         return value * urgency * relaunchFactor / Math.max(MIN_WORK_MS, request.expectedWorkMs());
     }
 
-    private double urgency(TrackedRequest request) {
+    private double urgency(ScheduledRequest request) {
         double waitedMs = context.nowMs() - request.admittedAtMs();
         return 1 + URGENCY_GROWTH * waitedMs / Math.max(1, request.objectiveEndMs() - request.admittedAtMs());
     }
 
     /** Returns whether a queued request can no longer be answered while its answer has a value. */
-    public boolean cannotBeInTime(TrackedRequest request) {
+    public boolean cannotBeInTime(ScheduledRequest request) {
         if (context.nowMs() > request.deadlineMs() - ANSWER_MARGIN_MS) {
             return true;
         }
-        double slowdown = Math.min(request.type().model().slowdown(), MAX_ASSUMED_SLOWDOWN);
-        double endMs = context.nowMs() + requiredRunMs(request) * slowdown;
-        boolean hasOverdueValue = request.type().settings().objective().overdueValueRatio() > 0;
+        double factor = Math.min(request.requestClass().serviceTimeModel().slowdown(), MAX_ASSUMED_SLOWDOWN);
+        double endMs = context.nowMs() + requiredRunMs(request) * factor;
+        boolean hasOverdueValue = request.requestClass().settings().objective().overdueValueRatio() > 0;
         return endMs > (hasOverdueValue ? request.deadlineMs() : request.objectiveEndMs());
     }
 
     /** Returns the part of the expected run time that must fit into the remaining time. */
-    static double requiredRunMs(TrackedRequest request) {
+    static double requiredRunMs(ScheduledRequest request) {
         return REQUIRED_RUN_RATIO * request.expectedRunMs();
     }
 }
--- a/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ConcurrencyLimits.java
@@ -2,12 +2,12 @@
 
 import java.util.OptionalDouble;
 import java.util.function.Predicate;
-import lineward.scheduling.state.ClassState;
 import lineward.scheduling.state.Engine;
 import lineward.scheduling.state.EngineCapacity;
 import lineward.scheduling.state.LoadReports;
+import lineward.scheduling.state.RequestClassState;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /**
  * Limits the threads that the attempts of this front end use on each engine and on all engines together, and
@@ -97,14 +97,15 @@
     private boolean isCalm() {
         return reports.areShared()
                 ? reports.threadsPerCore() < SATURATION_THREADS_PER_CORE * LoadReports.MIN_LIMIT_JITTER
-                : context.classes().stream().allMatch(type -> type.model().slowdown() < CALM_SLOWDOWN);
+                : context.classes().stream()
+                        .allMatch(type -> type.serviceTimeModel().slowdown() < CALM_SLOWDOWN);
     }
 
     /**
      * Returns whether the engine is below its limit, by its load report if there is a fresh one, otherwise by
      * the counts of this front end.
      */
-    public boolean hasCapacity(Engine engine, TrackedRequest request) {
+    public boolean hasCapacity(Engine engine, ScheduledRequest request) {
         if (reports.hasFreshReport(engine)) {
             double limit = SATURATION_THREADS_PER_CORE
                     * engine.cores()
@@ -120,7 +121,7 @@
         return SATURATION_THREADS_PER_CORE * engine.cores() * quota * speed;
     }
 
-    private boolean hasMemory(Engine engine, TrackedRequest request) {
+    private boolean hasMemory(Engine engine, ScheduledRequest request) {
         if (engine.memoryMb() <= 0 || engine.attemptsInFlight().isEmpty()) {
             return true;
         }
@@ -134,7 +135,7 @@
      * may still start within the quota of its class, which is the fraction that the class has of the value
      * of all requests.
      */
-    public boolean withinFleetQuota(TrackedRequest request, Predicate<Engine> isUsable) {
+    public boolean withinFleetQuota(ScheduledRequest request, Predicate<Engine> isUsable) {
         if (reports.areShared() && frontEnds <= SMALL_FLEET_FRONT_ENDS) {
             return true;
         }
@@ -150,7 +151,7 @@
                 }
                 fleetThreadLimit += engineLimit;
                 threadsInFlight += engine.threadsInFlight();
-                classThreadsInFlight += threadsOf(request.type(), engine);
+                classThreadsInFlight += threadsOf(request.requestClass(), engine);
             }
         }
         if (threadsInFlight == 0 || threadsInFlight + threads <= fleetThreadLimit) {
@@ -159,30 +160,30 @@
         return withinClassQuota(
                 request,
                 classThreadsInFlight,
-                fleetThreadLimit * request.type().demand().valueRatio());
+                fleetThreadLimit * request.requestClass().demand().valueRatio());
     }
 
     /**
      * Returns whether a request fits into the quota of its class. If that quota is less than one request, the
      * class may start single requests, at intervals that keep its mean use within the quota.
      */
-    private boolean withinClassQuota(TrackedRequest request, double inFlight, double classThreadLimit) {
+    private boolean withinClassQuota(ScheduledRequest request, double inFlight, double classThreadLimit) {
         if (inFlight > 0) {
             return inFlight + request.threads() <= classThreadLimit;
         }
         return request.threads() <= classThreadLimit || hasWaitedForQuota(request, classThreadLimit);
     }
 
-    private boolean hasWaitedForQuota(TrackedRequest request, double classThreadLimit) {
-        OptionalDouble lastStartedMs = request.type().lastStartedMs();
+    private boolean hasWaitedForQuota(ScheduledRequest request, double classThreadLimit) {
+        OptionalDouble lastStartedMs = request.requestClass().lastAttemptStartedMs();
         return lastStartedMs.isEmpty()
                 || context.nowMs() - lastStartedMs.getAsDouble()
                         >= request.expectedRunMs() * request.threads() / classThreadLimit;
     }
 
-    private static double threadsOf(ClassState type, Engine engine) {
+    private static double threadsOf(RequestClassState type, Engine engine) {
         long attempts = engine.attemptsInFlight().stream()
-                .filter(attempt -> attempt.request().type() == type)
+                .filter(attempt -> attempt.request().requestClass() == type)
                 .count();
         return attempts * (double) type.settings().executionProfile().threads();
     }
--- a/src/main/java/lineward/scheduling/decision/ResourceLimits.java
+++ b/src/main/java/lineward/scheduling/decision/ResourceLimits.java
@@ -4,10 +4,10 @@
 import lineward.scheduling.MemoryShortageHandling;
 import lineward.scheduling.SchedulerAction;
 import lineward.scheduling.SchedulerSettings;
-import lineward.scheduling.state.ClassState;
 import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.RequestClassState;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Decides the memory grant and the priority of a request's attempts. */
 public final class ResourceLimits {
@@ -38,7 +38,7 @@
      * Returns the limits of the request's next attempt; empty if engines support neither grants nor
      * priorities.
      */
-    public Optional<SchedulerAction> limitsFor(TrackedRequest request, Engine engine) {
+    public Optional<SchedulerAction> limitsFor(ScheduledRequest request, Engine engine) {
         SchedulerSettings.Capabilities capabilities = context.settings().capabilities();
         if (!capabilities.grants() && !capabilities.priorities()) {
             return Optional.empty();
@@ -51,7 +51,7 @@
      * Returns the grant to send to the engine. An engine that pages counts only the memory in use, which is
      * at most the need of the request, so the maximum grant costs nothing there.
      */
-    private double requestedGrantMb(TrackedRequest request, Engine engine) {
+    private double requestedGrantMb(ScheduledRequest request, Engine engine) {
         SchedulerSettings.MemoryLimits memory = context.settings().memoryLimits();
         return memory.shortageHandling() == MemoryShortageHandling.PAGE
                 ? engine.memoryMb() * memory.maxGrantRatio()
@@ -62,11 +62,11 @@
      * Returns the memory that a request is expected to need on an engine. Other policies count this amount as
      * granted, even if the grant that is sent differs.
      */
-    public double expectedMemoryMb(TrackedRequest request, Engine engine) {
+    public double expectedMemoryMb(ScheduledRequest request, Engine engine) {
         SchedulerSettings settings = context.settings();
-        double correction = request.type().model().memoryCorrection();
+        double correction = request.requestClass().serviceTimeModel().memoryCorrection();
         boolean supported = settings.capabilities().grants();
-        double factor = supported ? request.type().grantFactor() : ClassState.INITIAL_GRANT_FACTOR;
+        double factor = supported ? request.requestClass().grantFactor() : RequestClassState.INITIAL_FACTOR;
         double needMb = request.estimatedMemoryMb() * correction * factor;
         return engine.memoryMb() > 0
                 ? Math.min(needMb, engine.memoryMb() * settings.memoryLimits().maxGrantRatio())
@@ -77,33 +77,33 @@
      * Returns the priority; a higher one runs first. Short work comes first, then loads and relaunches, then
      * other long work; requests that are expected to miss their objective come last.
      */
-    private int priority(TrackedRequest request) {
+    private int priority(ScheduledRequest request) {
         double nowMs = context.nowMs();
         if (nowMs + request.expectedRunMs() > request.objectiveEndMs()) {
             return OVERDUE_PRIORITY;
         }
         double largestMeanWorkMs = context.classes().stream()
-                .mapToDouble(type -> type.model().meanWorkMs(nowMs))
+                .mapToDouble(type -> type.serviceTimeModel().meanWorkMs(nowMs))
                 .max()
                 .orElse(0);
         if (request.expectedWorkMs() < largestMeanWorkMs * SHORT_WORK_RATIO) {
             return SHORT_PRIORITY;
         }
-        boolean load = request.type().settings().executionProfile().loadsTableGroup();
+        boolean load = request.requestClass().settings().executionProfile().loadsTableGroup();
         return load || request.isRelaunched() ? LOAD_OR_RELAUNCH_PRIORITY : LONG_PRIORITY;
     }
 
     /**
      * Adapts the grant factor to the memory that a request needed, as a multiple of its corrected estimate.
      */
-    public void recordNeed(ClassState type, double neededFactor) {
+    public void recordNeed(RequestClassState type, double neededFactor) {
         boolean tooSmall = neededFactor > type.grantFactor();
         double change = tooSmall ? 1 + GRANT_STEP * NEED_QUANTILE : 1 - GRANT_STEP * (1 - NEED_QUANTILE);
         type.setGrantFactor(type.grantFactor() * change);
     }
 
     /** Raises the grant factor, up to its maximum, after a request has spilled to disk. */
-    public void recordSpill(ClassState type) {
+    public void recordSpill(RequestClassState type) {
         type.setGrantFactor(Math.min(MAX_GRANT_FACTOR, type.grantFactor() * SPILL_GROWTH_FACTOR));
     }
 }
--- a/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
+++ b/src/main/java/lineward/scheduling/decision/SpeculativeCancellation.java
@@ -3,8 +3,8 @@
 import java.util.OptionalDouble;
 import lineward.scheduling.estimation.ServiceTimeModel;
 import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Decides which attempts are cancelled because they are slow, to be relaunched on another engine. */
 public final class SpeculativeCancellation {
@@ -76,8 +76,8 @@
     }
 
     /** Returns the expected run time of a relaunch at the current slowdown of its class on all engines. */
-    private double expectedRelaunchMs(TrackedRequest request) {
-        ServiceTimeModel model = request.type().model();
+    private double expectedRelaunchMs(ScheduledRequest request) {
+        ServiceTimeModel model = request.requestClass().serviceTimeModel();
         return model.relaunchRatio(context.nowMs()) * request.referenceRunMs() * model.slowdown();
     }
 
@@ -103,12 +103,12 @@
     }
 
     private boolean isSubjectToTimeout(Attempt attempt) {
-        TrackedRequest request = attempt.request();
-        if (request.isRelaunched() || request.isExemptFromCancellation() || attempt.isWaiting()) {
+        ScheduledRequest request = attempt.request();
+        if (request.isRelaunched() || request.isExemptFromSpeculativeTimeout() || attempt.isWaiting()) {
             return false;
         }
-        boolean noTimeoutSavesLoad =
-                request.type().model().hasCurve() && request.type().tauRatio().isEmpty();
+        boolean noTimeoutSavesLoad = request.requestClass().serviceTimeModel().hasCurve()
+                && request.requestClass().speculativeTimeoutRatio().isEmpty();
         boolean enoughRuns = context.serviceTimes().completedRuns() >= ServiceTimeModel.MIN_COMPLETED_RUNS;
         return enoughRuns && !noTimeoutSavesLoad;
     }
@@ -122,11 +122,11 @@
         if (!isSubjectToTimeout(attempt)) {
             return false;
         }
-        TrackedRequest request = attempt.request();
-        double runMs =
-                attempt.runTimeMs(context.nowMs()) / request.type().model().slowdown();
-        OptionalDouble timeoutRatio = request.type().tauRatio();
-        boolean past = timeoutRatio.isPresent() && runMs / request.referenceRunMs() >= timeoutRatio.getAsDouble();
+        ScheduledRequest request = attempt.request();
+        double runMs = attempt.runTimeMs(context.nowMs())
+                / request.requestClass().serviceTimeModel().slowdown();
+        OptionalDouble limit = request.requestClass().speculativeTimeoutRatio();
+        boolean past = limit.isPresent() && runMs / request.referenceRunMs() >= limit.getAsDouble();
         if (!hasFreshProgress(attempt)) {
             return past;
         }
--- a/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
+++ b/src/main/java/lineward/scheduling/execution/OutcomeRecorder.java
@@ -6,8 +6,8 @@
 import lineward.scheduling.decision.ResourceLimits;
 import lineward.scheduling.estimation.ServiceTimeModel;
 import lineward.scheduling.state.Attempt;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Updates the estimators and the outlier detector with the outcomes of attempts. */
 final class OutcomeRecorder {
@@ -43,8 +43,8 @@
 
     private void recordRunTime(Attempt attempt) {
         double nowMs = context.nowMs();
-        TrackedRequest request = attempt.request();
-        ServiceTimeModel model = request.type().model();
+        ScheduledRequest request = attempt.request();
+        ServiceTimeModel model = request.requestClass().serviceTimeModel();
         double runMs = attempt.runTimeMs(nowMs);
         double ratio = runMs / model.slowdown() / request.referenceRunMs();
         if (attempt.isFirstRun()) {
@@ -56,8 +56,8 @@
 
     private void recordFirstRun(Attempt attempt, double runMs, double ratio) {
         double nowMs = context.nowMs();
-        TrackedRequest request = attempt.request();
-        ServiceTimeModel model = request.type().model();
+        ScheduledRequest request = attempt.request();
+        ServiceTimeModel model = request.requestClass().serviceTimeModel();
         model.addFirstRun(ratio, true);
         if (!request.hasWorkEstimate()) {
             model.addWork(runMs * request.threads(), nowMs);
@@ -69,12 +69,12 @@
         context.serviceTimes().addSlowdown(logSlowdown, nowMs);
     }
 
-    private void recordResourceUse(TrackedRequest request, SchedulerEvent.AttemptEnded end) {
-        ServiceTimeModel model = request.type().model();
+    private void recordResourceUse(ScheduledRequest request, SchedulerEvent.AttemptEnded end) {
+        ServiceTimeModel model = request.requestClass().serviceTimeModel();
         if (end.memoryMb() > 0 && request.estimatedMemoryMb() > 0) {
             double logRatio = Math.log(end.memoryMb() / request.estimatedMemoryMb());
             double deviation = model.addMemoryDeviation(logRatio);
-            resources.recordNeed(request.type(), Math.exp(deviation));
+            resources.recordNeed(request.requestClass(), Math.exp(deviation));
         }
         if (end.workMs() > 0 && request.hasWorkEstimate()) {
             model.addWorkDeviation(Math.log(end.workMs() / request.estimatedWorkMs()));
@@ -91,8 +91,8 @@
         if (!attempt.isFirstRun() || attempt.isCancelledForMigration()) {
             return;
         }
-        TrackedRequest request = attempt.request();
-        ServiceTimeModel model = request.type().model();
+        ScheduledRequest request = attempt.request();
+        ServiceTimeModel model = request.requestClass().serviceTimeModel();
         double ratio = attempt.runTimeMs(context.nowMs()) / model.slowdown() / request.referenceRunMs();
         model.addFirstRun(Math.max(ratio, minCensoredRatio(attempt)), false);
     }
@@ -103,6 +103,7 @@
             return 0;
         }
         double predicted = predictedMs.getAsDouble() / attempt.request().referenceRunMs();
-        return Math.min(attempt.request().type().tauRatio().orElse(predicted), predicted);
+        return Math.min(
+                attempt.request().requestClass().speculativeTimeoutRatio().orElse(predicted), predicted);
     }
 }
--- a/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
+++ b/src/main/java/lineward/scheduling/execution/PeriodicRecomputation.java
@@ -7,10 +7,10 @@
 import lineward.scheduling.decision.ConcurrencyLimits;
 import lineward.scheduling.decision.SpeculativeTimeout;
 import lineward.scheduling.state.Attempt;
-import lineward.scheduling.state.ClassState;
 import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.RequestClassState;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /** Recomputes the estimates, the speculative timeouts, the demand and the quota, twice a second. */
 final class PeriodicRecomputation {
@@ -31,8 +31,8 @@
         }
         nextRunAtMs = context.nowMs() + INTERVAL_MS;
         recomputeServiceTimes();
-        for (ClassState type : context.classes()) {
-            type.setTauRatio(SpeculativeTimeout.timeoutRatio(type, context.nowMs()));
+        for (RequestClassState type : context.classes()) {
+            type.setSpeculativeTimeoutRatio(SpeculativeTimeout.timeoutRatio(type, context.nowMs()));
         }
         context.recomputeDemand();
         limits.adaptQuota(requestsBlocked, INTERVAL_MS);
@@ -40,24 +40,24 @@
 
     private void recomputeServiceTimes() {
         double nowMs = context.nowMs();
-        Map<ClassState, List<Double>> inFlight = firstRunsInFlight();
+        Map<RequestClassState, List<Double>> inFlight = firstRunsInFlight();
         context.serviceTimes().recomputeSlowdown(nowMs);
-        for (ClassState type : context.classes()) {
-            type.model().recompute(nowMs, inFlight.get(type));
+        for (RequestClassState type : context.classes()) {
+            type.serviceTimeModel().recompute(nowMs, inFlight.get(type));
             type.demand().decay(nowMs);
         }
         context.serviceTimes().decay(nowMs);
     }
 
-    private Map<ClassState, List<Double>> firstRunsInFlight() {
-        Map<ClassState, List<Double>> ratios = new LinkedHashMap<>();
+    private Map<RequestClassState, List<Double>> firstRunsInFlight() {
+        Map<RequestClassState, List<Double>> ratios = new LinkedHashMap<>();
         context.classes().forEach(type -> ratios.put(type, new ArrayList<>()));
         for (Engine engine : context.engines()) {
             for (Attempt attempt : engine.attemptsInFlight()) {
                 if (attempt.isFirstRun() && attempt.isRunning()) {
-                    TrackedRequest request = attempt.request();
+                    ScheduledRequest request = attempt.request();
                     double ratio = attempt.runTimeMs(context.nowMs()) / request.referenceRunMs();
-                    ratios.get(request.type()).add(ratio);
+                    ratios.get(request.requestClass()).add(ratio);
                 }
             }
         }
--- a/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
+++ b/src/main/java/lineward/scheduling/execution/SpeculativeScheduler.java
@@ -8,10 +8,10 @@
 import lineward.scheduling.SchedulerSettings;
 import lineward.scheduling.decision.LoadReportPolling;
 import lineward.scheduling.state.Attempt;
-import lineward.scheduling.state.ClassState;
 import lineward.scheduling.state.Engine;
+import lineward.scheduling.state.RequestClassState;
+import lineward.scheduling.state.ScheduledRequest;
 import lineward.scheduling.state.SchedulerContext;
-import lineward.scheduling.state.TrackedRequest;
 
 /**
  * The scheduler of one pool of engines: passes each event to the class that handles it, sweeps over the
@@ -99,10 +99,10 @@
 
     @Override
     public void requestArrived(SchedulerEvent.RequestArrived arrival) {
-        TrackedRequest request = context.addRequest(arrival, components.speculation.drawExempt());
-        ClassState type = request.type();
+        ScheduledRequest request = context.addRequest(arrival, components.speculation.drawExempt());
+        RequestClassState type = request.requestClass();
         if (request.hasWorkEstimate()) {
-            type.model().addWork(request.expectedWorkMs(), context.nowMs());
+            type.serviceTimeModel().addWork(request.expectedWorkMs(), context.nowMs());
         }
         components.retryBudget.recordAdmission();
         components.polling.countRequest();
@@ -122,7 +122,7 @@
         attempt.setWaiting(report.kind().isWaiting(), context.nowMs());
         switch (report.kind()) {
             case RATIO_DONE -> attempt.recordProgress(report.amount(), context.nowMs());
-            case SPILLING -> components.resources.recordSpill(attempt.request().type());
+            case SPILLING -> components.resources.recordSpill(attempt.request().requestClass());
             case WAITING_FOR_MEMORY, WAITING_FOR_LOAD -> components.sweep.recordWaiting(attempt);
         }
     }
@@ -134,7 +134,7 @@
 
     @Override
     public void responseStarted(SchedulerEvent.ResponseStarted response) {
-        TrackedRequest request = context.findRequest(response.requestId());
+        ScheduledRequest request = context.findRequest(response.requestId());
         if (request != null) {
             request.startResponse();
         }
@@ -142,7 +142,7 @@
 
     @Override
     public void requestCancelled(SchedulerEvent.RequestCancelled cancelled) {
-        TrackedRequest request = context.findRequest(cancelled.requestId());
+        ScheduledRequest request = context.findRequest(cancelled.requestId());
         if (request != null) {
             components.lifecycle.complete(request);
         }
--- a/src/main/java/lineward/scheduling/state/ClassState.java
+++ b/src/main/java/lineward/scheduling/state/RequestClassState.java
@@ -7,22 +7,22 @@
 import lineward.scheduling.estimation.ServiceTimeModel;
 
 /** One class of requests: its settings, its measurements, and the values that policies derive for it. */
-public final class ClassState {
+public final class RequestClassState {
     /** Ratio of memory grants to the corrected memory estimates before the first outcome. */
-    public static final double INITIAL_GRANT_FACTOR = 1.25;
+    public static final double INITIAL_FACTOR = 1.25;
 
     private final RequestClass settings;
-    private final ServiceTimeModel model;
+    private final ServiceTimeModel serviceTimeModel;
     private final ClassDemand demand = new ClassDemand();
 
-    private OptionalDouble tauRatio = OptionalDouble.empty();
-    private OptionalDouble lastStartedMs = OptionalDouble.empty();
+    private OptionalDouble speculativeTimeoutRatio = OptionalDouble.empty();
+    private OptionalDouble lastAttemptStartedMs = OptionalDouble.empty();
     private boolean dispatchPaused;
-    private double grantFactor = INITIAL_GRANT_FACTOR;
+    private double grantFactor = INITIAL_FACTOR;
 
-    ClassState(RequestClass settings, FleetServiceTimes fleet) {
+    RequestClassState(RequestClass settings, FleetServiceTimes fleet) {
         this.settings = settings;
-        this.model = new ServiceTimeModel(settings, fleet);
+        this.serviceTimeModel = new ServiceTimeModel(settings, fleet);
     }
 
     /** Returns the settings of the class. */
@@ -31,8 +31,8 @@
     }
 
     /** Returns the model of the run times of the class. */
-    public ServiceTimeModel model() {
-        return model;
+    public ServiceTimeModel serviceTimeModel() {
+        return serviceTimeModel;
     }
 
     /** Returns the measured demand of the class. */
@@ -44,13 +44,13 @@
      * Returns the speculative timeout of the class as a multiple of the reference run time: the run time
      * after which an attempt is cancelled and relaunched on another engine; empty if there is none.
      */
-    public OptionalDouble tauRatio() {
-        return tauRatio;
+    public OptionalDouble speculativeTimeoutRatio() {
+        return speculativeTimeoutRatio;
     }
 
     /** Sets the speculative timeout as a multiple of the reference run time; empty for none. */
-    public void setTauRatio(OptionalDouble ratio) {
-        tauRatio = ratio;
+    public void setSpeculativeTimeoutRatio(OptionalDouble ratio) {
+        speculativeTimeoutRatio = ratio;
     }
 
     /** Returns whether the class gets no more attempts in the current decision. */
@@ -74,17 +74,17 @@
     }
 
     /** Returns when an attempt of the class was last started; empty before the first one. */
-    public OptionalDouble lastStartedMs() {
-        return lastStartedMs;
+    public OptionalDouble lastAttemptStartedMs() {
+        return lastAttemptStartedMs;
     }
 
     /** Records the start of an attempt of the class. */
-    public void recordStart(double nowMs) {
-        lastStartedMs = OptionalDouble.of(nowMs);
+    public void recordAttemptStart(double nowMs) {
+        lastAttemptStartedMs = OptionalDouble.of(nowMs);
     }
 
     /** Returns the work by which a request counts in a slow-start budget: at least the class's mean work. */
-    public double slowStartWorkMs(TrackedRequest request, double nowMs) {
-        return Math.max(request.expectedWorkMs(), model.meanWorkWithPriorMs(nowMs));
+    public double slowStartWorkMs(ScheduledRequest request, double nowMs) {
+        return Math.max(request.expectedWorkMs(), serviceTimeModel.meanWorkWithPriorMs(nowMs));
     }
 }
--- a/src/main/java/lineward/scheduling/state/TrackedRequest.java
+++ b/src/main/java/lineward/scheduling/state/ScheduledRequest.java
@@ -11,7 +11,7 @@
 import lineward.scheduling.SchedulerEvent;
 
 /** One admitted request: its estimates, its lifecycle and its attempts. Times are in milliseconds. */
-public final class TrackedRequest {
+public final class ScheduledRequest {
     /** Run time assumed without an estimate, as a fraction of the latency objective. */
     private static final double DEFAULT_RUN_TIME_RATIO = 0.3;
 
@@ -20,14 +20,14 @@
     private final long id;
     private final long key;
     private final int tableGroup;
-    private final ClassState type;
+    private final RequestClassState requestClass;
     private final double admittedAtMs;
     private final double deadlineMs;
     private final double objectiveEndMs;
     private final double referenceRunMs;
     private final double estimatedWorkMs;
     private final double estimatedMemoryMb;
-    private final boolean exemptFromCancellation;
+    private final boolean exemptFromSpeculativeTimeout;
 
     private final List<Attempt> attempts = new ArrayList<>(2);
     private final List<Attempt> attemptsView = Collections.unmodifiableList(attempts);
@@ -49,26 +49,30 @@
     /**
      * Creates a queued request.
      *
-     * @param exempt whether the speculative timeout does not apply to its attempts
+     * @param exemptFromSpeculativeTimeout whether the speculative timeout does not apply to its attempts
      */
-    TrackedRequest(SchedulerEvent.RequestArrived arrival, ClassState type, boolean exempt, double nowMs) {
+    ScheduledRequest(
+            SchedulerEvent.RequestArrived arrival,
+            RequestClassState requestClass,
+            boolean exemptFromSpeculativeTimeout,
+            double nowMs) {
         this.id = arrival.requestId();
         this.key = arrival.key();
         this.tableGroup = arrival.tableGroup();
-        this.type = type;
-        this.exemptFromCancellation = exempt;
+        this.requestClass = requestClass;
+        this.exemptFromSpeculativeTimeout = exemptFromSpeculativeTimeout;
         this.admittedAtMs = nowMs;
         this.deadlineMs = nowMs + arrival.timeLeftMs();
         this.estimatedWorkMs = arrival.estimatedWorkMs();
         this.estimatedMemoryMb = arrival.estimatedMemoryMb();
-        RequestClass.Objective objective = type.settings().objective();
+        RequestClass.Objective objective = requestClass.settings().objective();
         double estimateMs = hasWorkEstimate()
-                ? estimatedWorkMs * type.model().workCorrection() / threads()
+                ? estimatedWorkMs * requestClass.serviceTimeModel().workCorrection() / threads()
                 : objective.latencyMs() * DEFAULT_RUN_TIME_RATIO;
         this.referenceRunMs = Math.max(1, estimateMs);
         double runMs = hasWorkEstimate()
                 ? referenceRunMs
-                : referenceRunMs * type.model().typicalRatio();
+                : referenceRunMs * requestClass.serviceTimeModel().typicalRatio();
         double objectiveMs = nowMs + objective.latencyMs() + objective.latencyPerRunTime() * runMs;
         this.objectiveEndMs = Math.min(deadlineMs, objectiveMs);
     }
@@ -89,8 +93,8 @@
     }
 
     /** Returns the class of the request. */
-    public ClassState type() {
-        return type;
+    public RequestClassState requestClass() {
+        return requestClass;
     }
 
     /** Returns when the request was admitted. */
@@ -135,13 +139,13 @@
      * Returns whether the speculative timeout does not apply to the request. A fraction of the requests is
      * exempt, so that runs beyond the timeout are still measured and the survival curve keeps its tail.
      */
-    public boolean isExemptFromCancellation() {
-        return exemptFromCancellation;
+    public boolean isExemptFromSpeculativeTimeout() {
+        return exemptFromSpeculativeTimeout;
     }
 
     /** Returns the expected run time at typical speed, without the current slowdown of the class. */
     public double expectedRunMs() {
-        return referenceRunMs * type.model().typicalRatio();
+        return referenceRunMs * requestClass.serviceTimeModel().typicalRatio();
     }
 
     /** Returns the expected work, summed over all threads. */
@@ -151,22 +155,22 @@
 
     /** Returns the number of threads that an attempt runs on. */
     public int threads() {
-        return type.settings().executionProfile().threads();
+        return requestClass.settings().executionProfile().threads();
     }
 
     /** Returns whether the request may run any number of times. */
     public boolean isIdempotent() {
-        return type.settings().repeatability().idempotence() == Idempotence.IDEMPOTENT;
+        return requestClass.settings().repeatability().idempotence() == Idempotence.IDEMPOTENT;
     }
 
     /** Returns whether engines deduplicate repeated runs by the idempotency key. */
     public boolean isIdempotentByKey() {
-        return type.settings().repeatability().idempotence() == Idempotence.BY_KEY;
+        return requestClass.settings().repeatability().idempotence() == Idempotence.BY_KEY;
     }
 
     /** Returns whether the request must run in order of arrival among the requests with its key. */
     public boolean isOrdered() {
-        return key != NO_KEY && type.settings().repeatability().inOrder();
+        return key != NO_KEY && requestClass.settings().repeatability().inOrder();
     }
 
     /** Returns the lifecycle state of the request. */
--- a/src/main/java/lineward/scheduling/state/SchedulerContext.java
+++ b/src/main/java/lineward/scheduling/state/SchedulerContext.java
@@ -28,8 +28,8 @@
     private final SplittableRandom random;
     private final TreeMap<Long, Engine> engines = new TreeMap<>();
     private final Collection<Engine> enginesView = Collections.unmodifiableCollection(engines.values());
-    private final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
-    private final List<ClassState> classes;
+    private final Map<Long, ScheduledRequest> requests = new LinkedHashMap<>();
+    private final List<RequestClassState> classes;
     private final FleetServiceTimes serviceTimes = new FleetServiceTimes();
     private final FleetDemand demand = new FleetDemand();
 
@@ -47,7 +47,7 @@
         this.settings = settings;
         this.random = new SplittableRandom(seed);
         this.classes = settings.classes().stream()
-                .map(requestClass -> new ClassState(requestClass, serviceTimes))
+                .map(requestClass -> new RequestClassState(requestClass, serviceTimes))
                 .toList();
     }
 
@@ -99,12 +99,12 @@
     }
 
     /** Returns the classes in the order of the settings. */
-    public List<ClassState> classes() {
+    public List<RequestClassState> classes() {
         return classes;
     }
 
     /** Returns the class with the given index; an index past the end selects the last class. */
-    public ClassState requestClass(int index) {
+    public RequestClassState requestClass(int index) {
         return classes.get(Math.min(index, classes.size() - 1));
     }
 
@@ -165,30 +165,30 @@
     }
 
     /** Returns the request with the given id; null if there is none. */
-    public TrackedRequest findRequest(long id) {
+    public ScheduledRequest findRequest(long id) {
         return requests.get(id);
     }
 
     /**
      * Adds a request that has just been admitted.
      *
-     * @param exempt whether the speculative timeout does not apply to its attempts
+     * @param exemptFromTimeout whether the speculative timeout does not apply to its attempts
      */
-    public TrackedRequest addRequest(SchedulerEvent.RequestArrived arrival, boolean exempt) {
-        ClassState requestClass = requestClass(arrival.requestClass());
-        TrackedRequest request = new TrackedRequest(arrival, requestClass, exempt, nowMs);
+    public ScheduledRequest addRequest(SchedulerEvent.RequestArrived arrival, boolean exemptFromTimeout) {
+        RequestClassState requestClass = requestClass(arrival.requestClass());
+        ScheduledRequest request = new ScheduledRequest(arrival, requestClass, exemptFromTimeout, nowMs);
         requests.put(request.id(), request);
         return request;
     }
 
     /** Removes a request that is complete and has no attempt in flight. */
-    public void removeRequest(TrackedRequest request) {
+    public void removeRequest(ScheduledRequest request) {
         requests.remove(request.id());
     }
 
     /** Returns the attempt if it is known and has not ended; else null. */
     public Attempt findAttemptInFlight(long requestId, int attemptIndex) {
-        TrackedRequest request = requests.get(requestId);
+        ScheduledRequest request = requests.get(requestId);
         if (request == null || attemptIndex >= request.attempts().size()) {
             return null;
         }
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -9,9 +9,9 @@
 import lineward.scheduling.RequestClass;
 import lineward.scheduling.SchedulerAction;
 import lineward.scheduling.SchedulerAction.SetResourceLimits;
-import lineward.scheduling.state.ClassState;
 import lineward.scheduling.state.Engine;
-import lineward.scheduling.state.TrackedRequest;
+import lineward.scheduling.state.RequestClassState;
+import lineward.scheduling.state.ScheduledRequest;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -19,7 +19,7 @@
     private static final double TOLERANCE = 1e-9;
     private static final double NO_WORK = 0;
 
-    private static SetResourceLimits limits(PolicyFixture policies, TrackedRequest request) {
+    private static SetResourceLimits limits(PolicyFixture policies, ScheduledRequest request) {
         Optional<SchedulerAction> limits = policies.resources.limitsFor(request, policies.listEngine(1));
         return (SetResourceLimits) limits.orElseThrow();
     }
@@ -75,7 +75,7 @@
         settings.memoryShortage = shortage;
         settings.engineKind = new EngineKind(8, engineMb);
         PolicyFixture policies = new PolicyFixture(settings);
-        TrackedRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, estimateMb);
+        ScheduledRequest request = policies.admit(0, PolicyFixture.NO_KEY, 200, estimateMb);
         assertThat(limits(policies, request).grantMb()).isEqualTo(grantMb);
         assertThat(policies.resources.expectedMemoryMb(request, policies.listEngine(1)))
                 .isEqualTo(countedMb);
@@ -107,9 +107,9 @@
         settings.workload = new RequestClass.ExecutionProfile(load, false, 1);
         PolicyFixture policies = new PolicyFixture(settings);
         if (meanWorkMs > NO_WORK) {
-            policies.context.requestClass(0).model().addWork(meanWorkMs, PolicyFixture.START_MS);
+            policies.context.requestClass(0).serviceTimeModel().addWork(meanWorkMs, PolicyFixture.START_MS);
         }
-        TrackedRequest request = policies.admit();
+        ScheduledRequest request = policies.admit();
         if (relaunched) {
             policies.cancelAndRequeue(policies.start(request, policies.listEngine(2)));
         }
@@ -134,7 +134,7 @@
     @Test(dataProvider = "needs")
     public void learnsTheGrantFactor(double before, double need, double afterNeed, double afterSpill) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
-        ClassState type = policies.context.requestClass(0);
+        RequestClassState type = policies.context.requestClass(0);
         type.setGrantFactor(before);
         policies.resources.recordNeed(type, need);
         assertThat(type.grantFactor()).isCloseTo(afterNeed, within(TOLERANCE));
