--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -23,7 +23,7 @@
     private final FrontEndContext context = new FrontEndContext();
     private final TelemetryWiring telemetry = new TelemetryWiring(context.metrics(), context.environment());
     private final DiscoveryWiring discovery = new DiscoveryWiring(context);
-    private LifecycleWiring.Instance instance = LifecycleWiring.Instance.mysqlOnly();
+    private LifecycleWiring.ProcessProperties process = LifecycleWiring.ProcessProperties.mysqlOnly();
     /** Null if the configuration names no admin endpoint. */
     private InetSocketAddress adminAddress;
 
@@ -35,7 +35,7 @@
      */
     void addPlatform(ConfigFile file) {
         Config config = file.read();
-        instance = new ThriftWiring(context, config).connect(telemetry, discovery, file);
+        process = new ThriftWiring(context, config).connect(telemetry, discovery, file);
         adminAddress = config.addresses().admin();
     }
 
@@ -59,7 +59,7 @@
      * Starts the servers and returns; throws a {@link ConfigException} if there is none or one can't listen.
      */
     void run() {
-        lifecycle = LifecycleWiring.create(context, instance);
+        lifecycle = LifecycleWiring.create(context, process);
         // Registered before the start: clients may connect during it, and SIGTERM must drain them too.
         Thread shutdownHook = new Thread(this::terminate, "end");
         Runtime.getRuntime().addShutdownHook(shutdownHook);
--- a/src/main/java/lineward/app/LifecycleWiring.java
+++ b/src/main/java/lineward/app/LifecycleWiring.java
@@ -32,10 +32,10 @@
      * @param isListenerInherited whether other processes accept on the clients' socket
      * @param longestDeadlineMs longest deadline of the classes of requests
      */
-    record Instance(String name, boolean isListenerInherited, double longestDeadlineMs) {
+    record ProcessProperties(String name, boolean isListenerInherited, double longestDeadlineMs) {
         /** Returns the properties of a process that serves MySQL clients only. */
-        static Instance mysqlOnly() {
-            return new Instance(MYSQL_ONLY_NAME, false, MAX_RESTART_MS);
+        static ProcessProperties mysqlOnly() {
+            return new ProcessProperties(MYSQL_ONLY_NAME, false, MAX_RESTART_MS);
         }
 
         /** Returns the time after SIGTERM at which open requests are failed. */
@@ -48,19 +48,19 @@
     private LifecycleWiring() {}
 
     /** Returns the lifecycle of all protocol servers of the front end. */
-    static Lifecycle create(FrontEndContext context, Instance instance) {
+    static Lifecycle create(FrontEndContext context, ProcessProperties process) {
         List<ProtocolServer> servers = context.protocolServers();
         String folder = context.environment().getOrDefault(SHARED_FOLDER_VARIABLE, "");
         Path sharedFolder = folder.isBlank() ? null : Path.of(folder);
         HotRestart hotRestart =
-                new HotRestart(sharedFolder, instance.name(), context.clock(), new RestartListener(servers));
+                new HotRestart(sharedFolder, process.name(), context.clock(), new RestartListener(servers));
         return new Lifecycle(
                 context.eventLoop(),
                 context.ticker(),
                 servers,
                 context.metrics(),
                 hotRestart,
-                new Lifecycle.ShutdownOptions(instance.isListenerInherited(), instance.shutdownDeadlineMs()));
+                new Lifecycle.ShutdownOptions(process.isListenerInherited(), process.shutdownDeadlineMs()));
     }
 
     /** Applies changes of engines' maintenance and of the quota to all protocol servers. */
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -52,10 +52,11 @@
      * Creates the server, after a warm-up, applies the initial endpoints and adds the server to the front
      * end.
      *
-     * @param file file from which a reload reads the address of service discovery
+     * @param configFile file from which a reload reads the address of service discovery
      * @return the properties of this process that its lifecycle depends on
      */
-    LifecycleWiring.Instance connect(TelemetryWiring telemetry, DiscoveryWiring discovery, ConfigFile file) {
+    LifecycleWiring.ProcessProperties connect(
+            TelemetryWiring telemetry, DiscoveryWiring discovery, ConfigFile configFile) {
         Coordinator<Call> coordinator = coordinator(config.seed(), telemetry.tracer(Call::requestClass));
         EngineCluster cluster = cluster();
         context.metrics().registerClasses(names.classes());
@@ -80,8 +81,8 @@
         });
         context.runOnEventLoop(() -> applyInitial(endpoints));
         context.protocolServers().add(server);
-        discovery.follow(config.addresses().discovery(), file, endpoints);
-        return instance(clients.isInherited());
+        discovery.follow(config.addresses().discovery(), configFile, endpoints);
+        return processProperties(clients.isInherited());
     }
 
     private Coordinator<Call> coordinator(long seed, Tracer<Call> tracer) {
@@ -121,12 +122,12 @@
         }
     }
 
-    private LifecycleWiring.Instance instance(boolean isInherited) {
+    private LifecycleWiring.ProcessProperties processProperties(boolean isInherited) {
         String name = config.name() + '-' + config.addresses().listen().getPort();
         double longestDeadlineMs = names.deadlines().stream()
                 .mapToDouble(Double::doubleValue)
                 .max()
                 .orElse(LifecycleWiring.MAX_RESTART_MS);
-        return new LifecycleWiring.Instance(name, isInherited, longestDeadlineMs);
+        return new LifecycleWiring.ProcessProperties(name, isInherited, longestDeadlineMs);
     }
 }
