--- a/src/main/java/lineward/app/ConfigFile.java
+++ b/src/main/java/lineward/app/ConfigFile.java
@@ -45,7 +45,7 @@
      *
      * @throws ConfigException with a message of one line if the file can't be used
      */
-    Config read() {
+    PlatformConfig read() {
         ConfigNode root = ConfigNode.root(path, parse());
         ConfigNode settings = root.member("settings");
         if (!settings.value().isObject()) {
@@ -53,15 +53,15 @@
         }
         InetSocketAddress listen = root.member("listen").address();
         long seed = seed(root.member("seed"));
-        Config.Resources resources = resources(root.member("limits"));
+        PlatformConfig.Resources resources = resources(root.member("limits"));
         String discovery = discovery(root.member("journal"));
         ConfigNode admin = root.member("management");
         InetSocketAddress adminAddress = admin.isPresent() ? admin.address() : null;
-        Config.Gossip gossip = gossip(root);
+        PlatformConfig.Gossip gossip = gossip(root);
         SchedulerSettings schedulerSettings = schedulerSettings(settings);
-        return new Config(
+        return new PlatformConfig(
                 root.member("name").text("lineward"),
-                new Config.Addresses(listen, discovery, adminAddress, gossip),
+                new PlatformConfig.Addresses(listen, discovery, adminAddress, gossip),
                 seed,
                 resources,
                 engineConnections(settings.member("limits").value()),
@@ -83,21 +83,21 @@
         }
     }
 
-    private static Config.Resources resources(ConfigNode limits) {
-        return new Config.Resources(
+    private static PlatformConfig.Resources resources(ConfigNode limits) {
+        return new PlatformConfig.Resources(
                 limits.member("memory_mb").lenientPositiveInt(DEFAULT_MEMORY_MB),
                 limits.member("sockets").lenientPositiveInt(DEFAULT_DESCRIPTORS));
     }
 
-    private static Config.EngineConnections engineConnections(JsonNode limits) {
-        return new Config.EngineConnections(
+    private static PlatformConfig.EngineConnections engineConnections(JsonNode limits) {
+        return new PlatformConfig.EngineConnections(
                 limits.path("connect-timeout").asInt(DEFAULT_CONNECT_TIMEOUT_MS),
                 limits.path("conn-idle").asDouble(DEFAULT_CONNECTION_IDLE_MS),
                 limits.path("streams-per-conn").asInt(DEFAULT_STREAMS));
     }
 
     /** Returns null if the settings do not allow gossip, or the file has no listen address for it. */
-    private static Config.Gossip gossip(ConfigNode root) {
+    private static PlatformConfig.Gossip gossip(ConfigNode root) {
         ConfigNode limits = root.member("settings").member("limits");
         boolean isAllowed = limits.member("peer-messages").value().asBoolean(false);
         ConfigNode listen = root.member("peer_listen");
@@ -108,7 +108,7 @@
         for (ConfigNode peer : root.member("peers").elements()) {
             numbers.put(peer.address(), numbers.size());
         }
-        return new Config.Gossip(
+        return new PlatformConfig.Gossip(
                 listen.address(), numbers, root.member("peers_all").address());
     }
 
@@ -137,8 +137,8 @@
         }
     }
 
-    private static Config.Names names(ConfigNode settings) {
-        return new Config.Names(
+    private static PlatformConfig.Names names(ConfigNode settings) {
+        return new PlatformConfig.Names(
                 names(settings.value().path("classes")),
                 names(settings.value().path("tenants")),
                 names(settings.value().path("skus")),
--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -34,7 +34,7 @@
      * used.
      */
     void addPlatform(ConfigFile file) {
-        Config config = file.read();
+        PlatformConfig config = file.read();
         process = new ThriftWiring(context, config).connect(telemetry, discovery, file);
         adminAddress = config.addresses().admin();
     }
--- a/src/main/java/lineward/app/GossipWiring.java
+++ b/src/main/java/lineward/app/GossipWiring.java
@@ -21,17 +21,20 @@
      * Creates a socket that is opened when the front end starts.
      *
      * @param gossip addresses of the gossip; null if there is none
-     * @param received run on the event loop after each message from another front end
+     * @param afterEachMessage run on the event loop after each message from another front end
      * @return a function that broadcasts a message; it drops the message if there is no gossip
      */
     static Consumer<byte[]> connect(
-            FrontEndContext context, Config.Gossip gossip, Coordinator<?> coordinator, Runnable received) {
+            FrontEndContext context,
+            PlatformConfig.Gossip gossip,
+            Coordinator<?> coordinator,
+            Runnable afterEachMessage) {
         if (gossip == null) {
             return payload -> {};
         }
         GossipSocket socket = new GossipSocket(gossip.peers(), gossip.all(), (from, payload) -> {
             coordinator.gossipReceived(from, payload);
-            received.run();
+            afterEachMessage.run();
         });
         context.startActions().add(() -> open(context, socket, gossip.listen()));
         return socket::broadcast;
--- a/src/main/java/lineward/app/Config.java
+++ b/src/main/java/lineward/app/PlatformConfig.java
@@ -14,7 +14,7 @@
  * @param initialEndpoints discovery events that are applied before the start, in the wire format of service
  *     discovery
  */
-record Config(
+record PlatformConfig(
         String name,
         Addresses addresses,
         long seed,
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -28,19 +28,19 @@
     private static final double ENGINE_DESCRIPTOR_RATIO = 0.35;
 
     private final FrontEndContext context;
-    private final Config config;
+    private final PlatformConfig config;
     private final ThriftServer.Names names;
     private final ThriftServer.Bounds bounds;
 
-    ThriftWiring(FrontEndContext context, Config config) {
+    ThriftWiring(FrontEndContext context, PlatformConfig config) {
         this.context = context;
         this.config = config;
-        Config.Names configured = config.names();
+        PlatformConfig.Names configured = config.names();
         this.names = new ThriftServer.Names(configured.classes(), configured.tenants(), config.deadlinesMs());
         this.bounds = bounds(config.resources());
     }
 
-    private static ThriftServer.Bounds bounds(Config.Resources resources) {
+    private static ThriftServer.Bounds bounds(PlatformConfig.Resources resources) {
         long memoryBytes = resources.memoryMb() * BYTES_PER_MB;
         return new ThriftServer.Bounds(
                 (int) (resources.descriptors() * CLIENT_DESCRIPTOR_RATIO),
@@ -93,7 +93,7 @@
     }
 
     private EngineCluster cluster() {
-        Config.EngineConnections connections = config.engineConnections();
+        PlatformConfig.EngineConnections connections = config.engineConnections();
         EngineCluster.Limits limits = new EngineCluster.Limits(
                 connections.connectTimeoutMs(),
                 connections.idleMs(),
