--- a/src/main/java/lineward/app/ConfigFile.java
+++ b/src/main/java/lineward/app/ConfigFile.java
@@ -26,7 +26,7 @@
     private static final int DEFAULT_DESCRIPTORS = 1024;
     private static final int DEFAULT_CONNECT_TIMEOUT_MS = 250;
     private static final double DEFAULT_CONNECTION_IDLE_MS = 30_000;
-    private static final int DEFAULT_STREAMS = 100;
+    private static final int DEFAULT_ATTEMPTS_PER_CONNECTION = 100;
 
     private final String path;
 
@@ -93,7 +93,7 @@
         return new PlatformConfig.EngineConnections(
                 limits.path("connect-timeout").asInt(DEFAULT_CONNECT_TIMEOUT_MS),
                 limits.path("conn-idle").asDouble(DEFAULT_CONNECTION_IDLE_MS),
-                limits.path("streams-per-conn").asInt(DEFAULT_STREAMS));
+                limits.path("streams-per-conn").asInt(DEFAULT_ATTEMPTS_PER_CONNECTION));
     }
 
     /** Returns null if the settings do not allow gossip, or the file has no listen address for it. */
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -97,7 +97,7 @@
         EngineCluster.Limits limits = new EngineCluster.Limits(
                 connections.connectTimeoutMs(),
                 connections.idleMs(),
-                connections.streams(),
+                connections.attemptsPerConnection(),
                 (int) (config.resources().descriptors() * ENGINE_DESCRIPTOR_RATIO),
                 !config.settings().reporting().fields().isEmpty());
         return new EngineCluster(context.eventLoopGroup(), limits, context.metrics()::countForwarded);
