--- a/src/main/java/lineward/app/ConfigFile.java
+++ b/src/main/java/lineward/app/ConfigFile.java
@@ -25,7 +25,7 @@
     private static final int DEFAULT_MEMORY_MB = 192;
     private static final int DEFAULT_DESCRIPTORS = 1024;
     private static final int DEFAULT_CONNECT_TIMEOUT_MS = 250;
-    private static final double DEFAULT_CONNECTION_IDLE_MS = 30_000;
+    private static final double DEFAULT_ENGINE_IDLE_TIMEOUT_MS = 30_000;
     private static final int DEFAULT_ATTEMPTS_PER_CONNECTION = 100;
 
     private final String path;
@@ -92,7 +92,7 @@
     private static PlatformConfig.EngineConnections engineConnections(JsonNode limits) {
         return new PlatformConfig.EngineConnections(
                 limits.path("connect-timeout").asInt(DEFAULT_CONNECT_TIMEOUT_MS),
-                limits.path("conn-idle").asDouble(DEFAULT_CONNECTION_IDLE_MS),
+                limits.path("conn-idle").asDouble(DEFAULT_ENGINE_IDLE_TIMEOUT_MS),
                 limits.path("streams-per-conn").asInt(DEFAULT_ATTEMPTS_PER_CONNECTION));
     }
 
--- a/src/main/java/lineward/app/PlatformConfig.java
+++ b/src/main/java/lineward/app/PlatformConfig.java
@@ -50,10 +50,10 @@
      * The limits on connections to engines.
      *
      * @param connectTimeoutMs time after which a connection that is not established is overdue
-     * @param idleMs time after which engines close an idle connection
+     * @param engineIdleTimeoutMs time after which engines close an idle connection
      * @param attemptsPerConnection maximum number of concurrent attempts on one connection
      */
-    record EngineConnections(int connectTimeoutMs, double idleMs, int attemptsPerConnection) {}
+    record EngineConnections(int connectTimeoutMs, double engineIdleTimeoutMs, int attemptsPerConnection) {}
 
     /** The names in requests and discovery events, each list in the order of the settings. */
     record Names(List<String> classes, List<String> tenants, List<String> engineKinds, List<String> zones) {}
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -96,7 +96,7 @@
         PlatformConfig.EngineConnections connections = config.engineConnections();
         EngineCluster.Limits limits = new EngineCluster.Limits(
                 connections.connectTimeoutMs(),
-                connections.idleMs(),
+                connections.engineIdleTimeoutMs(),
                 connections.attemptsPerConnection(),
                 (int) (config.resources().descriptors() * ENGINE_DESCRIPTOR_RATIO),
                 !config.settings().reporting().fields().isEmpty());
