--- a/src/main/java/lineward/app/DiscoveryWiring.java
+++ b/src/main/java/lineward/app/DiscoveryWiring.java
@@ -25,7 +25,7 @@
      * @param file the file from which a reload reads the address
      * @param endpoints updated by the polls
      */
-    void follow(String address, ConfigFile file, EndpointList endpoints) {
+    void follow(String address, PlatformConfigFile file, EndpointList endpoints) {
         context.runOnEventLoop(() -> {
             client = new DiscoveryClient(
                     context.eventLoop(),
--- a/src/main/java/lineward/app/ConfigFile.java
+++ b/src/main/java/lineward/app/PlatformConfigFile.java
@@ -20,7 +20,7 @@
  * The configuration file of the platform, in JSON. Only this class contains its keys, which the platform
  * defines.
  */
-final class ConfigFile {
+final class PlatformConfigFile {
     private static final int SEED_RADIX = 16;
     private static final int DEFAULT_MEMORY_MB = 192;
     private static final int DEFAULT_DESCRIPTORS = 1024;
@@ -36,7 +36,7 @@
      * @param path path of the file; null or blank if the environment names none, in which case {@link #read}
      *     fails
      */
-    ConfigFile(String path) {
+    PlatformConfigFile(String path) {
         this.path = path;
     }
 
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -56,7 +56,7 @@
      * @return the properties of this process that its lifecycle depends on
      */
     LifecycleWiring.ProcessProperties connect(
-            TelemetryWiring telemetry, DiscoveryWiring discovery, ConfigFile configFile) {
+            TelemetryWiring telemetry, DiscoveryWiring discovery, PlatformConfigFile configFile) {
         Coordinator<Call> coordinator = coordinator(config.seed(), telemetry.tracer(Call::requestClass));
         EngineCluster cluster = cluster();
         context.metrics().registerClasses(names.classes());
--- a/src/test/java/lineward/app/ConfigExceptionTest.java
+++ b/src/test/java/lineward/app/ConfigExceptionTest.java
@@ -75,7 +75,7 @@
     @Test(dataProvider = "invalidPlatformValues")
     public void namesPlatformValue(String json, String key, String found, String allowed) throws Exception {
         Files.writeString(file, "{\"settings\":{}," + json + "}");
-        ConfigFile platformFile = new ConfigFile(file.toString());
+        PlatformConfigFile platformFile = new PlatformConfigFile(file.toString());
         ConfigException error = expectThrows(ConfigException.class, platformFile::read);
         assertNames(error, key, found, allowed);
     }
@@ -107,6 +107,6 @@
     public void missingFileIsRejected() throws IOException {
         Path missing = file.resolveSibling("missing.toml");
         assertThrows(ConfigException.class, () -> new MysqlFile(missing).read());
-        assertThrows(ConfigException.class, () -> new ConfigFile(null).read());
+        assertThrows(ConfigException.class, () -> new PlatformConfigFile(null).read());
     }
 }
