--- a/src/main/java/lineward/lifecycle/HotRestart.java
+++ b/src/main/java/lineward/lifecycle/HotRestart.java
@@ -77,15 +77,15 @@
      * to this process's file, unless the write failed.
      */
     public void setMaintenance(String engine, boolean excluded) {
-        apply(new MaintenanceOrder(engine, excluded, clock.getAsDouble()));
+        apply(new MaintenanceCommand(engine, excluded, clock.getAsDouble()));
         writeState();
     }
 
-    private void apply(MaintenanceOrder order) {
-        if (policy.apply(order)) {
-            String event = order.excluded() ? "started" : "ended";
-            LOG.info("engine maintenance {}: engine={}", event, order.engine());
-            listener.maintenanceChanged(order.engine(), order.excluded(), order.sinceMs());
+    private void apply(MaintenanceCommand command) {
+        if (policy.apply(command)) {
+            String event = command.excluded() ? "started" : "ended";
+            LOG.info("engine maintenance {}: engine={}", event, command.engine());
+            listener.maintenanceChanged(command.engine(), command.excluded(), command.sinceMs());
         }
     }
 
@@ -133,9 +133,9 @@
                 files.delete(file);
                 return false;
             }
-            for (MaintenanceOrder order : peer.orders()) {
-                if (policy.isCredible(order, clock.getAsDouble())) {
-                    apply(order);
+            for (MaintenanceCommand command : peer.commands()) {
+                if (policy.isCredible(command, clock.getAsDouble())) {
+                    apply(command);
                 }
             }
             return status == HotRestartPolicy.PeerStatus.RUNNING;
--- a/src/main/java/lineward/lifecycle/HotRestartPolicy.java
+++ b/src/main/java/lineward/lifecycle/HotRestartPolicy.java
@@ -25,47 +25,47 @@
     /** Long enough for the process that takes over to read the file of a process that has ended. */
     private static final double ENDED_MAX_AGE_MS = 10_000;
     /** Longer than a slow start, so that a release is remembered while it still affects the engine. */
-    private static final double REVOKED_ORDER_TTL_MS = 60_000;
+    private static final double RELEASE_TTL_MS = 60_000;
     /** Maximum tolerated difference between the clocks of two processes. */
     private static final double MAX_CLOCK_SKEW_MS = 1_000;
 
     /** The command in effect for each engine; bounded by the engines that operators have named. */
-    private final Map<String, MaintenanceOrder> orders = new TreeMap<>();
+    private final Map<String, MaintenanceCommand> commands = new TreeMap<>();
 
     private double quota = 1;
 
     /** Returns whether an operator has excluded the engine from requests. */
     boolean isExcluded(String engine) {
-        MaintenanceOrder order = orders.get(engine);
-        return order != null && order.excluded();
+        MaintenanceCommand command = commands.get(engine);
+        return command != null && command.excluded();
     }
 
     /**
      * Applies a command if it is later than the one in effect for its engine. Returns whether this excludes
      * or releases the engine; the first command for an engine always counts as a change.
      */
-    boolean apply(MaintenanceOrder order) {
-        MaintenanceOrder previous = orders.get(order.engine());
-        if (previous != null && previous.sinceMs() >= order.sinceMs()) {
+    boolean apply(MaintenanceCommand command) {
+        MaintenanceCommand previous = commands.get(command.engine());
+        if (previous != null && previous.sinceMs() >= command.sinceMs()) {
             return false;
         }
-        orders.put(order.engine(), order);
-        return previous == null || previous.excluded() != order.excluded();
+        commands.put(command.engine(), command);
+        return previous == null || previous.excluded() != command.excluded();
     }
 
     /**
      * Returns whether the time of another process's command is plausible. A command with a time in the future
      * would override later ones.
      */
-    boolean isCredible(MaintenanceOrder order, double nowMs) {
-        return order.sinceMs() < nowMs + MAX_CLOCK_SKEW_MS;
+    boolean isCredible(MaintenanceCommand command, double nowMs) {
+        return command.sinceMs() < nowMs + MAX_CLOCK_SKEW_MS;
     }
 
     /** Returns the state to share with other processes, after removing releases given long ago. */
     PeerState snapshot(double nowMs) {
-        double oldestMs = nowMs - REVOKED_ORDER_TTL_MS;
-        orders.values().removeIf(order -> !order.excluded() && order.sinceMs() < oldestMs);
-        return new PeerState(nowMs, List.copyOf(orders.values()));
+        double oldestMs = nowMs - RELEASE_TTL_MS;
+        commands.values().removeIf(command -> !command.excluded() && command.sinceMs() < oldestMs);
+        return new PeerState(nowMs, List.copyOf(commands.values()));
     }
 
     /**
--- a/src/main/java/lineward/lifecycle/MaintenanceOrder.java
+++ b/src/main/java/lineward/lifecycle/MaintenanceCommand.java
@@ -7,4 +7,4 @@
  * @param excluded true to exclude the engine, false to release it
  * @param sinceMs when the command was given, in Unix milliseconds
  */
-record MaintenanceOrder(String engine, boolean excluded, double sinceMs) {}
+record MaintenanceCommand(String engine, boolean excluded, double sinceMs) {}
--- a/src/main/java/lineward/lifecycle/PeerStateCodec.java
+++ b/src/main/java/lineward/lifecycle/PeerStateCodec.java
@@ -25,8 +25,8 @@
     static String encode(PeerState state) {
         ObjectNode root = JSON.createObjectNode().put(WRITTEN_AT, state.writtenAtMs());
         ObjectNode engines = root.putObject(ENGINES);
-        for (MaintenanceOrder order : state.orders()) {
-            engines.putObject(order.engine()).put(EXCLUDED, order.excluded()).put(SINCE, order.sinceMs());
+        for (MaintenanceCommand entry : state.commands()) {
+            engines.putObject(entry.engine()).put(EXCLUDED, entry.excluded()).put(SINCE, entry.sinceMs());
         }
         return root.toString();
     }
@@ -38,14 +38,14 @@
      */
     static PeerState decode(String content) throws JsonProcessingException {
         JsonNode root = JSON.readTree(content);
-        List<MaintenanceOrder> orders = new ArrayList<>();
+        List<MaintenanceCommand> commands = new ArrayList<>();
         for (Map.Entry<String, JsonNode> engine : root.path(ENGINES).properties()) {
             JsonNode excluded = engine.getValue().path(EXCLUDED);
             JsonNode since = engine.getValue().path(SINCE);
             if (excluded.isBoolean() && since.isNumber()) {
-                orders.add(new MaintenanceOrder(engine.getKey(), excluded.asBoolean(), since.asDouble()));
+                commands.add(new MaintenanceCommand(engine.getKey(), excluded.asBoolean(), since.asDouble()));
             }
         }
-        return new PeerState(root.path(WRITTEN_AT).asDouble(PeerState.LONG_AGO_MS), List.copyOf(orders));
+        return new PeerState(root.path(WRITTEN_AT).asDouble(PeerState.LONG_AGO_MS), List.copyOf(commands));
     }
 }
--- a/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
+++ b/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
@@ -16,8 +16,8 @@
 public class HotRestartPolicyTest {
     private static final double NOW_MS = 1_000_000;
 
-    private static MaintenanceOrder order(boolean excluded, double sinceMs) {
-        return new MaintenanceOrder("s-1", excluded, sinceMs);
+    private static MaintenanceCommand order(boolean excluded, double sinceMs) {
+        return new MaintenanceCommand("s-1", excluded, sinceMs);
     }
 
     /** Age of a peer's file in milliseconds, negative if its time is in the future, and the peer's status. */
@@ -64,7 +64,7 @@
 
     @Test(dataProvider = "orders")
     public void laterOrderIsInEffect(
-            MaintenanceOrder first, MaintenanceOrder second, boolean changes, boolean excluded) {
+            MaintenanceCommand first, MaintenanceCommand second, boolean changes, boolean excluded) {
         HotRestartPolicy policy = new HotRestartPolicy();
         assertTrue(policy.apply(first));
         assertEquals(policy.apply(second), changes);
@@ -82,10 +82,10 @@
     public void snapshotDropsOrdersRevokedLongAgo() {
         HotRestartPolicy policy = new HotRestartPolicy();
         policy.apply(order(false, NOW_MS - 60_000));
-        policy.apply(new MaintenanceOrder("s-2", true, 0));
-        assertEquals(policy.snapshot(NOW_MS).orders().size(), 2);
+        policy.apply(new MaintenanceCommand("s-2", true, 0));
+        assertEquals(policy.snapshot(NOW_MS).commands().size(), 2);
         PeerState later = policy.snapshot(NOW_MS + 1);
-        assertEquals(later, new PeerState(NOW_MS + 1, List.of(new MaintenanceOrder("s-2", true, 0))));
+        assertEquals(later, new PeerState(NOW_MS + 1, List.of(new MaintenanceCommand("s-2", true, 0))));
     }
 
     @Test
