--- a/src/main/java/lineward/app/MysqlFile.java
+++ b/src/main/java/lineward/app/MysqlConfigFile.java
@@ -14,7 +14,7 @@
  * The TOML file that configures the server for MySQL clients. Its list of engines is reloaded when the file
  * changes.
  */
-final class MysqlFile {
+final class MysqlConfigFile {
     private static final String SCHEMA = "mysql.schema.json";
 
     private final Path path;
@@ -22,7 +22,7 @@
     private FileTime readAt;
 
     /** Creates a reader of the file, which need not exist before it is read. */
-    MysqlFile(Path path) {
+    MysqlConfigFile(Path path) {
         this.path = path;
     }
 
--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -23,9 +23,9 @@
     private static final int RELOAD_INTERVAL_MS = 200;
 
     private final FrontEndContext context;
-    private final MysqlFile file;
+    private final MysqlConfigFile file;
 
-    MysqlWiring(FrontEndContext context, MysqlFile file) {
+    MysqlWiring(FrontEndContext context, MysqlConfigFile file) {
         this.context = context;
         this.file = file;
     }
--- a/src/test/java/lineward/app/ConfigExceptionTest.java
+++ b/src/test/java/lineward/app/ConfigExceptionTest.java
@@ -56,7 +56,7 @@
     @Test(dataProvider = "invalidMysqlValues")
     public void mysqlValueIsNamed(String toml, String key, String found, String allowed) throws IOException {
         Files.writeString(file, toml);
-        MysqlFile mysqlFile = new MysqlFile(file);
+        MysqlConfigFile mysqlFile = new MysqlConfigFile(file);
         ConfigException error = expectThrows(ConfigException.class, mysqlFile::read);
         assertNames(error, key, found, allowed);
     }
@@ -91,7 +91,7 @@
     @Test
     public void passwordIsNeverShown() throws IOException {
         Files.writeString(file, "[[user]]\nname = \"u\"\npassword = 271828");
-        ConfigException error = expectThrows(ConfigException.class, () -> new MysqlFile(file).read());
+        ConfigException error = expectThrows(ConfigException.class, () -> new MysqlConfigFile(file).read());
         assertEquals(error.key(), "$.user[0].password");
         assertFalse(error.getMessage().contains("271828"), error.getMessage());
     }
@@ -99,14 +99,14 @@
     @Test
     public void valueWithNewlinesIsPrintedOnASingleLine() throws IOException {
         Files.writeString(file, "listen = \"a\\nb\"");
-        ConfigException error = expectThrows(ConfigException.class, () -> new MysqlFile(file).read());
+        ConfigException error = expectThrows(ConfigException.class, () -> new MysqlConfigFile(file).read());
         assertEquals(error.getMessage().lines().count(), 1, error.getMessage());
     }
 
     @Test
     public void missingFileIsRejected() throws IOException {
         Path missing = file.resolveSibling("missing.toml");
-        assertThrows(ConfigException.class, () -> new MysqlFile(missing).read());
+        assertThrows(ConfigException.class, () -> new MysqlConfigFile(missing).read());
         assertThrows(ConfigException.class, () -> new PlatformConfigFile(null).read());
     }
 }
