--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSchedulerSettings.java
@@ -12,7 +12,7 @@
 import lineward.scheduling.SchedulerSettings;
 
 /** The scheduler's settings for the pool of MySQL engines. */
-final class MysqlSettings {
+final class MysqlSchedulerSettings {
     /** Milliseconds that the latency objective grows with each millisecond of a request's run time. */
     private static final double OBJECTIVE_STRETCH = 2;
 
@@ -26,7 +26,7 @@
     private static final double OVERLOAD_FACTOR = 2.5;
     private static final double OVERLOAD_INTERVAL_MS = 1500;
 
-    private MysqlSettings() {}
+    private MysqlSchedulerSettings() {}
 
     /**
      * Returns the settings, with two classes for each class of the file: an idempotent one for statements
--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -39,7 +39,7 @@
         List<String> classNames =
                 config.classes().stream().map(MysqlConfig.QueryClass::name).toList();
         Coordinator<Query> coordinator = new Coordinator<>(
-                new SpeculativeScheduler(MysqlSettings.of(config), System.nanoTime()),
+                new SpeculativeScheduler(MysqlSchedulerSettings.of(config), System.nanoTime()),
                 FrontEndContext.MAX_OPEN_REQUESTS,
                 MysqlServer.CANCEL_LIMIT_MS,
                 telemetry.tracer(query -> classNames.get(query.classIndex())));
