--- a/src/main/java/lineward/app/MysqlSchedulerSettings.java
+++ b/src/main/java/lineward/app/MysqlSchedulerSettings.java
@@ -14,7 +14,7 @@
 /** The scheduler's settings for the pool of MySQL engines. */
 final class MysqlSchedulerSettings {
     /** Milliseconds that the latency objective grows with each millisecond of a request's run time. */
-    private static final double OBJECTIVE_STRETCH = 2;
+    private static final double LATENCY_PER_WORK = 2;
 
     private static final double OVERDUE_VALUE_RATIO = 0.3;
     private static final double MAX_RETRY_AFTER_MS = 2000;
@@ -60,7 +60,7 @@
         return new RequestClass(
                 new RequestClass.Objective(
                         queryClass.latencyObjectiveMs(),
-                        OBJECTIVE_STRETCH,
+                        LATENCY_PER_WORK,
                         queryClass.deadlineMs(),
                         queryClass.priorityWeight(),
                         OVERDUE_VALUE_RATIO),
