--- a/src/main/java/lineward/app/MysqlSchedulerSettings.java
+++ b/src/main/java/lineward/app/MysqlSchedulerSettings.java
@@ -24,7 +24,7 @@
 
     private static final double INITIAL_CAPACITY_RATIO = 0.34;
     private static final double OVERLOAD_FACTOR = 2.5;
-    private static final double OVERLOAD_INTERVAL_MS = 1500;
+    private static final double OVERLOAD_WINDOW_MS = 1500;
 
     private MysqlSchedulerSettings() {}
 
@@ -80,7 +80,7 @@
         return new SchedulerSettings.Rules(
                 DRAIN_GRACE_MS,
                 new SchedulerSettings.SlowStartRule(
-                        SLOW_START_MS, INITIAL_CAPACITY_RATIO, OVERLOAD_FACTOR, OVERLOAD_INTERVAL_MS),
+                        SLOW_START_MS, INITIAL_CAPACITY_RATIO, OVERLOAD_FACTOR, OVERLOAD_WINDOW_MS),
                 0,
                 new SchedulerSettings.RetryBudget(0, 0, 0));
     }
