--- a/src/main/java/lineward/app/FileSchema.java
+++ b/src/main/java/lineward/app/ConfigSchema.java
@@ -13,10 +13,10 @@
 /**
  * Checks a configuration file against its schema. An empty file passes without loading the schema library.
  */
-final class FileSchema {
+final class ConfigSchema {
     private static final String SECRET = "password";
 
-    private FileSchema() {}
+    private ConfigSchema() {}
 
     /**
      * Checks the whole file.
@@ -28,7 +28,7 @@
         if (root.value().isEmpty()) {
             return;
         }
-        try (InputStream in = FileSchema.class.getResourceAsStream(schema)) {
+        try (InputStream in = ConfigSchema.class.getResourceAsStream(schema)) {
             JsonSchema rules = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
                     .getSchema(in);
             rules.validate(root.value()).stream()
--- a/src/main/java/lineward/app/MysqlConfigFile.java
+++ b/src/main/java/lineward/app/MysqlConfigFile.java
@@ -43,7 +43,7 @@
      */
     MysqlConfig read() {
         ConfigNode root = ConfigNode.root(path.toString(), parse());
-        FileSchema.check(SCHEMA, root);
+        ConfigSchema.check(SCHEMA, root);
         return MysqlConfigReader.read(root);
     }
 
