--- a/src/main/java/lineward/app/ConfigSchema.java
+++ b/src/main/java/lineward/app/ConfigSchema.java
@@ -14,7 +14,7 @@
  * Checks a configuration file against its schema. An empty file passes without loading the schema library.
  */
 final class ConfigSchema {
-    private static final String SECRET = "password";
+    private static final String PASSWORD_KEY = "password";
 
     private ConfigSchema() {}
 
@@ -52,7 +52,7 @@
 
     /** Returns a value as messages show it; passwords, lists and tables are left out. */
     private static String shown(String key, JsonNode found) {
-        if (found == null || found.isContainerNode() || key.endsWith(SECRET)) {
+        if (found == null || found.isContainerNode() || key.endsWith(PASSWORD_KEY)) {
             return "a value not shown";
         }
         return found.toString();
