--- a/src/main/java/lineward/app/ConfigNode.java
+++ b/src/main/java/lineward/app/ConfigNode.java
@@ -103,14 +103,14 @@
 
     /** Returns an exception for this value, with its cause. */
     ConfigException invalid(String reason, String allowed, Throwable cause) {
-        return ConfigException.invalid(file, key, reason, shown(), allowed, cause);
+        return ConfigException.invalid(file, key, reason, describe(), allowed, cause);
     }
 
     /**
      * Returns the value as messages show it. Lists and tables are left out: they are long and may contain
      * passwords.
      */
-    private String shown() {
+    private String describe() {
         if (value.isMissingNode()) {
             return "nothing";
         }
--- a/src/main/java/lineward/app/ConfigSchema.java
+++ b/src/main/java/lineward/app/ConfigSchema.java
@@ -47,11 +47,11 @@
         String prefix = key + ": ";
         String rule = message.startsWith(prefix) ? message.substring(prefix.length()) : message;
         String reason = "violates the schema of the file";
-        return ConfigException.invalid(file, key, reason, shown(key, violation.getInstanceNode()), rule);
+        return ConfigException.invalid(file, key, reason, describe(key, violation.getInstanceNode()), rule);
     }
 
     /** Returns a value as messages show it; passwords, lists and tables are left out. */
-    private static String shown(String key, JsonNode found) {
+    private static String describe(String key, JsonNode found) {
         if (found == null || found.isContainerNode() || key.endsWith(PASSWORD_KEY)) {
             return "a value not shown";
         }
