--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -46,7 +46,7 @@
         Spool spool = SpoolWiring.open(context, config.spool());
         DoubleSupplier clock = context.clock();
         Metrics metrics = context.metrics();
-        CoalescedTick tick = new CoalescedTick(context.eventLoop());
+        TickCoalescer tick = new TickCoalescer(context.eventLoop());
         MysqlServer server =
                 new MysqlServer(context.eventLoopGroup(), config, coordinator, clock, tick, metrics, spool);
         metrics.registerClasses(classNames);
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -62,7 +62,7 @@
         context.metrics().registerClasses(names.classes());
         context.runOnEventLoop(() -> loadClasses(cluster));
         ListenerWiring clients = ListenerWiring.open(config.addresses().listen(), context.environment());
-        CoalescedTick tick = new CoalescedTick(context.eventLoop());
+        TickCoalescer tick = new TickCoalescer(context.eventLoop());
         ThriftServer server = new ThriftServer(
                 names,
                 bounds,
--- a/src/main/java/lineward/app/CoalescedTick.java
+++ b/src/main/java/lineward/app/TickCoalescer.java
@@ -7,12 +7,12 @@
  * Schedules a tick of a protocol server on the event loop. Further calls of {@link #run} before that tick
  * have no effect. All methods are called on the event loop, except {@link #attach}.
  */
-final class CoalescedTick implements Runnable {
+final class TickCoalescer implements Runnable {
     private final EventLoop eventLoop;
     private ProtocolServer server;
     private boolean isScheduled;
 
-    CoalescedTick(EventLoop eventLoop) {
+    TickCoalescer(EventLoop eventLoop) {
         this.eventLoop = eventLoop;
     }
 
