--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -50,7 +50,7 @@
         MysqlServer server =
                 new MysqlServer(context.eventLoopGroup(), config, coordinator, clock, tick, metrics, spool);
         metrics.registerClasses(classNames);
-        tick.attach(server);
+        tick.setServer(server);
         context.runOnEventLoop(() -> server.updateEngines(config.engines()));
         context.protocolServers().add(server);
         Runnable reload = () -> reload(server::updateEngines);
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -73,7 +73,7 @@
                 tick,
                 context.metrics(),
                 GossipWiring.connect(context, config.addresses().gossip(), coordinator, tick));
-        tick.attach(server);
+        tick.setServer(server);
         EndpointList endpoints = endpoints((isComplete, entries) -> {
             cluster.updateEndpoints(isComplete, entries);
             coordinator.endpointsChanged(isComplete, entries);
--- a/src/main/java/lineward/app/TickCoalescer.java
+++ b/src/main/java/lineward/app/TickCoalescer.java
@@ -5,7 +5,7 @@
 
 /**
  * Schedules a tick of a protocol server on the event loop. Further calls of {@link #run} before that tick
- * have no effect. All methods are called on the event loop, except {@link #attach}.
+ * have no effect. All methods are called on the event loop, except {@link #setServer}.
  */
 final class TickCoalescer implements Runnable {
     private final EventLoop eventLoop;
@@ -20,7 +20,7 @@
      * Sets the server; must be called before the first {@link #run}. The server can't be passed to the
      * constructor, because its own constructor needs this object.
      */
-    void attach(ProtocolServer protocolServer) {
+    void setServer(ProtocolServer protocolServer) {
         server = protocolServer;
     }
 
