--- a/src/main/java/lineward/app/LifecycleWiring.java
+++ b/src/main/java/lineward/app/LifecycleWiring.java
@@ -12,12 +12,12 @@
      * The longest class deadline counts as at most this at a restart; the platform sends SIGKILL 0.7 s after
      * it.
      */
-    static final int MAX_RESTART_MS = 3000;
+    static final int MAX_RESTART_DEADLINE_MS = 3000;
     /**
      * The longest class deadline counts as at most this at a hot restart, where another process accepts on
      * the socket.
      */
-    private static final int MAX_HOT_RESTART_MS = 5000;
+    private static final int MAX_HOT_RESTART_DEADLINE_MS = 5000;
     /** Open requests are failed this long after the longest class deadline, 0.4 s before SIGKILL. */
     private static final int SHUTDOWN_GRACE_MS = 300;
     /** Names the directory through which the processes of a hot restart share their state. */
@@ -35,12 +35,12 @@
     record ProcessProperties(String name, boolean isListenerInherited, double longestDeadlineMs) {
         /** Returns the properties of a process that serves MySQL clients only. */
         static ProcessProperties mysqlOnly() {
-            return new ProcessProperties(MYSQL_ONLY_NAME, false, MAX_RESTART_MS);
+            return new ProcessProperties(MYSQL_ONLY_NAME, false, MAX_RESTART_DEADLINE_MS);
         }
 
         /** Returns the time after SIGTERM at which open requests are failed. */
         int shutdownDeadlineMs() {
-            int maxDeadlineMs = isListenerInherited ? MAX_HOT_RESTART_MS : MAX_RESTART_MS;
+            int maxDeadlineMs = isListenerInherited ? MAX_HOT_RESTART_DEADLINE_MS : MAX_RESTART_DEADLINE_MS;
             return (int) Math.min(longestDeadlineMs, maxDeadlineMs) + SHUTDOWN_GRACE_MS;
         }
     }
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -127,7 +127,7 @@
         double longestDeadlineMs = names.deadlines().stream()
                 .mapToDouble(Double::doubleValue)
                 .max()
-                .orElse(LifecycleWiring.MAX_RESTART_MS);
+                .orElse(LifecycleWiring.MAX_RESTART_DEADLINE_MS);
         return new LifecycleWiring.ProcessProperties(name, isInherited, longestDeadlineMs);
     }
 }
