--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -33,7 +33,7 @@
      * Adds the server for the platform's protocol; throws a {@link ConfigException} if the file can't be
      * used.
      */
-    void addPlatform(PlatformConfigFile file) {
+    void addPlatformServer(PlatformConfigFile file) {
         PlatformConfig config = file.read();
         process = new ThriftWiring(context, config).connect(telemetry, discovery, file);
         adminAddress = config.addresses().admin();
--- a/src/main/java/lineward/app/Main.java
+++ b/src/main/java/lineward/app/Main.java
@@ -162,7 +162,7 @@
         FrontEnd frontEnd = new FrontEnd();
         // Registered first: SIGHUP may arrive during the start, and without a handler it ends the process.
         Signals.register("HUP", frontEnd::reload);
-        frontEnd.addPlatform(new PlatformConfigFile(config));
+        frontEnd.addPlatformServer(new PlatformConfigFile(config));
         if (isMysqlRequired || Files.exists(mysqlFile)) {
             frontEnd.addMysql(new MysqlConfigFile(mysqlFile));
         }
