--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -43,7 +43,7 @@
      * Adds the server for MySQL clients if the file has a listen address; throws a {@link ConfigException} if
      * the file can't be used.
      */
-    void addMysql(MysqlConfigFile file) {
+    void addMysqlServer(MysqlConfigFile file) {
         new MysqlWiring(context, file).connect(telemetry);
     }
 
--- a/src/main/java/lineward/app/Main.java
+++ b/src/main/java/lineward/app/Main.java
@@ -128,7 +128,7 @@
         @Override
         public Integer call() {
             FrontEnd frontEnd = new FrontEnd();
-            frontEnd.addMysql(new MysqlConfigFile(mysqlFile));
+            frontEnd.addMysqlServer(new MysqlConfigFile(mysqlFile));
             frontEnd.run();
             return STILL_RUNNING;
         }
@@ -164,7 +164,7 @@
         Signals.register("HUP", frontEnd::reload);
         frontEnd.addPlatformServer(new PlatformConfigFile(config));
         if (isMysqlRequired || Files.exists(mysqlFile)) {
-            frontEnd.addMysql(new MysqlConfigFile(mysqlFile));
+            frontEnd.addMysqlServer(new MysqlConfigFile(mysqlFile));
         }
         frontEnd.run();
     }
