--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -16,7 +16,7 @@
 final class FrontEnd {
     private static final Logger LOG = LoggerFactory.getLogger(FrontEnd.class);
     /** Interval of checks for engine connections that have exceeded their idle timeout. */
-    private static final int IDLE_INTERVAL_MS = 1000;
+    private static final int IDLE_CHECK_PERIOD_MS = 1000;
     /** Interval of checks for unresponsive clients. */
     private static final int UNRESPONSIVE_INTERVAL_MS = 100;
 
@@ -77,7 +77,7 @@
         context.runOnEventLoop(lifecycle::joinHotRestart);
         ticker.every(Ticker.TICK_MS, () -> servers.forEach(ProtocolServer::tick));
         ticker.every(UNRESPONSIVE_INTERVAL_MS, () -> servers.forEach(ProtocolServer::closeUnresponsive));
-        ticker.every(IDLE_INTERVAL_MS, () -> servers.forEach(ProtocolServer::closeIdleEngineConnections));
+        ticker.every(IDLE_CHECK_PERIOD_MS, () -> servers.forEach(ProtocolServer::closeIdleEngineConnections));
         AdminWiring.start(context, lifecycle, adminAddress);
         context.startActions().forEach(Runnable::run);
         for (ProtocolServer server : servers) {
