--- a/src/main/java/lineward/app/AdminWiring.java
+++ b/src/main/java/lineward/app/AdminWiring.java
@@ -11,7 +11,7 @@
 final class AdminWiring {
     private static final Logger LOG = LoggerFactory.getLogger(AdminWiring.class);
     /** Interval of checks for unresponsive clients; well below the request timeout of the endpoint. */
-    private static final int UNRESPONSIVE_INTERVAL_MS = 100;
+    private static final int CLIENT_CHECK_PERIOD_MS = 100;
 
     private AdminWiring() {}
 
@@ -28,6 +28,6 @@
         AdminServer server = new AdminServer(lifecycle);
         ChannelFuture binding = server.listen(context.eventLoopGroup(), address);
         LOG.info("admin endpoint listening: address={}", FrontEndContext.awaitBound(binding));
-        context.ticker().every(UNRESPONSIVE_INTERVAL_MS, server::closeUnresponsive);
+        context.ticker().every(CLIENT_CHECK_PERIOD_MS, server::closeUnresponsive);
     }
 }
--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -18,7 +18,7 @@
     /** Interval of checks for engine connections that have exceeded their idle timeout. */
     private static final int IDLE_CHECK_PERIOD_MS = 1000;
     /** Interval of checks for unresponsive clients. */
-    private static final int UNRESPONSIVE_INTERVAL_MS = 100;
+    private static final int CLIENT_CHECK_PERIOD_MS = 100;
 
     private final FrontEndContext context = new FrontEndContext();
     private final TelemetryWiring telemetry = new TelemetryWiring(context.metrics(), context.environment());
@@ -76,7 +76,7 @@
         Ticker ticker = context.ticker();
         context.runOnEventLoop(lifecycle::joinHotRestart);
         ticker.every(Ticker.TICK_MS, () -> servers.forEach(ProtocolServer::tick));
-        ticker.every(UNRESPONSIVE_INTERVAL_MS, () -> servers.forEach(ProtocolServer::closeUnresponsive));
+        ticker.every(CLIENT_CHECK_PERIOD_MS, () -> servers.forEach(ProtocolServer::closeUnresponsive));
         ticker.every(IDLE_CHECK_PERIOD_MS, () -> servers.forEach(ProtocolServer::closeIdleEngineConnections));
         AdminWiring.start(context, lifecycle, adminAddress);
         context.startActions().forEach(Runnable::run);
