--- a/src/main/java/lineward/app/DiscoveryWiring.java
+++ b/src/main/java/lineward/app/DiscoveryWiring.java
@@ -9,7 +9,7 @@
     private static final int TICK_INTERVAL_MS = 20;
 
     private final FrontEndContext context;
-    /** Null until {@link #follow}; used on the event loop. */
+    /** Null until {@link #createClient}; used on the event loop. */
     private DiscoveryClient client;
     /** Whether SIGHUP was received, possibly before there is a client; used on the event loop. */
     private boolean reloadRequested;
@@ -25,7 +25,7 @@
      * @param file the file from which a reload reads the address
      * @param endpoints updated by the polls
      */
-    void follow(String address, PlatformConfigFile file, EndpointList endpoints) {
+    void createClient(String address, PlatformConfigFile file, EndpointList endpoints) {
         context.runOnEventLoop(() -> {
             client = new DiscoveryClient(
                     context.eventLoop(),
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -81,7 +81,7 @@
         });
         context.runOnEventLoop(() -> applyInitial(endpoints));
         context.protocolServers().add(server);
-        discovery.follow(config.addresses().discovery(), configFile, endpoints);
+        discovery.createClient(config.addresses().discovery(), configFile, endpoints);
         return processProperties(clients.isInherited());
     }
 
