--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -60,7 +60,7 @@
         Coordinator<Call> coordinator = coordinator(config.seed(), telemetry.tracer(Call::requestClass));
         EngineCluster cluster = cluster();
         context.metrics().registerClasses(names.classes());
-        context.runOnEventLoop(() -> loadClasses(cluster));
+        context.runOnEventLoop(() -> warmUp(cluster));
         ListenerWiring clients = ListenerWiring.open(config.addresses().listen(), context.environment());
         TickCoalescer tick = new TickCoalescer(context.eventLoop());
         ThriftServer server = new ThriftServer(
@@ -104,7 +104,7 @@
     }
 
     /** Loads and compiles the code that the first requests use; runs it with a separate coordinator. */
-    private void loadClasses(EngineCluster cluster) {
+    private void warmUp(EngineCluster cluster) {
         EngineWarmup.run();
         ProtocolWarmup.run(names, bounds, coordinator(0, new LogTracer<>()), cluster, context.clock());
     }
