--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -79,7 +79,7 @@
             coordinator.endpointsChanged(isComplete, entries);
             tick.run();
         });
-        context.runOnEventLoop(() -> applyInitial(endpoints));
+        context.runOnEventLoop(() -> applyInitialEndpoints(endpoints));
         context.protocolServers().add(server);
         discovery.createClient(config.addresses().discovery(), configFile, endpoints);
         return processProperties(clients.isInherited());
@@ -113,7 +113,7 @@
         return new EndpointList(config.names().engineKinds(), config.names().zones(), listener);
     }
 
-    private void applyInitial(EndpointList endpoints) {
+    private void applyInitialEndpoints(EndpointList endpoints) {
         ConfigNode initial = config.initialEndpoints();
         try {
             endpoints.apply(initial.value());
