--- a/src/main/java/lineward/app/Main.java
+++ b/src/main/java/lineward/app/Main.java
@@ -74,13 +74,13 @@
             startPlatform(config, DEFAULT_MYSQL_FILE, false);
             return isRehearsal ? STATUS_OK : STILL_RUNNING;
         } catch (RuntimeException e) {
-            return statusOf(e);
+            return reportFailure(e);
         }
     }
 
     private static CommandLine commandLine() {
         return new CommandLine(new Main())
-                .setExecutionExceptionHandler((e, line, parsed) -> statusOf(e))
+                .setExecutionExceptionHandler((e, line, parsed) -> reportFailure(e))
                 .setParameterExceptionHandler((e, args) -> {
                     String reason = e.getMessage().lines().findFirst().orElse("invalid usage");
                     System.err.println("lineward: " + reason + "; see --help for usage");
@@ -89,7 +89,7 @@
     }
 
     /** Prints the error and returns the exit status. */
-    private static int statusOf(Exception e) {
+    private static int reportFailure(Exception e) {
         if (e instanceof ConfigException) {
             System.err.println("lineward: " + e.getMessage());
             return STATUS_USAGE;
