--- a/src/main/java/lineward/app/MysqlConfigReader.java
+++ b/src/main/java/lineward/app/MysqlConfigReader.java
@@ -46,7 +46,7 @@
      * By default up to a quarter of the spool's memory buffers a result before its first row is sent; until
      * then a failed attempt can be retried.
      */
-    private static final int RETRYABLE_MEMORY_DIVISOR = 4;
+    private static final int RESPONSE_BUFFER_DIVISOR = 4;
     /**
      * Fraction of an attempt's timeout after which the first row is sent even if the result is incomplete.
      */
@@ -162,7 +162,7 @@
             throw spool.member("memory-mb").invalid("does not fit into the heap", "less than " + heapMb);
         }
         int ownerMb = atLeastOne((memoryMb + fileMb) / SINGLE_OWNER_DIVISOR);
-        int retryableMb = atLeastOne(memoryMb / RETRYABLE_MEMORY_DIVISOR);
+        int responseBufferMb = atLeastOne(memoryMb / RESPONSE_BUFFER_DIVISOR);
         return new SpoolLimits(
                 BYTES_PER_MB * memoryMb,
                 BYTES_PER_MB * fileMb,
@@ -170,7 +170,7 @@
                 spool.member("results").positiveInt(DEFAULT_SPOOL_RESULTS),
                 BYTES_PER_MB * spool.member("user-mb").positiveInt(ownerMb),
                 BYTES_PER_MB * spool.member("result-mb").positiveInt(ownerMb),
-                BYTES_PER_MB * spool.member("hold-mb").positiveInt(retryableMb),
+                BYTES_PER_MB * spool.member("hold-mb").positiveInt(responseBufferMb),
                 RETRYABLE_TIME_RATIO,
                 MS_PER_SECOND * spool.member("lease-s").positiveInt(DEFAULT_LEASE_S),
                 MS_PER_SECOND * spool.member("key-lease-s").positiveInt(DEFAULT_KEY_LEASE_S));
