--- a/src/main/java/lineward/app/MysqlConfigReader.java
+++ b/src/main/java/lineward/app/MysqlConfigReader.java
@@ -50,7 +50,7 @@
     /**
      * Fraction of an attempt's timeout after which the first row is sent even if the result is incomplete.
      */
-    private static final double RETRYABLE_TIME_RATIO = 0.5;
+    private static final double RESPONSE_DELAY_RATIO = 0.5;
 
     private static final int DEFAULT_LEASE_S = 60;
     private static final int DEFAULT_KEY_LEASE_S = 300;
@@ -171,7 +171,7 @@
                 BYTES_PER_MB * spool.member("user-mb").positiveInt(ownerMb),
                 BYTES_PER_MB * spool.member("result-mb").positiveInt(ownerMb),
                 BYTES_PER_MB * spool.member("hold-mb").positiveInt(responseBufferMb),
-                RETRYABLE_TIME_RATIO,
+                RESPONSE_DELAY_RATIO,
                 MS_PER_SECOND * spool.member("lease-s").positiveInt(DEFAULT_LEASE_S),
                 MS_PER_SECOND * spool.member("key-lease-s").positiveInt(DEFAULT_KEY_LEASE_S));
     }
