--- a/src/main/java/lineward/app/MysqlConfigReader.java
+++ b/src/main/java/lineward/app/MysqlConfigReader.java
@@ -41,7 +41,7 @@
     private static final int DEFAULT_SPOOL_FILES = 1000;
     private static final int DEFAULT_SPOOL_RESULTS = 10_000;
     /** By default one user, and one result, may use half of the spool, so that neither can fill it. */
-    private static final int SINGLE_OWNER_DIVISOR = 2;
+    private static final int USER_OR_RESULT_DIVISOR = 2;
     /**
      * By default up to a quarter of the spool's memory buffers a result before its first row is sent; until
      * then a failed attempt can be retried.
@@ -161,15 +161,15 @@
         if (memoryMb >= heapMb) {
             throw spool.member("memory-mb").invalid("does not fit into the heap", "less than " + heapMb);
         }
-        int ownerMb = atLeastOne((memoryMb + fileMb) / SINGLE_OWNER_DIVISOR);
+        int userOrResultMb = atLeastOne((memoryMb + fileMb) / USER_OR_RESULT_DIVISOR);
         int responseBufferMb = atLeastOne(memoryMb / RESPONSE_BUFFER_DIVISOR);
         return new SpoolLimits(
                 BYTES_PER_MB * memoryMb,
                 BYTES_PER_MB * fileMb,
                 usesFiles ? spool.member("files").positiveInt(DEFAULT_SPOOL_FILES) : 0,
                 spool.member("results").positiveInt(DEFAULT_SPOOL_RESULTS),
-                BYTES_PER_MB * spool.member("user-mb").positiveInt(ownerMb),
-                BYTES_PER_MB * spool.member("result-mb").positiveInt(ownerMb),
+                BYTES_PER_MB * spool.member("user-mb").positiveInt(userOrResultMb),
+                BYTES_PER_MB * spool.member("result-mb").positiveInt(userOrResultMb),
                 BYTES_PER_MB * spool.member("hold-mb").positiveInt(responseBufferMb),
                 RESPONSE_DELAY_RATIO,
                 MS_PER_SECOND * spool.member("lease-s").positiveInt(DEFAULT_LEASE_S),
