--- a/src/main/java/lineward/operations/AdminHandler.java
+++ b/src/main/java/lineward/operations/AdminHandler.java
@@ -65,7 +65,7 @@
      * unread would reset the connection and lose the response. The client or the request timeout closes the
      * connection.
      */
-    private static void send(ChannelHandlerContext ctx, AdminReply reply) {
+    private static void send(ChannelHandlerContext ctx, AdminResponse reply) {
         ByteBuf body = ByteBufUtil.writeUtf8(ctx.alloc(), reply.text());
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, reply.status(), body);
         HttpHeaders headers = response.headers();
--- a/src/main/java/lineward/operations/AdminReply.java
+++ b/src/main/java/lineward/operations/AdminResponse.java
@@ -10,17 +10,17 @@
  * @param text body of the response
  * @param allowedMethod value of the header {@code Allow}; empty unless the request's method is not allowed
  */
-record AdminReply(HttpResponseStatus status, String text, Optional<HttpMethod> allowedMethod) {
-    static AdminReply ok(String text) {
+record AdminResponse(HttpResponseStatus status, String text, Optional<HttpMethod> allowedMethod) {
+    static AdminResponse ok(String text) {
         return of(HttpResponseStatus.OK, text);
     }
 
-    static AdminReply of(HttpResponseStatus status, String text) {
-        return new AdminReply(status, text, Optional.empty());
+    static AdminResponse of(HttpResponseStatus status, String text) {
+        return new AdminResponse(status, text, Optional.empty());
     }
 
-    static AdminReply methodNotAllowed(HttpMethod allowed) {
+    static AdminResponse methodNotAllowed(HttpMethod allowed) {
         HttpResponseStatus status = HttpResponseStatus.METHOD_NOT_ALLOWED;
-        return new AdminReply(status, "not by that method\n", Optional.of(allowed));
+        return new AdminResponse(status, "not by that method\n", Optional.of(allowed));
     }
 }
--- a/src/main/java/lineward/operations/AdminRoutes.java
+++ b/src/main/java/lineward/operations/AdminRoutes.java
@@ -12,11 +12,11 @@
 /** The paths of the admin endpoint, each with its method, operation and responses. Runs on the event loop. */
 final class AdminRoutes {
     /** The method that a path allows, and the operation behind it, which receives the body of the request. */
-    private record Route(HttpMethod method, BiFunction<AdminOperations, String, AdminReply> operation) {}
+    private record Route(HttpMethod method, BiFunction<AdminOperations, String, AdminResponse> operation) {}
 
     private static final Map<String, Route> ROUTES = Map.of(
             "/ops/readiness", get(AdminRoutes::readiness),
-            "/ops/stats", get(operations -> AdminReply.ok(operations.metrics())),
+            "/ops/stats", get(operations -> AdminResponse.ok(operations.metrics())),
             "/ops/query-engines/down", post((operations, engine) -> setMaintenance(operations, engine, true)),
             "/ops/query-engines/up", post((operations, engine) -> setMaintenance(operations, engine, false)),
             "/ops/drain/start", post((operations, body) -> startDrain(operations)),
@@ -24,55 +24,55 @@
 
     private AdminRoutes() {}
 
-    private static Route get(Function<AdminOperations, AdminReply> operation) {
+    private static Route get(Function<AdminOperations, AdminResponse> operation) {
         return new Route(HttpMethod.GET, (operations, body) -> operation.apply(operations));
     }
 
-    private static Route post(BiFunction<AdminOperations, String, AdminReply> operation) {
+    private static Route post(BiFunction<AdminOperations, String, AdminResponse> operation) {
         return new Route(HttpMethod.POST, operation);
     }
 
     /** Carries out a complete request and returns the response. */
-    static AdminReply handle(AdminOperations operations, FullHttpRequest request) {
+    static AdminResponse handle(AdminOperations operations, FullHttpRequest request) {
         if (!request.decoderResult().isSuccess()) {
-            return AdminReply.of(HttpResponseStatus.BAD_REQUEST, "no call that can be read\n");
+            return AdminResponse.of(HttpResponseStatus.BAD_REQUEST, "no call that can be read\n");
         }
         Route route = ROUTES.get(new QueryStringDecoder(request.uri()).path());
         if (route == null) {
-            return AdminReply.of(HttpResponseStatus.NOT_FOUND, "no such path\n");
+            return AdminResponse.of(HttpResponseStatus.NOT_FOUND, "no such path\n");
         }
         if (!route.method().equals(request.method())) {
-            return AdminReply.methodNotAllowed(route.method());
+            return AdminResponse.methodNotAllowed(route.method());
         }
         String body = request.content().toString(StandardCharsets.UTF_8).strip();
         return route.operation().apply(operations, body);
     }
 
     /** Returns the response to a request whose body is too large. */
-    static AdminReply bodyTooLarge() {
-        return AdminReply.of(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large\n");
+    static AdminResponse bodyTooLarge() {
+        return AdminResponse.of(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large\n");
     }
 
-    private static AdminReply readiness(AdminOperations operations) {
+    private static AdminResponse readiness(AdminOperations operations) {
         return operations.isReady()
-                ? AdminReply.ok("ready\n")
-                : AdminReply.of(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready\n");
+                ? AdminResponse.ok("ready\n")
+                : AdminResponse.of(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready\n");
     }
 
-    private static AdminReply setMaintenance(AdminOperations operations, String engine, boolean excluded) {
+    private static AdminResponse setMaintenance(AdminOperations operations, String engine, boolean excluded) {
         return operations.setMaintenance(engine, excluded)
-                ? AdminReply.ok(engine + (excluded ? " is left out\n" : " is used\n"))
-                : AdminReply.of(HttpResponseStatus.NOT_FOUND, "no query engine " + engine + " is known\n");
+                ? AdminResponse.ok(engine + (excluded ? " is left out\n" : " is used\n"))
+                : AdminResponse.of(HttpResponseStatus.NOT_FOUND, "no query engine " + engine + " is known\n");
     }
 
-    private static AdminReply startDrain(AdminOperations operations) {
+    private static AdminResponse startDrain(AdminOperations operations) {
         operations.startDrain();
-        return AdminReply.ok("draining\n");
+        return AdminResponse.ok("draining\n");
     }
 
-    private static AdminReply stopDrain(AdminOperations operations) {
+    private static AdminResponse stopDrain(AdminOperations operations) {
         return operations.stopDrain()
-                ? AdminReply.ok("serving\n")
-                : AdminReply.of(HttpResponseStatus.CONFLICT, "the process is ending\n");
+                ? AdminResponse.ok("serving\n")
+                : AdminResponse.of(HttpResponseStatus.CONFLICT, "the process is ending\n");
     }
 }
