--- a/src/main/java/lineward/operations/AdminHandler.java
+++ b/src/main/java/lineward/operations/AdminHandler.java
@@ -66,7 +66,7 @@
      * connection.
      */
     private static void send(ChannelHandlerContext ctx, AdminResponse reply) {
-        ByteBuf body = ByteBufUtil.writeUtf8(ctx.alloc(), reply.text());
+        ByteBuf body = ByteBufUtil.writeUtf8(ctx.alloc(), reply.body());
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, reply.status(), body);
         HttpHeaders headers = response.headers();
         headers.set(HttpHeaderNames.CONTENT_TYPE, CONTENT_TYPE)
--- a/src/main/java/lineward/operations/AdminResponse.java
+++ b/src/main/java/lineward/operations/AdminResponse.java
@@ -7,16 +7,16 @@
 /**
  * A response of the admin endpoint.
  *
- * @param text body of the response
+ * @param body body of the response
  * @param allowedMethod value of the header {@code Allow}; empty unless the request's method is not allowed
  */
-record AdminResponse(HttpResponseStatus status, String text, Optional<HttpMethod> allowedMethod) {
-    static AdminResponse ok(String text) {
-        return of(HttpResponseStatus.OK, text);
+record AdminResponse(HttpResponseStatus status, String body, Optional<HttpMethod> allowedMethod) {
+    static AdminResponse ok(String body) {
+        return of(HttpResponseStatus.OK, body);
     }
 
-    static AdminResponse of(HttpResponseStatus status, String text) {
-        return new AdminResponse(status, text, Optional.empty());
+    static AdminResponse of(HttpResponseStatus status, String body) {
+        return new AdminResponse(status, body, Optional.empty());
     }
 
     static AdminResponse methodNotAllowed(HttpMethod allowed) {
