--- a/src/main/java/lineward/operations/AdminHandler.java
+++ b/src/main/java/lineward/operations/AdminHandler.java
@@ -26,7 +26,7 @@
 
     private final AdminOperations operations;
     private final ClientRegistry<Channel> clients;
-    private boolean replied;
+    private boolean responded;
 
     AdminHandler(AdminOperations operations, ClientRegistry<Channel> clients) {
         this.operations = operations;
@@ -49,10 +49,10 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Object message) {
         // Later requests on the connection are ignored.
-        if (replied) {
+        if (responded) {
             return;
         }
-        replied = true;
+        responded = true;
         if (message == AdminRequestAggregator.TOO_LARGE) {
             send(ctx, AdminRoutes.bodyTooLarge());
         } else {
