--- a/src/main/java/lineward/operations/AdminHandler.java
+++ b/src/main/java/lineward/operations/AdminHandler.java
@@ -65,16 +65,16 @@
      * unread would reset the connection and lose the response. The client or the request timeout closes the
      * connection.
      */
-    private static void send(ChannelHandlerContext ctx, AdminResponse reply) {
-        ByteBuf body = ByteBufUtil.writeUtf8(ctx.alloc(), reply.body());
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, reply.status(), body);
-        HttpHeaders headers = response.headers();
+    private static void send(ChannelHandlerContext ctx, AdminResponse response) {
+        ByteBuf body = ByteBufUtil.writeUtf8(ctx.alloc(), response.body());
+        FullHttpResponse message = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, response.status(), body);
+        HttpHeaders headers = message.headers();
         headers.set(HttpHeaderNames.CONTENT_TYPE, CONTENT_TYPE)
                 .set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        reply.allowedMethod().ifPresent(method -> headers.set(HttpHeaderNames.ALLOW, method.name()));
+        response.allowedMethod().ifPresent(method -> headers.set(HttpHeaderNames.ALLOW, method.name()));
         // Netty releases the response, and the body with it, after the write.
-        ctx.writeAndFlush(response).addListener((ChannelFutureListener) written -> {
+        ctx.writeAndFlush(message).addListener((ChannelFutureListener) written -> {
             if (written.isSuccess() && written.channel() instanceof DuplexChannel duplex) {
                 Channels.shutdownOutput(duplex);
             } else {
