--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -112,8 +112,8 @@
     }
 
     @Override
-    public String metrics() {
-        return metrics.text(servers);
+    public String metricsText() {
+        return metrics.prometheusText(servers);
     }
 
     @Override
--- a/src/main/java/lineward/operations/AdminOperations.java
+++ b/src/main/java/lineward/operations/AdminOperations.java
@@ -15,7 +15,7 @@
     boolean setMaintenance(String engine, boolean excluded);
 
     /** Returns the counters and gauges of this process in the Prometheus text format. */
-    String metrics();
+    String metricsText();
 
     /** Starts a drain of this process, which keeps running. Has no effect if a drain is in effect. */
     void startDrain();
--- a/src/main/java/lineward/operations/AdminRoutes.java
+++ b/src/main/java/lineward/operations/AdminRoutes.java
@@ -16,7 +16,7 @@
 
     private static final Map<String, Route> ROUTES = Map.of(
             "/ops/readiness", get(AdminRoutes::readiness),
-            "/ops/stats", get(operations -> AdminResponse.ok(operations.metrics())),
+            "/ops/stats", get(operations -> AdminResponse.ok(operations.metricsText())),
             "/ops/query-engines/down", post((operations, engine) -> setMaintenance(operations, engine, true)),
             "/ops/query-engines/up", post((operations, engine) -> setMaintenance(operations, engine, false)),
             "/ops/drain/start", post((operations, body) -> startDrain(operations)),
--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -107,7 +107,7 @@
     }
 
     /** Returns all metrics in the Prometheus text format, including the gauges of these servers. */
-    public String text(Collection<ProtocolServer> servers) {
+    public String prometheusText(Collection<ProtocolServer> servers) {
         PrometheusText text = new PrometheusText();
         writeRequests(text, servers);
         writeEngines(text, servers);
