--- a/src/main/java/lineward/app/DiscoveryWiring.java
+++ b/src/main/java/lineward/app/DiscoveryWiring.java
@@ -37,7 +37,7 @@
                 client.reloadAddress();
             }
         });
-        context.metrics().setListAge(client::ageMs);
+        context.metrics().setEndpointListAge(client::ageMs);
         context.startActions().add(this::startPolling);
     }
 
--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -44,7 +44,7 @@
 
     private long forwardedAttempts;
     /** Null if the process has no service discovery. */
-    private LongSupplier listAgeMs;
+    private LongSupplier endpointListAgeMs;
 
     /** Null if no protocol server sets it. */
     private LongSupplier unreadBytes;
@@ -84,8 +84,8 @@
      *
      * @param ageMs returns the milliseconds since the last usable response of service discovery
      */
-    public void setListAge(LongSupplier ageMs) {
-        listAgeMs = ageMs;
+    public void setEndpointListAge(LongSupplier ageMs) {
+        endpointListAgeMs = ageMs;
     }
 
     /**
@@ -139,9 +139,9 @@
         text.gauge("registry_entries", "Query engines on the list.", listed);
         long excluded = sum(servers, Coordinator::excludedEngines);
         text.gauge("out_of_rotation", "Query engines on the list that get nothing now.", excluded);
-        if (listAgeMs != null) {
+        if (endpointListAgeMs != null) {
             String help = "Milliseconds since the journal's last usable answer.";
-            text.gauge("list_age_ms", help, listAgeMs.getAsLong());
+            text.gauge("list_age_ms", help, endpointListAgeMs.getAsLong());
         }
     }
 
