--- a/src/main/java/lineward/mysql/QueryAdmission.java
+++ b/src/main/java/lineward/mysql/QueryAdmission.java
@@ -58,7 +58,7 @@
 
     @Override
     public void countRejected(Query query) {
-        metrics.countEnded(classOf(query).name(), Metrics.RequestStatus.REJECTED);
+        metrics.countEndedRequest(classOf(query).name(), Metrics.RequestStatus.REJECTED);
     }
 
     private MysqlConfig.QueryClass classOf(Query query) {
--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -67,7 +67,7 @@
     }
 
     /** Counts a request that has ended, unless its class is not registered. */
-    public void countEnded(String className, RequestStatus status) {
+    public void countEndedRequest(String className, RequestStatus status) {
         Map<RequestStatus, Long> row = endedRequests.get(className);
         if (row != null) {
             row.merge(status, 1L, Long::sum);
--- a/src/main/java/lineward/operations/MetricsTracer.java
+++ b/src/main/java/lineward/operations/MetricsTracer.java
@@ -45,7 +45,7 @@
 
     @Override
     public void requestEnded(X exchange, Ending ending) {
-        countedAs(ending).ifPresent(counted -> metrics.countEnded(classOf.apply(exchange), counted));
+        countedAs(ending).ifPresent(counted -> metrics.countEndedRequest(classOf.apply(exchange), counted));
         next.requestEnded(exchange, ending);
     }
 
--- a/src/main/java/lineward/thrift/OpenCalls.java
+++ b/src/main/java/lineward/thrift/OpenCalls.java
@@ -54,7 +54,7 @@
     /** Counts an invalid call as failed, under the class that it names. */
     void recordInvalid(ThriftReader.Invocation invocation) {
         String requestClass = invocation.fields().get(CallField.REQUEST_CLASS);
-        metrics.countEnded(requestClass, Metrics.RequestStatus.FAILED);
+        metrics.countEndedRequest(requestClass, Metrics.RequestStatus.FAILED);
     }
 
     /**
@@ -63,7 +63,7 @@
      */
     boolean admit(Call call) {
         if (!admitWithinBounds(call)) {
-            metrics.countEnded(call.requestClass(), Metrics.RequestStatus.REJECTED);
+            metrics.countEndedRequest(call.requestClass(), Metrics.RequestStatus.REJECTED);
             return false;
         }
         call.statement().retain();
