--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -100,7 +100,7 @@
                 connections.attemptsPerConnection(),
                 (int) (config.resources().descriptors() * ENGINE_DESCRIPTOR_RATIO),
                 !config.settings().reporting().fields().isEmpty());
-        return new EngineCluster(context.eventLoopGroup(), limits, context.metrics()::countForwarded);
+        return new EngineCluster(context.eventLoopGroup(), limits, context.metrics()::countForwardedAttempt);
     }
 
     /** Loads and compiles the code that the first requests use; runs it with a separate coordinator. */
--- a/src/main/java/lineward/mysql/client/AttemptReporter.java
+++ b/src/main/java/lineward/mysql/client/AttemptReporter.java
@@ -30,7 +30,7 @@
 
     @Override
     public void commandWritten() {
-        targets.metrics().countForwarded();
+        targets.metrics().countForwardedAttempt();
     }
 
     @Override
--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -75,7 +75,7 @@
     }
 
     /** Counts an attempt whose request has been written completely to an engine. */
-    public void countForwarded() {
+    public void countForwardedAttempt() {
         forwardedAttempts++;
     }
 
