--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -54,23 +54,23 @@
     /** Registers classes, whose counters start at 0 and are exported from now on. */
     public void registerClasses(Collection<String> classes) {
         for (String className : classes) {
-            endedRequests.computeIfAbsent(className, name -> emptyRow());
+            endedRequests.computeIfAbsent(className, name -> zeroCounts());
         }
     }
 
-    private static Map<RequestStatus, Long> emptyRow() {
-        Map<RequestStatus, Long> row = new EnumMap<>(RequestStatus.class);
+    private static Map<RequestStatus, Long> zeroCounts() {
+        Map<RequestStatus, Long> counts = new EnumMap<>(RequestStatus.class);
         for (RequestStatus status : RequestStatus.values()) {
-            row.put(status, 0L);
+            counts.put(status, 0L);
         }
-        return row;
+        return counts;
     }
 
     /** Counts a request that has ended, unless its class is not registered. */
     public void countEndedRequest(String className, RequestStatus status) {
-        Map<RequestStatus, Long> row = endedRequests.get(className);
-        if (row != null) {
-            row.merge(status, 1L, Long::sum);
+        Map<RequestStatus, Long> counts = endedRequests.get(className);
+        if (counts != null) {
+            counts.merge(status, 1L, Long::sum);
         }
     }
 
@@ -123,7 +123,7 @@
 
     private void writeRequests(PrometheusText text, Collection<ProtocolServer> servers) {
         text.labelledCounter(REQUESTS, "Requests that have ended, by class and end.");
-        endedRequests.forEach((className, row) -> row.forEach((status, count) -> {
+        endedRequests.forEach((className, counts) -> counts.forEach((status, count) -> {
             Map<String, String> labels = new LinkedHashMap<>();
             labels.put(CLASS_LABEL, className);
             labels.put(STATUS_LABEL, status.label());
