--- a/src/main/java/lineward/operations/MetricsTracer.java
+++ b/src/main/java/lineward/operations/MetricsTracer.java
@@ -45,11 +45,11 @@
 
     @Override
     public void requestEnded(X exchange, Ending ending) {
-        countedAs(ending).ifPresent(counted -> metrics.countEndedRequest(classOf.apply(exchange), counted));
+        statusOf(ending).ifPresent(status -> metrics.countEndedRequest(classOf.apply(exchange), status));
         next.requestEnded(exchange, ending);
     }
 
-    private static Optional<Metrics.RequestStatus> countedAs(Ending ending) {
+    private static Optional<Metrics.RequestStatus> statusOf(Ending ending) {
         return switch (ending) {
             case SERVED -> Optional.of(Metrics.RequestStatus.SERVED);
             case REJECTED -> Optional.of(Metrics.RequestStatus.REJECTED);
