--- a/src/main/java/lineward/operations/MetricsTracer.java
+++ b/src/main/java/lineward/operations/MetricsTracer.java
@@ -14,39 +14,39 @@
 public final class MetricsTracer<X> implements Tracer<X> {
     private final Metrics metrics;
     private final Function<X, String> classOf;
-    private final Tracer<X> next;
+    private final Tracer<X> delegate;
 
     /**
      * Creates a tracer that counts requests and forwards each event.
      *
      * @param classOf returns the class of a request
-     * @param next receives each event
+     * @param delegate receives each event
      */
-    public MetricsTracer(Metrics metrics, Function<X, String> classOf, Tracer<X> next) {
+    public MetricsTracer(Metrics metrics, Function<X, String> classOf, Tracer<X> delegate) {
         this.metrics = metrics;
         this.classOf = classOf;
-        this.next = next;
+        this.delegate = delegate;
     }
 
     @Override
     public void requestAdmitted(X exchange) {
-        next.requestAdmitted(exchange);
+        delegate.requestAdmitted(exchange);
     }
 
     @Override
     public void attemptStarted(X exchange, int attempt, String engine) {
-        next.attemptStarted(exchange, attempt, engine);
+        delegate.attemptStarted(exchange, attempt, engine);
     }
 
     @Override
     public void attemptEnded(X exchange, int attempt, AttemptOutcome outcome) {
-        next.attemptEnded(exchange, attempt, outcome);
+        delegate.attemptEnded(exchange, attempt, outcome);
     }
 
     @Override
     public void requestEnded(X exchange, Ending ending) {
         statusOf(ending).ifPresent(status -> metrics.countEndedRequest(classOf.apply(exchange), status));
-        next.requestEnded(exchange, ending);
+        delegate.requestEnded(exchange, ending);
     }
 
     private static Optional<Metrics.RequestStatus> statusOf(Ending ending) {
@@ -60,6 +60,6 @@
 
     @Override
     public void log(String text) {
-        next.log(text);
+        delegate.log(text);
     }
 }
