--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -122,7 +122,7 @@
     }
 
     private void writeRequests(PrometheusText text, Collection<ProtocolServer> servers) {
-        text.labelledCounter(REQUESTS, "Requests that have ended, by class and end.");
+        text.counterHeader(REQUESTS, "Requests that have ended, by class and end.");
         endedRequests.forEach((className, counts) -> counts.forEach((status, count) -> {
             Map<String, String> labels = new LinkedHashMap<>();
             labels.put(CLASS_LABEL, className);
--- a/src/main/java/lineward/operations/PrometheusText.java
+++ b/src/main/java/lineward/operations/PrometheusText.java
@@ -26,7 +26,7 @@
     }
 
     /** Writes the header of a counter with labels; the caller must then write the samples. */
-    void labelledCounter(String name, String help) {
+    void counterHeader(String name, String help) {
         header(name, Kind.COUNTER, help);
     }
 
