--- a/src/main/java/lineward/app/TelemetryWiring.java
+++ b/src/main/java/lineward/app/TelemetryWiring.java
@@ -19,7 +19,7 @@
     /** Starts the export; throws a {@link ConfigException} if an environment variable can't be used. */
     TelemetryWiring(Metrics metrics, Map<String, String> environment) {
         this.metrics = metrics;
-        this.export = Telemetry.isOn(environment) ? start(environment) : null;
+        this.export = Telemetry.isEnabled(environment) ? start(environment) : null;
     }
 
     private static Telemetry start(Map<String, String> environment) {
--- a/src/main/java/lineward/telemetry/Telemetry.java
+++ b/src/main/java/lineward/telemetry/Telemetry.java
@@ -28,7 +28,7 @@
     }
 
     /** Returns whether the environment names a collector. */
-    public static boolean isOn(Map<String, String> environment) {
+    public static boolean isEnabled(Map<String, String> environment) {
         List<String> endpoints = List.of(ENDPOINT, TRACES_ENDPOINT, METRICS_ENDPOINT);
         return endpoints.stream().anyMatch(variable -> isSet(environment, variable));
     }
--- a/src/test/java/lineward/telemetry/TelemetryTest.java
+++ b/src/test/java/lineward/telemetry/TelemetryTest.java
@@ -127,8 +127,8 @@
 
     @Test
     public void exportIsOffWithoutAnEndpoint() {
-        assertFalse(Telemetry.isOn(Map.of("OTEL_SERVICE_NAME", "x")));
+        assertFalse(Telemetry.isEnabled(Map.of("OTEL_SERVICE_NAME", "x")));
         String endpoint = "http://127.0.0.1:4318";
-        assertTrue(Telemetry.isOn(Map.of("OTEL_EXPORTER_OTLP_METRICS_ENDPOINT", endpoint)));
+        assertTrue(Telemetry.isEnabled(Map.of("OTEL_EXPORTER_OTLP_METRICS_ENDPOINT", endpoint)));
     }
 }
