--- a/src/main/java/lineward/telemetry/OtlpTracer.java
+++ b/src/main/java/lineward/telemetry/OtlpTracer.java
@@ -60,13 +60,13 @@
     private final DoubleHistogram requestDuration;
     private final Function<X, String> classOf;
     private final Function<X, String> idOf;
-    private final Tracer<X> next;
+    private final Tracer<X> delegate;
     private final IdentityHashMap<X, RequestSpans> inFlight = new IdentityHashMap<>();
 
-    OtlpTracer(OpenTelemetry sdk, Function<X, String> classOf, Function<X, String> idOf, Tracer<X> next) {
+    OtlpTracer(OpenTelemetry sdk, Function<X, String> classOf, Function<X, String> idOf, Tracer<X> delegate) {
         this.classOf = classOf;
         this.idOf = idOf;
-        this.next = next;
+        this.delegate = delegate;
         spans = sdk.getTracer(INSTRUMENTATION_SCOPE);
         Meter meter = sdk.getMeter(INSTRUMENTATION_SCOPE);
         requestCounter = meter.counterBuilder("lineward.requests")
@@ -92,7 +92,7 @@
                 .setAttribute(REQUEST, idOf.apply(exchange))
                 .startSpan();
         inFlight.put(exchange, new RequestSpans(span, className));
-        next.requestAdmitted(exchange);
+        delegate.requestAdmitted(exchange);
     }
 
     @Override
@@ -108,7 +108,7 @@
                     .startSpan();
             request.attempts.put(attempt, span);
         }
-        next.attemptStarted(exchange, attempt, engine);
+        delegate.attemptStarted(exchange, attempt, engine);
     }
 
     @Override
@@ -121,7 +121,7 @@
             end(span, value, outcome == AttemptOutcome.OK);
             removeIfComplete(exchange, request);
         }
-        next.attemptEnded(exchange, attempt, outcome);
+        delegate.attemptEnded(exchange, attempt, outcome);
     }
 
     @Override
@@ -137,12 +137,12 @@
             request.requestEnded = true;
             removeIfComplete(exchange, request);
         }
-        next.requestEnded(exchange, ending);
+        delegate.requestEnded(exchange, ending);
     }
 
     @Override
     public void log(String text) {
-        next.log(text);
+        delegate.log(text);
     }
 
     private void removeIfComplete(X exchange, RequestSpans request) {
--- a/src/main/java/lineward/telemetry/Telemetry.java
+++ b/src/main/java/lineward/telemetry/Telemetry.java
@@ -84,10 +84,10 @@
      *
      * @param classOf returns the class of a request
      * @param idOf returns the id of a request
-     * @param next receives each event
+     * @param delegate receives each event
      */
-    public <X> Tracer<X> tracer(Function<X, String> classOf, Function<X, String> idOf, Tracer<X> next) {
-        return new OtlpTracer<>(sdk, classOf, idOf, next);
+    public <X> Tracer<X> tracer(Function<X, String> classOf, Function<X, String> idOf, Tracer<X> delegate) {
+        return new OtlpTracer<>(sdk, classOf, idOf, delegate);
     }
 
     /** Exports the remaining spans and metrics; blocks for at most {@value #LAST_EXPORT_TIMEOUT_MS} ms. */
