--- a/src/main/java/lineward/telemetry/OtlpTracer.java
+++ b/src/main/java/lineward/telemetry/OtlpTracer.java
@@ -34,19 +34,19 @@
 
     /** The spans of a request; kept until the request and all of its attempts have ended. */
     private static final class RequestSpans {
-        private final Span request;
+        private final Span requestSpan;
         private final String className;
         private final long startNanos = System.nanoTime();
-        private final Map<Integer, Span> attempts = new HashMap<>();
+        private final Map<Integer, Span> attemptSpans = new HashMap<>();
         private boolean requestEnded;
 
-        RequestSpans(Span request, String className) {
-            this.request = request;
+        RequestSpans(Span requestSpan, String className) {
+            this.requestSpan = requestSpan;
             this.className = className;
         }
 
         boolean isComplete() {
-            return requestEnded && attempts.isEmpty();
+            return requestEnded && attemptSpans.isEmpty();
         }
 
         double secondsSinceStart() {
@@ -54,20 +54,20 @@
         }
     }
 
-    private final io.opentelemetry.api.trace.Tracer spans;
+    private final io.opentelemetry.api.trace.Tracer spanTracer;
     private final LongCounter requestCounter;
     private final LongCounter attemptCounter;
     private final DoubleHistogram requestDuration;
     private final Function<X, String> classOf;
     private final Function<X, String> idOf;
     private final Tracer<X> delegate;
-    private final IdentityHashMap<X, RequestSpans> inFlight = new IdentityHashMap<>();
+    private final IdentityHashMap<X, RequestSpans> incompleteRequests = new IdentityHashMap<>();
 
     OtlpTracer(OpenTelemetry sdk, Function<X, String> classOf, Function<X, String> idOf, Tracer<X> delegate) {
         this.classOf = classOf;
         this.idOf = idOf;
         this.delegate = delegate;
-        spans = sdk.getTracer(INSTRUMENTATION_SCOPE);
+        spanTracer = sdk.getTracer(INSTRUMENTATION_SCOPE);
         Meter meter = sdk.getMeter(INSTRUMENTATION_SCOPE);
         requestCounter = meter.counterBuilder("lineward.requests")
                 .setUnit("{request}")
@@ -86,56 +86,58 @@
     @Override
     public void requestAdmitted(X exchange) {
         String className = classOf.apply(exchange);
-        Span span = spans.spanBuilder("request")
+        Span span = spanTracer
+                .spanBuilder("request")
                 .setSpanKind(SpanKind.SERVER)
                 .setAttribute(CLASS, className)
                 .setAttribute(REQUEST, idOf.apply(exchange))
                 .startSpan();
-        inFlight.put(exchange, new RequestSpans(span, className));
+        incompleteRequests.put(exchange, new RequestSpans(span, className));
         delegate.requestAdmitted(exchange);
     }
 
     @Override
     public void attemptStarted(X exchange, int attempt, String engine) {
-        RequestSpans request = inFlight.get(exchange);
-        if (request != null) {
-            Span span = spans.spanBuilder("attempt")
+        RequestSpans spans = incompleteRequests.get(exchange);
+        if (spans != null) {
+            Span span = spanTracer
+                    .spanBuilder("attempt")
                     .setSpanKind(SpanKind.CLIENT)
-                    .setParent(Context.root().with(request.request))
+                    .setParent(Context.root().with(spans.requestSpan))
                     .setAttribute(ENGINE, engine)
-                    .setAttribute(CLASS, request.className)
+                    .setAttribute(CLASS, spans.className)
                     .setAttribute(ATTEMPT, (long) attempt)
                     .startSpan();
-            request.attempts.put(attempt, span);
+            spans.attemptSpans.put(attempt, span);
         }
         delegate.attemptStarted(exchange, attempt, engine);
     }
 
     @Override
     public void attemptEnded(X exchange, int attempt, AttemptOutcome outcome) {
-        RequestSpans request = inFlight.get(exchange);
-        Span span = request == null ? null : request.attempts.remove(attempt);
+        RequestSpans spans = incompleteRequests.get(exchange);
+        Span span = spans == null ? null : spans.attemptSpans.remove(attempt);
         if (span != null) {
             String value = OutcomeAttribute.valueOf(outcome);
-            attemptCounter.add(1, Attributes.of(CLASS, request.className, OUTCOME, value));
+            attemptCounter.add(1, Attributes.of(CLASS, spans.className, OUTCOME, value));
             end(span, value, outcome == AttemptOutcome.OK);
-            removeIfComplete(exchange, request);
+            removeIfComplete(exchange, spans);
         }
         delegate.attemptEnded(exchange, attempt, outcome);
     }
 
     @Override
     public void requestEnded(X exchange, Ending ending) {
-        RequestSpans request = inFlight.get(exchange);
-        if (request != null) {
+        RequestSpans spans = incompleteRequests.get(exchange);
+        if (spans != null) {
             String value = OutcomeAttribute.valueOf(ending);
-            Attributes attributes = Attributes.of(CLASS, request.className, OUTCOME, value);
+            Attributes attributes = Attributes.of(CLASS, spans.className, OUTCOME, value);
             requestCounter.add(1, attributes);
-            requestDuration.record(request.secondsSinceStart(), attributes);
+            requestDuration.record(spans.secondsSinceStart(), attributes);
             // A cancellation by the client is not an error.
-            end(request.request, value, ending == Ending.SERVED || ending == Ending.CANCELLED);
-            request.requestEnded = true;
-            removeIfComplete(exchange, request);
+            end(spans.requestSpan, value, ending == Ending.SERVED || ending == Ending.CANCELLED);
+            spans.requestEnded = true;
+            removeIfComplete(exchange, spans);
         }
         delegate.requestEnded(exchange, ending);
     }
@@ -145,9 +147,9 @@
         delegate.log(text);
     }
 
-    private void removeIfComplete(X exchange, RequestSpans request) {
-        if (request.isComplete()) {
-            inFlight.remove(exchange);
+    private void removeIfComplete(X exchange, RequestSpans spans) {
+        if (spans.isComplete()) {
+            incompleteRequests.remove(exchange);
         }
     }
 
