--- a/src/main/java/lineward/telemetry/OtlpTracer.java
+++ b/src/main/java/lineward/telemetry/OtlpTracer.java
@@ -27,7 +27,7 @@
     private static final String INSTRUMENTATION_SCOPE = "lineward";
     private static final AttributeKey<String> CLASS = AttributeKey.stringKey("lineward.class");
     private static final AttributeKey<String> OUTCOME = AttributeKey.stringKey("lineward.outcome");
-    private static final AttributeKey<String> REQUEST = AttributeKey.stringKey("lineward.request.id");
+    private static final AttributeKey<String> REQUEST_ID = AttributeKey.stringKey("lineward.request.id");
     private static final AttributeKey<String> ENGINE = AttributeKey.stringKey("lineward.engine");
     private static final AttributeKey<Long> ATTEMPT = AttributeKey.longKey("lineward.attempt");
     private static final double NANOS_PER_SECOND = 1e9;
@@ -90,7 +90,7 @@
                 .spanBuilder("request")
                 .setSpanKind(SpanKind.SERVER)
                 .setAttribute(CLASS, className)
-                .setAttribute(REQUEST, idOf.apply(exchange))
+                .setAttribute(REQUEST_ID, idOf.apply(exchange))
                 .startSpan();
         incompleteRequests.put(exchange, new RequestSpans(span, className));
         delegate.requestAdmitted(exchange);
