--- a/src/main/java/lineward/app/FileSchema.java
+++ b/src/main/java/lineward/app/ConfigSchema.java
@@ -13,10 +13,10 @@
 /**
  * Checks a configuration file against its schema. An empty file passes without loading the schema library.
  */
-final class FileSchema {
-    private static final String SECRET = "password";
+final class ConfigSchema {
+    private static final String PASSWORD_KEY = "password";
 
-    private FileSchema() {}
+    private ConfigSchema() {}
 
     /**
      * Checks the whole file.
@@ -28,7 +28,7 @@
         if (root.value().isEmpty()) {
             return;
         }
-        try (InputStream in = FileSchema.class.getResourceAsStream(schema)) {
+        try (InputStream in = ConfigSchema.class.getResourceAsStream(schema)) {
             JsonSchema rules = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
                     .getSchema(in);
             rules.validate(root.value()).stream()
@@ -47,12 +47,12 @@
         String prefix = key + ": ";
         String rule = message.startsWith(prefix) ? message.substring(prefix.length()) : message;
         String reason = "violates the schema of the file";
-        return ConfigException.invalid(file, key, reason, shown(key, violation.getInstanceNode()), rule);
+        return ConfigException.invalid(file, key, reason, describe(key, violation.getInstanceNode()), rule);
     }
 
     /** Returns a value as messages show it; passwords, lists and tables are left out. */
-    private static String shown(String key, JsonNode found) {
-        if (found == null || found.isContainerNode() || key.endsWith(SECRET)) {
+    private static String describe(String key, JsonNode found) {
+        if (found == null || found.isContainerNode() || key.endsWith(PASSWORD_KEY)) {
             return "a value not shown";
         }
         return found.toString();
--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -16,14 +16,14 @@
 final class FrontEnd {
     private static final Logger LOG = LoggerFactory.getLogger(FrontEnd.class);
     /** Interval of checks for engine connections that have exceeded their idle timeout. */
-    private static final int IDLE_INTERVAL_MS = 1000;
+    private static final int IDLE_CHECK_PERIOD_MS = 1000;
     /** Interval of checks for unresponsive clients. */
-    private static final int UNRESPONSIVE_INTERVAL_MS = 100;
+    private static final int CLIENT_CHECK_PERIOD_MS = 100;
 
     private final FrontEndContext context = new FrontEndContext();
     private final TelemetryWiring telemetry = new TelemetryWiring(context.metrics(), context.environment());
     private final DiscoveryWiring discovery = new DiscoveryWiring(context);
-    private LifecycleWiring.Instance instance = LifecycleWiring.Instance.mysqlOnly();
+    private LifecycleWiring.ProcessProperties process = LifecycleWiring.ProcessProperties.mysqlOnly();
     /** Null if the configuration names no admin endpoint. */
     private InetSocketAddress adminAddress;
 
@@ -33,9 +33,9 @@
      * Adds the server for the platform's protocol; throws a {@link ConfigException} if the file can't be
      * used.
      */
-    void addPlatform(ConfigFile file) {
-        Config config = file.read();
-        instance = new ThriftWiring(context, config).connect(telemetry, discovery, file);
+    void addPlatformServer(PlatformConfigFile file) {
+        PlatformConfig config = file.read();
+        process = new ThriftWiring(context, config).connect(telemetry, discovery, file);
         adminAddress = config.addresses().admin();
     }
 
@@ -43,7 +43,7 @@
      * Adds the server for MySQL clients if the file has a listen address; throws a {@link ConfigException} if
      * the file can't be used.
      */
-    void addMysql(MysqlFile file) {
+    void addMysqlServer(MysqlConfigFile file) {
         new MysqlWiring(context, file).connect(telemetry);
     }
 
@@ -59,7 +59,7 @@
      * Starts the servers and returns; throws a {@link ConfigException} if there is none or one can't listen.
      */
     void run() {
-        lifecycle = LifecycleWiring.create(context, instance);
+        lifecycle = LifecycleWiring.create(context, process);
         // Registered before the start: clients may connect during it, and SIGTERM must drain them too.
         Thread shutdownHook = new Thread(this::terminate, "end");
         Runtime.getRuntime().addShutdownHook(shutdownHook);
@@ -76,8 +76,8 @@
         Ticker ticker = context.ticker();
         context.runOnEventLoop(lifecycle::joinHotRestart);
         ticker.every(Ticker.TICK_MS, () -> servers.forEach(ProtocolServer::tick));
-        ticker.every(UNRESPONSIVE_INTERVAL_MS, () -> servers.forEach(ProtocolServer::runPeriodicTasks));
-        ticker.every(IDLE_INTERVAL_MS, () -> servers.forEach(ProtocolServer::closeIdleEngineConnections));
+        ticker.every(CLIENT_CHECK_PERIOD_MS, () -> servers.forEach(ProtocolServer::runPeriodicTasks));
+        ticker.every(IDLE_CHECK_PERIOD_MS, () -> servers.forEach(ProtocolServer::closeIdleEngineConnections));
         AdminWiring.start(context, lifecycle, adminAddress);
         context.startActions().forEach(Runnable::run);
         for (ProtocolServer server : servers) {
--- a/src/main/java/lineward/app/MysqlConfigReader.java
+++ b/src/main/java/lineward/app/MysqlConfigReader.java
@@ -41,16 +41,16 @@
     private static final int DEFAULT_SPOOL_FILES = 1000;
     private static final int DEFAULT_SPOOL_RESULTS = 10_000;
     /** By default one user, and one result, may use half of the spool, so that neither can fill it. */
-    private static final int SINGLE_OWNER_DIVISOR = 2;
+    private static final int USER_OR_RESULT_DIVISOR = 2;
     /**
      * By default up to a quarter of the spool's memory buffers a result before its first row is sent; until
      * then a failed attempt can be retried.
      */
-    private static final int RETRYABLE_MEMORY_DIVISOR = 4;
+    private static final int RESPONSE_BUFFER_DIVISOR = 4;
     /**
      * Fraction of an attempt's timeout after which the first row is sent even if the result is incomplete.
      */
-    private static final double RETRYABLE_TIME_RATIO = 0.5;
+    private static final double RESPONSE_DELAY_RATIO = 0.5;
 
     private static final int DEFAULT_LEASE_S = 60;
     private static final int DEFAULT_KEY_LEASE_S = 300;
@@ -161,17 +161,17 @@
         if (memoryMb >= heapMb) {
             throw spool.member("memory-mb").invalid("does not fit into the heap", "less than " + heapMb);
         }
-        int ownerMb = atLeastOne((memoryMb + fileMb) / SINGLE_OWNER_DIVISOR);
-        int retryableMb = atLeastOne(memoryMb / RETRYABLE_MEMORY_DIVISOR);
+        int userOrResultMb = atLeastOne((memoryMb + fileMb) / USER_OR_RESULT_DIVISOR);
+        int responseBufferMb = atLeastOne(memoryMb / RESPONSE_BUFFER_DIVISOR);
         return new SpoolLimits(
                 BYTES_PER_MB * memoryMb,
                 BYTES_PER_MB * fileMb,
                 usesFiles ? spool.member("files").positiveInt(DEFAULT_SPOOL_FILES) : 0,
                 spool.member("results").positiveInt(DEFAULT_SPOOL_RESULTS),
-                BYTES_PER_MB * spool.member("user-mb").positiveInt(ownerMb),
-                BYTES_PER_MB * spool.member("result-mb").positiveInt(ownerMb),
-                BYTES_PER_MB * spool.member("hold-mb").positiveInt(retryableMb),
-                RETRYABLE_TIME_RATIO,
+                BYTES_PER_MB * spool.member("user-mb").positiveInt(userOrResultMb),
+                BYTES_PER_MB * spool.member("result-mb").positiveInt(userOrResultMb),
+                BYTES_PER_MB * spool.member("hold-mb").positiveInt(responseBufferMb),
+                RESPONSE_DELAY_RATIO,
                 MS_PER_SECOND * spool.member("lease-s").positiveInt(DEFAULT_LEASE_S),
                 MS_PER_SECOND * spool.member("key-lease-s").positiveInt(DEFAULT_KEY_LEASE_S));
     }
--- a/src/main/java/lineward/app/MysqlSettings.java
+++ b/src/main/java/lineward/app/MysqlSchedulerSettings.java
@@ -12,9 +12,9 @@
 import lineward.scheduling.SchedulerSettings;
 
 /** The scheduler's settings for the pool of MySQL engines. */
-final class MysqlSettings {
+final class MysqlSchedulerSettings {
     /** Milliseconds that the latency objective grows with each millisecond of a request's run time. */
-    private static final double OBJECTIVE_STRETCH = 2;
+    private static final double LATENCY_PER_WORK = 2;
 
     private static final double OVERDUE_VALUE_RATIO = 0.3;
     private static final double MAX_RETRY_AFTER_MS = 2000;
@@ -24,9 +24,9 @@
 
     private static final double INITIAL_CAPACITY_RATIO = 0.34;
     private static final double OVERLOAD_FACTOR = 2.5;
-    private static final double OVERLOAD_INTERVAL_MS = 1500;
+    private static final double OVERLOAD_WINDOW_MS = 1500;
 
-    private MysqlSettings() {}
+    private MysqlSchedulerSettings() {}
 
     /**
      * Returns the settings, with two classes for each class of the file: an idempotent one for statements
@@ -60,7 +60,7 @@
         return new RequestClass(
                 new RequestClass.Objective(
                         queryClass.latencyObjectiveMs(),
-                        OBJECTIVE_STRETCH,
+                        LATENCY_PER_WORK,
                         queryClass.deadlineMs(),
                         queryClass.priorityWeight(),
                         OVERDUE_VALUE_RATIO),
@@ -80,7 +80,7 @@
         return new SchedulerSettings.Rules(
                 DRAIN_GRACE_MS,
                 new SchedulerSettings.SlowStartRule(
-                        SLOW_START_MS, INITIAL_CAPACITY_RATIO, OVERLOAD_FACTOR, OVERLOAD_INTERVAL_MS),
+                        SLOW_START_MS, INITIAL_CAPACITY_RATIO, OVERLOAD_FACTOR, OVERLOAD_WINDOW_MS),
                 0,
                 new SchedulerSettings.RetryBudget(0, 0, 0));
     }
--- a/src/main/java/lineward/app/MysqlWiring.java
+++ b/src/main/java/lineward/app/MysqlWiring.java
@@ -23,9 +23,9 @@
     private static final int RELOAD_INTERVAL_MS = 200;
 
     private final FrontEndContext context;
-    private final MysqlFile file;
+    private final MysqlConfigFile file;
 
-    MysqlWiring(FrontEndContext context, MysqlFile file) {
+    MysqlWiring(FrontEndContext context, MysqlConfigFile file) {
         this.context = context;
         this.file = file;
     }
@@ -39,18 +39,18 @@
         List<String> classNames =
                 config.classes().stream().map(MysqlConfig.QueryClass::name).toList();
         Coordinator<Query> coordinator = new Coordinator<>(
-                new SpeculativeScheduler(MysqlSettings.of(config), System.nanoTime()),
+                new SpeculativeScheduler(MysqlSchedulerSettings.of(config), System.nanoTime()),
                 FrontEndContext.MAX_OPEN_REQUESTS,
                 MysqlServer.MAX_CANCEL_DURATION_MS,
                 telemetry.tracer(query -> classNames.get(query.classIndex())));
         Spool spool = SpoolWiring.open(context, config.spool());
         DoubleSupplier clock = context.clock();
         Metrics metrics = context.metrics();
-        CoalescedTick tick = new CoalescedTick(context.eventLoop());
+        TickCoalescer tick = new TickCoalescer(context.eventLoop());
         MysqlServer server =
                 new MysqlServer(context.eventLoopGroup(), config, coordinator, clock, tick, metrics, spool);
         metrics.registerClasses(classNames);
-        tick.attach(server);
+        tick.setServer(server);
         context.runOnEventLoop(() -> server.updateEngines(config.engines()));
         context.protocolServers().add(server);
         Runnable reload = () -> reload(server::updateEngines);
--- a/src/main/java/lineward/app/Config.java
+++ b/src/main/java/lineward/app/PlatformConfig.java
@@ -14,7 +14,7 @@
  * @param initialEndpoints discovery events that are applied before the start, in the wire format of service
  *     discovery
  */
-record Config(
+record PlatformConfig(
         String name,
         Addresses addresses,
         long seed,
@@ -50,10 +50,10 @@
      * The limits on connections to engines.
      *
      * @param connectTimeoutMs time after which a connection that is not established is overdue
-     * @param idleMs time after which engines close an idle connection
-     * @param streams maximum number of concurrent attempts on one connection
+     * @param engineIdleTimeoutMs time after which engines close an idle connection
+     * @param attemptsPerConnection maximum number of concurrent attempts on one connection
      */
-    record EngineConnections(int connectTimeoutMs, double idleMs, int streams) {}
+    record EngineConnections(int connectTimeoutMs, double engineIdleTimeoutMs, int attemptsPerConnection) {}
 
     /** The names in requests and discovery events, each list in the order of the settings. */
     record Names(List<String> classes, List<String> tenants, List<String> engineKinds, List<String> zones) {}
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -28,19 +28,19 @@
     private static final double ENGINE_DESCRIPTOR_RATIO = 0.35;
 
     private final FrontEndContext context;
-    private final Config config;
+    private final PlatformConfig config;
     private final ThriftServer.Names names;
     private final ThriftServer.Bounds bounds;
 
-    ThriftWiring(FrontEndContext context, Config config) {
+    ThriftWiring(FrontEndContext context, PlatformConfig config) {
         this.context = context;
         this.config = config;
-        Config.Names configured = config.names();
+        PlatformConfig.Names configured = config.names();
         this.names = new ThriftServer.Names(configured.classes(), configured.tenants(), config.deadlinesMs());
         this.bounds = bounds(config.resources());
     }
 
-    private static ThriftServer.Bounds bounds(Config.Resources resources) {
+    private static ThriftServer.Bounds bounds(PlatformConfig.Resources resources) {
         long memoryBytes = resources.memoryMb() * BYTES_PER_MB;
         return new ThriftServer.Bounds(
                 (int) (resources.descriptors() * CLIENT_DESCRIPTOR_RATIO),
@@ -52,16 +52,17 @@
      * Creates the server, after a warm-up, applies the initial endpoints and adds the server to the front
      * end.
      *
-     * @param file file from which a reload reads the address of service discovery
+     * @param configFile file from which a reload reads the address of service discovery
      * @return the properties of this process that its lifecycle depends on
      */
-    LifecycleWiring.Instance connect(TelemetryWiring telemetry, DiscoveryWiring discovery, ConfigFile file) {
+    LifecycleWiring.ProcessProperties connect(
+            TelemetryWiring telemetry, DiscoveryWiring discovery, PlatformConfigFile configFile) {
         Coordinator<Call> coordinator = coordinator(config.seed(), telemetry.tracer(Call::requestClass));
         EngineCluster cluster = cluster();
         context.metrics().registerClasses(names.classes());
-        context.runOnEventLoop(() -> loadClasses(cluster));
+        context.runOnEventLoop(() -> warmUp(cluster));
         ListenerWiring clients = ListenerWiring.open(config.addresses().listen(), context.environment());
-        CoalescedTick tick = new CoalescedTick(context.eventLoop());
+        TickCoalescer tick = new TickCoalescer(context.eventLoop());
         ThriftServer server = new ThriftServer(
                 names,
                 bounds,
@@ -72,16 +73,16 @@
                 tick,
                 context.metrics(),
                 GossipWiring.connect(context, config.addresses().gossip(), coordinator, tick));
-        tick.attach(server);
+        tick.setServer(server);
         EndpointList endpoints = endpoints((isComplete, entries) -> {
             cluster.updateEndpoints(isComplete, entries);
             coordinator.endpointsChanged(isComplete, entries);
             tick.run();
         });
-        context.runOnEventLoop(() -> applyInitial(endpoints));
+        context.runOnEventLoop(() -> applyInitialEndpoints(endpoints));
         context.protocolServers().add(server);
-        discovery.follow(config.addresses().discovery(), file, endpoints);
-        return instance(clients.isInherited());
+        discovery.createClient(config.addresses().discovery(), configFile, endpoints);
+        return processProperties(clients.isInherited());
     }
 
     private Coordinator<Call> coordinator(long seed, Tracer<Call> tracer) {
@@ -92,18 +93,18 @@
     }
 
     private EngineCluster cluster() {
-        Config.EngineConnections connections = config.engineConnections();
+        PlatformConfig.EngineConnections connections = config.engineConnections();
         EngineCluster.Limits limits = new EngineCluster.Limits(
                 connections.connectTimeoutMs(),
-                connections.idleMs(),
-                connections.streams(),
+                connections.engineIdleTimeoutMs(),
+                connections.attemptsPerConnection(),
                 (int) (config.resources().descriptors() * ENGINE_DESCRIPTOR_RATIO),
                 !config.settings().loadReporting().fields().isEmpty());
-        return new EngineCluster(context.eventLoopGroup(), limits, context.metrics()::countForwarded);
+        return new EngineCluster(context.eventLoopGroup(), limits, context.metrics()::countForwardedAttempt);
     }
 
     /** Loads and compiles the code that the first requests use; runs it with a separate coordinator. */
-    private void loadClasses(EngineCluster cluster) {
+    private void warmUp(EngineCluster cluster) {
         EngineWarmup.run();
         ThriftWarmup.run(names, bounds, coordinator(0, new LogTracer<>()), cluster, context.clock());
     }
@@ -112,7 +113,7 @@
         return new EndpointList(config.names().engineKinds(), config.names().zones(), listener);
     }
 
-    private void applyInitial(EndpointList endpoints) {
+    private void applyInitialEndpoints(EndpointList endpoints) {
         ConfigNode initial = config.initialEndpoints();
         try {
             endpoints.apply(initial.value());
@@ -121,12 +122,12 @@
         }
     }
 
-    private LifecycleWiring.Instance instance(boolean isInherited) {
+    private LifecycleWiring.ProcessProperties processProperties(boolean isInherited) {
         String name = config.name() + '-' + config.addresses().listen().getPort();
         double longestDeadlineMs = names.deadlinesMs().stream()
                 .mapToDouble(Double::doubleValue)
                 .max()
-                .orElse(LifecycleWiring.MAX_RESTART_MS);
-        return new LifecycleWiring.Instance(name, isInherited, longestDeadlineMs);
+                .orElse(LifecycleWiring.MAX_RESTART_DEADLINE_MS);
+        return new LifecycleWiring.ProcessProperties(name, isInherited, longestDeadlineMs);
     }
 }
--- a/src/main/java/lineward/mysql/client/AttemptReporter.java
+++ b/src/main/java/lineward/mysql/client/AttemptReporter.java
@@ -30,7 +30,7 @@
 
     @Override
     public void commandWritten() {
-        context.metrics().countForwarded();
+        context.metrics().countForwardedAttempt();
     }
 
     @Override
--- a/src/main/java/lineward/operations/Metrics.java
+++ b/src/main/java/lineward/operations/Metrics.java
@@ -44,7 +44,7 @@
 
     private long forwardedAttempts;
     /** Null if the process has no service discovery. */
-    private LongSupplier listAgeMs;
+    private LongSupplier endpointListAgeMs;
 
     /** Null if no protocol server sets it. */
     private LongSupplier unreadBytes;
@@ -54,28 +54,28 @@
     /** Registers classes, whose counters start at 0 and are exported from now on. */
     public void registerClasses(Collection<String> classes) {
         for (String className : classes) {
-            endedRequests.computeIfAbsent(className, name -> emptyRow());
+            endedRequests.computeIfAbsent(className, name -> zeroCounts());
         }
     }
 
-    private static Map<RequestStatus, Long> emptyRow() {
-        Map<RequestStatus, Long> row = new EnumMap<>(RequestStatus.class);
+    private static Map<RequestStatus, Long> zeroCounts() {
+        Map<RequestStatus, Long> counts = new EnumMap<>(RequestStatus.class);
         for (RequestStatus status : RequestStatus.values()) {
-            row.put(status, 0L);
+            counts.put(status, 0L);
         }
-        return row;
+        return counts;
     }
 
     /** Counts a request that has ended, unless its class is not registered. */
-    public void countEnded(String className, RequestStatus status) {
-        Map<RequestStatus, Long> row = endedRequests.get(className);
-        if (row != null) {
-            row.merge(status, 1L, Long::sum);
+    public void countEndedRequest(String className, RequestStatus status) {
+        Map<RequestStatus, Long> counts = endedRequests.get(className);
+        if (counts != null) {
+            counts.merge(status, 1L, Long::sum);
         }
     }
 
     /** Counts an attempt whose request has been written completely to an engine. */
-    public void countForwarded() {
+    public void countForwardedAttempt() {
         forwardedAttempts++;
     }
 
@@ -84,8 +84,8 @@
      *
      * @param ageMs returns the milliseconds since the last usable response of service discovery
      */
-    public void setListAge(LongSupplier ageMs) {
-        listAgeMs = ageMs;
+    public void setEndpointListAge(LongSupplier ageMs) {
+        endpointListAgeMs = ageMs;
     }
 
     /**
@@ -107,7 +107,7 @@
     }
 
     /** Returns all metrics in the Prometheus text format, including the gauges of these servers. */
-    public String text(Collection<ProtocolServer> servers) {
+    public String prometheusText(Collection<ProtocolServer> servers) {
         PrometheusText text = new PrometheusText();
         writeRequests(text, servers);
         writeEngines(text, servers);
@@ -122,8 +122,8 @@
     }
 
     private void writeRequests(PrometheusText text, Collection<ProtocolServer> servers) {
-        text.labelledCounter(REQUESTS, "Requests that have ended, by class and end.");
-        endedRequests.forEach((className, row) -> row.forEach((status, count) -> {
+        text.counterHeader(REQUESTS, "Requests that have ended, by class and end.");
+        endedRequests.forEach((className, counts) -> counts.forEach((status, count) -> {
             Map<String, String> labels = new LinkedHashMap<>();
             labels.put(CLASS_LABEL, className);
             labels.put(STATUS_LABEL, status.label());
@@ -139,9 +139,9 @@
         text.gauge("registry_entries", "Query engines on the list.", listed);
         long excluded = sum(servers, Coordinator::excludedEngineCount);
         text.gauge("out_of_rotation", "Query engines on the list that get nothing now.", excluded);
-        if (listAgeMs != null) {
+        if (endpointListAgeMs != null) {
             String help = "Milliseconds since the journal's last usable answer.";
-            text.gauge("list_age_ms", help, listAgeMs.getAsLong());
+            text.gauge("list_age_ms", help, endpointListAgeMs.getAsLong());
         }
     }
 
--- a/src/main/java/lineward/telemetry/Telemetry.java
+++ b/src/main/java/lineward/telemetry/Telemetry.java
@@ -28,7 +28,7 @@
     }
 
     /** Returns whether the environment names a collector. */
-    public static boolean isOn(Map<String, String> environment) {
+    public static boolean isEnabled(Map<String, String> environment) {
         List<String> endpoints = List.of(ENDPOINT, TRACES_ENDPOINT, METRICS_ENDPOINT);
         return endpoints.stream().anyMatch(variable -> isSet(environment, variable));
     }
@@ -84,10 +84,10 @@
      *
      * @param classOf returns the class of a request
      * @param idOf returns the id of a request
-     * @param next receives each event
+     * @param delegate receives each event
      */
-    public <X> Tracer<X> tracer(Function<X, String> classOf, Function<X, String> idOf, Tracer<X> next) {
-        return new OtlpTracer<>(sdk, classOf, idOf, next);
+    public <X> Tracer<X> tracer(Function<X, String> classOf, Function<X, String> idOf, Tracer<X> delegate) {
+        return new OtlpTracer<>(sdk, classOf, idOf, delegate);
     }
 
     /** Exports the remaining spans and metrics; blocks for at most {@value #LAST_EXPORT_TIMEOUT_MS} ms. */
