--- a/src/main/java/lineward/mysql/client/SessionState.java
+++ b/src/main/java/lineward/mysql/client/SessionState.java
@@ -8,7 +8,7 @@
     /** Connected; the login packet has not been received. */
     AWAITING_LOGIN,
     /** The client has been asked to switch to another authentication plugin. */
-    AWAITING_PROOF,
+    SWITCHING_AUTH,
     /** Authenticated; no command is in progress. */
     IDLE,
     /** A command waits for an engine or is running on one. */
@@ -46,19 +46,19 @@
 
     /** Returns whether the next packet from the client may be processed. */
     boolean acceptsPackets() {
-        return this == AWAITING_LOGIN || this == AWAITING_PROOF || this == IDLE;
+        return this == AWAITING_LOGIN || this == SWITCHING_AUTH || this == IDLE;
     }
 
     /** Returns whether the client is not authenticated. */
     boolean isUnauthenticated() {
-        return this == AWAITING_LOGIN || this == AWAITING_PROOF || this == REJECTING;
+        return this == AWAITING_LOGIN || this == SWITCHING_AUTH || this == REJECTING;
     }
 
     /** Returns the state after the event. */
     SessionState after(Event event) {
         return switch (event) {
-            case AUTH_SWITCH_REQUESTED -> this == AWAITING_LOGIN ? AWAITING_PROOF : this;
-            case AUTHENTICATED -> this == AWAITING_LOGIN || this == AWAITING_PROOF ? IDLE : this;
+            case AUTH_SWITCH_REQUESTED -> this == AWAITING_LOGIN ? SWITCHING_AUTH : this;
+            case AUTHENTICATED -> this == AWAITING_LOGIN || this == SWITCHING_AUTH ? IDLE : this;
             case QUERY_STARTED -> this == IDLE ? EXECUTING : this;
             case QUERY_ENDED -> afterQueryEnded();
             case STREAM_STARTED -> afterStreamStarted();
--- a/src/test/java/lineward/mysql/client/SessionStateTest.java
+++ b/src/test/java/lineward/mysql/client/SessionStateTest.java
@@ -30,8 +30,8 @@
     @DataProvider
     public Object[][] transitions() {
         return new Object[][] {
-            {"AWAITING_LOGIN", "AWAITING_PROOF IDLE - - - - REJECTING DISCONNECTED"},
-            {"AWAITING_PROOF", "- IDLE - - - - REJECTING DISCONNECTED"},
+            {"AWAITING_LOGIN", "SWITCHING_AUTH IDLE - - - - REJECTING DISCONNECTED"},
+            {"SWITCHING_AUTH", "- IDLE - - - - REJECTING DISCONNECTED"},
             {"IDLE", "- - EXECUTING - STREAMING - CLOSING DISCONNECTED"},
             {"EXECUTING", "- - - IDLE EXECUTING_AND_STREAMING - CLOSING DISCONNECTED"},
             {"STREAMING", "- - - - - IDLE CLOSING DISCONNECTED"},
@@ -75,11 +75,11 @@
                 unauthenticated.add(state);
             }
         }
-        Set<SessionState> duringLogin = EnumSet.of(SessionState.AWAITING_LOGIN, SessionState.AWAITING_PROOF);
+        Set<SessionState> duringLogin = EnumSet.of(SessionState.AWAITING_LOGIN, SessionState.SWITCHING_AUTH);
         assertTrue(accepting.remove(SessionState.IDLE), "between commands");
         assertEquals(accepting, duringLogin);
         assertEquals(
                 unauthenticated,
-                Set.of(SessionState.AWAITING_LOGIN, SessionState.AWAITING_PROOF, SessionState.REJECTING));
+                Set.of(SessionState.AWAITING_LOGIN, SessionState.SWITCHING_AUTH, SessionState.REJECTING));
     }
 }
