--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -167,11 +167,11 @@
         }
         String text = Latin1Texts.decode(statement.text());
         boolean writes = StatementKind.of(text) instanceof StatementKind.Write;
-        PreparedStatement cursor = requestsCursor && !writes ? statement : null;
+        PreparedStatement cursorStatement = requestsCursor && !writes ? statement : null;
         String key = writes ? "" : statement.hint().key();
         String digest = key.isEmpty() ? "" : command.digest();
-        if (key.isEmpty() || !resultSender.answer(statement.hint(), digest, cursor)) {
-            queries.run(command, text, writes, new Query.SpoolOptions(key, digest, cursor));
+        if (key.isEmpty() || !resultSender.answer(statement.hint(), digest, cursorStatement)) {
+            queries.run(command, text, writes, new Query.SpoolOptions(key, digest, cursorStatement));
         }
     }
 
--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -17,14 +17,14 @@
      *
      * @param key the key by which the client can read the result again; empty if it has none
      * @param digest digest of the statement and its arguments if there is a key; else empty
-     * @param cursor the statement whose cursor is opened; null if all rows are sent in one reply
+     * @param cursorStatement the statement whose cursor is opened; null if all rows are sent in one reply
      */
-    record SpoolOptions(String key, String digest, PreparedStatement cursor) {
+    record SpoolOptions(String key, String digest, PreparedStatement cursorStatement) {
         /** The result is spooled only if it exceeds the attempt's buffer. */
         static final SpoolOptions IF_LONG = new SpoolOptions("", "", null);
 
         boolean isRequired() {
-            return !key.isEmpty() || cursor != null;
+            return !key.isEmpty() || cursorStatement != null;
         }
     }
 
--- a/src/main/java/lineward/mysql/client/SpooledResultSender.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -35,10 +35,10 @@
      * an error. It is also an error if the result belongs to another statement.
      *
      * @param digest digest of the statement and its arguments
-     * @param cursor the statement whose cursor is opened; null if all rows are sent in one reply
+     * @param cursorStatement the statement whose cursor is opened; null if all rows are sent in one reply
      * @return false if the statement must be executed; otherwise a reply or an error has been sent
      */
-    boolean answer(SpoolHint hint, String digest, PreparedStatement cursor) {
+    boolean answer(SpoolHint hint, String digest, PreparedStatement cursorStatement) {
         SpooledResult result = spool.find(session.user(), hint.key());
         if (result == null) {
             if (hint.requestsPage()) {
@@ -51,21 +51,21 @@
         } else if (hint.requestsPage() && !result.isComplete()) {
             replies.sendError(SqlError.unknownKey());
         } else {
-            start(result, hint, cursor);
+            start(result, hint, cursorStatement);
         }
         return true;
     }
 
     /** Starts sending the result of the query's current attempt, which may be incomplete. */
     void start(Query query) {
-        start(query.spooledResult(), SpoolHint.none(""), query.spooling().cursor());
+        start(query.spooledResult(), SpoolHint.none(""), query.spooling().cursorStatement());
     }
 
-    private void start(SpooledResult result, SpoolHint hint, PreparedStatement cursor) {
-        if (cursor != null) {
+    private void start(SpooledResult result, SpoolHint hint, PreparedStatement cursorStatement) {
+        if (cursorStatement != null) {
             SpooledResultCursor opened =
                     open(result, new SpooledResultCursor.Range(hint.firstRow(), OptionalLong.empty()));
-            cursor.replaceCursor(opened);
+            cursorStatement.replaceCursor(opened);
             active = opened;
         } else if (hint.requestsPage()) {
             long maxRows = hint.rowLimit().orElse(Long.MAX_VALUE);
--- a/src/main/java/lineward/mysql/client/StreamEndListener.java
+++ b/src/main/java/lineward/mysql/client/StreamEndListener.java
@@ -9,8 +9,8 @@
     /**
      * Handles the end of a reply, or the pause of a cursor until the next fetch.
      *
-     * @param readState END, BROKEN or EXPIRED if the reply has ended; MORE if the client may fetch more rows
-     * @param errorSequence sequence number for an error packet if the state is BROKEN or EXPIRED; ignored
+     * @param readState END, FAILED or EXPIRED if the reply has ended; MORE if the client may fetch more rows
+     * @param errorSequence sequence number for an error packet if the state is FAILED or EXPIRED; ignored
      *     otherwise
      */
     void ended(ReadStatus readState, OptionalInt errorSequence);
--- a/src/main/java/lineward/mysql/client/package-info.java
+++ b/src/main/java/lineward/mysql/client/package-info.java
@@ -1,7 +1,7 @@
 /**
  * The connections of MySQL clients: login ({@code ClientLogin}), commands ({@code ClientCommands}), queries
  * that engines execute ({@code QueryRunner}, {@link lineward.mysql.client.Query}), and replies:
- * {@code ReplyWriter} writes them, and {@code SpoolStream} sends the spooled ones.
+ * {@code ClientReplyWriter} writes them, and {@code SpooledResultSender} sends the spooled ones.
  * {@code SessionState} defines the states of a client's session, {@code CursorState} those of a cursor.
  *
  * <p>This package may use {@code engine}, {@code session} and {@code wire}; the package above it implements
--- a/src/main/java/lineward/mysql/engine/package-info.java
+++ b/src/main/java/lineward/mysql/engine/package-info.java
@@ -1,8 +1,8 @@
 /**
  * Connections to MySQL engines, and the attempts that run on them.
  * {@link lineward.mysql.engine.EngineConnectionPools} has a connection pool for each engine.
- * {@code EngineConnection} logs in, prepares the engine's session for an attempt and executes it;
- * {@code ConnectionState} defines its states.
+ * {@code MysqlEngineConnection} logs in, prepares the engine's session for an attempt and executes it;
+ * {@code MysqlConnectionState} defines its states.
  * {@link lineward.mysql.engine.MysqlQueryAttempt} buffers or spools the reply and notifies an
  * {@link lineward.mysql.engine.AttemptListener}. This package has no reference to clients.
  *
