--- a/src/main/java/lineward/mysql/session/SpoolHint.java
+++ b/src/main/java/lineward/mysql/session/SpoolHint.java
@@ -12,7 +12,7 @@
  * @param key the key under which the client can read the result again; empty if it has none
  * @param firstRow index of the first requested row, from 0
  * @param rowLimit maximum number of requested rows; empty: all. Ignored if a cursor is opened
- * @param text the statement without the hint
+ * @param textWithoutHint the statement without the hint
  */
 public record SpoolHint(String key, long firstRow, OptionalLong rowLimit, String textWithoutHint) {
     private static final String KEY_PREFIX = "lineward:key=";
