--- a/src/measure/java/lineward/spool/store/SpoolFixture.java
+++ b/src/measure/java/lineward/spool/store/SpoolFixture.java
@@ -24,13 +24,13 @@
     }
 
     /** Writes results of random bytes, which don't compress. */
-    public static void writeResults(Path folder, int results, int megabytes) throws IOException {
-        for (int result = 0; result < results; result++) {
+    public static void writeResults(Path folder, int resultCount, int megabytesPerResult) throws IOException {
+        for (int result = 0; result < resultCount; result++) {
             Segment segment = new Segment(folder.resolve("r" + result + SpoolFolder.SEGMENT_SUFFIX));
             segment.create(1);
             List<Segment.Extent> locations = new ArrayList<>();
-            long rows = (long) ROWS_PER_BLOCK * BLOCKS_PER_MB * megabytes;
-            for (int i = 0; i < megabytes * BLOCKS_PER_MB; i++) {
+            long rows = (long) ROWS_PER_BLOCK * BLOCKS_PER_MB * megabytesPerResult;
+            for (int i = 0; i < megabytesPerResult * BLOCKS_PER_MB; i++) {
                 locations.add(segment.append(block(result, i), (long) ROWS_PER_BLOCK * i, ROWS_PER_BLOCK));
             }
             segment.complete(new Manifest("u", "k" + result, "d", 1, rows, 0), locations);
@@ -46,7 +46,7 @@
 
     /** Truncates or changes a file this many times; returns how many blocks were read with wrong bytes. */
     public static int wrongBlocks(Path folder, Random random, int times) throws IOException {
-        int wrong = 0;
+        int wrongCount = 0;
         Path file = folder.resolve("corrupt" + SpoolFolder.SEGMENT_SUFFIX);
         List<byte[]> blocks = new ArrayList<>();
         Segment segment = new Segment(file);
@@ -72,13 +72,13 @@
                 Segment.Result found = Segment.open(file);
                 for (int i = 0; i < found.blocks().size(); i++) {
                     byte[] read = found.segment().read(found.blocks().get(i));
-                    wrong += Arrays.equals(read, blocks.get(i)) ? 0 : 1;
+                    wrongCount += Arrays.equals(read, blocks.get(i)) ? 0 : 1;
                 }
             } catch (IOException | RuntimeException e) {
                 // The corruption was detected, and no bytes were returned.
             }
         }
         Files.delete(file);
-        return wrong;
+        return wrongCount;
     }
 }
