--- a/src/test/java/lineward/spool/SpoolTest.java
+++ b/src/test/java/lineward/spool/SpoolTest.java
@@ -27,20 +27,20 @@
     private double now;
 
     @BeforeMethod
-    public void makeFolder() throws IOException {
+    public void createFolder() throws IOException {
         folder = Files.createTempDirectory("spool");
         eventLoop.clear();
         now = 0;
     }
 
     @AfterMethod
-    public void dropFolder() throws IOException {
+    public void deleteFolder() throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted((a, b) -> b.compareTo(a)).forEach(f -> f.toFile().delete());
         }
     }
 
-    private Spool spool(boolean files) throws IOException {
+    private Spool openSpool(boolean files) throws IOException {
         long total = 64 * MB;
         SpoolLimits limits = new SpoolLimits(2 * MB, total, 100, 100, total, 32 * MB, MB, 0.5, 1000, 5000);
         if (!files) {
@@ -63,7 +63,7 @@
         }
     }
 
-    private static byte[] row(Random random) {
+    private static byte[] randomRow(Random random) {
         byte[] row = new byte[1 + random.nextInt(20_000)];
         random.nextBytes(row);
         return row;
@@ -75,7 +75,7 @@
         result.commit(bytes.length, row, false);
     }
 
-    private byte[] drain(SpoolReader reader) {
+    private byte[] readRest(SpoolReader reader) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         while (reader.readStatus() == ReadStatus.MORE) {
             ResultChunk chunk = reader.poll();
@@ -89,16 +89,16 @@
     }
 
     @Test
-    public void readBytesEqualWrittenBytesInMemoryAndOnFile() throws IOException, InterruptedException {
+    public void readBytesEqualWrittenBytesInMemoryAndOnDisk() throws IOException, InterruptedException {
         for (int seed = 0; seed < 20; seed++) {
             Random random = new Random(seed);
-            try (Spool spool = spool(seed % 2 == 0)) {
+            try (Spool spool = openSpool(seed % 2 == 0)) {
                 SpooledResult result = spool.begin("u", "", "");
                 SpoolReader reader = null;
                 ByteArrayOutputStream wrote = new ByteArrayOutputStream();
                 ByteArrayOutputStream read = new ByteArrayOutputStream();
                 for (int i = 0; i < 400; i++) {
-                    byte[] row = row(random);
+                    byte[] row = randomRow(random);
                     append(result, row, true);
                     wrote.writeBytes(row);
                     if (i == 100) {
@@ -113,7 +113,7 @@
                     }
                 }
                 result.complete();
-                read.writeBytes(drain(reader));
+                read.writeBytes(readRest(reader));
                 assertEquals(reader.readStatus(), ReadStatus.END);
                 assertEquals(read.toByteArray(), wrote.toByteArray(), "seed " + seed);
                 // Waits until every block has been written and released, and only then closes the reader.
@@ -129,20 +129,20 @@
                 assertEquals(
                         spool.statistics().memoryBytes() + spool.statistics().fileBytes(), 0);
             }
-            assertEquals(segments(), 0, "files left by seed " + seed);
+            assertEquals(countSegments(), 0, "files left by seed " + seed);
         }
     }
 
-    private long segments() throws IOException {
+    private long countSegments() throws IOException {
         try (Stream<Path> left = Files.list(folder)) {
             return left.filter(f -> f.toString().endsWith("lwseg")).count();
         }
     }
 
     @Test
-    public void keyedResultSurvivesRestartForItsUserAlone() throws IOException {
-        byte[] row = row(new Random(1));
-        try (Spool first = spool(true)) {
+    public void keyedResultSurvivesRestartForItsUserOnly() throws IOException {
+        byte[] row = randomRow(new Random(1));
+        try (Spool first = openSpool(true)) {
             SpooledResult result = first.begin("u", "k", "digest");
             for (int i = 0; i < 20; i++) {
                 append(result, row, true);
@@ -156,13 +156,13 @@
             append(partial, new byte[100_000], true);
             runNextTask();
         }
-        try (Spool second = spool(true)) {
+        try (Spool second = openSpool(true)) {
             assertNull(second.find("other", "k"));
             assertNull(second.find("u", "half"), "an incomplete result is deleted");
             SpooledResult found = second.find("u", "k");
             assertEquals(found.digest(), "digest");
             SpoolReader reader = found.openReader(() -> {});
-            assertEquals(drain(reader).length, 20 * row.length);
+            assertEquals(readRest(reader).length, 20 * row.length);
             SpoolReader page = found.openReader(() -> {});
             int before = page.seek(15);
             ResultChunk chunk = null;
@@ -181,7 +181,7 @@
             runNextTask();
             assertEquals(second.statistics().fileBytes(), 0);
         }
-        assertEquals(segments(), 0);
+        assertEquals(countSegments(), 0);
     }
 
     /**
@@ -190,7 +190,7 @@
      */
     @Test
     public void resultStaysInMemoryWhenWritesFail() throws IOException, InterruptedException {
-        try (Spool spool = spool(true)) {
+        try (Spool spool = openSpool(true)) {
             SpooledResult result = spool.begin("u", "", "");
             byte[] row = new byte[100_000];
             for (int i = 0; i < 6; i++) {
@@ -229,7 +229,7 @@
 
     @Test
     public void resultExpiresWhenItsReaderStops() throws IOException {
-        try (Spool spool = spool(false)) {
+        try (Spool spool = openSpool(false)) {
             SpooledResult result = spool.begin("u", "", "");
             append(result, new byte[200_000], true);
             int[] notifications = new int[1];
@@ -248,7 +248,7 @@
 
     @Test
     public void failedResultIsReportedAfterItsLastByte() throws IOException {
-        try (Spool spool = spool(false)) {
+        try (Spool spool = openSpool(false)) {
             SpooledResult result = spool.begin("u", "", "");
             SpoolReader reader = result.openReader(() -> {});
             append(result, new byte[100], true);
