--- a/src/test/java/lineward/spool/SpoolTest.java
+++ b/src/test/java/lineward/spool/SpoolTest.java
@@ -40,16 +40,16 @@
         }
     }
 
-    private Spool openSpool(boolean files) throws IOException {
+    private Spool openSpool(boolean usesFiles) throws IOException {
         long total = 64 * MB;
         SpoolLimits limits = new SpoolLimits(2 * MB, total, 100, 100, total, 32 * MB, MB, 0.5, 1000, 5000);
-        if (!files) {
+        if (!usesFiles) {
             return new Spool(limits, null, () -> now);
         }
         SpoolFolder lockedFolder = SpoolFolder.acquire(folder);
-        SpoolFolder.Contents found = lockedFolder.recover();
+        SpoolFolder.Contents contents = lockedFolder.recover();
         Spool spool = new Spool(limits, new SegmentStore(lockedFolder, eventLoop::add), () -> now);
-        spool.restore(found);
+        spool.restore(contents);
         return spool;
     }
 
@@ -69,10 +69,10 @@
         return row;
     }
 
-    private static void append(SpooledResult result, byte[] bytes, boolean row) {
+    private static void append(SpooledResult result, byte[] bytes, boolean isRow) {
         int offset = result.reserve(bytes.length);
         System.arraycopy(bytes, 0, result.buffer(), offset, bytes.length);
-        result.commit(bytes.length, row, false);
+        result.commit(bytes.length, isRow, false);
     }
 
     private byte[] readRest(SpoolReader reader) {
@@ -95,12 +95,12 @@
             try (Spool spool = openSpool(seed % 2 == 0)) {
                 SpooledResult result = spool.begin("u", "", "");
                 SpoolReader reader = null;
-                ByteArrayOutputStream wrote = new ByteArrayOutputStream();
+                ByteArrayOutputStream written = new ByteArrayOutputStream();
                 ByteArrayOutputStream read = new ByteArrayOutputStream();
                 for (int i = 0; i < 400; i++) {
                     byte[] row = randomRow(random);
                     append(result, row, true);
-                    wrote.writeBytes(row);
+                    written.writeBytes(row);
                     if (i == 100) {
                         reader = result.openReader(() -> {});
                     }
@@ -115,7 +115,7 @@
                 result.complete();
                 read.writeBytes(readRest(reader));
                 assertEquals(reader.readStatus(), ReadStatus.END);
-                assertEquals(read.toByteArray(), wrote.toByteArray(), "seed " + seed);
+                assertEquals(read.toByteArray(), written.toByteArray(), "seed " + seed);
                 // Waits until every block has been written and released, and only then closes the reader.
                 for (Runnable task = eventLoop.poll(200, TimeUnit.MILLISECONDS);
                         task != null;
@@ -159,22 +159,22 @@
         try (Spool second = openSpool(true)) {
             assertNull(second.find("other", "k"));
             assertNull(second.find("u", "half"), "an incomplete result is deleted");
-            SpooledResult found = second.find("u", "k");
-            assertEquals(found.digest(), "digest");
-            SpoolReader reader = found.openReader(() -> {});
+            SpooledResult restored = second.find("u", "k");
+            assertEquals(restored.digest(), "digest");
+            SpoolReader reader = restored.openReader(() -> {});
             assertEquals(readRest(reader).length, 20 * row.length);
-            SpoolReader page = found.openReader(() -> {});
-            int before = page.seek(15);
+            SpoolReader pageReader = restored.openReader(() -> {});
+            int rowsBefore = pageReader.seek(15);
             ResultChunk chunk = null;
             while (chunk == null) {
-                chunk = page.poll();
+                chunk = pageReader.poll();
                 if (chunk == null) {
                     runNextTask();
                 }
             }
-            assertTrue(before >= 0 && before < chunk.rows());
+            assertTrue(rowsBefore >= 0 && rowsBefore < chunk.rows());
             reader.close();
-            page.close();
+            pageReader.close();
             now = 5001;
             second.tick();
             assertNull(second.find("u", "k"), "its lease has expired");
