--- a/src/test/java/lineward/spool/StoredSpoolTest.java
+++ b/src/test/java/lineward/spool/StoredSpoolTest.java
@@ -26,7 +26,7 @@
 public class StoredSpoolTest {
     private static final long MB = 1 << 20;
     private static final String USER = "reporting";
-    private static final String STATEMENT = "6b1f0c";
+    private static final String STATEMENT_DIGEST = "6b1f0c";
     /** A result of several blocks, one without rows, and one that the engine had not sent completely. */
     private static final List<String> SEGMENTS =
             List.of("spool-1-blocks.lwseg", "spool-1-empty.lwseg", "spool-1-incomplete.lwseg");
@@ -43,7 +43,7 @@
                 Files.copy(segment, folder.resolve(name));
             }
         }
-        spool = open(folder, eventLoop);
+        spool = openSpool(folder, eventLoop);
     }
 
     @AfterMethod(alwaysRun = true)
@@ -55,7 +55,7 @@
         }
     }
 
-    private static Spool open(Path folder, LinkedBlockingQueue<Runnable> eventLoop) throws IOException {
+    private static Spool openSpool(Path folder, LinkedBlockingQueue<Runnable> eventLoop) throws IOException {
         long total = 64 * MB;
         SpoolLimits limits = new SpoolLimits(2 * MB, total, 100, 100, total, 32 * MB, MB, 0.5, 1000, 5000);
         SpoolFolder locked = SpoolFolder.acquire(folder);
@@ -78,7 +78,7 @@
         return row;
     }
 
-    private static byte[] expected(int rows) {
+    private static byte[] expectedBytes(int rows) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         all.writeBytes(head());
         for (int i = 0; i < rows; i++) {
@@ -103,7 +103,7 @@
         }
     }
 
-    private byte[] read(SpooledResult result) {
+    private byte[] readAll(SpooledResult result) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         SpoolReader reader = result.openReader(() -> {});
         while (reader.readStatus() == ReadStatus.MORE) {
@@ -120,16 +120,16 @@
     }
 
     @Test
-    public void resultOfSeveralBlocksIsReadToTheByte() {
+    public void resultOfSeveralBlocksIsReadUnchanged() {
         SpooledResult result = spool.find(USER, "orders/2026-11");
-        assertEquals(result.digest(), STATEMENT);
+        assertEquals(result.digest(), STATEMENT_DIGEST);
         assertTrue(result.isComplete());
-        assertEquals(read(result), expected(20));
+        assertEquals(readAll(result), expectedBytes(20));
     }
 
     @Test
-    public void resultWithoutRowsIsReadToTheByte() {
-        assertEquals(read(spool.find(USER, "none")), expected(0));
+    public void resultWithoutRowsIsReadUnchanged() {
+        assertEquals(readAll(spool.find(USER, "none")), expectedBytes(0));
     }
 
     @Test
@@ -161,18 +161,18 @@
     public static void main(String[] args) throws IOException {
         LinkedBlockingQueue<Runnable> eventLoop = new LinkedBlockingQueue<>();
         Path folder = Path.of(args[0]);
-        try (Spool spool = open(folder, eventLoop)) {
-            SpooledResult blocks = spool.begin(USER, "orders/2026-11", STATEMENT);
+        try (Spool spool = openSpool(folder, eventLoop)) {
+            SpooledResult blocks = spool.begin(USER, "orders/2026-11", STATEMENT_DIGEST);
             append(blocks, head(), false);
             blocks.endBlock();
             for (int i = 0; i < 20; i++) {
                 append(blocks, row(i), true);
             }
             blocks.complete();
-            SpooledResult empty = spool.begin(USER, "none", STATEMENT);
+            SpooledResult empty = spool.begin(USER, "none", STATEMENT_DIGEST);
             append(empty, head(), false);
             empty.complete();
-            SpooledResult incomplete = spool.begin(USER, "incomplete", STATEMENT);
+            SpooledResult incomplete = spool.begin(USER, "incomplete", STATEMENT_DIGEST);
             append(incomplete, head(), false);
             incomplete.endBlock();
             // Runs the completions of five block writes and two manifest writes.
