--- a/src/test/java/lineward/spool/StoredSpoolTest.java
+++ b/src/test/java/lineward/spool/StoredSpoolTest.java
@@ -58,10 +58,10 @@
     private static Spool openSpool(Path folder, LinkedBlockingQueue<Runnable> eventLoop) throws IOException {
         long total = 64 * MB;
         SpoolLimits limits = new SpoolLimits(2 * MB, total, 100, 100, total, 32 * MB, MB, 0.5, 1000, 5000);
-        SpoolFolder locked = SpoolFolder.acquire(folder);
-        SpoolFolder.Contents recovered = locked.recover();
-        Spool spool = new Spool(limits, new SegmentStore(locked, eventLoop::add), () -> 0);
-        spool.restore(recovered);
+        SpoolFolder lockedFolder = SpoolFolder.acquire(folder);
+        SpoolFolder.Contents contents = lockedFolder.recover();
+        Spool spool = new Spool(limits, new SegmentStore(lockedFolder, eventLoop::add), () -> 0);
+        spool.restore(contents);
         return spool;
     }
 
