--- a/src/test/java/lineward/spool/SpoolPolicyTest.java
+++ b/src/test/java/lineward/spool/SpoolPolicyTest.java
@@ -43,19 +43,19 @@
     }
 
     @Test(dataProvider = "placements")
-    public void blockIsPlacedWhereThereIsCapacity(int fileMb, boolean keyed, int blocks, Placement last) {
+    public void blockIsPlacedWhereThereIsCapacity(int fileMb, boolean keyed, int blocks, Placement expected) {
         SpoolPolicy policy = new SpoolPolicy(limits(fileMb));
         long id = policy.begin("a", keyed, 0);
         Placement placement = null;
         for (int i = 0; i < blocks; i++) {
             placement = policy.allocate(id, MB, 0);
         }
-        assertEquals(placement, last);
-        assertEquals(policy.mayReadEngine(id), last != Placement.MEMORY_WITH_BACKPRESSURE);
+        assertEquals(placement, expected);
+        assertEquals(policy.mayReadEngine(id), expected != Placement.MEMORY_WITH_BACKPRESSURE);
     }
 
     @Test
-    public void failedWriteMovesBlockToMemoryAndPausesFiles() {
+    public void failedWriteMovesBlockToMemoryAndSuspendsWrites() {
         SpoolPolicy policy = new SpoolPolicy(limits(100));
         long id = policy.begin("a", true, 0);
         assertEquals(policy.allocate(id, MB, 0), Placement.FILE);
@@ -97,20 +97,20 @@
     @Test
     public void leaseExpiresAfterLastRead() {
         SpoolPolicy policy = new SpoolPolicy(limits(100));
-        long read = policy.begin("a", false, 0);
-        policy.readerOpened(read, 0);
-        long keyed = policy.begin("a", true, 0);
-        policy.complete(keyed, 0);
-        long growing = policy.begin("a", false, 0);
+        long readId = policy.begin("a", false, 0);
+        policy.readerOpened(readId, 0);
+        long keyedId = policy.begin("a", true, 0);
+        policy.complete(keyedId, 0);
+        long incompleteId = policy.begin("a", false, 0);
         assertEquals(policy.selectExpired(1000), List.of());
-        policy.blockRead(read, 900);
+        policy.blockRead(readId, 900);
         assertEquals(policy.selectExpired(1800), List.of());
-        assertEquals(policy.selectExpired(1901), List.of(read));
-        policy.release(read, 1901);
-        assertEquals(policy.selectExpired(5001), List.of(keyed));
-        policy.release(keyed, 5001);
+        assertEquals(policy.selectExpired(1901), List.of(readId));
+        policy.release(readId, 1901);
+        assertEquals(policy.selectExpired(5001), List.of(keyedId));
+        policy.release(keyedId, 5001);
         assertEquals(policy.selectExpired(1e9), List.of(), "the attempt's timeout limits incomplete results");
-        policy.release(growing, 1e9);
+        policy.release(incompleteId, 1e9);
         assertEquals(policy.statistics().expired(), 2);
     }
 
@@ -156,16 +156,16 @@
     @Test
     public void leastRecentlyUsedResultIsReclaimedAndNoneWithReaders() {
         SpoolPolicy policy = new SpoolPolicy(limits(100));
-        List<Long> all = new ArrayList<>();
+        List<Long> ids = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             long id = policy.begin("a", true, i);
             policy.allocate(id, 1000, i);
             policy.complete(id, i);
-            all.add(id);
+            ids.add(id);
         }
-        policy.readerOpened(all.get(0), 10);
-        assertEquals(policy.selectForReclaim("a"), OptionalLong.of(all.get(1)), "limit on files reached");
-        policy.release(all.get(1), 11);
+        policy.readerOpened(ids.get(0), 10);
+        assertEquals(policy.selectForReclaim("a"), OptionalLong.of(ids.get(1)), "limit on files reached");
+        policy.release(ids.get(1), 11);
         assertEquals(policy.selectForReclaim("a"), OptionalLong.empty());
     }
 
@@ -174,14 +174,14 @@
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
             SpoolPolicy policy = new SpoolPolicy(limits(seed % 2 * 30L));
-            Map<Long, List<Long>> inMemory = new HashMap<>();
+            Map<Long, List<Long>> memoryBlocks = new HashMap<>();
             for (int step = 0; step < 300; step++) {
                 double now = step * 10.0;
-                if (random.nextInt(4) == 0 && inMemory.size() < 20) {
-                    long begun = policy.begin("u" + random.nextInt(3), random.nextBoolean(), now);
-                    inMemory.put(begun, new ArrayList<>());
+                if (random.nextInt(4) == 0 && memoryBlocks.size() < 20) {
+                    long newId = policy.begin("u" + random.nextInt(3), random.nextBoolean(), now);
+                    memoryBlocks.put(newId, new ArrayList<>());
                 }
-                List<Long> ids = new ArrayList<>(inMemory.keySet());
+                List<Long> ids = new ArrayList<>(memoryBlocks.keySet());
                 if (ids.isEmpty()) {
                     continue;
                 }
@@ -190,19 +190,19 @@
                 switch (random.nextInt(4)) {
                     case 0 -> {
                         policy.release(id, now);
-                        inMemory.remove(id);
+                        memoryBlocks.remove(id);
                     }
                     case 1 -> {
-                        if (!inMemory.get(id).isEmpty()) {
-                            policy.memoryReleased(id, inMemory.get(id).remove(0), now);
+                        if (!memoryBlocks.get(id).isEmpty()) {
+                            policy.memoryReleased(id, memoryBlocks.get(id).remove(0), now);
                         }
                     }
                     default -> {
                         if (policy.allocate(id, bytes, now) != Placement.FILE) {
-                            inMemory.get(id).add(bytes);
+                            memoryBlocks.get(id).add(bytes);
                         } else if (random.nextInt(5) == 0) {
                             policy.writeFailed(id, bytes, now);
-                            inMemory.get(id).add(bytes);
+                            memoryBlocks.get(id).add(bytes);
                         } else {
                             policy.bytesStored(id, bytes, bytes / 2);
                         }
@@ -210,13 +210,13 @@
                 }
                 assertEquals(
                         policy.statistics().memoryBytes(),
-                        inMemory.values().stream()
+                        memoryBlocks.values().stream()
                                 .flatMap(List::stream)
                                 .mapToLong(b -> b)
                                 .sum(),
                         "seed " + seed);
             }
-            List.copyOf(inMemory.keySet()).forEach(id -> policy.release(id, 1e6));
+            List.copyOf(memoryBlocks.keySet()).forEach(id -> policy.release(id, 1e6));
             SpoolPolicy.Statistics atEnd = policy.statistics();
             assertEquals(atEnd.memoryBytes() + atEnd.fileBytes(), 0, "seed " + seed);
             assertEquals(policy.statistics().results(), 0);
@@ -224,7 +224,7 @@
     }
 
     @Test
-    public void contradictingLimitsAreRejected() {
+    public void outOfRangeLimitsAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> new SpoolLimits(10, 0, 0, 1, 1, 1, 0, 0, 1, 1));
         assertThrows(IllegalArgumentException.class, () -> new SpoolLimits(MB, 0, 0, 1, 1, 1, 0, 2, 1, 1));
     }
