--- a/src/test/java/lineward/spool/BlockTest.java
+++ b/src/test/java/lineward/spool/BlockTest.java
@@ -39,18 +39,18 @@
 
     @Test(dataProvider = "events")
     public void eventsLeadToStorage(
-            List<Event> events, boolean inMemory, boolean written, boolean onFile, boolean hasData) {
+            List<Event> events, boolean inMemory, boolean beingWritten, boolean onDisk, boolean hasData) {
         Block block = Block.inMemory(7, 3, new byte[5]);
         events.forEach(event -> event.applyTo(block));
         assertEquals(block.isInMemory(), inMemory);
-        assertEquals(block.isBeingWritten(), written);
-        assertEquals(block.isOnDisk(), onFile);
+        assertEquals(block.isBeingWritten(), beingWritten);
+        assertEquals(block.isOnDisk(), onDisk);
         assertEquals(block.data() != null, hasData);
-        assertEquals(block.location(), onFile ? LOCATION : null);
+        assertEquals(block.location(), onDisk ? LOCATION : null);
     }
 
     @Test
-    public void restoredBlockIsOnFile() {
+    public void restoredBlockIsOnDisk() {
         Block block = Block.onDisk(LOCATION);
         assertEquals(block.isOnDisk(), true);
         assertEquals(block.firstRow(), 7);
