--- a/src/test/java/lineward/spool/store/SegmentTest.java
+++ b/src/test/java/lineward/spool/store/SegmentTest.java
@@ -27,18 +27,18 @@
     private Path folder;
 
     @BeforeMethod
-    public void makeFolder() throws IOException {
+    public void createFolder() throws IOException {
         folder = Files.createTempDirectory("segments");
     }
 
     @AfterMethod
-    public void dropFolder() throws IOException {
+    public void deleteFolder() throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted((a, b) -> b.compareTo(a)).forEach(f -> f.toFile().delete());
         }
     }
 
-    private static List<byte[]> blocks(Random random, int count) {
+    private static List<byte[]> randomBlocks(Random random, int count) {
         List<byte[]> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             byte[] block = new byte[random.nextInt(3000)];
@@ -64,7 +64,7 @@
     }
 
     /** Returns whether the file is accepted and yields wrong bytes, or has another number of blocks. */
-    private static boolean servesWrongBytes(Path file, List<byte[]> blocks) {
+    private static boolean returnsWrongBytes(Path file, List<byte[]> blocks) {
         Segment.Result found;
         try {
             found = Segment.open(file);
@@ -85,7 +85,7 @@
 
     @Test
     public void segmentTruncatedAtAnyByteIsIncomplete() throws IOException {
-        List<byte[]> blocks = blocks(new Random(1), 3);
+        List<byte[]> blocks = randomBlocks(new Random(1), 3);
         byte[] complete = Files.readAllBytes(write("a", blocks));
         Path truncated = folder.resolve("cut" + SpoolFolder.SEGMENT_SUFFIX);
         for (int length = 0; length < complete.length; length++) {
@@ -95,11 +95,11 @@
     }
 
     @Test
-    public void corruptionOfAThousandSeedsServesNoWrongByte() throws IOException {
+    public void corruptSegmentReturnsNoWrongBytes() throws IOException {
         int injected = 0;
         for (int seed = 0; seed < 1000; seed++) {
             Random random = new Random(seed);
-            List<byte[]> blocks = blocks(random, 1 + random.nextInt(5));
+            List<byte[]> blocks = randomBlocks(random, 1 + random.nextInt(5));
             byte[] bytes = Files.readAllBytes(write("s" + seed, blocks));
             int faults = 1 + random.nextInt(3);
             byte[] corrupt = bytes.clone();
@@ -114,18 +114,18 @@
             }
             Path file = folder.resolve("corrupt" + SpoolFolder.SEGMENT_SUFFIX);
             Files.write(file, corrupt);
-            assertTrue(!servesWrongBytes(file, blocks), "seed " + seed);
+            assertTrue(!returnsWrongBytes(file, blocks), "seed " + seed);
             injected += Arrays.equals(bytes, corrupt) ? 0 : 1;
         }
         assertTrue(injected > 900, "injected faults: " + injected);
     }
 
     @Test
-    public void checkerFindsAWrongByte() throws IOException {
-        List<byte[]> blocks = blocks(new Random(2), 2);
+    public void returnsWrongBytesDetectsAnotherBlock() throws IOException {
+        List<byte[]> blocks = randomBlocks(new Random(2), 2);
         Path file = write("a", blocks);
         List<byte[]> others = List.of(blocks.get(0), new byte[] {1, 2, 3});
-        assertTrue(servesWrongBytes(file, others));
+        assertTrue(returnsWrongBytes(file, others));
     }
 
     @DataProvider
@@ -152,7 +152,7 @@
 
     @Test
     public void recoveryKeepsCompleteResultsForeignFilesAndUnknownVersionsOnly() throws IOException {
-        write("good", blocks(new Random(3), 4));
+        write("good", randomBlocks(new Random(3), 4));
         Segment partial = new Segment(folder.resolve("partial" + SpoolFolder.SEGMENT_SUFFIX));
         partial.create(1);
         partial.append(new byte[100], 0, 1);
@@ -194,8 +194,8 @@
 
     @Test
     public void removedOrReplacedFileFailsTheRead() throws IOException {
-        Path one = write("one", blocks(new Random(4), 2));
-        Path two = write("two", blocks(new Random(5), 2));
+        Path one = write("one", randomBlocks(new Random(4), 2));
+        Path two = write("two", randomBlocks(new Random(5), 2));
         Segment.Result found = Segment.open(one);
         Files.move(two, one, StandardCopyOption.REPLACE_EXISTING);
         assertThrows(
