--- a/src/test/java/lineward/spool/store/SegmentTest.java
+++ b/src/test/java/lineward/spool/store/SegmentTest.java
@@ -65,22 +65,22 @@
 
     /** Returns whether the file is accepted and yields wrong bytes, or has another number of blocks. */
     private static boolean returnsWrongBytes(Path file, List<byte[]> blocks) {
-        Segment.Result found;
+        Segment.Result stored;
         try {
-            found = Segment.open(file);
+            stored = Segment.open(file);
         } catch (IOException | RuntimeException e) {
             return false;
         }
-        for (int i = 0; i < found.blocks().size(); i++) {
+        for (int i = 0; i < stored.blocks().size(); i++) {
             try {
-                if (!Arrays.equals(found.segment().read(found.blocks().get(i)), blocks.get(i))) {
+                if (!Arrays.equals(stored.segment().read(stored.blocks().get(i)), blocks.get(i))) {
                     return true;
                 }
             } catch (IOException e) {
                 // The corruption was detected, and no bytes were returned.
             }
         }
-        return found.blocks().size() != blocks.size();
+        return stored.blocks().size() != blocks.size();
     }
 
     @Test
@@ -96,14 +96,14 @@
 
     @Test
     public void corruptSegmentReturnsNoWrongBytes() throws IOException {
-        int injected = 0;
+        int corruptFiles = 0;
         for (int seed = 0; seed < 1000; seed++) {
             Random random = new Random(seed);
             List<byte[]> blocks = randomBlocks(random, 1 + random.nextInt(5));
             byte[] bytes = Files.readAllBytes(write("s" + seed, blocks));
-            int faults = 1 + random.nextInt(3);
+            int faultCount = 1 + random.nextInt(3);
             byte[] corrupt = bytes.clone();
-            for (int i = 0; i < faults; i++) {
+            for (int i = 0; i < faultCount; i++) {
                 int at = random.nextInt(corrupt.length);
                 switch (random.nextInt(4)) {
                     case 0 -> corrupt[at] ^= (byte) (1 << random.nextInt(8));
@@ -115,17 +115,17 @@
             Path file = folder.resolve("corrupt" + SpoolFolder.SEGMENT_SUFFIX);
             Files.write(file, corrupt);
             assertTrue(!returnsWrongBytes(file, blocks), "seed " + seed);
-            injected += Arrays.equals(bytes, corrupt) ? 0 : 1;
+            corruptFiles += Arrays.equals(bytes, corrupt) ? 0 : 1;
         }
-        assertTrue(injected > 900, "injected faults: " + injected);
+        assertTrue(corruptFiles > 900, "injected faults: " + corruptFiles);
     }
 
     @Test
     public void returnsWrongBytesDetectsAnotherBlock() throws IOException {
         List<byte[]> blocks = randomBlocks(new Random(2), 2);
         Path file = write("a", blocks);
-        List<byte[]> others = List.of(blocks.get(0), new byte[] {1, 2, 3});
-        assertTrue(returnsWrongBytes(file, others));
+        List<byte[]> otherBlocks = List.of(blocks.get(0), new byte[] {1, 2, 3});
+        assertTrue(returnsWrongBytes(file, otherBlocks));
     }
 
     @DataProvider
@@ -143,11 +143,11 @@
     public void foreignFileIsRecognisedByItsHeader(byte[] bytes, String reason) throws IOException {
         Path file = folder.resolve("x" + SpoolFolder.SEGMENT_SUFFIX);
         Files.write(file, bytes);
-        SpoolFolder.Contents recovered = SpoolFolder.inspect(folder);
-        assertEquals(recovered.complete().size(), 0);
+        SpoolFolder.Contents contents = SpoolFolder.inspect(folder);
+        assertEquals(contents.complete().size(), 0);
         assertTrue(
-                recovered.unusable().get(0).reason().contains(reason),
-                recovered.unusable().get(0).reason());
+                contents.unusable().get(0).reason().contains(reason),
+                contents.unusable().get(0).reason());
     }
 
     @Test
@@ -161,9 +161,9 @@
                 folder.resolve("later" + SpoolFolder.SEGMENT_SUFFIX),
                 SegmentFormat.header(1).putInt(8, 2).array());
         try (SpoolFolder lockedFolder = SpoolFolder.acquire(folder)) {
-            SpoolFolder.Contents recovered = lockedFolder.recover();
-            assertEquals(recovered.complete().size(), 1);
-            assertEquals(recovered.complete().get(0).manifest().key(), "good");
+            SpoolFolder.Contents contents = lockedFolder.recover();
+            assertEquals(contents.complete().size(), 1);
+            assertEquals(contents.complete().get(0).manifest().key(), "good");
         }
         assertTrue(Files.exists(folder.resolve("notes.txt")));
         assertTrue(Files.exists(folder.resolve("later" + SpoolFolder.SEGMENT_SUFFIX)));
@@ -196,12 +196,12 @@
     public void removedOrReplacedFileFailsTheRead() throws IOException {
         Path one = write("one", randomBlocks(new Random(4), 2));
         Path two = write("two", randomBlocks(new Random(5), 2));
-        Segment.Result found = Segment.open(one);
+        Segment.Result stored = Segment.open(one);
         Files.move(two, one, StandardCopyOption.REPLACE_EXISTING);
         assertThrows(
-                IOException.class, () -> found.segment().read(found.blocks().get(1)));
+                IOException.class, () -> stored.segment().read(stored.blocks().get(1)));
         Files.delete(one);
         assertThrows(
-                IOException.class, () -> found.segment().read(found.blocks().get(0)));
+                IOException.class, () -> stored.segment().read(stored.blocks().get(0)));
     }
 }
