--- a/src/test/java/lineward/spool/store/StoredSegmentTest.java
+++ b/src/test/java/lineward/spool/store/StoredSegmentTest.java
@@ -25,12 +25,12 @@
     private Path folder;
 
     @BeforeMethod
-    public void makeFolder() throws IOException {
+    public void createFolder() throws IOException {
         folder = Files.createTempDirectory("stored");
     }
 
     @AfterMethod
-    public void dropFolder() throws IOException {
+    public void deleteFolder() throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted((a, b) -> b.compareTo(a)).forEach(f -> f.toFile().delete());
         }
@@ -45,11 +45,11 @@
         return List.of(new byte[150], repeated, random, new byte[50]);
     }
 
-    private static int rows(int block) {
+    private static int rowCount(int block) {
         return List.of(0, 20, 10, 0).get(block);
     }
 
-    private byte[] stored() throws IOException {
+    private byte[] storedBytes() throws IOException {
         try (InputStream in = StoredSegmentTest.class.getResourceAsStream(STORED)) {
             return in.readAllBytes();
         }
@@ -61,8 +61,8 @@
         List<Segment.Extent> locations = new ArrayList<>();
         long firstRow = 0;
         for (int i = 0; i < blocks().size(); i++) {
-            locations.add(segment.append(blocks().get(i), firstRow, rows(i)));
-            firstRow += rows(i);
+            locations.add(segment.append(blocks().get(i), firstRow, rowCount(i)));
+            firstRow += rowCount(i);
         }
         segment.complete(MANIFEST, locations);
         return segment.path();
@@ -70,25 +70,25 @@
 
     @Test
     public void storedSegmentIsRecoveredWithManifestIndexAndBlocks() throws IOException {
-        Files.write(folder.resolve(STORED), stored());
+        Files.write(folder.resolve(STORED), storedBytes());
         try (SpoolFolder lockedFolder = SpoolFolder.acquire(folder)) {
             SpoolFolder.Contents recovered = lockedFolder.recover();
             assertEquals(recovered.unusable(), List.of());
             Segment.Result found = recovered.complete().get(0);
             assertEquals(found.manifest(), MANIFEST);
-            assertEquals(found.fileBytes(), stored().length);
+            assertEquals(found.fileBytes(), storedBytes().length);
             assertEquals(found.blocks().size(), blocks().size());
             for (int i = 0; i < blocks().size(); i++) {
                 Segment.Extent location = found.blocks().get(i);
-                assertEquals(location.rows(), rows(i));
+                assertEquals(location.rows(), rowCount(i));
                 assertEquals(found.segment().read(location), blocks().get(i));
             }
         }
     }
 
     @Test
-    public void segmentIsWrittenAsItWasStored() throws IOException {
-        assertEquals(Files.readAllBytes(write(folder)), stored());
+    public void writtenSegmentEqualsStoredSegment() throws IOException {
+        assertEquals(Files.readAllBytes(write(folder)), storedBytes());
     }
 
     /** Writes the resource file; was run once, with the version whose files must stay readable. */
