--- a/src/test/java/lineward/spool/store/StoredSegmentTest.java
+++ b/src/test/java/lineward/spool/store/StoredSegmentTest.java
@@ -72,16 +72,16 @@
     public void storedSegmentIsRecoveredWithManifestIndexAndBlocks() throws IOException {
         Files.write(folder.resolve(STORED), storedBytes());
         try (SpoolFolder lockedFolder = SpoolFolder.acquire(folder)) {
-            SpoolFolder.Contents recovered = lockedFolder.recover();
-            assertEquals(recovered.unusable(), List.of());
-            Segment.Result found = recovered.complete().get(0);
-            assertEquals(found.manifest(), MANIFEST);
-            assertEquals(found.fileBytes(), storedBytes().length);
-            assertEquals(found.blocks().size(), blocks().size());
+            SpoolFolder.Contents contents = lockedFolder.recover();
+            assertEquals(contents.unusable(), List.of());
+            Segment.Result stored = contents.complete().get(0);
+            assertEquals(stored.manifest(), MANIFEST);
+            assertEquals(stored.fileBytes(), storedBytes().length);
+            assertEquals(stored.blocks().size(), blocks().size());
             for (int i = 0; i < blocks().size(); i++) {
-                Segment.Extent location = found.blocks().get(i);
+                Segment.Extent location = stored.blocks().get(i);
                 assertEquals(location.rows(), rowCount(i));
-                assertEquals(found.segment().read(location), blocks().get(i));
+                assertEquals(stored.segment().read(location), blocks().get(i));
             }
         }
     }
