--- a/src/test/java/lineward/spool/ResultAccountTest.java
+++ b/src/test/java/lineward/spool/ResultAccountTest.java
@@ -35,12 +35,17 @@
     }
 
     @Test(dataProvider = "lifetimes")
-    public void accountDecidesLifetime(
-            boolean keyed, boolean ended, int readers, boolean lease, boolean retained, boolean reclaimable) {
-        ResultAccount account = account(keyed, ended, readers);
-        assertEquals(account.hasLease(), lease);
-        assertEquals(account.isRetained(), retained);
-        assertEquals(account.isReclaimable(), reclaimable);
+    public void leaseAndRetentionDependOnKeyCompletionAndReaders(
+            boolean keyed,
+            boolean complete,
+            int readerCount,
+            boolean hasLease,
+            boolean isRetained,
+            boolean isReclaimable) {
+        ResultAccount account = account(keyed, complete, readerCount);
+        assertEquals(account.hasLease(), hasLease);
+        assertEquals(account.isRetained(), isRetained);
+        assertEquals(account.isReclaimable(), isReclaimable);
     }
 
     @Test
@@ -58,7 +63,7 @@
     }
 
     @Test
-    public void backpressureLastsFromItsStartOrTheLatestRead() {
+    public void stallLastsSinceStartOfBackpressureOrLatestRead() {
         ResultAccount account = account(false, false, 1);
         account.blockRead(5);
         assertFalse(account.hasBackpressure(), "a read does not start backpressure");
