--- a/src/test/java/lineward/spool/ResultFileStateTest.java
+++ b/src/test/java/lineward/spool/ResultFileStateTest.java
@@ -23,9 +23,10 @@
     }
 
     @Test(dataProvider = "transitions")
-    public void eventLeadsToState(ResultFileState state, ResultFileState written, ResultFileState sealed) {
-        assertTransition(state::writeBlock, written);
-        assertTransition(state::seal, sealed);
+    public void eventLeadsToState(
+            ResultFileState state, ResultFileState stateAfterWrite, ResultFileState stateAfterSeal) {
+        assertTransition(state::writeBlock, stateAfterWrite);
+        assertTransition(state::seal, stateAfterSeal);
     }
 
     private static void assertTransition(Supplier<ResultFileState> event, ResultFileState next) {
