--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -48,7 +48,7 @@
 
     /** The measured program as a child process, with one test engine. */
     private static final class MeasuredProgram implements AutoCloseable {
-        final StandInEngine engine = new StandInEngine();
+        final TestingMysqlEngine engine = new TestingMysqlEngine();
         final Path folder = Files.createTempDirectory("measure");
         final Process process;
         final int port;
--- a/src/test/java/lineward/mysql/DriverTest.java
+++ b/src/test/java/lineward/mysql/DriverTest.java
@@ -22,13 +22,13 @@
 
 /** The MySQL and MariaDB JDBC drivers with common options, against a test engine. */
 public class DriverTest {
-    private StandInEngine engine;
+    private TestingMysqlEngine engine;
     private Path configFile;
     private Program program;
 
     @BeforeClass
     public void start() throws IOException {
-        engine = new StandInEngine();
+        engine = new TestingMysqlEngine();
         configFile = Files.createTempFile("mysql", ".toml");
         Files.writeString(
                 configFile,
--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -6,7 +6,7 @@
 import static org.testng.Assert.assertTrue;
 
 import java.io.IOException;
-import lineward.mysql.StandInEngine.Fault;
+import lineward.mysql.TestingMysqlEngine.Fault;
 import lineward.testing.Program;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -85,12 +85,12 @@
         two.fault = fault;
     }
 
-    private StandInEngine engineThatPrepared(String text) {
+    private TestingMysqlEngine engineThatPrepared(String text) {
         return one.received.contains("prepare " + text) ? one : two;
     }
 
     /** Resets the engine's connections; returns once the program has closed them. */
-    private static void resetAndAwaitClose(StandInEngine engine, Fault fault) throws IOException {
+    private static void resetAndAwaitClose(TestingMysqlEngine engine, Fault fault) throws IOException {
         engine.fault = fault;
         ChildSockets openSockets = ChildSockets.connectedTo(engine.port());
         assertFalse(openSockets.areClosed(), "the program is connected to the engine");
@@ -118,7 +118,7 @@
             assertEquals(client.query("update t set a = 1").code(), FAILED_CODE);
             assertEquals(executionCount("update t set a = 1"), 1);
         }
-        assertEquals(StandInEngine.MAX_RUNNING.get(), 1, "concurrent attempts");
+        assertEquals(TestingMysqlEngine.MAX_RUNNING.get(), 1, "concurrent attempts");
     }
 
     @Test
--- a/src/test/java/lineward/mysql/MysqlServerTest.java
+++ b/src/test/java/lineward/mysql/MysqlServerTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 
 import java.io.IOException;
-import lineward.mysql.StandInEngine.Fault;
+import lineward.mysql.TestingMysqlEngine.Fault;
 import lineward.testing.Program;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
--- a/src/test/java/lineward/mysql/SessionIsolationTest.java
+++ b/src/test/java/lineward/mysql/SessionIsolationTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lineward.mysql.StandInEngine.Fault;
+import lineward.mysql.TestingMysqlEngine.Fault;
 import lineward.testing.Program;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -19,15 +19,15 @@
 
 /** Clients share the connections to an engine, but one client's session state must not affect another. */
 public class SessionIsolationTest {
-    private static final String PLAIN = "{}";
+    private static final String WITHOUT_SETTINGS = "{}";
     private static final String NEW_CLIENT_QUERY = "select rows=1 of a new client";
-    private StandInEngine engine;
+    private TestingMysqlEngine engine;
     private Path configFile;
     private Program program;
 
     @BeforeMethod
     public void start() throws IOException {
-        engine = new StandInEngine();
+        engine = new TestingMysqlEngine();
         configFile = Files.createTempFile("mysql", ".toml");
         Files.writeString(
                 configFile,
@@ -52,20 +52,22 @@
     }
 
     /** Executes a statement for a new client, and returns the state of its session at the engine. */
-    private StandInEngine.Execution executeForNewClient() throws IOException {
+    private TestingMysqlEngine.Execution executeForNewClient() throws IOException {
         try (StandInClient client = client()) {
             assertEquals(client.query(NEW_CLIENT_QUERY).rows().size(), 1);
             return engine.executions.get(engine.executions.size() - 1);
         }
     }
 
-    private StandInEngine.Execution lastExecution() {
+    private TestingMysqlEngine.Execution lastExecution() {
         return engine.executions.get(engine.executions.size() - 1);
     }
 
     private void assertNewClientsAreUnaffected() throws IOException {
         for (int i = 0; i < 3; i++) {
-            assertEquals(executeForNewClient(), new StandInEngine.Execution(NEW_CLIENT_QUERY, PLAIN, "", ""));
+            assertEquals(
+                    executeForNewClient(),
+                    new TestingMysqlEngine.Execution(NEW_CLIENT_QUERY, WITHOUT_SETTINGS, "", ""));
         }
     }
 
@@ -147,8 +149,10 @@
             assertEquals(client.query("select rows=1").code(), 0);
             assertNewClientsAreUnaffected();
             assertEquals(client.query("select rows=1").code(), 0);
-            StandInEngine.Execution own = engine.executions.get(engine.executions.size() - 1);
-            assertEquals(own, new StandInEngine.Execution("select rows=1", "{sql_mode='ANSI'}", "sales", ""));
+            TestingMysqlEngine.Execution finalExecution = engine.executions.get(engine.executions.size() - 1);
+            assertEquals(
+                    finalExecution,
+                    new TestingMysqlEngine.Execution("select rows=1", "{sql_mode='ANSI'}", "sales", ""));
         }
     }
 
@@ -164,7 +168,7 @@
                 assertEquals(first.execute(ansi, true).rows().size(), 1);
                 assertEquals(lastExecution().settings(), "{sql_mode='ANSI'}");
                 assertEquals(second.execute(plain, true).rows().size(), 1);
-                assertEquals(lastExecution().settings(), PLAIN);
+                assertEquals(lastExecution().settings(), WITHOUT_SETTINGS);
             }
         }
     }
--- a/src/test/java/lineward/mysql/SpoolProgramFixture.java
+++ b/src/test/java/lineward/mysql/SpoolProgramFixture.java
@@ -16,16 +16,16 @@
  * open two connections.
  */
 public abstract class SpoolProgramFixture {
-    StandInEngine one;
-    StandInEngine two;
+    TestingMysqlEngine one;
+    TestingMysqlEngine two;
     Path spoolFolder;
     Program program;
     Path configFile;
 
     @BeforeMethod
     public void start() throws IOException {
-        one = new StandInEngine();
-        two = new StandInEngine();
+        one = new TestingMysqlEngine();
+        two = new TestingMysqlEngine();
         spoolFolder = Files.createTempDirectory("spooled");
         configFile = Files.createTempFile("mysql", ".toml");
         program = program("memory-mb = 64\nfolder = \"" + spoolFolder + "\"\nlease-s = 2\n");
@@ -38,7 +38,7 @@
                 + "[[user]]\nname = \"office\"\npassword = \"secret\"\n"
                 + "[[user]]\nname = \"other\"\npassword = \"secret\"\n"
                 + "[[class]]\nname = \"all\"\naim-ms = 3000\ndeadline-ms = 9000\n");
-        for (StandInEngine engine : List.of(one, two)) {
+        for (TestingMysqlEngine engine : List.of(one, two)) {
             config.append("[[engine]]\nname = \"")
                     .append(engine == one ? "one" : "two")
                     .append("\"\naddress = \"")
--- a/src/test/java/lineward/mysql/SpooledResultsTest.java
+++ b/src/test/java/lineward/mysql/SpooledResultsTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import lineward.mysql.StandInEngine.Fault;
+import lineward.mysql.TestingMysqlEngine.Fault;
 import lineward.testing.Program;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
--- a/src/test/java/lineward/mysql/StandInSession.java
+++ b/src/test/java/lineward/mysql/StandInSession.java
@@ -9,7 +9,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The session of one connection to a {@link StandInEngine}. */
+/** The session of one connection to a {@link TestingMysqlEngine}. */
 final class StandInSession {
     private static final byte[] NONCE = "abcdefghijklmnopqrst".getBytes(StandardCharsets.US_ASCII);
     private static final Pattern SETTING = Pattern.compile("SESSION (\\w+)=('[^']*'|[^,]+)");
--- a/src/test/java/lineward/mysql/StandInEngine.java
+++ b/src/test/java/lineward/mysql/TestingMysqlEngine.java
@@ -20,7 +20,7 @@
  * A minimal MySQL engine for tests. It answers a statement that contains {@code rows=N size=BYTES} with N
  * rows of more than this size, unless it has a {@link Fault}.
  */
-final class StandInEngine implements AutoCloseable {
+final class TestingMysqlEngine implements AutoCloseable {
     /** How the engine fails. */
     enum Fault {
         NONE,
@@ -68,7 +68,7 @@
     private volatile long lastByteAt;
     private volatile long nextCommandAt;
 
-    StandInEngine() throws IOException {
+    TestingMysqlEngine() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Thread acceptor = new Thread(this::accept, "engine");
         acceptor.setDaemon(true);
--- a/src/test/java/lineward/mysql/TwoEngineFixture.java
+++ b/src/test/java/lineward/mysql/TwoEngineFixture.java
@@ -15,16 +15,16 @@
     /** Error number of a statement that failed and may have been executed. */
     static final int FAILED_CODE = 1317;
 
-    StandInEngine one;
-    StandInEngine two;
+    TestingMysqlEngine one;
+    TestingMysqlEngine two;
     Program program;
     private Path configFile;
 
     @BeforeMethod
     public void start() throws IOException {
-        StandInEngine.MAX_RUNNING.set(0);
-        one = new StandInEngine();
-        two = new StandInEngine();
+        TestingMysqlEngine.MAX_RUNNING.set(0);
+        one = new TestingMysqlEngine();
+        two = new TestingMysqlEngine();
         configFile = Files.createTempFile("mysql", ".toml");
         writeConfig("ready", "ready");
         program = new Program(Map.of(), "mysql", configFile.toString());
@@ -52,12 +52,12 @@
             aim-ms = 300
             deadline-ms = 1500
             """);
-        appendEngine(text, "one", one, stateOfOne);
-        appendEngine(text, "two", two, stateOfTwo);
+        addEngine(text, "one", one, stateOfOne);
+        addEngine(text, "two", two, stateOfTwo);
         Files.writeString(configFile, text);
     }
 
-    private static void appendEngine(StringBuilder text, String name, StandInEngine engine, String state) {
+    private static void addEngine(StringBuilder text, String name, TestingMysqlEngine engine, String state) {
         text.append("[[engine]]\nname = \"")
                 .append(name)
                 .append("\"\naddress = \"")
