--- a/src/test/java/lineward/mysql/TestingMysqlEngine.java
+++ b/src/test/java/lineward/mysql/TestingMysqlEngine.java
@@ -43,7 +43,7 @@
      * An executed statement, with the state of its session before the execution.
      *
      * @param settings the settings that apply to the statement: for a prepared one, those at its preparation
-     * @param sessionChanges earlier statements that changed the session, see {@link StandInSession}
+     * @param sessionChanges earlier statements that changed the session, see {@link TestingMysqlSession}
      */
     record Execution(String text, String settings, String schema, String sessionChanges) {}
 
@@ -145,7 +145,7 @@
                 wire.write(Wire.error(1040, "08004", "too many"));
                 return;
             }
-            StandInSession session = new StandInSession(id, wire);
+            TestingMysqlSession session = new TestingMysqlSession(id, wire);
             session.greet();
             wire.read();
             wire.write(Wire.ok());
@@ -153,7 +153,7 @@
                 wire.sequence = 0;
                 byte[] command = wire.read();
                 wire.sequence = 1;
-                answer(command, session);
+                reply(command, session);
             }
         } catch (IOException | InterruptedException e) {
             // The program closed the connection, or the engine reset it.
@@ -162,7 +162,7 @@
         }
     }
 
-    private void answer(byte[] command, StandInSession session) throws IOException, InterruptedException {
+    private void reply(byte[] command, TestingMysqlSession session) throws IOException, InterruptedException {
         Wire wire = session.wire;
         String text = new String(command, 1, command.length - 1, StandardCharsets.UTF_8);
         switch (command[0]) {
@@ -211,7 +211,7 @@
     }
 
     /** @param preparationSettings settings at the statement's preparation; empty if it is sent as text */
-    private void run(Wire wire, String text, StandInSession session, String preparationSettings)
+    private void run(Wire wire, String text, TestingMysqlSession session, String preparationSettings)
             throws IOException, InterruptedException {
         if (text.startsWith("KILL QUERY ")) {
             received.add(text);
--- a/src/test/java/lineward/mysql/StandInSession.java
+++ b/src/test/java/lineward/mysql/TestingMysqlSession.java
@@ -10,7 +10,7 @@
 import java.util.regex.Pattern;
 
 /** The session of one connection to a {@link TestingMysqlEngine}. */
-final class StandInSession {
+final class TestingMysqlSession {
     private static final byte[] NONCE = "abcdefghijklmnopqrst".getBytes(StandardCharsets.US_ASCII);
     private static final Pattern SETTING = Pattern.compile("SESSION (\\w+)=('[^']*'|[^,]+)");
     private static final String SESSION_CHANGES = "^call |/\\*M?!|temporary|^flush ";
@@ -27,7 +27,7 @@
     /** The texts of the statements that have changed the session. */
     String changes = "";
 
-    StandInSession(long id, Wire wire) {
+    TestingMysqlSession(long id, Wire wire) {
         this.id = id;
         this.wire = wire;
     }
