--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -22,9 +22,9 @@
             {Fault.DIE_IN_EXECUTE, "update t set a=1", FAILED_CODE},
             {Fault.DIE_BETWEEN_ROWS, "select rows=4", 0},
             {Fault.DIE_BETWEEN_ROWS, "select rows=20000", 0},
-            {Fault.GARBAGE, "select rows=4", 0},
-            {Fault.GARBAGE, "update t set a=1", FAILED_CODE},
-            {Fault.FULL, "update t set a=1", 0}
+            {Fault.MALFORMED_REPLY, "select rows=4", 0},
+            {Fault.MALFORMED_REPLY, "update t set a=1", FAILED_CODE},
+            {Fault.TOO_MANY_CONNECTIONS, "update t set a=1", 0}
         };
     }
 
@@ -36,7 +36,7 @@
     public void answersEveryExecution(Fault fault, String text, int code) throws IOException {
         try (StandInClient client = client()) {
             StandInClient.Statement statement = client.prepare(text);
-            if (fault == Fault.DIE_AFTER_PREPARE || fault == Fault.FULL) {
+            if (fault == Fault.DIE_AFTER_PREPARE || fault == Fault.TOO_MANY_CONNECTIONS) {
                 resetAndAwaitClose(engineThatPrepared(text), fault);
             } else {
                 setFaultOfNextEngine(fault);
@@ -94,7 +94,7 @@
         engine.fault = fault;
         ChildSockets openSockets = ChildSockets.connectedTo(engine.port());
         assertFalse(openSockets.areClosed(), "the program is connected to the engine");
-        if (fault == Fault.FULL) {
+        if (fault == Fault.TOO_MANY_CONNECTIONS) {
             engine.resetConnections();
         } else {
             engine.die();
--- a/src/test/java/lineward/mysql/TestingMysqlEngine.java
+++ b/src/test/java/lineward/mysql/TestingMysqlEngine.java
@@ -34,9 +34,9 @@
         /** The engine answers a statement only when the statement is killed. */
         SILENT,
         /** The engine rejects new connections. */
-        FULL,
+        TOO_MANY_CONNECTIONS,
         /** The engine answers a statement with an empty packet. */
-        GARBAGE
+        MALFORMED_REPLY
     }
 
     /**
@@ -62,7 +62,7 @@
     private final Map<Long, CountDownLatch> kills = new ConcurrentHashMap<>();
     private final AtomicInteger threads = new AtomicInteger();
     volatile Fault fault = Fault.NONE;
-    /** Called at the start of {@link #die} and before the reply with {@link Fault#GARBAGE}. */
+    /** Called at the start of {@link #die} and before the reply with {@link Fault#MALFORMED_REPLY}. */
     volatile Runnable beforeFault = () -> {};
 
     private volatile long lastByteAt;
@@ -141,7 +141,7 @@
         kills.put(id, new CountDownLatch(1));
         try (socket) {
             Wire wire = new Wire(socket);
-            if (fault == Fault.FULL) {
+            if (fault == Fault.TOO_MANY_CONNECTIONS) {
                 wire.write(Wire.error(1040, "08004", "too many"));
                 return;
             }
@@ -239,7 +239,7 @@
         try {
             if (fault == Fault.DIE_IN_EXECUTE) {
                 die();
-            } else if (fault == Fault.GARBAGE) {
+            } else if (fault == Fault.MALFORMED_REPLY) {
                 beforeFault.run();
                 wire.write(new byte[0]);
             } else if (fault == Fault.SILENT) {
