--- a/src/main/java/lineward/mysql/client/ClientLogin.java
+++ b/src/main/java/lineward/mysql/client/ClientLogin.java
@@ -3,8 +3,8 @@
 import io.netty.buffer.ByteBuf;
 import java.util.Map;
 import lineward.mysql.wire.Auth;
-import lineward.mysql.wire.Dialect;
 import lineward.mysql.wire.Handshake;
+import lineward.mysql.wire.ResultFormat;
 
 /** The login of one client: parses its packets and verifies its password. Performs no I/O. */
 final class ClientLogin {
@@ -42,8 +42,8 @@
         return login.schema();
     }
 
-    Dialect dialect() {
-        return Dialect.of(login.capabilities());
+    ResultFormat dialect() {
+        return ResultFormat.of(login.capabilities());
     }
 
     /** Returns whether a packet that confirms fast authentication must precede the OK packet. */
--- a/src/main/java/lineward/mysql/client/ClientReplyWriter.java
+++ b/src/main/java/lineward/mysql/client/ClientReplyWriter.java
@@ -6,8 +6,8 @@
 import io.netty.channel.ChannelFutureListener;
 import io.netty.util.concurrent.Future;
 import lineward.mysql.wire.ChannelOperations;
-import lineward.mysql.wire.Dialect;
 import lineward.mysql.wire.Packets;
+import lineward.mysql.wire.ResultFormat;
 import lineward.mysql.wire.SqlError;
 
 /** Writes replies to one client, takes over their references, and counts those not flushed. */
@@ -16,7 +16,7 @@
     private static final int NO_REQUEST_SEQUENCE = -1;
 
     private final Channel channel;
-    private Dialect dialect = Dialect.EOF_PACKETS;
+    private ResultFormat dialect = ResultFormat.EOF_PACKETS;
     private int requestSequence;
     private int unflushedReplies;
 
@@ -32,11 +32,11 @@
         return channel.alloc();
     }
 
-    Dialect dialect() {
+    ResultFormat dialect() {
         return dialect;
     }
 
-    void setDialect(Dialect agreed) {
+    void setDialect(ResultFormat agreed) {
         dialect = agreed;
     }
 
--- a/src/main/java/lineward/mysql/client/SpooledResultCursor.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultCursor.java
@@ -7,8 +7,8 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import lineward.mysql.session.StatementCursor;
-import lineward.mysql.wire.Dialect;
 import lineward.mysql.wire.Packets;
+import lineward.mysql.wire.ResultFormat;
 import lineward.spool.ReadStatus;
 import lineward.spool.ResultChunk;
 import lineward.spool.SpoolReader;
@@ -35,7 +35,7 @@
     private static final byte[] EMPTY_BLOCK = {};
 
     private final Channel channel;
-    private final Dialect dialect;
+    private final ResultFormat dialect;
     private final Range range;
     private final Consumer<ByteBuf> sink;
     private final StreamEndListener listener;
@@ -63,7 +63,7 @@
     SpooledResultCursor(
             Channel channel,
             SpooledResult result,
-            Dialect dialect,
+            ResultFormat dialect,
             Range range,
             Consumer<ByteBuf> sink,
             StreamEndListener listener) {
@@ -131,10 +131,10 @@
             seekFirstRow();
         }
         if (range.isPage()) {
-            sink.accept(dialect.columns(columns));
+            sink.accept(dialect.convertColumns(columns));
             startFetch(range.maxRows().getAsLong(), dialect.sequenceAfter(columns));
         } else {
-            sink.accept(dialect.cursorColumns(channel.alloc(), columns));
+            sink.accept(dialect.convertCursorColumns(channel.alloc(), columns));
             listener.ended(ReadStatus.MORE, OptionalInt.empty());
         }
     }
@@ -171,7 +171,7 @@
         if (!state.isFetching()) {
             return;
         }
-        sink.accept(dialect.end(channel.alloc(), nextSequence, endStatus()));
+        sink.accept(dialect.eofOrOk(channel.alloc(), nextSequence, endStatus()));
         if (range.isPage() || state == CursorState.FETCHING_LAST) {
             close();
             listener.ended(ReadStatus.END, OptionalInt.empty());
@@ -186,7 +186,9 @@
         if (range.isPage()) {
             return 0;
         }
-        return state == CursorState.FETCHING_LAST ? Packets.LAST_ROW_SENT : Packets.CURSOR_EXISTS;
+        return state == CursorState.FETCHING_LAST
+                ? Packets.SERVER_STATUS_LAST_ROW_SENT
+                : Packets.SERVER_STATUS_CURSOR_EXISTS;
     }
 
     /** Reads the next block or the end of the rows; returns false if neither is available. */
--- a/src/main/java/lineward/mysql/client/SpooledResultReplyStream.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultReplyStream.java
@@ -4,8 +4,8 @@
 import io.netty.channel.Channel;
 import java.util.OptionalInt;
 import java.util.function.Consumer;
-import lineward.mysql.wire.Dialect;
 import lineward.mysql.wire.ReplyStream;
+import lineward.mysql.wire.ResultFormat;
 import lineward.spool.ReadStatus;
 import lineward.spool.ResultChunk;
 import lineward.spool.SpoolReader;
@@ -19,7 +19,7 @@
     private final Consumer<ByteBuf> sink;
     private final SpoolReader reader;
     private final StreamEndListener listener;
-    private final Dialect dialect;
+    private final ResultFormat dialect;
     /** The packets that were sent last; null before the column definitions are sent. */
     private byte[] lastPackets;
     /** Prevents recursion: reading the result notifies all its readers, including this one. */
@@ -36,7 +36,7 @@
     SpooledResultReplyStream(
             Channel channel,
             SpooledResult result,
-            Dialect dialect,
+            ResultFormat dialect,
             Consumer<ByteBuf> sink,
             StreamEndListener listener) {
         this.dialect = dialect;
@@ -82,10 +82,12 @@
 
     private ByteBuf encode(ResultChunk chunk) {
         if (chunk.rows() > 0) {
-            return dialect.rows(chunk.bytes());
+            return dialect.convertRows(chunk.bytes());
         }
         boolean isHead = lastPackets == null;
-        return isHead ? dialect.columns(chunk.bytes()) : dialect.tail(channel.alloc(), chunk.bytes());
+        return isHead
+                ? dialect.convertColumns(chunk.bytes())
+                : dialect.convertLastPacket(channel.alloc(), chunk.bytes());
     }
 
     private int nextSequence() {
--- a/src/main/java/lineward/mysql/client/SpooledResultSender.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -5,8 +5,8 @@
 import lineward.mysql.session.PreparedStatement;
 import lineward.mysql.session.SpoolHint;
 import lineward.mysql.session.StatementCursor;
-import lineward.mysql.wire.Dialect;
 import lineward.mysql.wire.ReplyStream;
+import lineward.mysql.wire.ResultFormat;
 import lineward.mysql.wire.SqlError;
 import lineward.spool.ReadStatus;
 import lineward.spool.Spool;
@@ -79,7 +79,7 @@
     }
 
     private SpooledResultCursor open(SpooledResult result, SpooledResultCursor.Range range) {
-        Dialect dialect = replies.dialect();
+        ResultFormat dialect = replies.dialect();
         return new SpooledResultCursor(replies.channel(), result, dialect, range, replies::send, this::ended);
     }
 
--- a/src/main/java/lineward/mysql/wire/Handshake.java
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -28,11 +28,11 @@
             | PLUGIN_AUTH;
     /** Results have no EOF packet after the columns, and an OK packet instead of EOF after the rows. */
     public static final int DEPRECATE_EOF = 0x1000000;
-    /** The capabilities offered to clients; {@link Dialect} converts the engines' replies. */
+    /** The capabilities offered to clients; {@link ResultFormat} converts the engines' replies. */
     public static final int OFFERED_CAPABILITIES = ENGINE_CAPABILITIES | DEPRECATE_EOF;
 
     /** Number of the collation utf8mb4_general_ci. */
-    public static final int UTF8MB4 = 45;
+    public static final int UTF8MB4_COLLATION = 45;
     /** The server version that clients see. */
     public static final String SERVER_VERSION = "8.0.36-lineward";
 
@@ -60,7 +60,9 @@
         ByteBuf packet = Packets.begin(alloc, 0).writeByte(PROTOCOL_VERSION);
         writeCString(packet, SERVER_VERSION);
         packet.writeIntLE(threadId).writeBytes(nonce, 0, NONCE_HEAD_BYTES).writeByte(0);
-        packet.writeShortLE(OFFERED_CAPABILITIES).writeByte(UTF8MB4).writeShortLE(Packets.AUTOCOMMIT);
+        packet.writeShortLE(OFFERED_CAPABILITIES)
+                .writeByte(UTF8MB4_COLLATION)
+                .writeShortLE(Packets.SERVER_STATUS_AUTOCOMMIT);
         packet.writeShortLE(OFFERED_CAPABILITIES >>> 16)
                 .writeByte(nonce.length + 1)
                 .writeZero(GREETING_RESERVED_BYTES);
@@ -106,7 +108,7 @@
         ByteBuf packet = Packets.begin(alloc, sequence)
                 .writeIntLE(login.capabilities())
                 .writeIntLE(MAX_PACKET_BYTES)
-                .writeByte(UTF8MB4)
+                .writeByte(UTF8MB4_COLLATION)
                 .writeZero(LOGIN_RESERVED_BYTES);
         writeCString(packet, login.user());
         packet.writeByte(login.authResponse().length).writeBytes(login.authResponse());
--- a/src/main/java/lineward/mysql/wire/LocalResult.java
+++ b/src/main/java/lineward/mysql/wire/LocalResult.java
@@ -34,14 +34,14 @@
     }
 
     /** Returns the packets of the result; the first one has this sequence number. */
-    public ByteBuf encode(ByteBufAllocator alloc, int firstSequence, Dialect dialect) {
+    public ByteBuf encode(ByteBufAllocator alloc, int firstSequence, ResultFormat format) {
         int sequence = firstSequence;
         ByteBuf reply = alloc.buffer();
         append(reply, Packets.done(Packets.begin(alloc, sequence++).writeByte(labels.size())));
         for (String label : labels) {
             append(reply, column(alloc, sequence++, label));
         }
-        if (dialect == Dialect.EOF_PACKETS) {
+        if (format == ResultFormat.EOF_PACKETS) {
             append(reply, Packets.eof(alloc, sequence++, 0));
         }
         if (!row.isEmpty()) {
@@ -49,7 +49,7 @@
             row.forEach(value -> Packets.writeLengthEncodedString(values, value));
             append(reply, Packets.done(values));
         }
-        append(reply, dialect.end(alloc, sequence, 0));
+        append(reply, format.eofOrOk(alloc, sequence, 0));
         return reply;
     }
 
@@ -63,7 +63,7 @@
             Packets.writeLengthEncodedString(column, text);
         }
         column.writeByte(FIXED_FIELDS_BYTES)
-                .writeShortLE(Handshake.UTF8MB4)
+                .writeShortLE(Handshake.UTF8MB4_COLLATION)
                 .writeIntLE(MAX_VALUE_BYTES)
                 .writeByte(TYPE_VAR_STRING)
                 .writeShortLE(0) // flags
--- a/src/main/java/lineward/mysql/wire/Packets.java
+++ b/src/main/java/lineward/mysql/wire/Packets.java
@@ -12,9 +12,9 @@
     public static final int OK = 0x00;
     public static final int EOF = 0xfe;
     public static final int ERR = 0xff;
-    public static final int AUTOCOMMIT = 0x0002;
-    public static final int CURSOR_EXISTS = 0x0040;
-    public static final int LAST_ROW_SENT = 0x0080;
+    public static final int SERVER_STATUS_AUTOCOMMIT = 0x0002;
+    public static final int SERVER_STATUS_CURSOR_EXISTS = 0x0040;
+    public static final int SERVER_STATUS_LAST_ROW_SENT = 0x0080;
     /** Returned as the error number of an error packet that has none. */
     public static final int UNKNOWN_ERROR = 0;
     /** Returned as the first byte of an empty payload. */
@@ -52,13 +52,16 @@
                 .writeByte(OK)
                 .writeByte(0)
                 .writeByte(0)
-                .writeShortLE(AUTOCOMMIT)
+                .writeShortLE(SERVER_STATUS_AUTOCOMMIT)
                 .writeShortLE(0));
     }
 
     /** Returns an EOF packet with AUTOCOMMIT and these additional status flags. */
-    public static ByteBuf eof(ByteBufAllocator alloc, int sequence, int status) {
-        return done(begin(alloc, sequence).writeByte(EOF).writeShortLE(0).writeShortLE(AUTOCOMMIT | status));
+    public static ByteBuf eof(ByteBufAllocator alloc, int sequence, int statusFlags) {
+        return done(begin(alloc, sequence)
+                .writeByte(EOF)
+                .writeShortLE(0)
+                .writeShortLE(SERVER_STATUS_AUTOCOMMIT | statusFlags));
     }
 
     /** Returns the length, including the header, of the packet at this offset. */
--- a/src/main/java/lineward/mysql/wire/ReplyTracker.java
+++ b/src/main/java/lineward/mysql/wire/ReplyTracker.java
@@ -42,8 +42,8 @@
 
     /** Returns whether the engine reports an open transaction, or autocommit off. */
     public boolean inTransaction() {
-        int transactionFlags = status & (SERVER_STATUS_IN_TRANS | Packets.AUTOCOMMIT);
-        return status != STATUS_UNKNOWN && transactionFlags != Packets.AUTOCOMMIT;
+        int transactionFlags = status & (SERVER_STATUS_IN_TRANS | Packets.SERVER_STATUS_AUTOCOMMIT);
+        return status != STATUS_UNKNOWN && transactionFlags != Packets.SERVER_STATUS_AUTOCOMMIT;
     }
 
     /**
--- a/src/test/java/lineward/mysql/wire/DialectTest.java
+++ b/src/test/java/lineward/mysql/wire/ResultFormatTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** The exact bytes of replies to clients with and without CLIENT_DEPRECATE_EOF. */
-public class DialectTest {
+public class ResultFormatTest {
     private static final String EOF_3 = "05000003fe01000200";
     private static final String COLUMNS = "0100000101" + "020000020303";
     private static final String HEAD = COLUMNS + EOF_3;
@@ -44,26 +44,30 @@
     @Test(dataProvider = "replies")
     public void convertsACompleteReply(String reply, boolean prepared, String expected) {
         UnpooledByteBufAllocator alloc = UnpooledByteBufAllocator.DEFAULT;
-        ByteBuf converted = Dialect.DEPRECATE_EOF.convert(alloc, bytes(reply), prepared);
+        ByteBuf converted = ResultFormat.DEPRECATE_EOF.convert(alloc, bytes(reply), prepared);
         assertEquals(ByteBufUtil.hexDump(converted), expected);
-        ByteBuf unchanged = Dialect.EOF_PACKETS.convert(alloc, bytes(reply), prepared);
+        ByteBuf unchanged = ResultFormat.EOF_PACKETS.convert(alloc, bytes(reply), prepared);
         assertEquals(ByteBufUtil.hexDump(unchanged), reply);
     }
 
     @Test
     public void convertsCopiesOfSpooledBlocks() {
         UnpooledByteBufAllocator alloc = UnpooledByteBufAllocator.DEFAULT;
-        byte[] rows = array(ROW + "0200000501bb");
-        assertEquals(ByteBufUtil.hexDump(Dialect.DEPRECATE_EOF.columns(array(HEAD))), COLUMNS);
-        String shortCursor = ByteBufUtil.hexDump(Dialect.DEPRECATE_EOF.cursorColumns(alloc, array(HEAD)));
-        assertEquals(shortCursor, COLUMNS + "07000003fe000042000000");
-        String plainCursor = ByteBufUtil.hexDump(Dialect.EOF_PACKETS.cursorColumns(alloc, array(HEAD)));
-        assertEquals(plainCursor, COLUMNS + "05000003fe00004200");
-        assertEquals(ByteBufUtil.hexDump(Dialect.DEPRECATE_EOF.rows(rows)), "0200000301aa" + "0200000401bb");
-        assertEquals(ByteBufUtil.hexDump(rows), ROW + "0200000501bb");
-        ByteBuf tail = Dialect.DEPRECATE_EOF.tail(alloc, array(EOF_5));
+        byte[] spooledRows = array(ROW + "0200000501bb");
+        assertEquals(ByteBufUtil.hexDump(ResultFormat.DEPRECATE_EOF.convertColumns(array(HEAD))), COLUMNS);
+        String cursorColumnsWithoutEof =
+                ByteBufUtil.hexDump(ResultFormat.DEPRECATE_EOF.convertCursorColumns(alloc, array(HEAD)));
+        assertEquals(cursorColumnsWithoutEof, COLUMNS + "07000003fe000042000000");
+        String cursorColumnsWithEof =
+                ByteBufUtil.hexDump(ResultFormat.EOF_PACKETS.convertCursorColumns(alloc, array(HEAD)));
+        assertEquals(cursorColumnsWithEof, COLUMNS + "05000003fe00004200");
+        assertEquals(
+                ByteBufUtil.hexDump(ResultFormat.DEPRECATE_EOF.convertRows(spooledRows)),
+                "0200000301aa" + "0200000401bb");
+        assertEquals(ByteBufUtil.hexDump(spooledRows), ROW + "0200000501bb");
+        ByteBuf tail = ResultFormat.DEPRECATE_EOF.convertLastPacket(alloc, array(EOF_5));
         assertEquals(ByteBufUtil.hexDump(tail), "07000004fe000002000100");
-        assertEquals(Dialect.DEPRECATE_EOF.sequenceAfter(array(HEAD)), 3);
-        assertEquals(Dialect.EOF_PACKETS.sequenceAfter(array(HEAD)), 4);
+        assertEquals(ResultFormat.DEPRECATE_EOF.sequenceAfter(array(HEAD)), 3);
+        assertEquals(ResultFormat.EOF_PACKETS.sequenceAfter(array(HEAD)), 4);
     }
 }
