--- a/src/test/java/lineward/mysql/wire/ResultFormatTest.java
+++ b/src/test/java/lineward/mysql/wire/ResultFormatTest.java
@@ -17,7 +17,7 @@
     private static final String ROW = "0200000401aa";
     private static final String EOF_5 = "05000005fe01000200";
 
-    private static ByteBuf bytes(String hex) {
+    private static ByteBuf buffer(String hex) {
         return Unpooled.wrappedBuffer(ByteBufUtil.decodeHexDump(hex));
     }
 
@@ -42,16 +42,16 @@
     }
 
     @Test(dataProvider = "replies")
-    public void convertsACompleteReply(String reply, boolean prepared, String expected) {
+    public void convertsACompleteReply(String reply, boolean prepareReply, String expected) {
         UnpooledByteBufAllocator alloc = UnpooledByteBufAllocator.DEFAULT;
-        ByteBuf converted = ResultFormat.DEPRECATE_EOF.convert(alloc, bytes(reply), prepared);
+        ByteBuf converted = ResultFormat.DEPRECATE_EOF.convert(alloc, buffer(reply), prepareReply);
         assertEquals(ByteBufUtil.hexDump(converted), expected);
-        ByteBuf unchanged = ResultFormat.EOF_PACKETS.convert(alloc, bytes(reply), prepared);
+        ByteBuf unchanged = ResultFormat.EOF_PACKETS.convert(alloc, buffer(reply), prepareReply);
         assertEquals(ByteBufUtil.hexDump(unchanged), reply);
     }
 
     @Test
-    public void convertsCopiesOfSpooledBlocks() {
+    public void convertsPartsOfASpooledResult() {
         UnpooledByteBufAllocator alloc = UnpooledByteBufAllocator.DEFAULT;
         byte[] spooledRows = array(ROW + "0200000501bb");
         assertEquals(ByteBufUtil.hexDump(ResultFormat.DEPRECATE_EOF.convertColumns(array(HEAD))), COLUMNS);
