--- a/src/main/java/lineward/mysql/client/ClientCommands.java
+++ b/src/main/java/lineward/mysql/client/ClientCommands.java
@@ -83,7 +83,7 @@
     private void sendStatistics() {
         ByteBuf packet = Packets.begin(replies.alloc(), replies.nextSequence());
         packet.writeCharSequence(statistics.get(), StandardCharsets.UTF_8);
-        replies.send(Packets.done(packet));
+        replies.send(Packets.finish(packet));
     }
 
     private void executeQuery(ByteBuf payload) {
--- a/src/main/java/lineward/mysql/wire/Handshake.java
+++ b/src/main/java/lineward/mysql/wire/Handshake.java
@@ -69,7 +69,7 @@
         packet.writeBytes(nonce, NONCE_HEAD_BYTES, nonce.length - NONCE_HEAD_BYTES)
                 .writeByte(0);
         writeCString(packet, Auth.SHA2);
-        return Packets.done(packet);
+        return Packets.finish(packet);
     }
 
     /**
@@ -116,7 +116,7 @@
             writeCString(packet, login.schema());
         }
         writeCString(packet, login.plugin());
-        return Packets.done(packet);
+        return Packets.finish(packet);
     }
 
     /**
@@ -151,12 +151,12 @@
     public static ByteBuf authSwitch(ByteBufAllocator alloc, int sequence, String plugin, byte[] nonce) {
         ByteBuf packet = Packets.begin(alloc, sequence).writeByte(Packets.EOF);
         writeCString(packet, plugin);
-        return Packets.done(packet.writeBytes(nonce).writeByte(0));
+        return Packets.finish(packet.writeBytes(nonce).writeByte(0));
     }
 
     /** Returns a packet of the authentication exchange with this payload. */
     public static ByteBuf authData(ByteBufAllocator alloc, int sequence, byte[] payload) {
-        return Packets.done(Packets.begin(alloc, sequence).writeBytes(payload));
+        return Packets.finish(Packets.begin(alloc, sequence).writeBytes(payload));
     }
 
     private static void writeCString(ByteBuf packet, String text) {
--- a/src/main/java/lineward/mysql/wire/LocalResult.java
+++ b/src/main/java/lineward/mysql/wire/LocalResult.java
@@ -37,7 +37,7 @@
     public ByteBuf encode(ByteBufAllocator alloc, int firstSequence, ResultFormat format) {
         int sequence = firstSequence;
         ByteBuf reply = alloc.buffer();
-        append(reply, Packets.done(Packets.begin(alloc, sequence++).writeByte(labels.size())));
+        append(reply, Packets.finish(Packets.begin(alloc, sequence++).writeByte(labels.size())));
         for (String label : labels) {
             append(reply, column(alloc, sequence++, label));
         }
@@ -47,7 +47,7 @@
         if (!row.isEmpty()) {
             ByteBuf values = Packets.begin(alloc, sequence++);
             row.forEach(value -> Packets.writeLengthEncodedString(values, value));
-            append(reply, Packets.done(values));
+            append(reply, Packets.finish(values));
         }
         append(reply, format.eofOrOk(alloc, sequence, 0));
         return reply;
@@ -69,7 +69,7 @@
                 .writeShortLE(0) // flags
                 .writeByte(0) // decimals
                 .writeShortLE(0); // filler
-        return Packets.done(column);
+        return Packets.finish(column);
     }
 
     private static void append(ByteBuf reply, ByteBuf packets) {
--- a/src/main/java/lineward/mysql/wire/Packets.java
+++ b/src/main/java/lineward/mysql/wire/Packets.java
@@ -36,19 +36,19 @@
 
     private Packets() {}
 
-    /** Starts a frame; {@link #done} sets its length once it is complete. */
+    /** Starts a frame; {@link #finish} sets its length once it is complete. */
     public static ByteBuf begin(ByteBufAllocator alloc, int sequence) {
         return alloc.buffer().writeMediumLE(0).writeByte(sequence);
     }
 
     /** Completes a frame: sets the length in its header. */
-    public static ByteBuf done(ByteBuf frame) {
+    public static ByteBuf finish(ByteBuf frame) {
         return frame.setMediumLE(0, frame.readableBytes() - HEADER_BYTES);
     }
 
     /** Returns an OK packet. */
     public static ByteBuf ok(ByteBufAllocator alloc, int sequence) {
-        return done(begin(alloc, sequence)
+        return finish(begin(alloc, sequence)
                 .writeByte(OK)
                 .writeByte(0)
                 .writeByte(0)
@@ -58,7 +58,7 @@
 
     /** Returns an EOF packet with AUTOCOMMIT and these additional status flags. */
     public static ByteBuf eof(ByteBufAllocator alloc, int sequence, int statusFlags) {
-        return done(begin(alloc, sequence)
+        return finish(begin(alloc, sequence)
                 .writeByte(EOF)
                 .writeShortLE(0)
                 .writeShortLE(SERVER_STATUS_AUTOCOMMIT | statusFlags));
@@ -76,13 +76,13 @@
     public static ByteBuf error(ByteBufAllocator alloc, int sequence, SqlError error) {
         ByteBuf packet = begin(alloc, sequence).writeByte(ERR).writeShortLE(error.code());
         packet.writeCharSequence("#" + error.sqlState() + error.message(), StandardCharsets.UTF_8);
-        return done(packet);
+        return finish(packet);
     }
 
     /** Returns the packet of a command, with a copy of the arguments; the caller must still release them. */
     public static ByteBuf command(ByteBufAllocator alloc, int command, ByteBuf arguments) {
         ByteBuf frame = begin(alloc, 0).writeByte(command);
-        return done(frame.writeBytes(arguments, arguments.readerIndex(), arguments.readableBytes()));
+        return finish(frame.writeBytes(arguments, arguments.readerIndex(), arguments.readableBytes()));
     }
 
     /** Returns the sequence number of a frame. */
