--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -119,13 +119,13 @@
      * process the next statement.
      */
     private static void measureEngineRelease(String suffix, String jar, int readers) throws Exception {
-        List<StandInClient> slowClients = new ArrayList<>();
+        List<TestingMysqlClient> slowClients = new ArrayList<>();
         double[] releaseTimes = new double[readers];
         String spool = suffix.isEmpty() ? "[spool]\nmemory-mb = 250\nresults = 1000\n" : "";
         try (MeasuredProgram program = new MeasuredProgram(jar, 1, 512, spool);
-                StandInClient nextClient = new StandInClient(program.port)) {
+                TestingMysqlClient nextClient = new TestingMysqlClient(program.port)) {
             for (int i = 0; i < readers; i++) {
-                StandInClient client = new StandInClient(program.port);
+                TestingMysqlClient client = new TestingMysqlClient(program.port);
                 client.wire.socket.setReceiveBufferSize(4096);
                 slowClients.add(client);
                 int executed = program.engine.executed.size();
@@ -143,14 +143,14 @@
             Arrays.sort(releaseTimes);
             print("engine-release-p99-ms" + suffix, releaseTimes[(int) Math.ceil(readers * 0.99) - 1], "ms");
         } finally {
-            for (StandInClient client : slowClients) {
+            for (TestingMysqlClient client : slowClients) {
                 client.close();
             }
         }
     }
 
-    private static void readSlowly(List<StandInClient> readers) throws IOException {
-        for (StandInClient reader : readers) {
+    private static void readSlowly(List<TestingMysqlClient> readers) throws IOException {
+        for (TestingMysqlClient reader : readers) {
             if (reader.wire.socket.getInputStream().available() > 0) {
                 reader.wire
                         .socket
@@ -175,9 +175,9 @@
             result-mb = 64
             user-mb = 4096
             """)) {
-            List<StandInClient> clients = new ArrayList<>();
+            List<TestingMysqlClient> clients = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
-                StandInClient client = new StandInClient(program.port);
+                TestingMysqlClient client = new TestingMysqlClient(program.port);
                 client.wire.socket.setReceiveBufferSize(4096);
                 clients.add(client);
                 client.send(3, "select rows=1600 size=10000");
@@ -208,7 +208,7 @@
             print("heap-peak-mb", heap, "MB");
             print("rss-peak-mb", rss, "MB");
             print("lost-results", incompleteResults, "of 50 read");
-            for (StandInClient client : clients) {
+            for (TestingMysqlClient client : clients) {
                 client.close();
             }
             long start = System.nanoTime();
@@ -220,7 +220,7 @@
         }
     }
 
-    private static boolean isComplete(StandInClient client) {
+    private static boolean isComplete(TestingMysqlClient client) {
         try {
             return client.count() == 1600;
         } catch (IOException e) {
@@ -277,7 +277,7 @@
 
     private static double cpuMsOfQueries(MeasuredProgram program, String text, int times) throws IOException {
         double before = program.cpuMs();
-        try (StandInClient client = new StandInClient(program.port)) {
+        try (TestingMysqlClient client = new TestingMysqlClient(program.port)) {
             for (int i = 0; i < times; i++) {
                 client.query(text);
             }
@@ -287,7 +287,7 @@
 
     private static double secondsOfLongResults(MeasuredProgram program) throws IOException {
         long start = System.nanoTime();
-        try (StandInClient client = new StandInClient(program.port)) {
+        try (TestingMysqlClient client = new TestingMysqlClient(program.port)) {
             for (int i = 0; i < 3; i++) {
                 client.send(3, "select rows=20000 size=1000");
                 client.count();
--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -34,15 +34,15 @@
      */
     @Test(dataProvider = "faults")
     public void answersEveryExecution(Fault fault, String text, int code) throws IOException {
-        try (StandInClient client = client()) {
-            StandInClient.Statement statement = client.prepare(text);
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Statement statement = client.prepare(text);
             if (fault == Fault.DIE_AFTER_PREPARE || fault == Fault.TOO_MANY_CONNECTIONS) {
                 resetAndAwaitClose(engineThatPrepared(text), fault);
             } else {
                 setFaultOfNextEngine(fault);
             }
             int executionsBefore = executionCount(text);
-            StandInClient.Result result = client.execute(statement, false);
+            TestingMysqlClient.Result result = client.execute(statement, false);
             assertNotEquals(one.fault, two.fault, "one engine has the fault, the other has none");
             assertEquals(result.code(), code, result.message());
             if (code == 0 && text.startsWith("select")) {
@@ -65,10 +65,10 @@
     @Test
     public void failsAWriteSentBeforeTheResetIsRead() throws IOException {
         String text = "update t set a=1";
-        try (StandInClient client = client()) {
-            StandInClient.Statement statement = client.prepare(text);
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Statement statement = client.prepare(text);
             setFaultOfNextEngine(Fault.DIE_BEFORE_EXECUTE);
-            StandInClient.Result result = client.execute(statement, false);
+            TestingMysqlClient.Result result = client.execute(statement, false);
             assertNotEquals(one.isDead(), two.isDead(), "the execution reached an engine that reset it");
             assertEquals(result.code(), FAILED_CODE, result.message());
             assertEquals(result.state(), "70100");
@@ -106,9 +106,9 @@
     public void rejectsAStatementOfAnUnresponsiveEngineByItsDeadline() throws IOException {
         one.fault = Fault.SILENT;
         two.fault = Fault.SILENT;
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             long start = System.nanoTime();
-            StandInClient.Result result = client.query("select rows=1");
+            TestingMysqlClient.Result result = client.query("select rows=1");
             assertEquals(result.code(), REJECTED_CODE);
             assertTrue((System.nanoTime() - start) / 1e6 < 1600, "answered by its deadline");
             Program.await(
@@ -125,7 +125,7 @@
     public void killsTheStatementOfAClientThatDisconnects() throws IOException {
         one.fault = Fault.SILENT;
         two.fault = Fault.SILENT;
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             client.send(3, "select rows=1");
             Program.await("an engine executes the statement", () -> executionCount("select rows=1") == 1);
         }
--- a/src/test/java/lineward/mysql/MysqlServerTest.java
+++ b/src/test/java/lineward/mysql/MysqlServerTest.java
@@ -27,17 +27,17 @@
 
     @Test(dataProvider = "logins")
     public void authenticates(String plugin, String password, String schema, int code) throws IOException {
-        try (StandInClient client = new StandInClient(program.port(), plugin, password, schema)) {
+        try (TestingMysqlClient client = new TestingMysqlClient(program.port(), plugin, password, schema)) {
             assertEquals(client.login.code(), code);
         }
     }
 
     @Test
     public void executesTextAndPreparedStatements() throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query("select rows=3").rows().size(), 3);
             assertEquals(client.query("syntax error").code(), 1064);
-            StandInClient.Statement statement = client.prepare("select rows=2 where a = ? and b = ?");
+            TestingMysqlClient.Statement statement = client.prepare("select rows=2 where a = ? and b = ?");
             assertEquals(statement.params(), 2);
             assertEquals(client.execute(statement, true, "x", "y").rows().size(), 2);
             assertEquals(client.execute(statement, false, "x", "z").rows().size(), 2);
@@ -59,8 +59,8 @@
 
     @Test
     public void sendsLongDataBeforeTheExecution() throws IOException {
-        try (StandInClient client = client()) {
-            StandInClient.Statement statement = client.prepare("insert into t values (?)");
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Statement statement = client.prepare("insert into t values (?)");
             client.send(0x18, statement.id(), 0, 0, "piece one,");
             client.send(0x18, statement.id(), 0, 0, "piece two");
             assertEquals(client.execute(statement, true, "").code(), 0);
@@ -71,7 +71,7 @@
 
     @Test
     public void sendsNoStatementsToADrainingEngine() throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             client.query("select rows=1");
             writeConfig("draining", "ready");
             Program.await("the program drains the engine", () -> program.log().contains("one DRAINING"));
@@ -86,7 +86,7 @@
         }
     }
 
-    private static StandInClient.Result selectOneRow(StandInClient client) {
+    private static TestingMysqlClient.Result selectOneRow(TestingMysqlClient client) {
         try {
             return client.query("select rows=1");
         } catch (IOException e) {
@@ -111,8 +111,8 @@
 
     @Test(dataProvider = "sessionStatements")
     public void handlesStatementsOnSessionState(String text, int code, String sqlState) throws IOException {
-        try (StandInClient client = client()) {
-            StandInClient.Result result = client.query(text);
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Result result = client.query(text);
             assertEquals(result.code(), code, result.message());
             assertEquals(result.state(), sqlState);
             assertEquals(client.command(2, "sales").code(), 0);
@@ -122,10 +122,10 @@
 
     @Test
     public void reportsProtocolErrors() throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.command(0x1c, 1L, 5L).code(), 1243);
             assertEquals(client.command(0x63).code(), 1047);
-            StandInClient.Statement statement = client.prepare("select rows=1");
+            TestingMysqlClient.Statement statement = client.prepare("select rows=1");
             assertEquals(client.command(0x17, statement.id(), 2, 1L).code(), 1210);
             assertEquals(client.query("x".repeat(100_001)).code(), 1153);
         }
@@ -133,8 +133,8 @@
 
     @Test
     public void forwardsLongResults() throws IOException {
-        try (StandInClient client = client()) {
-            StandInClient.Result result = client.query("select rows=30000");
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Result result = client.query("select rows=30000");
             assertEquals(result.rows().size(), 30000);
             assertNotEquals(result.rows().get(29999).length, 0);
         }
@@ -144,7 +144,7 @@
     public void answersRunningStatementsAfterSigterm() throws IOException, InterruptedException {
         one.fault = Fault.SILENT;
         two.fault = Fault.SILENT;
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             client.send(3, "select rows=1");
             Program.await("an engine executes the statement", () -> executionCount("select rows=1") == 1);
             program.sendSigterm();
--- a/src/test/java/lineward/mysql/SessionIsolationTest.java
+++ b/src/test/java/lineward/mysql/SessionIsolationTest.java
@@ -47,13 +47,13 @@
         Files.delete(configFile);
     }
 
-    private StandInClient client() throws IOException {
-        return new StandInClient(program.port());
+    private TestingMysqlClient client() throws IOException {
+        return new TestingMysqlClient(program.port());
     }
 
     /** Executes a statement for a new client, and returns the state of its session at the engine. */
     private TestingMysqlEngine.Execution executeForNewClient() throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query(NEW_CLIENT_QUERY).rows().size(), 1);
             return engine.executions.get(engine.executions.size() - 1);
         }
@@ -77,7 +77,7 @@
         return new Object[][] {{true}, {false}};
     }
 
-    private static void disconnect(StandInClient client, boolean reset) throws IOException {
+    private static void disconnect(TestingMysqlClient client, boolean reset) throws IOException {
         if (reset) {
             client.wire.socket.setSoLinger(true, 0);
         }
@@ -97,7 +97,7 @@
                 throw new AssertionError(e);
             }
         };
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query("set sql_mode = 'ANSI'").code(), 0);
             client.send(3, "select rows=1 of a disconnected client");
             assertTrue(settingsReceived.await(10, TimeUnit.SECONDS), "the engine has received the settings");
@@ -114,7 +114,7 @@
     /** The engine has applied the first setting when it rejects the second, so its session has changed. */
     @Test
     public void discardsSettingsAfterAFailedSet() throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(
                     client.query("set group_concat_max_len = 5, sql_mode = 'bad_mode'")
                             .code(),
@@ -128,7 +128,7 @@
     @Test(dataProvider = "disconnects")
     public void discardsSettingsAfterAKill(boolean reset) throws IOException {
         engine.fault = Fault.SILENT;
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query("set sql_mode = 'ANSI'").code(), 0);
             client.send(3, "select rows=1 of a disconnected client");
             Program.await("the engine executes the statement", () -> !engine.executed.isEmpty());
@@ -143,7 +143,7 @@
 
     @Test
     public void settingsAndSchemaApplyToTheirClientOnly() throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query("set sql_mode = 'ANSI'").code(), 0);
             assertEquals(client.query("use sales").code(), 0);
             assertEquals(client.query("select rows=1").code(), 0);
@@ -159,11 +159,11 @@
     /** An engine parses a prepared statement with the settings that apply when it prepares the statement. */
     @Test
     public void preparesAStatementForEachSetOfSettings() throws IOException {
-        try (StandInClient first = client();
-                StandInClient second = client()) {
+        try (TestingMysqlClient first = client();
+                TestingMysqlClient second = client()) {
             assertEquals(first.query("set sql_mode = 'ANSI'").code(), 0);
-            StandInClient.Statement ansi = first.prepare("select rows=1 of \"a\"");
-            StandInClient.Statement plain = second.prepare("select rows=1 of \"a\"");
+            TestingMysqlClient.Statement ansi = first.prepare("select rows=1 of \"a\"");
+            TestingMysqlClient.Statement plain = second.prepare("select rows=1 of \"a\"");
             for (int i = 0; i < 3; i++) {
                 assertEquals(first.execute(ansi, true).rows().size(), 1);
                 assertEquals(lastExecution().settings(), "{sql_mode='ANSI'}");
@@ -189,10 +189,10 @@
 
     @Test(dataProvider = "sessionChanges")
     public void closesTheConnectionAfterASessionChange(String text) throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query(text).code(), 0);
             assertNewClientsAreUnaffected();
-            StandInClient.Statement statement = client.prepare(text);
+            TestingMysqlClient.Statement statement = client.prepare(text);
             assertEquals(client.execute(statement, true).code(), 0);
             assertNewClientsAreUnaffected();
             Program.await("connections with changed sessions are closed", () -> engine.connections() == 1);
@@ -216,7 +216,7 @@
 
     @Test(dataProvider = "dependentStatements")
     public void rejectsStatementsThatDependOnThePreviousOne(String text) throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query(text).code(), 1235);
             assertEquals(client.query("show warnings").rows().size(), 0);
             assertEquals(engine.executed, List.of());
--- a/src/test/java/lineward/mysql/SpoolCursorTest.java
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -15,13 +15,13 @@
 
     @Test
     public void fetchesPagesWithoutAnEngine() throws IOException {
-        try (StandInClient client = client()) {
-            StandInClient.Statement statement = client.prepare("select rows=2500");
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Statement statement = client.prepare("select rows=2500");
             assertEquals(client.open(statement).status() & CURSOR_EXISTS, CURSOR_EXISTS);
             one.die();
             two.die();
             int received = 0;
-            StandInClient.Page page;
+            TestingMysqlClient.Page page;
             do {
                 page = client.fetch(statement, 100);
                 for (byte[] row : page.rows()) {
@@ -36,17 +36,17 @@
 
     @Test
     public void closesOneOfSeveralCursorsByResetCloseAndExecution() throws IOException {
-        try (StandInClient client = client()) {
-            StandInClient.Statement a = client.prepare("select rows=10");
-            StandInClient.Statement noRows = client.prepare("select rows=0");
-            StandInClient.Statement b = client.prepare("select rows=5000");
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Statement a = client.prepare("select rows=10");
+            TestingMysqlClient.Statement noRows = client.prepare("select rows=0");
+            TestingMysqlClient.Statement b = client.prepare("select rows=5000");
             client.open(a);
             client.open(b);
             client.open(noRows);
             assertEquals(client.fetch(a, 4).rows().size(), 4);
             assertEquals(client.fetch(b, 4000).rows().size(), 4000);
             assertEquals(client.fetch(noRows, 4).status() & LAST_ROW_SENT, LAST_ROW_SENT);
-            StandInClient.Page remaining = client.fetch(a, 100);
+            TestingMysqlClient.Page remaining = client.fetch(a, 100);
             assertEquals(remaining.rows().size(), 6);
             assertEquals(remaining.status() & LAST_ROW_SENT, LAST_ROW_SENT);
             assertEquals(client.command(0x1a, b.id()).code(), 0);
@@ -62,8 +62,8 @@
 
     @Test
     public void reportsTheErrorOfAnExecutionWithACursor() throws IOException {
-        try (StandInClient client = client()) {
-            StandInClient.Statement statement = client.prepare("select syntax");
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Statement statement = client.prepare("select syntax");
             assertEquals(client.open(statement).code(), 1064);
             assertEquals(client.fetch(statement, 1).code(), 1421);
             assertEquals(client.query("select rows=1").rows().size(), 1);
@@ -73,34 +73,29 @@
     @Test
     public void answersPagesOfAResultWithAKeyFromTheSpool() throws IOException {
         String text = " select rows=1000";
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query("/* lineward:key=k1 */" + text).rows().size(), 1000);
             assertEquals(client.query("/* lineward:key=k1 */" + text).rows().size(), 1000);
         }
-        try (StandInClient reconnected = client()) {
-            StandInClient.Result page = reconnected.query("/* lineward:key=k1 from=200 rows=100 */" + text);
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Result page = client.query("/* lineward:key=k1 from=200 rows=100 */" + text);
             assertEquals(page.rows().size(), 100);
             assertTrue(new String(page.rows().get(0), StandardCharsets.UTF_8).contains("row 200 of"));
             assertEquals(
-                    reconnected
-                            .query("/* lineward:key=k1 from=990 */" + text)
-                            .rows()
-                            .size(),
-                    10);
+                    client.query("/* lineward:key=k1 from=990 */" + text).rows().size(), 10);
             assertEquals(
-                    reconnected
-                            .query("/* lineward:key=k1 from=1000 */" + text)
+                    client.query("/* lineward:key=k1 from=1000 */" + text)
                             .rows()
                             .size(),
                     0);
             String otherText = "/* lineward:key=k1 from=1 */ select rows=7";
-            StandInClient.Statement statement = reconnected.prepare(otherText);
-            assertEquals(reconnected.open(statement).code(), 1210, "the key belongs to another statement");
+            TestingMysqlClient.Statement statement = client.prepare(otherText);
+            assertEquals(client.open(statement).code(), 1210, "the key belongs to another statement");
             assertEquals(executionCount(), 1);
         }
-        try (StandInClient otherUser = client("other")) {
-            StandInClient.Result foreign = otherUser.query("/* lineward:key=k1 from=200 */" + text);
-            StandInClient.Result unknown = otherUser.query("/* lineward:key=k9 from=200 */" + text);
+        try (TestingMysqlClient otherUser = client("other")) {
+            TestingMysqlClient.Result foreign = otherUser.query("/* lineward:key=k1 from=200 */" + text);
+            TestingMysqlClient.Result unknown = otherUser.query("/* lineward:key=k9 from=200 */" + text);
             assertEquals(foreign.code(), 1210);
             assertEquals(foreign.message(), unknown.message(), "the error does not reveal which keys exist");
             assertEquals(otherUser.query("/* lineward:key=k1 */" + text).rows().size(), 1000);
@@ -111,7 +106,7 @@
     @Test
     public void keepsAResultWithAKeyAcrossAKill() throws IOException {
         String text = " select rows=3000 size=100";
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query("/* lineward:key=k */" + text).rows().size(), 3000);
         }
         Program.await("the result is stored in a file", () -> {
@@ -126,7 +121,7 @@
         });
         program.close();
         program = program("folder = \"" + spoolFolder + "\"\n");
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(
                     client.query("/* lineward:key=k from=2000 rows=50 */" + text)
                             .rows()
@@ -138,8 +133,8 @@
 
     @Test
     public void letsClientsReadOpenCursorsAfterSigterm() throws IOException, InterruptedException {
-        try (StandInClient client = client()) {
-            StandInClient.Statement statement = client.prepare("select rows=300");
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Statement statement = client.prepare("select rows=300");
             client.open(statement);
             program.sendSigterm();
             Program.await("the shutdown begins", () -> program.log().contains("SIGTERM"));
--- a/src/test/java/lineward/mysql/SpoolProgramFixture.java
+++ b/src/test/java/lineward/mysql/SpoolProgramFixture.java
@@ -61,12 +61,12 @@
         }
     }
 
-    StandInClient client() throws IOException {
-        return new StandInClient(program.port());
+    TestingMysqlClient client() throws IOException {
+        return new TestingMysqlClient(program.port());
     }
 
-    StandInClient client(String user) throws IOException {
-        return new StandInClient(program.port(), "caching_sha2_password", user, "secret", null);
+    TestingMysqlClient client(String user) throws IOException {
+        return new TestingMysqlClient(program.port(), "caching_sha2_password", user, "secret", null);
     }
 
     /** Returns the number of statements that the engines have executed. */
--- a/src/test/java/lineward/mysql/SpooledResultsTest.java
+++ b/src/test/java/lineward/mysql/SpooledResultsTest.java
@@ -22,24 +22,24 @@
     /** Four connections to engines serve 500 clients, because a client that reads slowly occupies none. */
     @Test
     public void releasesEnginesWhileHundredsOfClientsReadSlowly() throws IOException {
-        List<StandInClient> slowClients = new ArrayList<>();
+        List<TestingMysqlClient> slowClients = new ArrayList<>();
         try {
             for (int i = 0; i < 500; i++) {
-                StandInClient client = client();
+                TestingMysqlClient client = client();
                 client.wire.socket.setReceiveBufferSize(4096);
                 slowClients.add(client);
                 client.send(3, "select rows=150 size=1000");
                 int requested = i + 1;
                 Program.await("an engine executed the statement", () -> executionCount() >= requested);
             }
-            try (StandInClient fastClient = client()) {
+            try (TestingMysqlClient fastClient = client()) {
                 long startNanos = System.nanoTime();
                 assertEquals(fastClient.query("select rows=3").rows().size(), 3);
                 assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(1), "engines are free");
             }
             assertEquals(slowClients.get(0).wire.read()[0], 1, "slow clients are still served");
         } finally {
-            for (StandInClient client : slowClients) {
+            for (TestingMysqlClient client : slowClients) {
                 client.close();
             }
         }
@@ -58,12 +58,12 @@
 
     @Test(dataProvider = "faultsBetweenRows")
     public void retriesAReadWhoseEngineFailsBetweenRows(Fault fault, int rows) throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             one.fault = fault;
             two.fault = fault;
             one.beforeFault = () -> two.fault = Fault.NONE;
             two.beforeFault = () -> one.fault = Fault.NONE;
-            StandInClient.Result result = client.query("select rows=" + rows);
+            TestingMysqlClient.Result result = client.query("select rows=" + rows);
             assertEquals(result.code(), 0, result.message());
             assertEquals(result.rows().size(), rows);
             assertEquals(executionCount(), 2, "one execution at each engine");
@@ -72,7 +72,7 @@
 
     @Test
     public void disconnectsAReaderWhoseLeaseExpires() throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             client.send(3, "select rows=40000 size=1000");
             Program.await("an engine executed the statement", () -> executionCount() == 1);
             // Reads nothing until the lease has expired. The program then closes the connection, although the
@@ -100,19 +100,19 @@
     @Test(dataProvider = "packetsRead")
     public void releasesTheResultsOfAClientThatDisconnects(int packets) throws IOException {
         for (int i = 0; i < 5; i++) {
-            try (StandInClient client = client()) {
+            try (TestingMysqlClient client = client()) {
                 client.send(3, "select rows=5000 size=1000");
                 for (int packet = 0; packet < packets; packet++) {
                     client.wire.read();
                 }
             }
-            try (StandInClient client = client()) {
-                StandInClient.Statement statement = client.prepare("select rows=500");
+            try (TestingMysqlClient client = client()) {
+                TestingMysqlClient.Statement statement = client.prepare("select rows=500");
                 client.open(statement);
                 client.fetch(statement, packets);
             }
         }
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query("select rows=1").rows().size(), 1);
         }
         Program.await("all files are deleted", () -> {
@@ -136,8 +136,8 @@
 
     @Test(dataProvider = "sizes")
     public void sendsCompleteResultsOfAllSizes(String sizes, int rows, int size) throws IOException {
-        try (StandInClient client = client()) {
-            StandInClient.Result result = client.query("select " + sizes);
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Result result = client.query("select " + sizes);
             assertEquals(result.code(), 0, result.message());
             assertEquals(result.rows().size(), rows);
             for (byte[] row : result.rows()) {
@@ -157,15 +157,15 @@
         program = program("folder = \"" + configFile + "/below\"\n");
         program.port();
         assertTrue(program.log().contains("results stay in memory"), program.log());
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query("select rows=3000").rows().size(), 3000);
         }
     }
 
     @Test
     public void appliesSettingsOfASessionAtTheEngine() throws IOException {
-        try (StandInClient client = client();
-                StandInClient plain = client()) {
+        try (TestingMysqlClient client = client();
+                TestingMysqlClient plain = client()) {
             assertEquals(
                     client.query("set sql_mode = 'ANSI', wait_timeout = 10").code(), 0);
             assertEquals(client.query("select @@sql_mode as m").rows().size(), 1);
@@ -182,8 +182,8 @@
     /** The slow client reads one byte of a long result between two queries of the other client. */
     @Test
     public void slowReaderDelaysNoOtherClient() throws IOException {
-        try (StandInClient slowClient = client();
-                StandInClient fastClient = client()) {
+        try (TestingMysqlClient slowClient = client();
+                TestingMysqlClient fastClient = client()) {
             Socket socket = slowClient.wire.socket;
             socket.setReceiveBufferSize(4096);
             slowClient.send(3, "select rows=10000 size=1000");
--- a/src/test/java/lineward/mysql/StandInClient.java
+++ b/src/test/java/lineward/mysql/TestingMysqlClient.java
@@ -11,7 +11,7 @@
 import java.util.List;
 
 /** A minimal MySQL client for tests. */
-final class StandInClient implements AutoCloseable {
+final class TestingMysqlClient implements AutoCloseable {
     /** The result of a command: rows, or the number, state and text of an error; code 0 is success. */
     record Result(int code, String state, String message, List<byte[]> rows) {}
 
@@ -21,29 +21,30 @@
     final Wire wire;
     Result login;
 
-    StandInClient(int port, String plugin, String password, String schema) throws IOException {
-        this(port, plugin, "office", password, schema);
+    TestingMysqlClient(int port, String authPlugin, String password, String schema) throws IOException {
+        this(port, authPlugin, "office", password, schema);
     }
 
-    StandInClient(int port, String plugin, String user, String password, String schema) throws IOException {
+    TestingMysqlClient(int port, String authPlugin, String userName, String password, String schema)
+            throws IOException {
         wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), port));
         byte[] greeting = wire.read();
         int nonceAt = 1 + new String(greeting, StandardCharsets.ISO_8859_1).indexOf('\0', 1) + 4;
         byte[] nonce = Arrays.copyOf(Arrays.copyOfRange(greeting, nonceAt, nonceAt + 8), 20);
         System.arraycopy(greeting, nonceAt + 8 + 19, nonce, 8, 12);
         long capabilities = 0x88200L | (schema == null ? 0 : 8);
-        byte[] proof = proof(plugin, password, nonce);
+        byte[] proof = proof(authPlugin, password, nonce);
         wire.write(
                 capabilities,
                 1L << 24,
                 45,
                 new byte[23],
-                user,
+                userName,
                 0,
                 proof.length,
                 proof,
                 schema == null ? "" : schema + '\0',
-                plugin,
+                authPlugin,
                 0);
         byte[] answer = wire.read();
         if ((answer[0] & 0xff) == 0xfe) {
@@ -53,7 +54,7 @@
         login = result(answer[0] == 1 ? wire.read() : answer);
     }
 
-    StandInClient(int port) throws IOException {
+    TestingMysqlClient(int port) throws IOException {
         this(port, "caching_sha2_password", "secret", null);
     }
 
--- a/src/test/java/lineward/mysql/TwoEngineFixture.java
+++ b/src/test/java/lineward/mysql/TwoEngineFixture.java
@@ -67,8 +67,8 @@
                 .append("\"\n");
     }
 
-    StandInClient client() throws IOException {
-        return new StandInClient(program.port());
+    TestingMysqlClient client() throws IOException {
+        return new TestingMysqlClient(program.port());
     }
 
     /** Returns how often the engines have executed the statement. */
