--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -126,7 +126,7 @@
                 TestingMysqlClient nextClient = new TestingMysqlClient(program.port)) {
             for (int i = 0; i < readers; i++) {
                 TestingMysqlClient client = new TestingMysqlClient(program.port);
-                client.wire.socket.setReceiveBufferSize(4096);
+                client.packets.socket.setReceiveBufferSize(4096);
                 slowClients.add(client);
                 int executed = program.engine.executed.size();
                 client.send(3, "select rows=1000 size=1000");
@@ -151,12 +151,12 @@
 
     private static void readSlowly(List<TestingMysqlClient> readers) throws IOException {
         for (TestingMysqlClient reader : readers) {
-            if (reader.wire.socket.getInputStream().available() > 0) {
-                reader.wire
+            if (reader.packets.socket.getInputStream().available() > 0) {
+                reader.packets
                         .socket
                         .getInputStream()
-                        .readNBytes(
-                                Math.min(20, reader.wire.socket.getInputStream().available()));
+                        .readNBytes(Math.min(
+                                20, reader.packets.socket.getInputStream().available()));
             }
         }
     }
@@ -178,7 +178,7 @@
             List<TestingMysqlClient> clients = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
                 TestingMysqlClient client = new TestingMysqlClient(program.port);
-                client.wire.socket.setReceiveBufferSize(4096);
+                client.packets.socket.setReceiveBufferSize(4096);
                 clients.add(client);
                 client.send(3, "select rows=1600 size=10000");
                 if (i % 4 == 3) {
@@ -189,7 +189,7 @@
             }
             int incompleteResults = 0;
             for (int i = 0; i < 50; i++) {
-                clients.get(i).wire.socket.setSoTimeout(3000);
+                clients.get(i).packets.socket.setSoTimeout(3000);
                 incompleteResults += isComplete(clients.get(i)) ? 0 : 1;
             }
             String status = Files.readString(Path.of("/proc/" + program.process.pid() + "/status"));
--- a/src/test/java/lineward/mysql/Wire.java
+++ b/src/test/java/lineward/mysql/MysqlPacketSocket.java
@@ -13,7 +13,7 @@
  * Reads and writes MySQL packets on a blocking socket. It shares no code with the program, so that an error
  * in the program's codec does not go unnoticed.
  */
-final class Wire {
+final class MysqlPacketSocket {
     private static final int MAX_PAYLOAD_BYTES = 0xffffff;
     final Socket socket;
     private final DataInputStream in;
@@ -22,7 +22,7 @@
     /** Buffers small packets until {@link #flush}; null outside of a batch. */
     private ByteArrayOutputStream batch;
 
-    Wire(Socket socket) throws IOException {
+    MysqlPacketSocket(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(20_000);
         socket.setTcpNoDelay(true);
@@ -44,7 +44,7 @@
         byte[] payload = packet;
         while (packet.length == MAX_PAYLOAD_BYTES) {
             packet = readPacket();
-            payload = bytes(payload, packet);
+            payload = encode(payload, packet);
         }
         return payload;
     }
@@ -62,12 +62,12 @@
     }
 
     void write(Object... values) throws IOException {
-        byte[] payload = bytes(values);
+        byte[] payload = encode(values);
         int offset = 0;
         int length;
         do {
             length = Math.min(MAX_PAYLOAD_BYTES, payload.length - offset);
-            byte[] packet = bytes(
+            byte[] packet = encode(
                     length & 0xff,
                     length >> 8 & 0xff,
                     length >> 16,
@@ -87,7 +87,7 @@
     }
 
     /** Encodes an Integer as one byte, a Long as four bytes, and a string without a length or terminator. */
-    static byte[] bytes(Object... values) {
+    static byte[] encode(Object... values) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (Object value : values) {
             if (value instanceof Integer number) {
@@ -106,25 +106,25 @@
     }
 
     static byte[] ok() {
-        return bytes(0, 0, 0, 2, 0, 0, 0);
+        return encode(0, 0, 0, 2, 0, 0, 0);
     }
 
     static byte[] eof() {
-        return bytes(0xfe, 0, 0, 2, 0);
+        return encode(0xfe, 0, 0, 2, 0);
     }
 
-    static byte[] error(int code, String state, String text) {
-        return bytes(0xff, code & 0xff, code >> 8, "#", state, text);
+    static byte[] error(int code, String sqlState, String text) {
+        return encode(0xff, code & 0xff, code >> 8, "#", sqlState, text);
     }
 
-    static byte[] text(String text) {
+    static byte[] lengthEncoded(String text) {
         byte[] content = text.getBytes(StandardCharsets.UTF_8);
         int length = content.length;
         if (content.length < 251) {
-            return bytes(content.length, content);
+            return encode(content.length, content);
         }
         return content.length < 1 << 16
-                ? bytes(0xfc, content.length & 0xff, content.length >> 8, content)
-                : bytes(0xfd, length & 0xff, length >> 8 & 0xff, length >> 16, content);
+                ? encode(0xfc, content.length & 0xff, content.length >> 8, content)
+                : encode(0xfd, length & 0xff, length >> 8 & 0xff, length >> 16, content);
     }
 }
--- a/src/test/java/lineward/mysql/MysqlServerTest.java
+++ b/src/test/java/lineward/mysql/MysqlServerTest.java
@@ -148,7 +148,7 @@
             client.send(3, "select rows=1");
             Program.await("an engine executes the statement", () -> executionCount("select rows=1") == 1);
             program.sendSigterm();
-            assertEquals(client.wire.read()[0] & 0xff, 0xff);
+            assertEquals(client.packets.read()[0] & 0xff, 0xff);
             assertEquals(program.awaitExitStatus(), 0);
         }
     }
--- a/src/test/java/lineward/mysql/SessionIsolationTest.java
+++ b/src/test/java/lineward/mysql/SessionIsolationTest.java
@@ -79,9 +79,9 @@
 
     private static void disconnect(TestingMysqlClient client, boolean reset) throws IOException {
         if (reset) {
-            client.wire.socket.setSoLinger(true, 0);
+            client.packets.socket.setSoLinger(true, 0);
         }
-        client.wire.socket.close();
+        client.packets.socket.close();
     }
 
     /** A connection to which the settings of a disconnected client are being applied must not be reused. */
--- a/src/test/java/lineward/mysql/SpooledResultsTest.java
+++ b/src/test/java/lineward/mysql/SpooledResultsTest.java
@@ -26,7 +26,7 @@
         try {
             for (int i = 0; i < 500; i++) {
                 TestingMysqlClient client = client();
-                client.wire.socket.setReceiveBufferSize(4096);
+                client.packets.socket.setReceiveBufferSize(4096);
                 slowClients.add(client);
                 client.send(3, "select rows=150 size=1000");
                 int requested = i + 1;
@@ -37,7 +37,7 @@
                 assertEquals(fastClient.query("select rows=3").rows().size(), 3);
                 assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(1), "engines are free");
             }
-            assertEquals(slowClients.get(0).wire.read()[0], 1, "slow clients are still served");
+            assertEquals(slowClients.get(0).packets.read()[0], 1, "slow clients are still served");
         } finally {
             for (TestingMysqlClient client : slowClients) {
                 client.close();
@@ -83,7 +83,7 @@
             long bytesRead = 0;
             int length = 0;
             while (length >= 0) {
-                length = client.wire.socket.getInputStream().read(buffer);
+                length = client.packets.socket.getInputStream().read(buffer);
                 bytesRead += Math.max(0, length);
             }
             assertTrue(bytesRead < 40_000_000, bytesRead + " bytes");
@@ -103,7 +103,7 @@
             try (TestingMysqlClient client = client()) {
                 client.send(3, "select rows=5000 size=1000");
                 for (int packet = 0; packet < packets; packet++) {
-                    client.wire.read();
+                    client.packets.read();
                 }
             }
             try (TestingMysqlClient client = client()) {
@@ -184,7 +184,7 @@
     public void slowReaderDelaysNoOtherClient() throws IOException {
         try (TestingMysqlClient slowClient = client();
                 TestingMysqlClient fastClient = client()) {
-            Socket socket = slowClient.wire.socket;
+            Socket socket = slowClient.packets.socket;
             socket.setReceiveBufferSize(4096);
             slowClient.send(3, "select rows=10000 size=1000");
             for (int i = 0; i < 10; i++) {
--- a/src/test/java/lineward/mysql/TestingMysqlClient.java
+++ b/src/test/java/lineward/mysql/TestingMysqlClient.java
@@ -18,7 +18,7 @@
     /** The reply to COM_STMT_PREPARE. */
     record Statement(long id, int params, Result result) {}
 
-    final Wire wire;
+    final MysqlPacketSocket packets;
     Result login;
 
     TestingMysqlClient(int port, String authPlugin, String password, String schema) throws IOException {
@@ -27,14 +27,14 @@
 
     TestingMysqlClient(int port, String authPlugin, String userName, String password, String schema)
             throws IOException {
-        wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), port));
-        byte[] greeting = wire.read();
+        packets = new MysqlPacketSocket(new Socket(InetAddress.getLoopbackAddress(), port));
+        byte[] greeting = packets.read();
         int nonceAt = 1 + new String(greeting, StandardCharsets.ISO_8859_1).indexOf('\0', 1) + 4;
         byte[] nonce = Arrays.copyOf(Arrays.copyOfRange(greeting, nonceAt, nonceAt + 8), 20);
         System.arraycopy(greeting, nonceAt + 8 + 19, nonce, 8, 12);
         long capabilities = 0x88200L | (schema == null ? 0 : 8);
         byte[] proof = proof(authPlugin, password, nonce);
-        wire.write(
+        packets.write(
                 capabilities,
                 1L << 24,
                 45,
@@ -46,12 +46,12 @@
                 schema == null ? "" : schema + '\0',
                 authPlugin,
                 0);
-        byte[] answer = wire.read();
+        byte[] answer = packets.read();
         if ((answer[0] & 0xff) == 0xfe) {
-            wire.write(proof("mysql_native_password", password, nonce));
-            answer = wire.read();
+            packets.write(proof("mysql_native_password", password, nonce));
+            answer = packets.read();
         }
-        login = result(answer[0] == 1 ? wire.read() : answer);
+        login = result(answer[0] == 1 ? packets.read() : answer);
     }
 
     TestingMysqlClient(int port) throws IOException {
@@ -64,7 +64,8 @@
             MessageDigest digest = MessageDigest.getInstance(sha2 ? "SHA-256" : "SHA-1");
             byte[] once = digest.digest(password.getBytes(StandardCharsets.UTF_8));
             byte[] twice = digest.digest(once);
-            byte[] mask = digest.digest(sha2 ? Wire.bytes(twice, nonce) : Wire.bytes(nonce, twice));
+            byte[] mask = digest.digest(
+                    sha2 ? MysqlPacketSocket.encode(twice, nonce) : MysqlPacketSocket.encode(nonce, twice));
             for (int i = 0; i < mask.length; i++) {
                 mask[i] ^= once[i];
             }
@@ -75,8 +76,8 @@
     }
 
     void send(Object... command) throws IOException {
-        wire.sequence = 0;
-        wire.write(command);
+        packets.sequence = 0;
+        packets.write(command);
     }
 
     /** The reply to COM_STMT_FETCH: rows and the status after them, or an error. */
@@ -85,21 +86,21 @@
     /** Executes with a read-only cursor; returns the status after the columns. */
     Page open(Statement statement) throws IOException {
         send(0x17, statement.id(), 1, 1L);
-        byte[] first = wire.read();
+        byte[] first = packets.read();
         if ((first[0] & 0xff) == 0xff) {
             return new Page(result(first).code(), List.of(), 0);
         }
         for (int i = 0; i < first[0]; i++) {
-            wire.read();
+            packets.read();
         }
-        return new Page(0, List.of(), wire.read()[3] & 0xff);
+        return new Page(0, List.of(), packets.read()[3] & 0xff);
     }
 
     Page fetch(Statement statement, long rows) throws IOException {
         send(0x1c, statement.id(), rows);
         List<byte[]> page = new ArrayList<>();
         while (true) {
-            byte[] packet = wire.read();
+            byte[] packet = packets.read();
             if ((packet[0] & 0xff) == 0xff) {
                 return new Page(result(packet).code(), page, 0);
             }
@@ -112,7 +113,7 @@
 
     Result command(Object... command) throws IOException {
         send(command);
-        return result(wire.read());
+        return result(packets.read());
     }
 
     Result query(String text) throws IOException {
@@ -121,13 +122,13 @@
 
     Statement prepare(String text) throws IOException {
         send(0x16, text);
-        byte[] head = wire.read();
+        byte[] head = packets.read();
         if (head[0] != 0) {
             return new Statement(0, 0, result(head));
         }
         int params = head[7];
         for (int i = 0; i < (params > 0 ? params + 1 : 0) + head[5] + 1; i++) {
-            wire.read();
+            packets.read();
         }
         return new Statement(head[1] & 0xff, params, new Result(0, "", "", List.of()));
     }
@@ -146,7 +147,7 @@
                 parts.addAll(List.of(253, 0));
             }
             for (String value : values) {
-                parts.add(Wire.text(value));
+                parts.add(MysqlPacketSocket.lengthEncoded(value));
             }
         }
         return command(parts.toArray());
@@ -156,15 +157,15 @@
      * Reads a result and returns the number of its rows; -1 if it is an error or ends with one.
      */
     int count() throws IOException {
-        byte[] first = wire.read();
+        byte[] first = packets.read();
         if ((first[0] & 0xff) == 0xff) {
             return -1;
         }
         for (int i = 0; i < first[0] + 1; i++) {
-            wire.read();
+            packets.read();
         }
         for (int rows = 0; ; rows++) {
-            byte[] row = wire.read();
+            byte[] row = packets.read();
             if ((row[0] & 0xff) == 0xff) {
                 return -1;
             }
@@ -185,10 +186,10 @@
             return new Result(0, "", "", rows);
         }
         for (int i = 0; i < first[0] + 1; i++) {
-            wire.read();
+            packets.read();
         }
         while (true) {
-            byte[] row = wire.read();
+            byte[] row = packets.read();
             if ((row[0] & 0xff) == 0xff) {
                 return result(row);
             }
@@ -201,6 +202,6 @@
 
     @Override
     public void close() throws IOException {
-        wire.socket.close();
+        packets.socket.close();
     }
 }
--- a/src/test/java/lineward/mysql/TestingMysqlEngine.java
+++ b/src/test/java/lineward/mysql/TestingMysqlEngine.java
@@ -140,19 +140,19 @@
         long id = threads.incrementAndGet();
         kills.put(id, new CountDownLatch(1));
         try (socket) {
-            Wire wire = new Wire(socket);
+            MysqlPacketSocket packets = new MysqlPacketSocket(socket);
             if (fault == Fault.TOO_MANY_CONNECTIONS) {
-                wire.write(Wire.error(1040, "08004", "too many"));
+                packets.write(MysqlPacketSocket.error(1040, "08004", "too many"));
                 return;
             }
-            TestingMysqlSession session = new TestingMysqlSession(id, wire);
+            TestingMysqlSession session = new TestingMysqlSession(id, packets);
             session.greet();
-            wire.read();
-            wire.write(Wire.ok());
+            packets.read();
+            packets.write(MysqlPacketSocket.ok());
             while (true) {
-                wire.sequence = 0;
-                byte[] command = wire.read();
-                wire.sequence = 1;
+                packets.sequence = 0;
+                byte[] command = packets.read();
+                packets.sequence = 1;
                 reply(command, session);
             }
         } catch (IOException | InterruptedException e) {
@@ -163,30 +163,33 @@
     }
 
     private void reply(byte[] command, TestingMysqlSession session) throws IOException, InterruptedException {
-        Wire wire = session.wire;
+        MysqlPacketSocket packets = session.packets;
         String text = new String(command, 1, command.length - 1, StandardCharsets.UTF_8);
         switch (command[0]) {
             case 0x02 -> {
                 received.add("use " + text);
                 session.schema = text;
-                wire.write(text.equals("nowhere") ? Wire.error(1049, "42000", "unknown") : Wire.ok());
+                packets.write(
+                        text.equals("nowhere")
+                                ? MysqlPacketSocket.error(1049, "42000", "unknown")
+                                : MysqlPacketSocket.ok());
             }
-            case 0x03 -> run(wire, text, session, "");
+            case 0x03 -> execute(packets, text, session, "");
             case 0x16 -> {
                 received.add("prepare " + text);
                 long number = session.prepared.size() + 100L;
                 session.prepared.put(number, text);
                 session.settingsAtPreparation.put(number, session.settings.toString());
                 int params = (int) text.chars().filter(c -> c == '?').count();
-                wire.write(0, number, 1, 0, params, 0, 0, 0, 0);
+                packets.write(0, number, 1, 0, params, 0, 0, 0, 0);
                 for (int i = 0; i < params; i++) {
-                    wire.write(column("?"));
+                    packets.write(column("?"));
                 }
                 if (params > 0) {
-                    wire.write(Wire.eof());
+                    packets.write(MysqlPacketSocket.eof());
                 }
-                wire.write(column("c"));
-                wire.write(Wire.eof());
+                packets.write(column("c"));
+                packets.write(MysqlPacketSocket.eof());
                 if (fault == Fault.DIE_AFTER_PREPARE) {
                     die();
                 }
@@ -198,11 +201,11 @@
                 }
                 String statement = session.prepared.get(number(command));
                 received.add("execute " + Arrays.toString(Arrays.copyOfRange(command, 5, command.length)));
-                run(wire, statement, session, session.settingsAtPreparation.get(number(command)));
+                execute(packets, statement, session, session.settingsAtPreparation.get(number(command)));
             }
             case 0x18 -> received.add("long " + number(command) + " " + text.substring(6));
             case 0x19 -> received.add("close");
-            default -> wire.write(Wire.error(1047, "08S01", "unknown command"));
+            default -> packets.write(MysqlPacketSocket.error(1047, "08S01", "unknown command"));
         }
     }
 
@@ -211,18 +214,22 @@
     }
 
     /** @param preparationSettings settings at the statement's preparation; empty if it is sent as text */
-    private void run(Wire wire, String text, TestingMysqlSession session, String preparationSettings)
+    private void execute(
+            MysqlPacketSocket packets, String text, TestingMysqlSession session, String preparationSettings)
             throws IOException, InterruptedException {
         if (text.startsWith("KILL QUERY ")) {
             received.add(text);
             kills.get(Long.parseLong(text.substring(11))).countDown();
-            wire.write(Wire.ok());
+            packets.write(MysqlPacketSocket.ok());
             return;
         }
         if (text.startsWith("SET SESSION")) {
             received.add(text);
             onSettings.run();
-            wire.write(session.set(text) ? Wire.ok() : Wire.error(1193, "HY000", "unknown variable"));
+            packets.write(
+                    session.set(text)
+                            ? MysqlPacketSocket.ok()
+                            : MysqlPacketSocket.error(1193, "HY000", "unknown variable"));
             return;
         }
         if (nextCommandAt <= lastByteAt) {
@@ -241,50 +248,53 @@
                 die();
             } else if (fault == Fault.MALFORMED_REPLY) {
                 beforeFault.run();
-                wire.write(new byte[0]);
+                packets.write(new byte[0]);
             } else if (fault == Fault.SILENT) {
                 kills.get(session.id).await();
-                wire.write(Wire.error(1317, "70100", "interrupted"));
+                packets.write(MysqlPacketSocket.error(1317, "70100", "interrupted"));
             } else if (text.contains("syntax")) {
-                wire.write(Wire.error(1064, "42000", "syntax"));
+                packets.write(MysqlPacketSocket.error(1064, "42000", "syntax"));
             } else {
-                rows(wire, text, !preparationSettings.isEmpty());
+                rows(packets, text, !preparationSettings.isEmpty());
             }
         } finally {
             RUNNING.decrementAndGet();
         }
     }
 
-    private void rows(Wire wire, String text, boolean binary) throws IOException {
+    private void rows(MysqlPacketSocket packets, String text, boolean binary) throws IOException {
         Matcher requested = ROWS.matcher(text);
         if (!requested.find()) {
-            wire.write(text.contains("opens a transaction") ? Wire.bytes(0, 0, 0, 3, 0, 0, 0) : Wire.ok());
+            packets.write(
+                    text.contains("opens a transaction")
+                            ? MysqlPacketSocket.encode(0, 0, 0, 3, 0, 0, 0)
+                            : MysqlPacketSocket.ok());
             return;
         }
         int rows = Integer.parseInt(requested.group(1));
-        wire.write(1);
-        wire.write(column("c"));
-        wire.write(Wire.eof());
+        packets.write(1);
+        packets.write(column("c"));
+        packets.write(MysqlPacketSocket.eof());
         String padding = requested.group(2) == null ? "" : "x".repeat(Integer.parseInt(requested.group(2)));
-        wire.beginBatch();
+        packets.beginBatch();
         for (int i = 0; i < rows; i++) {
             boolean halfSent = fault == Fault.DIE_BETWEEN_ROWS && i == rows / 2;
             if (halfSent || fault == Fault.DIE_IN_ROW_ONE) {
-                wire.flush();
+                packets.flush();
                 die();
             }
-            byte[] row = Wire.text("row " + i + " of " + text + padding);
+            byte[] row = MysqlPacketSocket.lengthEncoded("row " + i + " of " + text + padding);
             if (binary) {
-                wire.write(0, 0, row);
+                packets.write(0, 0, row);
             } else {
-                wire.write((Object) row);
+                packets.write((Object) row);
             }
         }
-        wire.flush();
+        packets.flush();
         if (fault == Fault.DIE_BEFORE_LAST) {
             die();
         }
-        wire.write(Wire.eof());
+        packets.write(MysqlPacketSocket.eof());
         if (rows > 100) {
             lastByteAt = System.nanoTime();
             nextCommandAt = 0;
@@ -292,6 +302,22 @@
     }
 
     private static byte[] column(String name) {
-        return Wire.bytes(Wire.text("def"), 0, 0, 0, Wire.text(name), 0, 12, 45, 0, 100L, 253, 0, 0, 0, 0, 0);
+        return MysqlPacketSocket.encode(
+                MysqlPacketSocket.lengthEncoded("def"),
+                0,
+                0,
+                0,
+                MysqlPacketSocket.lengthEncoded(name),
+                0,
+                12,
+                45,
+                0,
+                100L,
+                253,
+                0,
+                0,
+                0,
+                0,
+                0);
     }
 }
--- a/src/test/java/lineward/mysql/TestingMysqlSession.java
+++ b/src/test/java/lineward/mysql/TestingMysqlSession.java
@@ -17,7 +17,7 @@
     private static final Pattern SESSION_CHANGE = Pattern.compile(SESSION_CHANGES, Pattern.CASE_INSENSITIVE);
 
     final long id;
-    final Wire wire;
+    final MysqlPacketSocket packets;
     final Map<Long, String> prepared = new HashMap<>();
     /** The settings at the preparation of each statement. */
     final Map<Long, String> settingsAtPreparation = new HashMap<>();
@@ -27,13 +27,13 @@
     /** The texts of the statements that have changed the session. */
     String changes = "";
 
-    TestingMysqlSession(long id, Wire wire) {
+    TestingMysqlSession(long id, MysqlPacketSocket packets) {
         this.id = id;
-        this.wire = wire;
+        this.packets = packets;
     }
 
     void greet() throws IOException {
-        wire.write(
+        packets.write(
                 10,
                 "8.0.36",
                 0,
