--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -16,12 +16,12 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {Fault.DIE_AFTER_PREPARE, "select rows=4", 0},
-            {Fault.DIE_AFTER_PREPARE, "update t set a=1", 0},
-            {Fault.DIE_IN_EXECUTE, "select rows=4", 0},
-            {Fault.DIE_IN_EXECUTE, "update t set a=1", FAILED_CODE},
-            {Fault.DIE_BETWEEN_ROWS, "select rows=4", 0},
-            {Fault.DIE_BETWEEN_ROWS, "select rows=20000", 0},
+            {Fault.CRASH_AFTER_PREPARE, "select rows=4", 0},
+            {Fault.CRASH_AFTER_PREPARE, "update t set a=1", 0},
+            {Fault.CRASH_IN_EXECUTE, "select rows=4", 0},
+            {Fault.CRASH_IN_EXECUTE, "update t set a=1", FAILED_CODE},
+            {Fault.CRASH_BETWEEN_ROWS, "select rows=4", 0},
+            {Fault.CRASH_BETWEEN_ROWS, "select rows=20000", 0},
             {Fault.MALFORMED_REPLY, "select rows=4", 0},
             {Fault.MALFORMED_REPLY, "update t set a=1", FAILED_CODE},
             {Fault.TOO_MANY_CONNECTIONS, "update t set a=1", 0}
@@ -36,7 +36,7 @@
     public void answersEveryExecution(Fault fault, String text, int code) throws IOException {
         try (TestingMysqlClient client = client()) {
             TestingMysqlClient.Statement statement = client.prepare(text);
-            if (fault == Fault.DIE_AFTER_PREPARE || fault == Fault.TOO_MANY_CONNECTIONS) {
+            if (fault == Fault.CRASH_AFTER_PREPARE || fault == Fault.TOO_MANY_CONNECTIONS) {
                 resetAndAwaitClose(engineThatPrepared(text), fault);
             } else {
                 setFaultOfNextEngine(fault);
@@ -67,9 +67,9 @@
         String text = "update t set a=1";
         try (TestingMysqlClient client = client()) {
             TestingMysqlClient.Statement statement = client.prepare(text);
-            setFaultOfNextEngine(Fault.DIE_BEFORE_EXECUTE);
+            setFaultOfNextEngine(Fault.CRASH_BEFORE_EXECUTE);
             TestingMysqlClient.Result result = client.execute(statement, false);
-            assertNotEquals(one.isDead(), two.isDead(), "the execution reached an engine that reset it");
+            assertNotEquals(one.crashed(), two.crashed(), "the execution reached an engine that reset it");
             assertEquals(result.code(), FAILED_CODE, result.message());
             assertEquals(result.state(), "70100");
             assertEquals(executionCount(text), 0, "no engine has executed it");
@@ -97,7 +97,7 @@
         if (fault == Fault.TOO_MANY_CONNECTIONS) {
             engine.resetConnections();
         } else {
-            engine.die();
+            engine.crash();
         }
         Program.await("the program has read the reset", openSockets::areClosed);
     }
--- a/src/test/java/lineward/mysql/SpoolCursorTest.java
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -18,8 +18,8 @@
         try (TestingMysqlClient client = client()) {
             TestingMysqlClient.Statement statement = client.prepare("select rows=2500");
             assertEquals(client.open(statement).status() & CURSOR_EXISTS, CURSOR_EXISTS);
-            one.die();
-            two.die();
+            one.crash();
+            two.crash();
             int received = 0;
             TestingMysqlClient.Page page;
             do {
--- a/src/test/java/lineward/mysql/SpooledResultsTest.java
+++ b/src/test/java/lineward/mysql/SpooledResultsTest.java
@@ -48,11 +48,11 @@
     @DataProvider
     public Object[][] faultsBetweenRows() {
         return new Object[][] {
-            {Fault.DIE_IN_ROW_ONE, 4},
-            {Fault.DIE_BETWEEN_ROWS, 4},
-            {Fault.DIE_BEFORE_LAST, 4},
-            {Fault.DIE_BETWEEN_ROWS, 20_000},
-            {Fault.DIE_BEFORE_LAST, 20_000}
+            {Fault.CRASH_BEFORE_FIRST_ROW, 4},
+            {Fault.CRASH_BETWEEN_ROWS, 4},
+            {Fault.CRASH_BEFORE_LAST_PACKET, 4},
+            {Fault.CRASH_BETWEEN_ROWS, 20_000},
+            {Fault.CRASH_BEFORE_LAST_PACKET, 20_000}
         };
     }
 
--- a/src/test/java/lineward/mysql/TestingMysqlEngine.java
+++ b/src/test/java/lineward/mysql/TestingMysqlEngine.java
@@ -25,12 +25,12 @@
     enum Fault {
         NONE,
         // With these faults the engine resets all connections at some point and stops listening.
-        DIE_AFTER_PREPARE,
-        DIE_BEFORE_EXECUTE,
-        DIE_IN_EXECUTE,
-        DIE_IN_ROW_ONE,
-        DIE_BETWEEN_ROWS,
-        DIE_BEFORE_LAST,
+        CRASH_AFTER_PREPARE,
+        CRASH_BEFORE_EXECUTE,
+        CRASH_IN_EXECUTE,
+        CRASH_BEFORE_FIRST_ROW,
+        CRASH_BETWEEN_ROWS,
+        CRASH_BEFORE_LAST_PACKET,
         /** The engine answers a statement only when the statement is killed. */
         SILENT,
         /** The engine rejects new connections. */
@@ -62,7 +62,7 @@
     private final Map<Long, CountDownLatch> kills = new ConcurrentHashMap<>();
     private final AtomicInteger threads = new AtomicInteger();
     volatile Fault fault = Fault.NONE;
-    /** Called at the start of {@link #die} and before the reply with {@link Fault#MALFORMED_REPLY}. */
+    /** Called at the start of {@link #crash} and before the reply with {@link Fault#MALFORMED_REPLY}. */
     volatile Runnable beforeFault = () -> {};
 
     private volatile long lastByteAt;
@@ -84,7 +84,7 @@
     }
 
     /** Returns whether the engine has stopped listening. */
-    boolean isDead() {
+    boolean crashed() {
         return server.isClosed();
     }
 
@@ -103,7 +103,7 @@
     }
 
     /** Resets all connections and stops listening, like a process that is killed. */
-    void die() throws IOException {
+    void crash() throws IOException {
         beforeFault.run();
         server.close();
         resetConnections();
@@ -119,7 +119,7 @@
 
     @Override
     public void close() throws IOException {
-        die();
+        crash();
     }
 
     private void accept() {
@@ -190,13 +190,13 @@
                 }
                 packets.write(column("c"));
                 packets.write(MysqlPacketSocket.eof());
-                if (fault == Fault.DIE_AFTER_PREPARE) {
-                    die();
+                if (fault == Fault.CRASH_AFTER_PREPARE) {
+                    crash();
                 }
             }
             case 0x17 -> {
-                if (fault == Fault.DIE_BEFORE_EXECUTE) {
-                    die();
+                if (fault == Fault.CRASH_BEFORE_EXECUTE) {
+                    crash();
                     return;
                 }
                 String statement = session.prepared.get(number(command));
@@ -244,8 +244,8 @@
         session.recordChange(text);
         MAX_RUNNING.accumulateAndGet(RUNNING.incrementAndGet(), Math::max);
         try {
-            if (fault == Fault.DIE_IN_EXECUTE) {
-                die();
+            if (fault == Fault.CRASH_IN_EXECUTE) {
+                crash();
             } else if (fault == Fault.MALFORMED_REPLY) {
                 beforeFault.run();
                 packets.write(new byte[0]);
@@ -278,10 +278,10 @@
         String padding = requested.group(2) == null ? "" : "x".repeat(Integer.parseInt(requested.group(2)));
         packets.beginBatch();
         for (int i = 0; i < rows; i++) {
-            boolean halfSent = fault == Fault.DIE_BETWEEN_ROWS && i == rows / 2;
-            if (halfSent || fault == Fault.DIE_IN_ROW_ONE) {
+            boolean halfSent = fault == Fault.CRASH_BETWEEN_ROWS && i == rows / 2;
+            if (halfSent || fault == Fault.CRASH_BEFORE_FIRST_ROW) {
                 packets.flush();
-                die();
+                crash();
             }
             byte[] row = MysqlPacketSocket.lengthEncoded("row " + i + " of " + text + padding);
             if (binary) {
@@ -291,8 +291,8 @@
             }
         }
         packets.flush();
-        if (fault == Fault.DIE_BEFORE_LAST) {
-            die();
+        if (fault == Fault.CRASH_BEFORE_LAST_PACKET) {
+            crash();
         }
         packets.write(MysqlPacketSocket.eof());
         if (rows > 100) {
