--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -128,16 +128,16 @@
                 TestingMysqlClient client = new TestingMysqlClient(program.port);
                 client.packets.socket.setReceiveBufferSize(4096);
                 slowClients.add(client);
-                int executed = program.engine.executed.size();
+                int executed = program.engine.executedTexts.size();
                 client.send(3, "select rows=1000 size=1000");
-                for (int t = 0; t < 2000 && program.engine.executed.size() == executed; t++) {
+                for (int t = 0; t < 2000 && program.engine.executedTexts.size() == executed; t++) {
                     pause(1);
                 }
                 long limitNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
                 while (nextClient.query("select rows=1").code() != 0 && System.nanoTime() < limitNanos) {
                     readSlowly(slowClients);
                 }
-                releaseTimes[i] = program.engine.releasedAfterMs(limitNanos);
+                releaseTimes[i] = program.engine.msUntilNextStatement(limitNanos);
                 readSlowly(slowClients);
             }
             Arrays.sort(releaseTimes);
@@ -182,7 +182,7 @@
                 clients.add(client);
                 client.send(3, "select rows=1600 size=10000");
                 if (i % 4 == 3) {
-                    for (int t = 0; t < 3000 && program.engine.executed.size() <= i; t++) {
+                    for (int t = 0; t < 3000 && program.engine.executedTexts.size() <= i; t++) {
                         pause(1);
                     }
                 }
--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -86,7 +86,7 @@
     }
 
     private TestingMysqlEngine engineThatPrepared(String text) {
-        return one.received.contains("prepare " + text) ? one : two;
+        return one.commands.contains("prepare " + text) ? one : two;
     }
 
     /** Resets the engine's connections; returns once the program has closed them. */
@@ -113,12 +113,12 @@
             assertTrue((System.nanoTime() - start) / 1e6 < 1600, "answered by its deadline");
             Program.await(
                     "an engine receives the kill",
-                    () -> one.received.stream().anyMatch(command -> command.startsWith("KILL QUERY"))
-                            || two.received.stream().anyMatch(command -> command.startsWith("KILL QUERY")));
+                    () -> one.commands.stream().anyMatch(command -> command.startsWith("KILL QUERY"))
+                            || two.commands.stream().anyMatch(command -> command.startsWith("KILL QUERY")));
             assertEquals(client.query("update t set a = 1").code(), FAILED_CODE);
             assertEquals(executionCount("update t set a = 1"), 1);
         }
-        assertEquals(TestingMysqlEngine.MAX_RUNNING.get(), 1, "concurrent attempts");
+        assertEquals(TestingMysqlEngine.MAX_RUNNING_COUNT.get(), 1, "concurrent attempts");
     }
 
     @Test
@@ -131,7 +131,7 @@
         }
         Program.await(
                 "an engine receives the kill",
-                () -> one.received.toString().contains("KILL")
-                        || two.received.toString().contains("KILL"));
+                () -> one.commands.toString().contains("KILL")
+                        || two.commands.toString().contains("KILL"));
     }
 }
--- a/src/test/java/lineward/mysql/MysqlServerTest.java
+++ b/src/test/java/lineward/mysql/MysqlServerTest.java
@@ -47,10 +47,10 @@
             assertEquals(client.command(0x0e).code(), 0);
         }
         // The client sent no parameter types with the second execution, so the program must add them.
-        String lastExecution = one.received.stream()
+        String lastExecution = one.commands.stream()
                 .filter(command -> command.startsWith("execute"))
                 .reduce((a, b) -> b)
-                .orElseGet(() -> two.received.stream()
+                .orElseGet(() -> two.commands.stream()
                         .filter(command -> command.startsWith("execute"))
                         .reduce((a, b) -> b)
                         .orElseThrow());
@@ -65,7 +65,7 @@
             client.send(0x18, statement.id(), 0, 0, "piece two");
             assertEquals(client.execute(statement, true, "").code(), 0);
             String lastPart = "long 100 piece two";
-            assertTrue(one.received.contains(lastPart) || two.received.contains(lastPart));
+            assertTrue(one.commands.contains(lastPart) || two.commands.contains(lastPart));
         }
     }
 
@@ -75,11 +75,11 @@
             client.query("select rows=1");
             writeConfig("draining", "ready");
             Program.await("the program drains the engine", () -> program.log().contains("one DRAINING"));
-            int executedBefore = one.executed.size();
+            int executedBefore = one.executedTexts.size();
             for (int i = 0; i < 20; i++) {
                 assertEquals(client.query("select rows=1").rows().size(), 1);
             }
-            assertEquals(one.executed.size(), executedBefore);
+            assertEquals(one.executedTexts.size(), executedBefore);
             writeConfig("draining", "gone");
             Program.await(
                     "no engine accepts statements", () -> selectOneRow(client).code() == REJECTED_CODE);
--- a/src/test/java/lineward/mysql/SessionIsolationTest.java
+++ b/src/test/java/lineward/mysql/SessionIsolationTest.java
@@ -89,7 +89,7 @@
     public void discardsSettingsOfAClientThatDisconnects(boolean reset) throws Exception {
         CountDownLatch settingsReceived = new CountDownLatch(1);
         CountDownLatch clientDisconnected = new CountDownLatch(1);
-        engine.onSettings = () -> {
+        engine.beforeSetReply = () -> {
             settingsReceived.countDown();
             try {
                 assertTrue(clientDisconnected.await(10, TimeUnit.SECONDS));
@@ -107,8 +107,8 @@
             assertNewClientsAreUnaffected();
         }
         assertTrue(
-                engine.executed.stream().noneMatch(text -> text.contains("disconnected client")),
-                engine.executed.toString());
+                engine.executedTexts.stream().noneMatch(text -> text.contains("disconnected client")),
+                engine.executedTexts.toString());
     }
 
     /** The engine has applied the first setting when it rejects the second, so its session has changed. */
@@ -131,11 +131,11 @@
         try (TestingMysqlClient client = client()) {
             assertEquals(client.query("set sql_mode = 'ANSI'").code(), 0);
             client.send(3, "select rows=1 of a disconnected client");
-            Program.await("the engine executes the statement", () -> !engine.executed.isEmpty());
+            Program.await("the engine executes the statement", () -> !engine.executedTexts.isEmpty());
             disconnect(client, reset);
             Program.await(
                     "the engine receives the kill",
-                    () -> engine.received.stream().anyMatch(text -> text.startsWith("KILL")));
+                    () -> engine.commands.stream().anyMatch(text -> text.startsWith("KILL")));
             engine.fault = Fault.NONE;
             assertNewClientsAreUnaffected();
         }
@@ -195,7 +195,7 @@
             TestingMysqlClient.Statement statement = client.prepare(text);
             assertEquals(client.execute(statement, true).code(), 0);
             assertNewClientsAreUnaffected();
-            Program.await("connections with changed sessions are closed", () -> engine.connections() == 1);
+            Program.await("connections with changed sessions are closed", () -> engine.socketCount() == 1);
         }
     }
 
@@ -219,7 +219,7 @@
         try (TestingMysqlClient client = client()) {
             assertEquals(client.query(text).code(), 1235);
             assertEquals(client.query("show warnings").rows().size(), 0);
-            assertEquals(engine.executed, List.of());
+            assertEquals(engine.executedTexts, List.of());
         }
     }
 }
--- a/src/test/java/lineward/mysql/SpoolProgramFixture.java
+++ b/src/test/java/lineward/mysql/SpoolProgramFixture.java
@@ -71,6 +71,6 @@
 
     /** Returns the number of statements that the engines have executed. */
     int executionCount() {
-        return one.executed.size() + two.executed.size();
+        return one.executedTexts.size() + two.executedTexts.size();
     }
 }
--- a/src/test/java/lineward/mysql/SpooledResultsTest.java
+++ b/src/test/java/lineward/mysql/SpooledResultsTest.java
@@ -172,8 +172,8 @@
             assertEquals(executionCount(), 0, "answered by the front end");
             client.query("select rows=1");
             plain.query("select rows=1");
-            List<String> received = new ArrayList<>(one.received);
-            received.addAll(two.received);
+            List<String> received = new ArrayList<>(one.commands);
+            received.addAll(two.commands);
             assertTrue(received.contains("SET SESSION sql_mode='ANSI'"), received.toString());
             assertFalse(received.toString().contains("wait_timeout"), received.toString());
         }
--- a/src/test/java/lineward/mysql/TestingMysqlEngine.java
+++ b/src/test/java/lineward/mysql/TestingMysqlEngine.java
@@ -48,25 +48,25 @@
     record Execution(String text, String settings, String schema, String sessionChanges) {}
 
     private static final Pattern ROWS = Pattern.compile("rows=(\\d+)(?: size=(\\d+))?");
-    private static final AtomicInteger RUNNING = new AtomicInteger();
-    static final AtomicInteger MAX_RUNNING = new AtomicInteger();
+    private static final AtomicInteger RUNNING_COUNT = new AtomicInteger();
+    static final AtomicInteger MAX_RUNNING_COUNT = new AtomicInteger();
 
-    final List<String> executed = new CopyOnWriteArrayList<>();
-    final List<String> received = new CopyOnWriteArrayList<>();
+    final List<String> executedTexts = new CopyOnWriteArrayList<>();
+    final List<String> commands = new CopyOnWriteArrayList<>();
     final List<Execution> executions = new CopyOnWriteArrayList<>();
     /** Called for each SET statement before its reply. */
-    volatile Runnable onSettings = () -> {};
+    volatile Runnable beforeSetReply = () -> {};
 
     private final ServerSocket server;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private final Map<Long, CountDownLatch> kills = new ConcurrentHashMap<>();
-    private final AtomicInteger threads = new AtomicInteger();
+    private final Map<Long, CountDownLatch> killLatches = new ConcurrentHashMap<>();
+    private final AtomicInteger lastSessionId = new AtomicInteger();
     volatile Fault fault = Fault.NONE;
     /** Called at the start of {@link #crash} and before the reply with {@link Fault#MALFORMED_REPLY}. */
     volatile Runnable beforeFault = () -> {};
 
-    private volatile long lastByteAt;
-    private volatile long nextCommandAt;
+    private volatile long lastByteNanos;
+    private volatile long nextStatementNanos;
 
     TestingMysqlEngine() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -91,14 +91,14 @@
     /**
      * Returns the time in milliseconds from the last byte of the last long result to the next statement.
      *
-     * @param limit {@link System#nanoTime} that ends the time if there was no next statement
+     * @param limitNanos {@link System#nanoTime} that ends the time if there was no next statement
      */
-    double releasedAfterMs(long limit) {
-        long next = nextCommandAt > lastByteAt ? nextCommandAt : limit;
-        return (next - lastByteAt) / 1e6;
+    double msUntilNextStatement(long limitNanos) {
+        long nextNanos = nextStatementNanos > lastByteNanos ? nextStatementNanos : limitNanos;
+        return (nextNanos - lastByteNanos) / 1e6;
     }
 
-    int connections() {
+    int socketCount() {
         return sockets.size();
     }
 
@@ -127,7 +127,7 @@
             try {
                 Socket socket = server.accept();
                 sockets.add(socket);
-                Thread session = new Thread(() -> session(socket), "session");
+                Thread session = new Thread(() -> serve(socket), "session");
                 session.setDaemon(true);
                 session.start();
             } catch (IOException e) {
@@ -136,9 +136,9 @@
         }
     }
 
-    private void session(Socket socket) {
-        long id = threads.incrementAndGet();
-        kills.put(id, new CountDownLatch(1));
+    private void serve(Socket socket) {
+        long id = lastSessionId.incrementAndGet();
+        killLatches.put(id, new CountDownLatch(1));
         try (socket) {
             MysqlPacketSocket packets = new MysqlPacketSocket(socket);
             if (fault == Fault.TOO_MANY_CONNECTIONS) {
@@ -167,7 +167,7 @@
         String text = new String(command, 1, command.length - 1, StandardCharsets.UTF_8);
         switch (command[0]) {
             case 0x02 -> {
-                received.add("use " + text);
+                commands.add("use " + text);
                 session.schema = text;
                 packets.write(
                         text.equals("nowhere")
@@ -176,19 +176,19 @@
             }
             case 0x03 -> execute(packets, text, session, "");
             case 0x16 -> {
-                received.add("prepare " + text);
-                long number = session.prepared.size() + 100L;
-                session.prepared.put(number, text);
-                session.settingsAtPreparation.put(number, session.settings.toString());
-                int params = (int) text.chars().filter(c -> c == '?').count();
-                packets.write(0, number, 1, 0, params, 0, 0, 0, 0);
-                for (int i = 0; i < params; i++) {
-                    packets.write(column("?"));
+                commands.add("prepare " + text);
+                long statementId = session.prepared.size() + 100L;
+                session.prepared.put(statementId, text);
+                session.settingsAtPreparation.put(statementId, session.settings.toString());
+                int parameterCount = (int) text.chars().filter(c -> c == '?').count();
+                packets.write(0, statementId, 1, 0, parameterCount, 0, 0, 0, 0);
+                for (int i = 0; i < parameterCount; i++) {
+                    packets.write(columnDefinition("?"));
                 }
-                if (params > 0) {
+                if (parameterCount > 0) {
                     packets.write(MysqlPacketSocket.eof());
                 }
-                packets.write(column("c"));
+                packets.write(columnDefinition("c"));
                 packets.write(MysqlPacketSocket.eof());
                 if (fault == Fault.CRASH_AFTER_PREPARE) {
                     crash();
@@ -199,17 +199,17 @@
                     crash();
                     return;
                 }
-                String statement = session.prepared.get(number(command));
-                received.add("execute " + Arrays.toString(Arrays.copyOfRange(command, 5, command.length)));
-                execute(packets, statement, session, session.settingsAtPreparation.get(number(command)));
+                String statement = session.prepared.get(statementId(command));
+                commands.add("execute " + Arrays.toString(Arrays.copyOfRange(command, 5, command.length)));
+                execute(packets, statement, session, session.settingsAtPreparation.get(statementId(command)));
             }
-            case 0x18 -> received.add("long " + number(command) + " " + text.substring(6));
-            case 0x19 -> received.add("close");
+            case 0x18 -> commands.add("long " + statementId(command) + " " + text.substring(6));
+            case 0x19 -> commands.add("close");
             default -> packets.write(MysqlPacketSocket.error(1047, "08S01", "unknown command"));
         }
     }
 
-    private static long number(byte[] command) {
+    private static long statementId(byte[] command) {
         return (command[1] & 0xff) | (command[2] & 0xff) << 8;
     }
 
@@ -218,31 +218,31 @@
             MysqlPacketSocket packets, String text, TestingMysqlSession session, String preparationSettings)
             throws IOException, InterruptedException {
         if (text.startsWith("KILL QUERY ")) {
-            received.add(text);
-            kills.get(Long.parseLong(text.substring(11))).countDown();
+            commands.add(text);
+            killLatches.get(Long.parseLong(text.substring(11))).countDown();
             packets.write(MysqlPacketSocket.ok());
             return;
         }
         if (text.startsWith("SET SESSION")) {
-            received.add(text);
-            onSettings.run();
+            commands.add(text);
+            beforeSetReply.run();
             packets.write(
                     session.set(text)
                             ? MysqlPacketSocket.ok()
                             : MysqlPacketSocket.error(1193, "HY000", "unknown variable"));
             return;
         }
-        if (nextCommandAt <= lastByteAt) {
-            nextCommandAt = System.nanoTime();
+        if (nextStatementNanos <= lastByteNanos) {
+            nextStatementNanos = System.nanoTime();
         }
-        executed.add(text);
+        executedTexts.add(text);
         executions.add(new Execution(
                 text,
                 preparationSettings.isEmpty() ? session.settings.toString() : preparationSettings,
                 session.schema,
                 session.changes));
         session.recordChange(text);
-        MAX_RUNNING.accumulateAndGet(RUNNING.incrementAndGet(), Math::max);
+        MAX_RUNNING_COUNT.accumulateAndGet(RUNNING_COUNT.incrementAndGet(), Math::max);
         try {
             if (fault == Fault.CRASH_IN_EXECUTE) {
                 crash();
@@ -250,19 +250,19 @@
                 beforeFault.run();
                 packets.write(new byte[0]);
             } else if (fault == Fault.SILENT) {
-                kills.get(session.id).await();
+                killLatches.get(session.id).await();
                 packets.write(MysqlPacketSocket.error(1317, "70100", "interrupted"));
             } else if (text.contains("syntax")) {
                 packets.write(MysqlPacketSocket.error(1064, "42000", "syntax"));
             } else {
-                rows(packets, text, !preparationSettings.isEmpty());
+                sendRows(packets, text, !preparationSettings.isEmpty());
             }
         } finally {
-            RUNNING.decrementAndGet();
+            RUNNING_COUNT.decrementAndGet();
         }
     }
 
-    private void rows(MysqlPacketSocket packets, String text, boolean binary) throws IOException {
+    private void sendRows(MysqlPacketSocket packets, String text, boolean binary) throws IOException {
         Matcher requested = ROWS.matcher(text);
         if (!requested.find()) {
             packets.write(
@@ -271,14 +271,14 @@
                             : MysqlPacketSocket.ok());
             return;
         }
-        int rows = Integer.parseInt(requested.group(1));
+        int rowCount = Integer.parseInt(requested.group(1));
         packets.write(1);
-        packets.write(column("c"));
+        packets.write(columnDefinition("c"));
         packets.write(MysqlPacketSocket.eof());
         String padding = requested.group(2) == null ? "" : "x".repeat(Integer.parseInt(requested.group(2)));
         packets.beginBatch();
-        for (int i = 0; i < rows; i++) {
-            boolean halfSent = fault == Fault.CRASH_BETWEEN_ROWS && i == rows / 2;
+        for (int i = 0; i < rowCount; i++) {
+            boolean halfSent = fault == Fault.CRASH_BETWEEN_ROWS && i == rowCount / 2;
             if (halfSent || fault == Fault.CRASH_BEFORE_FIRST_ROW) {
                 packets.flush();
                 crash();
@@ -295,13 +295,13 @@
             crash();
         }
         packets.write(MysqlPacketSocket.eof());
-        if (rows > 100) {
-            lastByteAt = System.nanoTime();
-            nextCommandAt = 0;
+        if (rowCount > 100) {
+            lastByteNanos = System.nanoTime();
+            nextStatementNanos = 0;
         }
     }
 
-    private static byte[] column(String name) {
+    private static byte[] columnDefinition(String name) {
         return MysqlPacketSocket.encode(
                 MysqlPacketSocket.lengthEncoded("def"),
                 0,
--- a/src/test/java/lineward/mysql/TwoEngineFixture.java
+++ b/src/test/java/lineward/mysql/TwoEngineFixture.java
@@ -22,7 +22,7 @@
 
     @BeforeMethod
     public void start() throws IOException {
-        TestingMysqlEngine.MAX_RUNNING.set(0);
+        TestingMysqlEngine.MAX_RUNNING_COUNT.set(0);
         one = new TestingMysqlEngine();
         two = new TestingMysqlEngine();
         configFile = Files.createTempFile("mysql", ".toml");
@@ -73,7 +73,7 @@
 
     /** Returns how often the engines have executed the statement. */
     int executionCount(String text) {
-        return (int) (one.executed.stream().filter(text::equals).count()
-                + two.executed.stream().filter(text::equals).count());
+        return (int) (one.executedTexts.stream().filter(text::equals).count()
+                + two.executedTexts.stream().filter(text::equals).count());
     }
 }
