--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -222,7 +222,7 @@
 
     private static boolean isComplete(TestingMysqlClient client) {
         try {
-            return client.count() == 1600;
+            return client.readRowCount() == 1600;
         } catch (IOException e) {
             return false;
         }
@@ -290,7 +290,7 @@
         try (TestingMysqlClient client = new TestingMysqlClient(program.port)) {
             for (int i = 0; i < 3; i++) {
                 client.send(3, "select rows=20000 size=1000");
-                client.count();
+                client.readRowCount();
             }
         }
         return (System.nanoTime() - start) / 1e9;
--- a/src/test/java/lineward/mysql/EngineFaultTest.java
+++ b/src/test/java/lineward/mysql/EngineFaultTest.java
@@ -49,7 +49,7 @@
                 assertEquals(result.rows().size(), text.contains("20000") ? 20_000 : 4);
             }
             if (code == FAILED_CODE) {
-                assertEquals(result.state(), "70100");
+                assertEquals(result.sqlState(), "70100");
             }
             if (text.startsWith("update")) {
                 assertEquals(executionCount(text) - executionsBefore, 1, "executions of a write");
@@ -71,7 +71,7 @@
             TestingMysqlClient.Result result = client.execute(statement, false);
             assertNotEquals(one.crashed(), two.crashed(), "the execution reached an engine that reset it");
             assertEquals(result.code(), FAILED_CODE, result.message());
-            assertEquals(result.state(), "70100");
+            assertEquals(result.sqlState(), "70100");
             assertEquals(executionCount(text), 0, "no engine has executed it");
             assertEquals(client.query("select rows=1").rows().size(), 1, "the connection is still usable");
         }
--- a/src/test/java/lineward/mysql/MysqlServerTest.java
+++ b/src/test/java/lineward/mysql/MysqlServerTest.java
@@ -28,7 +28,7 @@
     @Test(dataProvider = "logins")
     public void authenticates(String plugin, String password, String schema, int code) throws IOException {
         try (TestingMysqlClient client = new TestingMysqlClient(program.port(), plugin, password, schema)) {
-            assertEquals(client.login.code(), code);
+            assertEquals(client.loginResult.code(), code);
         }
     }
 
@@ -38,7 +38,7 @@
             assertEquals(client.query("select rows=3").rows().size(), 3);
             assertEquals(client.query("syntax error").code(), 1064);
             TestingMysqlClient.Statement statement = client.prepare("select rows=2 where a = ? and b = ?");
-            assertEquals(statement.params(), 2);
+            assertEquals(statement.parameterCount(), 2);
             assertEquals(client.execute(statement, true, "x", "y").rows().size(), 2);
             assertEquals(client.execute(statement, false, "x", "z").rows().size(), 2);
             assertEquals(client.command(0x1a, statement.id()).code(), 0);
@@ -114,7 +114,7 @@
         try (TestingMysqlClient client = client()) {
             TestingMysqlClient.Result result = client.query(text);
             assertEquals(result.code(), code, result.message());
-            assertEquals(result.state(), sqlState);
+            assertEquals(result.sqlState(), sqlState);
             assertEquals(client.command(2, "sales").code(), 0);
             assertEquals(client.query("select rows=1").code(), 0);
         }
--- a/src/test/java/lineward/mysql/SpoolCursorTest.java
+++ b/src/test/java/lineward/mysql/SpoolCursorTest.java
@@ -17,11 +17,11 @@
     public void fetchesPagesWithoutAnEngine() throws IOException {
         try (TestingMysqlClient client = client()) {
             TestingMysqlClient.Statement statement = client.prepare("select rows=2500");
-            assertEquals(client.open(statement).status() & CURSOR_EXISTS, CURSOR_EXISTS);
+            assertEquals(client.openCursor(statement).status() & CURSOR_EXISTS, CURSOR_EXISTS);
             one.crash();
             two.crash();
             int received = 0;
-            TestingMysqlClient.Page page;
+            TestingMysqlClient.CursorReply page;
             do {
                 page = client.fetch(statement, 100);
                 for (byte[] row : page.rows()) {
@@ -40,21 +40,21 @@
             TestingMysqlClient.Statement a = client.prepare("select rows=10");
             TestingMysqlClient.Statement noRows = client.prepare("select rows=0");
             TestingMysqlClient.Statement b = client.prepare("select rows=5000");
-            client.open(a);
-            client.open(b);
-            client.open(noRows);
+            client.openCursor(a);
+            client.openCursor(b);
+            client.openCursor(noRows);
             assertEquals(client.fetch(a, 4).rows().size(), 4);
             assertEquals(client.fetch(b, 4000).rows().size(), 4000);
             assertEquals(client.fetch(noRows, 4).status() & LAST_ROW_SENT, LAST_ROW_SENT);
-            TestingMysqlClient.Page remaining = client.fetch(a, 100);
+            TestingMysqlClient.CursorReply remaining = client.fetch(a, 100);
             assertEquals(remaining.rows().size(), 6);
             assertEquals(remaining.status() & LAST_ROW_SENT, LAST_ROW_SENT);
             assertEquals(client.command(0x1a, b.id()).code(), 0);
             assertEquals(client.fetch(b, 1).code(), 1421, "reset");
-            client.open(b);
+            client.openCursor(b);
             assertEquals(client.execute(b, false).rows().size(), 5000);
             assertEquals(client.fetch(b, 1).code(), 1421, "another execution");
-            client.open(b);
+            client.openCursor(b);
             client.send(0x19, b.id());
             assertEquals(client.fetch(b, 1).code(), 1243, "closed");
         }
@@ -64,7 +64,7 @@
     public void reportsTheErrorOfAnExecutionWithACursor() throws IOException {
         try (TestingMysqlClient client = client()) {
             TestingMysqlClient.Statement statement = client.prepare("select syntax");
-            assertEquals(client.open(statement).code(), 1064);
+            assertEquals(client.openCursor(statement).code(), 1064);
             assertEquals(client.fetch(statement, 1).code(), 1421);
             assertEquals(client.query("select rows=1").rows().size(), 1);
         }
@@ -90,7 +90,7 @@
                     0);
             String otherText = "/* lineward:key=k1 from=1 */ select rows=7";
             TestingMysqlClient.Statement statement = client.prepare(otherText);
-            assertEquals(client.open(statement).code(), 1210, "the key belongs to another statement");
+            assertEquals(client.openCursor(statement).code(), 1210, "the key belongs to another statement");
             assertEquals(executionCount(), 1);
         }
         try (TestingMysqlClient otherUser = client("other")) {
@@ -135,7 +135,7 @@
     public void letsClientsReadOpenCursorsAfterSigterm() throws IOException, InterruptedException {
         try (TestingMysqlClient client = client()) {
             TestingMysqlClient.Statement statement = client.prepare("select rows=300");
-            client.open(statement);
+            client.openCursor(statement);
             program.sendSigterm();
             Program.await("the shutdown begins", () -> program.log().contains("SIGTERM"));
             assertEquals(client.fetch(statement, 100).rows().size(), 100);
--- a/src/test/java/lineward/mysql/SpooledResultsTest.java
+++ b/src/test/java/lineward/mysql/SpooledResultsTest.java
@@ -108,7 +108,7 @@
             }
             try (TestingMysqlClient client = client()) {
                 TestingMysqlClient.Statement statement = client.prepare("select rows=500");
-                client.open(statement);
+                client.openCursor(statement);
                 client.fetch(statement, packets);
             }
         }
--- a/src/test/java/lineward/mysql/TestingMysqlClient.java
+++ b/src/test/java/lineward/mysql/TestingMysqlClient.java
@@ -13,13 +13,13 @@
 /** A minimal MySQL client for tests. */
 final class TestingMysqlClient implements AutoCloseable {
     /** The result of a command: rows, or the number, state and text of an error; code 0 is success. */
-    record Result(int code, String state, String message, List<byte[]> rows) {}
+    record Result(int code, String sqlState, String message, List<byte[]> rows) {}
 
     /** The reply to COM_STMT_PREPARE. */
-    record Statement(long id, int params, Result result) {}
+    record Statement(long id, int parameterCount, Result result) {}
 
     final MysqlPacketSocket packets;
-    Result login;
+    Result loginResult;
 
     TestingMysqlClient(int port, String authPlugin, String password, String schema) throws IOException {
         this(port, authPlugin, "office", password, schema);
@@ -29,11 +29,11 @@
             throws IOException {
         packets = new MysqlPacketSocket(new Socket(InetAddress.getLoopbackAddress(), port));
         byte[] greeting = packets.read();
-        int nonceAt = 1 + new String(greeting, StandardCharsets.ISO_8859_1).indexOf('\0', 1) + 4;
-        byte[] nonce = Arrays.copyOf(Arrays.copyOfRange(greeting, nonceAt, nonceAt + 8), 20);
-        System.arraycopy(greeting, nonceAt + 8 + 19, nonce, 8, 12);
+        int nonceOffset = 1 + new String(greeting, StandardCharsets.ISO_8859_1).indexOf('\0', 1) + 4;
+        byte[] nonce = Arrays.copyOf(Arrays.copyOfRange(greeting, nonceOffset, nonceOffset + 8), 20);
+        System.arraycopy(greeting, nonceOffset + 8 + 19, nonce, 8, 12);
         long capabilities = 0x88200L | (schema == null ? 0 : 8);
-        byte[] proof = proof(authPlugin, password, nonce);
+        byte[] scramble = scramble(authPlugin, password, nonce);
         packets.write(
                 capabilities,
                 1L << 24,
@@ -41,24 +41,24 @@
                 new byte[23],
                 userName,
                 0,
-                proof.length,
-                proof,
+                scramble.length,
+                scramble,
                 schema == null ? "" : schema + '\0',
                 authPlugin,
                 0);
-        byte[] answer = packets.read();
-        if ((answer[0] & 0xff) == 0xfe) {
-            packets.write(proof("mysql_native_password", password, nonce));
-            answer = packets.read();
+        byte[] reply = packets.read();
+        if ((reply[0] & 0xff) == 0xfe) {
+            packets.write(scramble("mysql_native_password", password, nonce));
+            reply = packets.read();
         }
-        login = result(answer[0] == 1 ? packets.read() : answer);
+        loginResult = readResult(reply[0] == 1 ? packets.read() : reply);
     }
 
     TestingMysqlClient(int port) throws IOException {
         this(port, "caching_sha2_password", "secret", null);
     }
 
-    private static byte[] proof(String plugin, String password, byte[] nonce) {
+    private static byte[] scramble(String plugin, String password, byte[] nonce) {
         try {
             boolean sha2 = plugin.startsWith("caching");
             MessageDigest digest = MessageDigest.getInstance(sha2 ? "SHA-256" : "SHA-1");
@@ -81,31 +81,31 @@
     }
 
     /** The reply to COM_STMT_FETCH: rows and the status after them, or an error. */
-    record Page(int code, List<byte[]> rows, int status) {}
+    record CursorReply(int code, List<byte[]> rows, int status) {}
 
     /** Executes with a read-only cursor; returns the status after the columns. */
-    Page open(Statement statement) throws IOException {
+    CursorReply openCursor(Statement statement) throws IOException {
         send(0x17, statement.id(), 1, 1L);
         byte[] first = packets.read();
         if ((first[0] & 0xff) == 0xff) {
-            return new Page(result(first).code(), List.of(), 0);
+            return new CursorReply(readResult(first).code(), List.of(), 0);
         }
         for (int i = 0; i < first[0]; i++) {
             packets.read();
         }
-        return new Page(0, List.of(), packets.read()[3] & 0xff);
+        return new CursorReply(0, List.of(), packets.read()[3] & 0xff);
     }
 
-    Page fetch(Statement statement, long rows) throws IOException {
+    CursorReply fetch(Statement statement, long rows) throws IOException {
         send(0x1c, statement.id(), rows);
         List<byte[]> page = new ArrayList<>();
         while (true) {
             byte[] packet = packets.read();
             if ((packet[0] & 0xff) == 0xff) {
-                return new Page(result(packet).code(), page, 0);
+                return new CursorReply(readResult(packet).code(), page, 0);
             }
             if ((packet[0] & 0xff) == 0xfe && packet.length < 9) {
-                return new Page(0, page, packet[3] & 0xff);
+                return new CursorReply(0, page, packet[3] & 0xff);
             }
             page.add(packet);
         }
@@ -113,7 +113,7 @@
 
     Result command(Object... command) throws IOException {
         send(command);
-        return result(packets.read());
+        return readResult(packets.read());
     }
 
     Result query(String text) throws IOException {
@@ -124,26 +124,26 @@
         send(0x16, text);
         byte[] head = packets.read();
         if (head[0] != 0) {
-            return new Statement(0, 0, result(head));
+            return new Statement(0, 0, readResult(head));
         }
-        int params = head[7];
-        for (int i = 0; i < (params > 0 ? params + 1 : 0) + head[5] + 1; i++) {
+        int parameterCount = head[7];
+        for (int i = 0; i < (parameterCount > 0 ? parameterCount + 1 : 0) + head[5] + 1; i++) {
             packets.read();
         }
-        return new Statement(head[1] & 0xff, params, new Result(0, "", "", List.of()));
+        return new Statement(head[1] & 0xff, parameterCount, new Result(0, "", "", List.of()));
     }
 
     /**
      * Executes with one string for each parameter.
      *
-     * @param types whether to send the types of the parameters
+     * @param sendTypes whether to send the types of the parameters
      */
-    Result execute(Statement statement, boolean types, String... values) throws IOException {
+    Result execute(Statement statement, boolean sendTypes, String... values) throws IOException {
         List<Object> parts = new ArrayList<>(List.of(0x17, statement.id(), 0, 1L));
         if (values.length > 0) {
             parts.add(0);
-            parts.add(types ? 1 : 0);
-            for (int i = 0; types && i < values.length; i++) {
+            parts.add(sendTypes ? 1 : 0);
+            for (int i = 0; sendTypes && i < values.length; i++) {
                 parts.addAll(List.of(253, 0));
             }
             for (String value : values) {
@@ -156,7 +156,7 @@
     /**
      * Reads a result and returns the number of its rows; -1 if it is an error or ends with one.
      */
-    int count() throws IOException {
+    int readRowCount() throws IOException {
         byte[] first = packets.read();
         if ((first[0] & 0xff) == 0xff) {
             return -1;
@@ -175,7 +175,7 @@
         }
     }
 
-    private Result result(byte[] first) throws IOException {
+    private Result readResult(byte[] first) throws IOException {
         if ((first[0] & 0xff) == 0xff) {
             String text = new String(first, 4, first.length - 4, StandardCharsets.UTF_8);
             int code = (first[1] & 0xff) | ((first[2] & 0xff) << 8);
@@ -191,7 +191,7 @@
         while (true) {
             byte[] row = packets.read();
             if ((row[0] & 0xff) == 0xff) {
-                return result(row);
+                return readResult(row);
             }
             if ((row[0] & 0xff) == 0xfe && row.length < 9) {
                 return new Result(0, "", "", rows);
