--- a/src/test/java/lineward/mysql/TestingMysqlEngine.java
+++ b/src/test/java/lineward/mysql/TestingMysqlEngine.java
@@ -146,7 +146,7 @@
                 return;
             }
             TestingMysqlSession session = new TestingMysqlSession(id, packets);
-            session.greet();
+            session.sendGreeting();
             packets.read();
             packets.write(MysqlPacketSocket.ok());
             while (true) {
@@ -177,8 +177,8 @@
             case 0x03 -> execute(packets, text, session, "");
             case 0x16 -> {
                 commands.add("prepare " + text);
-                long statementId = session.prepared.size() + 100L;
-                session.prepared.put(statementId, text);
+                long statementId = session.preparedTexts.size() + 100L;
+                session.preparedTexts.put(statementId, text);
                 session.settingsAtPreparation.put(statementId, session.settings.toString());
                 int parameterCount = (int) text.chars().filter(c -> c == '?').count();
                 packets.write(0, statementId, 1, 0, parameterCount, 0, 0, 0, 0);
@@ -199,7 +199,7 @@
                     crash();
                     return;
                 }
-                String statement = session.prepared.get(statementId(command));
+                String statement = session.preparedTexts.get(statementId(command));
                 commands.add("execute " + Arrays.toString(Arrays.copyOfRange(command, 5, command.length)));
                 execute(packets, statement, session, session.settingsAtPreparation.get(statementId(command)));
             }
@@ -227,7 +227,7 @@
             commands.add(text);
             beforeSetReply.run();
             packets.write(
-                    session.set(text)
+                    session.applySettings(text)
                             ? MysqlPacketSocket.ok()
                             : MysqlPacketSocket.error(1193, "HY000", "unknown variable"));
             return;
@@ -240,7 +240,7 @@
                 text,
                 preparationSettings.isEmpty() ? session.settings.toString() : preparationSettings,
                 session.schema,
-                session.changes));
+                session.sessionChanges));
         session.recordChange(text);
         MAX_RUNNING_COUNT.accumulateAndGet(RUNNING_COUNT.incrementAndGet(), Math::max);
         try {
--- a/src/test/java/lineward/mysql/TestingMysqlSession.java
+++ b/src/test/java/lineward/mysql/TestingMysqlSession.java
@@ -18,21 +18,21 @@
 
     final long id;
     final MysqlPacketSocket packets;
-    final Map<Long, String> prepared = new HashMap<>();
+    final Map<Long, String> preparedTexts = new HashMap<>();
     /** The settings at the preparation of each statement. */
     final Map<Long, String> settingsAtPreparation = new HashMap<>();
 
     final Map<String, String> settings = new TreeMap<>();
     String schema = "";
     /** The texts of the statements that have changed the session. */
-    String changes = "";
+    String sessionChanges = "";
 
     TestingMysqlSession(long id, MysqlPacketSocket packets) {
         this.id = id;
         this.packets = packets;
     }
 
-    void greet() throws IOException {
+    void sendGreeting() throws IOException {
         packets.write(
                 10,
                 "8.0.36",
@@ -57,13 +57,13 @@
 
     void recordChange(String text) {
         if (SESSION_CHANGE.matcher(text).find()) {
-            changes += text;
+            sessionChanges += text;
         }
     }
 
     /** Applies the settings of a SET statement in order; stops and returns false at an invalid one. */
-    boolean set(String text) {
-        Matcher setting = SETTING.matcher(text);
+    boolean applySettings(String statement) {
+        Matcher setting = SETTING.matcher(statement);
         while (setting.find()) {
             if (setting.group(2).contains("bad_")) {
                 return false;
