--- a/src/measure/java/lineward/mysql/MeasureSpool.java
+++ b/src/measure/java/lineward/mysql/MeasureSpool.java
@@ -48,7 +48,7 @@
 
     /** The measured program as a child process, with one test engine. */
     private static final class MeasuredProgram implements AutoCloseable {
-        final StandInEngine engine = new StandInEngine();
+        final TestingMysqlEngine engine = new TestingMysqlEngine();
         final Path folder = Files.createTempDirectory("measure");
         final Process process;
         final int port;
@@ -119,44 +119,44 @@
      * process the next statement.
      */
     private static void measureEngineRelease(String suffix, String jar, int readers) throws Exception {
-        List<StandInClient> slowClients = new ArrayList<>();
+        List<TestingMysqlClient> slowClients = new ArrayList<>();
         double[] releaseTimes = new double[readers];
         String spool = suffix.isEmpty() ? "[spool]\nmemory-mb = 250\nresults = 1000\n" : "";
         try (MeasuredProgram program = new MeasuredProgram(jar, 1, 512, spool);
-                StandInClient nextClient = new StandInClient(program.port)) {
+                TestingMysqlClient nextClient = new TestingMysqlClient(program.port)) {
             for (int i = 0; i < readers; i++) {
-                StandInClient client = new StandInClient(program.port);
-                client.wire.socket.setReceiveBufferSize(4096);
+                TestingMysqlClient client = new TestingMysqlClient(program.port);
+                client.packets.socket.setReceiveBufferSize(4096);
                 slowClients.add(client);
-                int executed = program.engine.executed.size();
+                int executed = program.engine.executedTexts.size();
                 client.send(3, "select rows=1000 size=1000");
-                for (int t = 0; t < 2000 && program.engine.executed.size() == executed; t++) {
+                for (int t = 0; t < 2000 && program.engine.executedTexts.size() == executed; t++) {
                     pause(1);
                 }
                 long limitNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
                 while (nextClient.query("select rows=1").code() != 0 && System.nanoTime() < limitNanos) {
                     readSlowly(slowClients);
                 }
-                releaseTimes[i] = program.engine.releasedAfterMs(limitNanos);
+                releaseTimes[i] = program.engine.msUntilNextStatement(limitNanos);
                 readSlowly(slowClients);
             }
             Arrays.sort(releaseTimes);
             print("engine-release-p99-ms" + suffix, releaseTimes[(int) Math.ceil(readers * 0.99) - 1], "ms");
         } finally {
-            for (StandInClient client : slowClients) {
+            for (TestingMysqlClient client : slowClients) {
                 client.close();
             }
         }
     }
 
-    private static void readSlowly(List<StandInClient> readers) throws IOException {
-        for (StandInClient reader : readers) {
-            if (reader.wire.socket.getInputStream().available() > 0) {
-                reader.wire
+    private static void readSlowly(List<TestingMysqlClient> readers) throws IOException {
+        for (TestingMysqlClient reader : readers) {
+            if (reader.packets.socket.getInputStream().available() > 0) {
+                reader.packets
                         .socket
                         .getInputStream()
-                        .readNBytes(
-                                Math.min(20, reader.wire.socket.getInputStream().available()));
+                        .readNBytes(Math.min(
+                                20, reader.packets.socket.getInputStream().available()));
             }
         }
     }
@@ -175,21 +175,21 @@
             result-mb = 64
             user-mb = 4096
             """)) {
-            List<StandInClient> clients = new ArrayList<>();
+            List<TestingMysqlClient> clients = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
-                StandInClient client = new StandInClient(program.port);
-                client.wire.socket.setReceiveBufferSize(4096);
+                TestingMysqlClient client = new TestingMysqlClient(program.port);
+                client.packets.socket.setReceiveBufferSize(4096);
                 clients.add(client);
                 client.send(3, "select rows=1600 size=10000");
                 if (i % 4 == 3) {
-                    for (int t = 0; t < 3000 && program.engine.executed.size() <= i; t++) {
+                    for (int t = 0; t < 3000 && program.engine.executedTexts.size() <= i; t++) {
                         pause(1);
                     }
                 }
             }
             int incompleteResults = 0;
             for (int i = 0; i < 50; i++) {
-                clients.get(i).wire.socket.setSoTimeout(3000);
+                clients.get(i).packets.socket.setSoTimeout(3000);
                 incompleteResults += isComplete(clients.get(i)) ? 0 : 1;
             }
             String status = Files.readString(Path.of("/proc/" + program.process.pid() + "/status"));
@@ -208,7 +208,7 @@
             print("heap-peak-mb", heap, "MB");
             print("rss-peak-mb", rss, "MB");
             print("lost-results", incompleteResults, "of 50 read");
-            for (StandInClient client : clients) {
+            for (TestingMysqlClient client : clients) {
                 client.close();
             }
             long start = System.nanoTime();
@@ -220,9 +220,9 @@
         }
     }
 
-    private static boolean isComplete(StandInClient client) {
+    private static boolean isComplete(TestingMysqlClient client) {
         try {
-            return client.count() == 1600;
+            return client.readRowCount() == 1600;
         } catch (IOException e) {
             return false;
         }
@@ -277,7 +277,7 @@
 
     private static double cpuMsOfQueries(MeasuredProgram program, String text, int times) throws IOException {
         double before = program.cpuMs();
-        try (StandInClient client = new StandInClient(program.port)) {
+        try (TestingMysqlClient client = new TestingMysqlClient(program.port)) {
             for (int i = 0; i < times; i++) {
                 client.query(text);
             }
@@ -287,10 +287,10 @@
 
     private static double secondsOfLongResults(MeasuredProgram program) throws IOException {
         long start = System.nanoTime();
-        try (StandInClient client = new StandInClient(program.port)) {
+        try (TestingMysqlClient client = new TestingMysqlClient(program.port)) {
             for (int i = 0; i < 3; i++) {
                 client.send(3, "select rows=20000 size=1000");
-                client.count();
+                client.readRowCount();
             }
         }
         return (System.nanoTime() - start) / 1e9;
--- a/src/test/java/lineward/mysql/MysqlServerTest.java
+++ b/src/test/java/lineward/mysql/MysqlServerTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 
 import java.io.IOException;
-import lineward.mysql.StandInEngine.Fault;
+import lineward.mysql.TestingMysqlEngine.Fault;
 import lineward.testing.Program;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -27,18 +27,18 @@
 
     @Test(dataProvider = "logins")
     public void authenticates(String plugin, String password, String schema, int code) throws IOException {
-        try (StandInClient client = new StandInClient(program.port(), plugin, password, schema)) {
-            assertEquals(client.login.code(), code);
+        try (TestingMysqlClient client = new TestingMysqlClient(program.port(), plugin, password, schema)) {
+            assertEquals(client.loginResult.code(), code);
         }
     }
 
     @Test
     public void executesTextAndPreparedStatements() throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query("select rows=3").rows().size(), 3);
             assertEquals(client.query("syntax error").code(), 1064);
-            StandInClient.Statement statement = client.prepare("select rows=2 where a = ? and b = ?");
-            assertEquals(statement.params(), 2);
+            TestingMysqlClient.Statement statement = client.prepare("select rows=2 where a = ? and b = ?");
+            assertEquals(statement.parameterCount(), 2);
             assertEquals(client.execute(statement, true, "x", "y").rows().size(), 2);
             assertEquals(client.execute(statement, false, "x", "z").rows().size(), 2);
             assertEquals(client.command(0x1a, statement.id()).code(), 0);
@@ -47,10 +47,10 @@
             assertEquals(client.command(0x0e).code(), 0);
         }
         // The client sent no parameter types with the second execution, so the program must add them.
-        String lastExecution = one.received.stream()
+        String lastExecution = one.commands.stream()
                 .filter(command -> command.startsWith("execute"))
                 .reduce((a, b) -> b)
-                .orElseGet(() -> two.received.stream()
+                .orElseGet(() -> two.commands.stream()
                         .filter(command -> command.startsWith("execute"))
                         .reduce((a, b) -> b)
                         .orElseThrow());
@@ -59,34 +59,34 @@
 
     @Test
     public void sendsLongDataBeforeTheExecution() throws IOException {
-        try (StandInClient client = client()) {
-            StandInClient.Statement statement = client.prepare("insert into t values (?)");
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Statement statement = client.prepare("insert into t values (?)");
             client.send(0x18, statement.id(), 0, 0, "piece one,");
             client.send(0x18, statement.id(), 0, 0, "piece two");
             assertEquals(client.execute(statement, true, "").code(), 0);
             String lastPart = "long 100 piece two";
-            assertTrue(one.received.contains(lastPart) || two.received.contains(lastPart));
+            assertTrue(one.commands.contains(lastPart) || two.commands.contains(lastPart));
         }
     }
 
     @Test
     public void sendsNoStatementsToADrainingEngine() throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             client.query("select rows=1");
             writeConfig("draining", "ready");
             Program.await("the program drains the engine", () -> program.log().contains("one DRAINING"));
-            int executedBefore = one.executed.size();
+            int executedBefore = one.executedTexts.size();
             for (int i = 0; i < 20; i++) {
                 assertEquals(client.query("select rows=1").rows().size(), 1);
             }
-            assertEquals(one.executed.size(), executedBefore);
+            assertEquals(one.executedTexts.size(), executedBefore);
             writeConfig("draining", "gone");
             Program.await(
                     "no engine accepts statements", () -> selectOneRow(client).code() == REJECTED_CODE);
         }
     }
 
-    private static StandInClient.Result selectOneRow(StandInClient client) {
+    private static TestingMysqlClient.Result selectOneRow(TestingMysqlClient client) {
         try {
             return client.query("select rows=1");
         } catch (IOException e) {
@@ -111,10 +111,10 @@
 
     @Test(dataProvider = "sessionStatements")
     public void handlesStatementsOnSessionState(String text, int code, String sqlState) throws IOException {
-        try (StandInClient client = client()) {
-            StandInClient.Result result = client.query(text);
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Result result = client.query(text);
             assertEquals(result.code(), code, result.message());
-            assertEquals(result.state(), sqlState);
+            assertEquals(result.sqlState(), sqlState);
             assertEquals(client.command(2, "sales").code(), 0);
             assertEquals(client.query("select rows=1").code(), 0);
         }
@@ -122,10 +122,10 @@
 
     @Test
     public void reportsProtocolErrors() throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.command(0x1c, 1L, 5L).code(), 1243);
             assertEquals(client.command(0x63).code(), 1047);
-            StandInClient.Statement statement = client.prepare("select rows=1");
+            TestingMysqlClient.Statement statement = client.prepare("select rows=1");
             assertEquals(client.command(0x17, statement.id(), 2, 1L).code(), 1210);
             assertEquals(client.query("x".repeat(100_001)).code(), 1153);
         }
@@ -133,8 +133,8 @@
 
     @Test
     public void forwardsLongResults() throws IOException {
-        try (StandInClient client = client()) {
-            StandInClient.Result result = client.query("select rows=30000");
+        try (TestingMysqlClient client = client()) {
+            TestingMysqlClient.Result result = client.query("select rows=30000");
             assertEquals(result.rows().size(), 30000);
             assertNotEquals(result.rows().get(29999).length, 0);
         }
@@ -144,11 +144,11 @@
     public void answersRunningStatementsAfterSigterm() throws IOException, InterruptedException {
         one.fault = Fault.SILENT;
         two.fault = Fault.SILENT;
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             client.send(3, "select rows=1");
             Program.await("an engine executes the statement", () -> executionCount("select rows=1") == 1);
             program.sendSigterm();
-            assertEquals(client.wire.read()[0] & 0xff, 0xff);
+            assertEquals(client.packets.read()[0] & 0xff, 0xff);
             assertEquals(program.awaitExitStatus(), 0);
         }
     }
--- a/src/test/java/lineward/mysql/SessionIsolationTest.java
+++ b/src/test/java/lineward/mysql/SessionIsolationTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lineward.mysql.StandInEngine.Fault;
+import lineward.mysql.TestingMysqlEngine.Fault;
 import lineward.testing.Program;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -19,15 +19,15 @@
 
 /** Clients share the connections to an engine, but one client's session state must not affect another. */
 public class SessionIsolationTest {
-    private static final String PLAIN = "{}";
+    private static final String WITHOUT_SETTINGS = "{}";
     private static final String NEW_CLIENT_QUERY = "select rows=1 of a new client";
-    private StandInEngine engine;
+    private TestingMysqlEngine engine;
     private Path configFile;
     private Program program;
 
     @BeforeMethod
     public void start() throws IOException {
-        engine = new StandInEngine();
+        engine = new TestingMysqlEngine();
         configFile = Files.createTempFile("mysql", ".toml");
         Files.writeString(
                 configFile,
@@ -47,25 +47,27 @@
         Files.delete(configFile);
     }
 
-    private StandInClient client() throws IOException {
-        return new StandInClient(program.port());
+    private TestingMysqlClient client() throws IOException {
+        return new TestingMysqlClient(program.port());
     }
 
     /** Executes a statement for a new client, and returns the state of its session at the engine. */
-    private StandInEngine.Execution executeForNewClient() throws IOException {
-        try (StandInClient client = client()) {
+    private TestingMysqlEngine.Execution executeForNewClient() throws IOException {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query(NEW_CLIENT_QUERY).rows().size(), 1);
             return engine.executions.get(engine.executions.size() - 1);
         }
     }
 
-    private StandInEngine.Execution lastExecution() {
+    private TestingMysqlEngine.Execution lastExecution() {
         return engine.executions.get(engine.executions.size() - 1);
     }
 
     private void assertNewClientsAreUnaffected() throws IOException {
         for (int i = 0; i < 3; i++) {
-            assertEquals(executeForNewClient(), new StandInEngine.Execution(NEW_CLIENT_QUERY, PLAIN, "", ""));
+            assertEquals(
+                    executeForNewClient(),
+                    new TestingMysqlEngine.Execution(NEW_CLIENT_QUERY, WITHOUT_SETTINGS, "", ""));
         }
     }
 
@@ -75,11 +77,11 @@
         return new Object[][] {{true}, {false}};
     }
 
-    private static void disconnect(StandInClient client, boolean reset) throws IOException {
+    private static void disconnect(TestingMysqlClient client, boolean reset) throws IOException {
         if (reset) {
-            client.wire.socket.setSoLinger(true, 0);
+            client.packets.socket.setSoLinger(true, 0);
         }
-        client.wire.socket.close();
+        client.packets.socket.close();
     }
 
     /** A connection to which the settings of a disconnected client are being applied must not be reused. */
@@ -87,7 +89,7 @@
     public void discardsSettingsOfAClientThatDisconnects(boolean reset) throws Exception {
         CountDownLatch settingsReceived = new CountDownLatch(1);
         CountDownLatch clientDisconnected = new CountDownLatch(1);
-        engine.onSettings = () -> {
+        engine.beforeSetReply = () -> {
             settingsReceived.countDown();
             try {
                 assertTrue(clientDisconnected.await(10, TimeUnit.SECONDS));
@@ -95,7 +97,7 @@
                 throw new AssertionError(e);
             }
         };
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query("set sql_mode = 'ANSI'").code(), 0);
             client.send(3, "select rows=1 of a disconnected client");
             assertTrue(settingsReceived.await(10, TimeUnit.SECONDS), "the engine has received the settings");
@@ -105,14 +107,14 @@
             assertNewClientsAreUnaffected();
         }
         assertTrue(
-                engine.executed.stream().noneMatch(text -> text.contains("disconnected client")),
-                engine.executed.toString());
+                engine.executedTexts.stream().noneMatch(text -> text.contains("disconnected client")),
+                engine.executedTexts.toString());
     }
 
     /** The engine has applied the first setting when it rejects the second, so its session has changed. */
     @Test
     public void discardsSettingsAfterAFailedSet() throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(
                     client.query("set group_concat_max_len = 5, sql_mode = 'bad_mode'")
                             .code(),
@@ -126,14 +128,14 @@
     @Test(dataProvider = "disconnects")
     public void discardsSettingsAfterAKill(boolean reset) throws IOException {
         engine.fault = Fault.SILENT;
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query("set sql_mode = 'ANSI'").code(), 0);
             client.send(3, "select rows=1 of a disconnected client");
-            Program.await("the engine executes the statement", () -> !engine.executed.isEmpty());
+            Program.await("the engine executes the statement", () -> !engine.executedTexts.isEmpty());
             disconnect(client, reset);
             Program.await(
                     "the engine receives the kill",
-                    () -> engine.received.stream().anyMatch(text -> text.startsWith("KILL")));
+                    () -> engine.commands.stream().anyMatch(text -> text.startsWith("KILL")));
             engine.fault = Fault.NONE;
             assertNewClientsAreUnaffected();
         }
@@ -141,30 +143,32 @@
 
     @Test
     public void settingsAndSchemaApplyToTheirClientOnly() throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query("set sql_mode = 'ANSI'").code(), 0);
             assertEquals(client.query("use sales").code(), 0);
             assertEquals(client.query("select rows=1").code(), 0);
             assertNewClientsAreUnaffected();
             assertEquals(client.query("select rows=1").code(), 0);
-            StandInEngine.Execution own = engine.executions.get(engine.executions.size() - 1);
-            assertEquals(own, new StandInEngine.Execution("select rows=1", "{sql_mode='ANSI'}", "sales", ""));
+            TestingMysqlEngine.Execution finalExecution = engine.executions.get(engine.executions.size() - 1);
+            assertEquals(
+                    finalExecution,
+                    new TestingMysqlEngine.Execution("select rows=1", "{sql_mode='ANSI'}", "sales", ""));
         }
     }
 
     /** An engine parses a prepared statement with the settings that apply when it prepares the statement. */
     @Test
     public void preparesAStatementForEachSetOfSettings() throws IOException {
-        try (StandInClient first = client();
-                StandInClient second = client()) {
+        try (TestingMysqlClient first = client();
+                TestingMysqlClient second = client()) {
             assertEquals(first.query("set sql_mode = 'ANSI'").code(), 0);
-            StandInClient.Statement ansi = first.prepare("select rows=1 of \"a\"");
-            StandInClient.Statement plain = second.prepare("select rows=1 of \"a\"");
+            TestingMysqlClient.Statement ansi = first.prepare("select rows=1 of \"a\"");
+            TestingMysqlClient.Statement plain = second.prepare("select rows=1 of \"a\"");
             for (int i = 0; i < 3; i++) {
                 assertEquals(first.execute(ansi, true).rows().size(), 1);
                 assertEquals(lastExecution().settings(), "{sql_mode='ANSI'}");
                 assertEquals(second.execute(plain, true).rows().size(), 1);
-                assertEquals(lastExecution().settings(), PLAIN);
+                assertEquals(lastExecution().settings(), WITHOUT_SETTINGS);
             }
         }
     }
@@ -185,13 +189,13 @@
 
     @Test(dataProvider = "sessionChanges")
     public void closesTheConnectionAfterASessionChange(String text) throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query(text).code(), 0);
             assertNewClientsAreUnaffected();
-            StandInClient.Statement statement = client.prepare(text);
+            TestingMysqlClient.Statement statement = client.prepare(text);
             assertEquals(client.execute(statement, true).code(), 0);
             assertNewClientsAreUnaffected();
-            Program.await("connections with changed sessions are closed", () -> engine.connections() == 1);
+            Program.await("connections with changed sessions are closed", () -> engine.socketCount() == 1);
         }
     }
 
@@ -212,10 +216,10 @@
 
     @Test(dataProvider = "dependentStatements")
     public void rejectsStatementsThatDependOnThePreviousOne(String text) throws IOException {
-        try (StandInClient client = client()) {
+        try (TestingMysqlClient client = client()) {
             assertEquals(client.query(text).code(), 1235);
             assertEquals(client.query("show warnings").rows().size(), 0);
-            assertEquals(engine.executed, List.of());
+            assertEquals(engine.executedTexts, List.of());
         }
     }
 }
--- a/src/test/java/lineward/mysql/StandInClient.java
+++ b/src/test/java/lineward/mysql/TestingMysqlClient.java
@@ -11,59 +11,61 @@
 import java.util.List;
 
 /** A minimal MySQL client for tests. */
-final class StandInClient implements AutoCloseable {
+final class TestingMysqlClient implements AutoCloseable {
     /** The result of a command: rows, or the number, state and text of an error; code 0 is success. */
-    record Result(int code, String state, String message, List<byte[]> rows) {}
+    record Result(int code, String sqlState, String message, List<byte[]> rows) {}
 
     /** The reply to COM_STMT_PREPARE. */
-    record Statement(long id, int params, Result result) {}
+    record Statement(long id, int parameterCount, Result result) {}
 
-    final Wire wire;
-    Result login;
+    final MysqlPacketSocket packets;
+    Result loginResult;
 
-    StandInClient(int port, String plugin, String password, String schema) throws IOException {
-        this(port, plugin, "office", password, schema);
+    TestingMysqlClient(int port, String authPlugin, String password, String schema) throws IOException {
+        this(port, authPlugin, "office", password, schema);
     }
 
-    StandInClient(int port, String plugin, String user, String password, String schema) throws IOException {
-        wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), port));
-        byte[] greeting = wire.read();
-        int nonceAt = 1 + new String(greeting, StandardCharsets.ISO_8859_1).indexOf('\0', 1) + 4;
-        byte[] nonce = Arrays.copyOf(Arrays.copyOfRange(greeting, nonceAt, nonceAt + 8), 20);
-        System.arraycopy(greeting, nonceAt + 8 + 19, nonce, 8, 12);
+    TestingMysqlClient(int port, String authPlugin, String userName, String password, String schema)
+            throws IOException {
+        packets = new MysqlPacketSocket(new Socket(InetAddress.getLoopbackAddress(), port));
+        byte[] greeting = packets.read();
+        int nonceOffset = 1 + new String(greeting, StandardCharsets.ISO_8859_1).indexOf('\0', 1) + 4;
+        byte[] nonce = Arrays.copyOf(Arrays.copyOfRange(greeting, nonceOffset, nonceOffset + 8), 20);
+        System.arraycopy(greeting, nonceOffset + 8 + 19, nonce, 8, 12);
         long capabilities = 0x88200L | (schema == null ? 0 : 8);
-        byte[] proof = proof(plugin, password, nonce);
-        wire.write(
+        byte[] scramble = scramble(authPlugin, password, nonce);
+        packets.write(
                 capabilities,
                 1L << 24,
                 45,
                 new byte[23],
-                user,
+                userName,
                 0,
-                proof.length,
-                proof,
+                scramble.length,
+                scramble,
                 schema == null ? "" : schema + '\0',
-                plugin,
+                authPlugin,
                 0);
-        byte[] answer = wire.read();
-        if ((answer[0] & 0xff) == 0xfe) {
-            wire.write(proof("mysql_native_password", password, nonce));
-            answer = wire.read();
+        byte[] reply = packets.read();
+        if ((reply[0] & 0xff) == 0xfe) {
+            packets.write(scramble("mysql_native_password", password, nonce));
+            reply = packets.read();
         }
-        login = result(answer[0] == 1 ? wire.read() : answer);
+        loginResult = readResult(reply[0] == 1 ? packets.read() : reply);
     }
 
-    StandInClient(int port) throws IOException {
+    TestingMysqlClient(int port) throws IOException {
         this(port, "caching_sha2_password", "secret", null);
     }
 
-    private static byte[] proof(String plugin, String password, byte[] nonce) {
+    private static byte[] scramble(String plugin, String password, byte[] nonce) {
         try {
             boolean sha2 = plugin.startsWith("caching");
             MessageDigest digest = MessageDigest.getInstance(sha2 ? "SHA-256" : "SHA-1");
             byte[] once = digest.digest(password.getBytes(StandardCharsets.UTF_8));
             byte[] twice = digest.digest(once);
-            byte[] mask = digest.digest(sha2 ? Wire.bytes(twice, nonce) : Wire.bytes(nonce, twice));
+            byte[] mask = digest.digest(
+                    sha2 ? MysqlPacketSocket.encode(twice, nonce) : MysqlPacketSocket.encode(nonce, twice));
             for (int i = 0; i < mask.length; i++) {
                 mask[i] ^= once[i];
             }
@@ -74,36 +76,36 @@
     }
 
     void send(Object... command) throws IOException {
-        wire.sequence = 0;
-        wire.write(command);
+        packets.sequence = 0;
+        packets.write(command);
     }
 
     /** The reply to COM_STMT_FETCH: rows and the status after them, or an error. */
-    record Page(int code, List<byte[]> rows, int status) {}
+    record CursorReply(int code, List<byte[]> rows, int status) {}
 
     /** Executes with a read-only cursor; returns the status after the columns. */
-    Page open(Statement statement) throws IOException {
+    CursorReply openCursor(Statement statement) throws IOException {
         send(0x17, statement.id(), 1, 1L);
-        byte[] first = wire.read();
+        byte[] first = packets.read();
         if ((first[0] & 0xff) == 0xff) {
-            return new Page(result(first).code(), List.of(), 0);
+            return new CursorReply(readResult(first).code(), List.of(), 0);
         }
         for (int i = 0; i < first[0]; i++) {
-            wire.read();
+            packets.read();
         }
-        return new Page(0, List.of(), wire.read()[3] & 0xff);
+        return new CursorReply(0, List.of(), packets.read()[3] & 0xff);
     }
 
-    Page fetch(Statement statement, long rows) throws IOException {
+    CursorReply fetch(Statement statement, long rows) throws IOException {
         send(0x1c, statement.id(), rows);
         List<byte[]> page = new ArrayList<>();
         while (true) {
-            byte[] packet = wire.read();
+            byte[] packet = packets.read();
             if ((packet[0] & 0xff) == 0xff) {
-                return new Page(result(packet).code(), page, 0);
+                return new CursorReply(readResult(packet).code(), page, 0);
             }
             if ((packet[0] & 0xff) == 0xfe && packet.length < 9) {
-                return new Page(0, page, packet[3] & 0xff);
+                return new CursorReply(0, page, packet[3] & 0xff);
             }
             page.add(packet);
         }
@@ -111,7 +113,7 @@
 
     Result command(Object... command) throws IOException {
         send(command);
-        return result(wire.read());
+        return readResult(packets.read());
     }
 
     Result query(String text) throws IOException {
@@ -120,32 +122,32 @@
 
     Statement prepare(String text) throws IOException {
         send(0x16, text);
-        byte[] head = wire.read();
+        byte[] head = packets.read();
         if (head[0] != 0) {
-            return new Statement(0, 0, result(head));
+            return new Statement(0, 0, readResult(head));
         }
-        int params = head[7];
-        for (int i = 0; i < (params > 0 ? params + 1 : 0) + head[5] + 1; i++) {
-            wire.read();
+        int parameterCount = head[7];
+        for (int i = 0; i < (parameterCount > 0 ? parameterCount + 1 : 0) + head[5] + 1; i++) {
+            packets.read();
         }
-        return new Statement(head[1] & 0xff, params, new Result(0, "", "", List.of()));
+        return new Statement(head[1] & 0xff, parameterCount, new Result(0, "", "", List.of()));
     }
 
     /**
      * Executes with one string for each parameter.
      *
-     * @param types whether to send the types of the parameters
+     * @param sendTypes whether to send the types of the parameters
      */
-    Result execute(Statement statement, boolean types, String... values) throws IOException {
+    Result execute(Statement statement, boolean sendTypes, String... values) throws IOException {
         List<Object> parts = new ArrayList<>(List.of(0x17, statement.id(), 0, 1L));
         if (values.length > 0) {
             parts.add(0);
-            parts.add(types ? 1 : 0);
-            for (int i = 0; types && i < values.length; i++) {
+            parts.add(sendTypes ? 1 : 0);
+            for (int i = 0; sendTypes && i < values.length; i++) {
                 parts.addAll(List.of(253, 0));
             }
             for (String value : values) {
-                parts.add(Wire.text(value));
+                parts.add(MysqlPacketSocket.lengthEncoded(value));
             }
         }
         return command(parts.toArray());
@@ -154,16 +156,16 @@
     /**
      * Reads a result and returns the number of its rows; -1 if it is an error or ends with one.
      */
-    int count() throws IOException {
-        byte[] first = wire.read();
+    int readRowCount() throws IOException {
+        byte[] first = packets.read();
         if ((first[0] & 0xff) == 0xff) {
             return -1;
         }
         for (int i = 0; i < first[0] + 1; i++) {
-            wire.read();
+            packets.read();
         }
         for (int rows = 0; ; rows++) {
-            byte[] row = wire.read();
+            byte[] row = packets.read();
             if ((row[0] & 0xff) == 0xff) {
                 return -1;
             }
@@ -173,7 +175,7 @@
         }
     }
 
-    private Result result(byte[] first) throws IOException {
+    private Result readResult(byte[] first) throws IOException {
         if ((first[0] & 0xff) == 0xff) {
             String text = new String(first, 4, first.length - 4, StandardCharsets.UTF_8);
             int code = (first[1] & 0xff) | ((first[2] & 0xff) << 8);
@@ -184,12 +186,12 @@
             return new Result(0, "", "", rows);
         }
         for (int i = 0; i < first[0] + 1; i++) {
-            wire.read();
+            packets.read();
         }
         while (true) {
-            byte[] row = wire.read();
+            byte[] row = packets.read();
             if ((row[0] & 0xff) == 0xff) {
-                return result(row);
+                return readResult(row);
             }
             if ((row[0] & 0xff) == 0xfe && row.length < 9) {
                 return new Result(0, "", "", rows);
@@ -200,6 +202,6 @@
 
     @Override
     public void close() throws IOException {
-        wire.socket.close();
+        packets.socket.close();
     }
 }
--- a/src/test/java/lineward/mysql/StandInSession.java
+++ b/src/test/java/lineward/mysql/TestingMysqlSession.java
@@ -9,31 +9,31 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The session of one connection to a {@link StandInEngine}. */
-final class StandInSession {
+/** The session of one connection to a {@link TestingMysqlEngine}. */
+final class TestingMysqlSession {
     private static final byte[] NONCE = "abcdefghijklmnopqrst".getBytes(StandardCharsets.US_ASCII);
     private static final Pattern SETTING = Pattern.compile("SESSION (\\w+)=('[^']*'|[^,]+)");
     private static final String SESSION_CHANGES = "^call |/\\*M?!|temporary|^flush ";
     private static final Pattern SESSION_CHANGE = Pattern.compile(SESSION_CHANGES, Pattern.CASE_INSENSITIVE);
 
     final long id;
-    final Wire wire;
-    final Map<Long, String> prepared = new HashMap<>();
+    final MysqlPacketSocket packets;
+    final Map<Long, String> preparedTexts = new HashMap<>();
     /** The settings at the preparation of each statement. */
     final Map<Long, String> settingsAtPreparation = new HashMap<>();
 
     final Map<String, String> settings = new TreeMap<>();
     String schema = "";
     /** The texts of the statements that have changed the session. */
-    String changes = "";
+    String sessionChanges = "";
 
-    StandInSession(long id, Wire wire) {
+    TestingMysqlSession(long id, MysqlPacketSocket packets) {
         this.id = id;
-        this.wire = wire;
+        this.packets = packets;
     }
 
-    void greet() throws IOException {
-        wire.write(
+    void sendGreeting() throws IOException {
+        packets.write(
                 10,
                 "8.0.36",
                 0,
@@ -57,13 +57,13 @@
 
     void recordChange(String text) {
         if (SESSION_CHANGE.matcher(text).find()) {
-            changes += text;
+            sessionChanges += text;
         }
     }
 
     /** Applies the settings of a SET statement in order; stops and returns false at an invalid one. */
-    boolean set(String text) {
-        Matcher setting = SETTING.matcher(text);
+    boolean applySettings(String statement) {
+        Matcher setting = SETTING.matcher(statement);
         while (setting.find()) {
             if (setting.group(2).contains("bad_")) {
                 return false;
