--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -87,7 +87,7 @@
         if (servers.isEmpty()) {
             throw ConfigException.unusable("nothing to serve: the MySQL file has no listen address");
         }
-        context.runOnEventLoop(lifecycle::serve);
+        context.runOnEventLoop(lifecycle::startServing);
     }
 
     /** Shuts down gracefully and ends the process with status 0, instead of the one that SIGTERM causes. */
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -54,7 +54,7 @@
     /**
      * Creates the lifecycle of a process that is starting.
      *
-     * @param servers the servers of all protocols; more may be added to the list until {@link #serve}
+     * @param servers the servers of all protocols; more may be added to the list until {@link #startServing}
      * @param shutdown how this process shuts down
      */
     public Lifecycle(
@@ -87,7 +87,7 @@
      * Called once all protocols listen: makes this process ready, unless an operator has started a drain, and
      * starts the periodic close of drained connections.
      */
-    public void serve() {
+    public void startServing() {
         state = state.afterListening();
         ticker.every(Ticker.TICK_MS, this::closeDrainedConnections);
     }
