--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -74,7 +74,7 @@
     private void start() {
         List<ProtocolServer> servers = context.protocolServers();
         Ticker ticker = context.ticker();
-        context.runOnEventLoop(lifecycle::joinHotRestart);
+        context.runOnEventLoop(lifecycle::startStateExchange);
         ticker.every(Ticker.TICK_MS, () -> servers.forEach(ProtocolServer::tick));
         ticker.every(CLIENT_CHECK_PERIOD_MS, () -> servers.forEach(ProtocolServer::runPeriodicTasks));
         ticker.every(IDLE_CHECK_PERIOD_MS, () -> servers.forEach(ProtocolServer::closeIdleEngineConnections));
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -76,7 +76,7 @@
      * Starts the exchange of state with the other processes of this front end: reads their files and writes
      * the file of this process, now and periodically.
      */
-    public void joinHotRestart() {
+    public void startStateExchange() {
         hotRestart.readPeers();
         hotRestart.writeState();
         ticker.every(PEER_POLL_MS, hotRestart::readPeers);
