--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -46,7 +46,7 @@
     private final Metrics metrics;
     private final HotRestart hotRestart;
     private final ShutdownOptions shutdown;
-    private final CountDownLatch drained = new CountDownLatch(1);
+    private final CountDownLatch drainedLatch = new CountDownLatch(1);
     private ProcessState state = ProcessState.STARTING;
     /** Set at the start of each drain or shutdown; not read in other states. */
     private long drainStartNanos;
@@ -169,7 +169,7 @@
         LOG.info("graceful shutdown started: signal=SIGTERM deadlineMs={}", shutdown.shutdownDeadlineMs());
         loop.execute(this::beginShutdown);
         try {
-            drained.await();
+            drainedLatch.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -219,7 +219,7 @@
             servers.forEach(server -> server.closeIdleClients(1));
         }
         if (servers.stream().allMatch(ProtocolServer::isDrained)) {
-            drained.countDown();
+            drainedLatch.countDown();
         }
     }
 }
