--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -45,7 +45,7 @@
     private final List<ProtocolServer> servers;
     private final Metrics metrics;
     private final HotRestart hotRestart;
-    private final ShutdownOptions shutdown;
+    private final ShutdownOptions options;
     private final CountDownLatch drainedLatch = new CountDownLatch(1);
     private ProcessState state = ProcessState.STARTING;
     /** Set at the start of each drain or shutdown; not read in other states. */
@@ -55,7 +55,7 @@
      * Creates the lifecycle of a process that is starting.
      *
      * @param servers the servers of all protocols; more may be added to the list until {@link #startServing}
-     * @param shutdown how this process shuts down
+     * @param options how this process shuts down
      */
     public Lifecycle(
             EventLoop loop,
@@ -63,13 +63,13 @@
             List<ProtocolServer> servers,
             Metrics metrics,
             HotRestart hotRestart,
-            ShutdownOptions shutdown) {
+            ShutdownOptions options) {
         this.loop = loop;
         this.ticker = ticker;
         this.servers = servers;
         this.metrics = metrics;
         this.hotRestart = hotRestart;
-        this.shutdown = shutdown;
+        this.options = options;
     }
 
     /**
@@ -145,7 +145,7 @@
     private void closeDrainedConnections() {
         if (state.isDraining()) {
             closeDrainedConnections(DrainSchedule.OPERATOR_DRAIN);
-        } else if (state.isTerminating() && shutdown.inherited()) {
+        } else if (state.isTerminating() && options.inherited()) {
             closeDrainedConnections(DrainSchedule.HOT_RESTART);
         }
     }
@@ -166,7 +166,7 @@
      * returns once every response has been written. Blocks; called once, on the thread of the shutdown hook.
      */
     public void shutdownGracefully() {
-        LOG.info("graceful shutdown started: signal=SIGTERM deadlineMs={}", shutdown.shutdownDeadlineMs());
+        LOG.info("graceful shutdown started: signal=SIGTERM deadlineMs={}", options.shutdownDeadlineMs());
         loop.execute(this::beginShutdown);
         try {
             drainedLatch.await();
@@ -180,16 +180,16 @@
     private void beginShutdown() {
         state = state.afterTermination();
         drainStartNanos = System.nanoTime();
-        servers.forEach(server -> server.setShutdownDeadline(shutdown.shutdownDeadlineMs()));
-        if (shutdown.inherited()) {
+        servers.forEach(server -> server.setShutdownDeadline(options.shutdownDeadlineMs()));
+        if (options.inherited()) {
             servers.forEach(ProtocolServer::stopListening);
         } else {
             setAdmission(ServerAdmissionPolicy.Phase.DRAINING);
         }
         schedule(
                 () -> ticker.every(Ticker.TICK_MS, this::completeShutdown),
-                shutdown.inherited() ? 0 : REQUEST_ARRIVAL_GRACE_MS);
-        schedule(this::failOpenRequests, shutdown.shutdownDeadlineMs());
+                options.inherited() ? 0 : REQUEST_ARRIVAL_GRACE_MS);
+        schedule(this::failOpenRequests, options.shutdownDeadlineMs());
     }
 
     private void schedule(Runnable task, int delayMs) {
@@ -214,7 +214,7 @@
     }
 
     private void completeShutdown() {
-        if (!shutdown.inherited()) {
+        if (!options.inherited()) {
             servers.forEach(ProtocolServer::stopListening);
             servers.forEach(server -> server.closeIdleClients(1));
         }
