--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -187,7 +187,7 @@
             setAdmission(ServerAdmissionPolicy.Phase.DRAINING);
         }
         schedule(
-                () -> ticker.every(Ticker.TICK_MS, this::completeShutdown),
+                () -> ticker.every(Ticker.TICK_MS, this::advanceShutdown),
                 options.isListenerInherited() ? 0 : REQUEST_ARRIVAL_GRACE_MS);
         schedule(this::failOpenRequests, options.shutdownDeadlineMs());
     }
@@ -213,7 +213,7 @@
         servers.forEach(ProtocolServer::failOpenRequests);
     }
 
-    private void completeShutdown() {
+    private void advanceShutdown() {
         if (!options.isListenerInherited()) {
             servers.forEach(ProtocolServer::stopListening);
             servers.forEach(server -> server.closeIdleClients(1));
