--- a/src/main/java/lineward/lifecycle/HotRestart.java
+++ b/src/main/java/lineward/lifecycle/HotRestart.java
@@ -51,7 +51,7 @@
     private final DoubleSupplier clock;
     private final Listener listener;
     private boolean failureLogged;
-    private boolean left;
+    private boolean stopped;
 
     /**
      * Prepares the exchange without reading or writing anything.
@@ -91,7 +91,7 @@
 
     /** Writes this process's file; the time in the file is the heartbeat of this process. */
     public void writeState() {
-        if (files == null || left) {
+        if (files == null || stopped) {
             return;
         }
         try {
@@ -149,8 +149,8 @@
      * Ends the exchange at the end of this process: deletes its file, which the process that takes over has
      * read by then, and prevents further writes.
      */
-    public void leave() {
-        left = true;
+    public void stop() {
+        stopped = true;
         if (files != null) {
             files.deleteOwn();
         }
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -173,7 +173,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        loop.submit(hotRestart::leave).syncUninterruptibly();
+        loop.submit(hotRestart::stop).syncUninterruptibly();
         LOG.info("graceful shutdown complete: openRequests=0");
     }
 
--- a/src/test/java/lineward/lifecycle/HotRestartTest.java
+++ b/src/test/java/lineward/lifecycle/HotRestartTest.java
@@ -75,7 +75,7 @@
         old.readPeers();
         List<String> firstEvents = List.of("s-1 excluded", "s-2 excluded", "s-1 released", "quota 0.5");
         assertEquals(first.events, firstEvents);
-        old.leave();
+        old.stop();
         old.writeState();
         next.readPeers();
         assertTrue(next.isExcluded("s-2"));
@@ -197,7 +197,7 @@
             HotRestart alone = new HotRestart(none, "n1", () -> now, listener);
             alone.readPeers();
             alone.setMaintenance("s-1", true);
-            alone.leave();
+            alone.stop();
             assertEquals(listener.events, List.of("s-1 excluded"));
         }
     }
