--- a/src/main/java/lineward/lifecycle/HotRestart.java
+++ b/src/main/java/lineward/lifecycle/HotRestart.java
@@ -110,7 +110,7 @@
         int runningPeers = 0;
         try {
             for (Path file : files.listPeers()) {
-                runningPeers += isRunningAfterReading(file) ? 1 : 0;
+                runningPeers += readPeer(file) ? 1 : 0;
             }
         } catch (IOException e) {
             logFirstFailure(Operation.LIST, files.directory(), e);
@@ -125,7 +125,7 @@
      * Applies the commands in a file, or deletes the file if it has expired. Returns whether the process that
      * wrote it is running.
      */
-    private boolean isRunningAfterReading(Path file) {
+    private boolean readPeer(Path file) {
         try {
             PeerState peer = files.read(file);
             HotRestartPolicy.PeerStatus status = policy.statusOf(peer, clock.getAsDouble());
