--- a/src/main/java/lineward/lifecycle/HotRestart.java
+++ b/src/main/java/lineward/lifecycle/HotRestart.java
@@ -98,7 +98,7 @@
             files.write(policy.snapshot(clock.getAsDouble()));
             failureLogged = false;
         } catch (IOException e) {
-            logFirstFailure(Operation.WRITE, files.own(), e);
+            logFirstFailure(Operation.WRITE, files.ownFile(), e);
         }
     }
 
@@ -152,7 +152,7 @@
     public void stop() {
         stopped = true;
         if (files != null) {
-            files.deleteOwn();
+            files.deleteOwnFile();
         }
     }
 
--- a/src/main/java/lineward/lifecycle/PeerStateFiles.java
+++ b/src/main/java/lineward/lifecycle/PeerStateFiles.java
@@ -18,7 +18,7 @@
 
     private final Path directory;
     private final String prefix;
-    private final Path own;
+    private final Path ownFile;
     private final Path draft;
 
     /**
@@ -32,7 +32,7 @@
         this.directory = directory;
         this.prefix = "lineward-" + name.replaceAll("[^A-Za-z0-9._-]", "_") + '-';
         String ownName = prefix + ProcessHandle.current().pid() + '-' + startedAtMs + SUFFIX;
-        this.own = directory.resolve(ownName);
+        this.ownFile = directory.resolve(ownName);
         this.draft = directory.resolve(ownName + DRAFT_SUFFIX);
     }
 
@@ -41,14 +41,14 @@
     }
 
     /** Returns this process's file. */
-    Path own() {
-        return own;
+    Path ownFile() {
+        return ownFile;
     }
 
     /** Replaces this process's file atomically. */
     void write(PeerState state) throws IOException {
         Files.writeString(draft, PeerStateCodec.encode(state));
-        Files.move(draft, own, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(draft, ownFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** Returns the files of the other processes of this front end. */
@@ -60,7 +60,7 @@
 
     private boolean isPeer(Path file) {
         String fileName = file.getFileName().toString();
-        return fileName.startsWith(prefix) && fileName.endsWith(SUFFIX) && !file.equals(own);
+        return fileName.startsWith(prefix) && fileName.endsWith(SUFFIX) && !file.equals(ownFile);
     }
 
     /** Reads a file of {@link #listPeers}; returns {@link PeerState#UNUSABLE} if it is too large. */
@@ -77,8 +77,8 @@
     }
 
     /** Deletes this process's file. If that fails, another process deletes it once it has expired. */
-    void deleteOwn() {
-        own.toFile().delete();
+    void deleteOwnFile() {
+        ownFile.toFile().delete();
         draft.toFile().delete();
     }
 }
