--- a/src/main/java/lineward/lifecycle/PeerStateFiles.java
+++ b/src/main/java/lineward/lifecycle/PeerStateFiles.java
@@ -13,13 +13,13 @@
  */
 final class PeerStateFiles {
     private static final String SUFFIX = ".engines.json";
-    private static final String DRAFT_SUFFIX = ".new";
+    private static final String TEMP_SUFFIX = ".new";
     private static final int MAX_FILE_BYTES = 256 * 1024;
 
     private final Path directory;
     private final String prefix;
     private final Path ownFile;
-    private final Path draft;
+    private final Path tempFile;
 
     /**
      * Determines the file names without writing anything.
@@ -33,7 +33,7 @@
         this.prefix = "lineward-" + name.replaceAll("[^A-Za-z0-9._-]", "_") + '-';
         String ownName = prefix + ProcessHandle.current().pid() + '-' + startedAtMs + SUFFIX;
         this.ownFile = directory.resolve(ownName);
-        this.draft = directory.resolve(ownName + DRAFT_SUFFIX);
+        this.tempFile = directory.resolve(ownName + TEMP_SUFFIX);
     }
 
     Path directory() {
@@ -47,8 +47,8 @@
 
     /** Replaces this process's file atomically. */
     void write(PeerState state) throws IOException {
-        Files.writeString(draft, PeerStateCodec.encode(state));
-        Files.move(draft, ownFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.writeString(tempFile, PeerStateCodec.encode(state));
+        Files.move(tempFile, ownFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
     /** Returns the files of the other processes of this front end. */
@@ -79,6 +79,6 @@
     /** Deletes this process's file. If that fails, another process deletes it once it has expired. */
     void deleteOwnFile() {
         ownFile.toFile().delete();
-        draft.toFile().delete();
+        tempFile.toFile().delete();
     }
 }
