--- a/src/main/java/lineward/lifecycle/Ticker.java
+++ b/src/main/java/lineward/lifecycle/Ticker.java
@@ -15,7 +15,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Ticker.class);
     private static final int WHEEL_SLOTS = 64;
     private static final long UNLIMITED_TIMEOUTS = -1;
-    private final HashedWheelTimer wheel;
+    private final HashedWheelTimer timer;
 
     /**
      * Creates a timer whose thread starts with its first task.
@@ -23,7 +23,7 @@
      * @param loop event loop on which all tasks run
      */
     public Ticker(EventLoop loop) {
-        wheel = new HashedWheelTimer(
+        timer = new HashedWheelTimer(
                 new DefaultThreadFactory("wheel", true),
                 TICK_MS,
                 TimeUnit.MILLISECONDS,
@@ -38,7 +38,7 @@
      * end of one run and the start of the next. May be called on any thread.
      */
     public void every(int periodMs, Runnable task) {
-        wheel.newTimeout(
+        timer.newTimeout(
                 timeout -> {
                     try {
                         task.run();
