--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -103,12 +103,12 @@
      */
     @Override
     public boolean setMaintenance(String engine, boolean excluded) {
-        boolean listed =
+        boolean isKnown =
                 servers.stream().anyMatch(server -> server.coordinator().hasEngine(engine));
-        if (listed && excluded != hotRestart.isExcluded(engine)) {
+        if (isKnown && excluded != hotRestart.isExcluded(engine)) {
             hotRestart.setMaintenance(engine, excluded);
         }
-        return listed;
+        return isKnown;
     }
 
     @Override
