--- a/src/main/java/lineward/app/ConfigException.java
+++ b/src/main/java/lineward/app/ConfigException.java
@@ -49,10 +49,10 @@
     /** Creates an exception for one value, with its cause. */
     static ConfigException invalid(
             String file, String key, String reason, String found, String allowed, Throwable cause) {
-        int shownChars = Math.min(MAX_FOUND_CHARS, found.length());
-        String shown = printable(found.substring(0, shownChars));
-        String message = file + ": " + key + ' ' + reason + "; found " + shown + ", allowed " + allowed;
-        return new ConfigException(printable(message), file, key, shown, allowed, cause);
+        int length = Math.min(MAX_FOUND_CHARS, found.length());
+        String foundText = printable(found.substring(0, length));
+        String message = file + ": " + key + ' ' + reason + "; found " + foundText + ", allowed " + allowed;
+        return new ConfigException(printable(message), file, key, foundText, allowed, cause);
     }
 
     /**
--- a/src/main/java/lineward/app/ConfigSchema.java
+++ b/src/main/java/lineward/app/ConfigSchema.java
@@ -29,9 +29,9 @@
             return;
         }
         try (InputStream in = ConfigSchema.class.getResourceAsStream(schema)) {
-            JsonSchema rules = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
+            JsonSchema jsonSchema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
                     .getSchema(in);
-            rules.validate(root.value()).stream()
+            jsonSchema.validate(root.value()).stream()
                     .min(Comparator.comparing(ValidationMessage::getMessage))
                     .ifPresent(violation -> {
                         throw invalid(root.file(), violation);
--- a/src/main/java/lineward/app/PlatformConfigFile.java
+++ b/src/main/java/lineward/app/PlatformConfigFile.java
@@ -104,12 +104,12 @@
         if (!isAllowed || !listen.isPresent()) {
             return null;
         }
-        Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+        Map<InetSocketAddress, Integer> peerNumbers = new HashMap<>();
         for (ConfigNode peer : root.member("peers").elements()) {
-            numbers.put(peer.address(), numbers.size());
+            peerNumbers.put(peer.address(), peerNumbers.size());
         }
         return new PlatformConfig.Gossip(
-                listen.address(), numbers, root.member("peers_all").address());
+                listen.address(), peerNumbers, root.member("peers_all").address());
     }
 
     /**
--- a/src/main/java/lineward/app/SpoolCommand.java
+++ b/src/main/java/lineward/app/SpoolCommand.java
@@ -93,9 +93,9 @@
 
     /** Returns whether a result has this user and this key; null stands for any. */
     private static boolean matches(Manifest manifest, String user, String key) {
-        boolean isOfUser = user == null || manifest.user().equals(user);
-        boolean isUnderKey = key == null || manifest.key().equals(key);
-        return isOfUser && isUnderKey;
+        boolean matchesUser = user == null || manifest.user().equals(user);
+        boolean matchesKey = key == null || manifest.key().equals(key);
+        return matchesUser && matchesKey;
     }
 
     /** Returns the fault of the first block that can't be read; empty if all blocks can be read. */
--- a/src/main/java/lineward/app/TelemetryWiring.java
+++ b/src/main/java/lineward/app/TelemetryWiring.java
@@ -37,8 +37,8 @@
      * @param classOf returns the class of a request
      */
     <X> Tracer<X> tracer(Function<X, String> classOf) {
-        Tracer<X> counter = new MetricsTracer<>(metrics, classOf, new LogTracer<>());
-        return export == null ? counter : export.tracer(classOf, Object::toString, counter);
+        Tracer<X> metricsTracer = new MetricsTracer<>(metrics, classOf, new LogTracer<>());
+        return export == null ? metricsTracer : export.tracer(classOf, Object::toString, metricsTracer);
     }
 
     @Override
--- a/src/main/java/lineward/app/ThriftWiring.java
+++ b/src/main/java/lineward/app/ThriftWiring.java
@@ -86,8 +86,8 @@
     }
 
     private Coordinator<Call> coordinator(long seed, Tracer<Call> tracer) {
-        int fittingRequests = config.resources().memoryMb() * OPEN_REQUESTS_PER_MB;
-        int maxOpenRequests = Math.min(FrontEndContext.MAX_OPEN_REQUESTS, fittingRequests);
+        int maxRequestsByMemory = config.resources().memoryMb() * OPEN_REQUESTS_PER_MB;
+        int maxOpenRequests = Math.min(FrontEndContext.MAX_OPEN_REQUESTS, maxRequestsByMemory);
         SpeculativeScheduler scheduler = new SpeculativeScheduler(config.settings(), seed);
         return new Coordinator<>(scheduler, maxOpenRequests, CANCEL_LATENCY_MS, tracer);
     }
