--- a/src/test/java/lineward/lifecycle/HotRestartTest.java
+++ b/src/test/java/lineward/lifecycle/HotRestartTest.java
@@ -36,63 +36,63 @@
         }
     }
 
-    private static final String ODD_ENGINE = "engine 7/\"a\" \u00e9";
+    private static final String SPECIAL_CHARACTERS_ID = "engine 7/\"a\" \u00e9";
 
     private Path directory;
-    private double now = 1_000_000;
+    private double nowMs = 1_000_000;
 
     @BeforeMethod
-    public void start() throws IOException {
+    public void createDirectory() throws IOException {
         directory = Files.createTempDirectory("hot-restart");
     }
 
     @AfterMethod(alwaysRun = true)
-    public void stop() throws IOException {
+    public void deleteDirectory() throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
             files.forEach(file -> file.toFile().delete());
         }
         Files.delete(directory);
     }
 
-    private HotRestart process(RecordingListener listener) {
-        now++; // All have this test's process id, so only the start time distinguishes their files.
-        return new HotRestart(directory, "n1", () -> now, listener);
+    private HotRestart startProcess(RecordingListener listener) {
+        nowMs++; // All have this test's process id, so only the start time distinguishes their files.
+        return new HotRestart(directory, "n1", () -> nowMs, listener);
     }
 
     @Test
-    public void laterOrderIsInEffectInBothProcessesAndSurvivesTheFirst() {
-        RecordingListener first = new RecordingListener();
-        HotRestart old = process(first);
-        old.setMaintenance("s-1", true);
-        old.setMaintenance("s-2", true);
-        RecordingListener second = new RecordingListener();
-        HotRestart next = process(second);
-        next.readPeers();
-        next.writeState();
-        assertEquals(second.events, List.of("s-1 excluded", "s-2 excluded", "quota 0.5"));
-        now += 10;
-        next.setMaintenance("s-1", false);
-        old.readPeers();
-        List<String> firstEvents = List.of("s-1 excluded", "s-2 excluded", "s-1 released", "quota 0.5");
-        assertEquals(first.events, firstEvents);
-        old.stop();
-        old.writeState();
-        next.readPeers();
-        assertTrue(next.isExcluded("s-2"));
-        assertFalse(next.isExcluded("s-1"));
-        assertEquals(second.events.subList(3, 5), List.of("s-1 released", "quota 1.0"));
+    public void laterCommandIsInEffectInBothProcessesAndAfterTheFirstEnds() {
+        RecordingListener oldListener = new RecordingListener();
+        HotRestart oldProcess = startProcess(oldListener);
+        oldProcess.setMaintenance("s-1", true);
+        oldProcess.setMaintenance("s-2", true);
+        RecordingListener newListener = new RecordingListener();
+        HotRestart newProcess = startProcess(newListener);
+        newProcess.readPeers();
+        newProcess.writeState();
+        assertEquals(newListener.events, List.of("s-1 excluded", "s-2 excluded", "quota 0.5"));
+        nowMs += 10;
+        newProcess.setMaintenance("s-1", false);
+        oldProcess.readPeers();
+        List<String> oldEvents = List.of("s-1 excluded", "s-2 excluded", "s-1 released", "quota 0.5");
+        assertEquals(oldListener.events, oldEvents);
+        oldProcess.stop();
+        oldProcess.writeState();
+        newProcess.readPeers();
+        assertTrue(newProcess.isExcluded("s-2"));
+        assertFalse(newProcess.isExcluded("s-1"));
+        assertEquals(newListener.events.subList(3, 5), List.of("s-1 released", "quota 1.0"));
     }
 
     /** Content of another process's file, and whether a process accepts its command to exclude s-1. */
     @DataProvider
     public Object[][] files() {
-        String order = "\"engines\":{\"s-1\":{\"out\":true,\"since\":999000}}}";
+        String enginesJson = "\"engines\":{\"s-1\":{\"out\":true,\"since\":999000}}}";
         return new Object[][] {
-            {"{\"at\":1000000," + order, true},
-            {"{\"at\":991500," + order, true},
-            {"{\"at\":980000," + order, false},
-            {"{\"at\":9980000," + order, false},
-            {"{" + order, false},
+            {"{\"at\":1000000," + enginesJson, true},
+            {"{\"at\":991500," + enginesJson, true},
+            {"{\"at\":980000," + enginesJson, false},
+            {"{\"at\":9980000," + enginesJson, false},
+            {"{" + enginesJson, false},
             {"", false},
             {"{", false},
             {"[1]", false},
@@ -105,40 +105,40 @@
     }
 
     @Test(dataProvider = "files")
-    public void expiredAndMalformedFilesAreHarmless(String content, boolean accepted) throws IOException {
+    public void expiredAndMalformedFilesAreIgnored(String content, boolean accepted) throws IOException {
         Files.writeString(directory.resolve("lineward-n1-77-99.engines.json"), content);
         Files.writeString(
                 directory.resolve("lineward-n2-77-99.engines.json"),
                 "{\"at\":1000000,\"engines\":{\"s-2\":{\"out\":true,\"since\":999000}}}");
         RecordingListener listener = new RecordingListener();
-        HotRestart next = process(listener);
-        next.readPeers();
-        assertEquals(next.isExcluded("s-1"), accepted);
-        assertFalse(next.isExcluded("s-2"), "a command of another front end");
-        next.setMaintenance("s-1", true);
-        assertTrue(next.isExcluded("s-1"));
+        HotRestart reader = startProcess(listener);
+        reader.readPeers();
+        assertEquals(reader.isExcluded("s-1"), accepted);
+        assertFalse(reader.isExcluded("s-2"), "a command of another front end");
+        reader.setMaintenance("s-1", true);
+        assertTrue(reader.isExcluded("s-1"));
     }
 
     /** A file of an earlier version, the time at which it is read, and the events of the listener. */
     @DataProvider
     public Object[][] storedFiles() {
         List<String> firstEvents = List.of("s-1 excluded", "s-2 released", "quota 0.5");
-        List<String> oddEvents = List.of(ODD_ENGINE + " excluded", "s-3 released", "quota 0.5");
+        List<String> secondEvents = List.of(SPECIAL_CHARACTERS_ID + " excluded", "s-3 released", "quota 0.5");
         return new Object[][] {
             {"hot-restart-1.engines.json", 1.7646540005e12, firstEvents},
-            {"hot-restart-2.engines.json", 1.764654102e12, oddEvents},
+            {"hot-restart-2.engines.json", 1.764654102e12, secondEvents},
             {"hot-restart-3.engines.json", 1.764654102e12, List.of("quota 0.5")}
         };
     }
 
     @Test(dataProvider = "storedFiles")
-    public void fileOfAnEarlierVersionIsReadAndKeepsItsForm(String name, double readAtMs, List<String> events)
+    public void fileOfAnEarlierVersionIsReadAndRoundTrips(String name, double readAtMs, List<String> events)
             throws IOException {
-        String content = stored(name);
+        String content = storedFile(name);
         Files.writeString(directory.resolve("lineward-n1-77-99.engines.json"), content);
-        now = readAtMs;
+        nowMs = readAtMs;
         RecordingListener listener = new RecordingListener();
-        process(listener).readPeers();
+        startProcess(listener).readPeers();
         assertEquals(listener.events, events);
         assertEquals(PeerStateCodec.encode(PeerStateCodec.decode(content)), content);
     }
@@ -148,11 +148,11 @@
     public void stateIsWrittenAsTheEarlierVersionWroteIt() throws IOException {
         writeState(directory, "n1", true);
         writeState(directory, "n2", false);
-        assertEquals(written("lineward-n1-"), stored("hot-restart-2.engines.json"));
-        assertEquals(written("lineward-n2-"), stored("hot-restart-3.engines.json"));
+        assertEquals(writtenFile("lineward-n1-"), storedFile("hot-restart-2.engines.json"));
+        assertEquals(writtenFile("lineward-n2-"), storedFile("hot-restart-3.engines.json"));
     }
 
-    private String written(String prefix) throws IOException {
+    private String writtenFile(String prefix) throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
             Path file = files.filter(path -> path.getFileName().toString().startsWith(prefix))
                     .findFirst()
@@ -161,18 +161,18 @@
         }
     }
 
-    private static String stored(String name) throws IOException {
+    private static String storedFile(String name) throws IOException {
         try (InputStream resource = HotRestartTest.class.getResourceAsStream(name)) {
             return new String(resource.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
     /** Writes the file of a process that has received several commands, or none. */
-    private static void writeState(Path folder, String name, boolean hasOrders) {
+    private static void writeState(Path folder, String name, boolean hasCommands) {
         double[] clock = {1.764654100e12};
         HotRestart process = new HotRestart(folder, name, () -> clock[0], new RecordingListener());
-        if (hasOrders) {
-            process.setMaintenance(ODD_ENGINE, true);
+        if (hasCommands) {
+            process.setMaintenance(SPECIAL_CHARACTERS_ID, true);
             clock[0] += 0.25;
             process.setMaintenance("s-3", true);
             clock[0] += 1000;
@@ -191,13 +191,13 @@
     }
 
     @Test
-    public void withoutADirectoryOrdersAreInEffectInThisProcessOnly() {
-        for (Path none : new Path[] {null, directory.resolve("missing")}) {
+    public void withoutADirectoryCommandsAreInEffectInThisProcessOnly() {
+        for (Path unusableDirectory : new Path[] {null, directory.resolve("missing")}) {
             RecordingListener listener = new RecordingListener();
-            HotRestart alone = new HotRestart(none, "n1", () -> now, listener);
-            alone.readPeers();
-            alone.setMaintenance("s-1", true);
-            alone.stop();
+            HotRestart process = new HotRestart(unusableDirectory, "n1", () -> nowMs, listener);
+            process.readPeers();
+            process.setMaintenance("s-1", true);
+            process.stop();
             assertEquals(listener.events, List.of("s-1 excluded"));
         }
     }
