--- a/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
+++ b/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
@@ -16,7 +16,7 @@
 public class HotRestartPolicyTest {
     private static final double NOW_MS = 1_000_000;
 
-    private static MaintenanceCommand order(boolean excluded, double sinceMs) {
+    private static MaintenanceCommand command(boolean excluded, double sinceMs) {
         return new MaintenanceCommand("s-1", excluded, sinceMs);
     }
 
@@ -36,7 +36,7 @@
     }
 
     @Test(dataProvider = "ages")
-    public void ageOfItsFileDecidesAPeersStatus(int ageMs, PeerStatus status) {
+    public void ageOfTheFileDeterminesThePeersStatus(int ageMs, PeerStatus status) {
         PeerState peer = new PeerState(NOW_MS - ageMs, List.of());
         assertEquals(new HotRestartPolicy().statusOf(peer, NOW_MS), status);
     }
@@ -54,16 +54,16 @@
     @DataProvider
     public Object[][] orders() {
         return new Object[][] {
-            {order(true, 10), order(false, 20), true, false},
-            {order(true, 10), order(false, 10), false, true},
-            {order(true, 10), order(false, 9), false, true},
-            {order(true, 10), order(true, 20), false, true},
-            {order(false, 10), order(true, 20), true, true}
+            {command(true, 10), command(false, 20), true, false},
+            {command(true, 10), command(false, 10), false, true},
+            {command(true, 10), command(false, 9), false, true},
+            {command(true, 10), command(true, 20), false, true},
+            {command(false, 10), command(true, 20), true, true}
         };
     }
 
     @Test(dataProvider = "orders")
-    public void laterOrderIsInEffect(
+    public void laterCommandIsInEffect(
             MaintenanceCommand first, MaintenanceCommand second, boolean changes, boolean excluded) {
         HotRestartPolicy policy = new HotRestartPolicy();
         assertTrue(policy.apply(first));
@@ -72,16 +72,16 @@
     }
 
     @Test
-    public void orderFromTheFutureIsNotCredible() {
+    public void commandFromTheFutureIsNotCredible() {
         HotRestartPolicy policy = new HotRestartPolicy();
-        assertTrue(policy.isCredible(order(true, NOW_MS + 999), NOW_MS));
-        assertFalse(policy.isCredible(order(true, NOW_MS + 1_000), NOW_MS));
+        assertTrue(policy.isCredible(command(true, NOW_MS + 999), NOW_MS));
+        assertFalse(policy.isCredible(command(true, NOW_MS + 1_000), NOW_MS));
     }
 
     @Test
-    public void snapshotDropsOrdersRevokedLongAgo() {
+    public void snapshotDropsReleasesGivenLongAgo() {
         HotRestartPolicy policy = new HotRestartPolicy();
-        policy.apply(order(false, NOW_MS - 60_000));
+        policy.apply(command(false, NOW_MS - 60_000));
         policy.apply(new MaintenanceCommand("s-2", true, 0));
         assertEquals(policy.snapshot(NOW_MS).commands().size(), 2);
         PeerState later = policy.snapshot(NOW_MS + 1);
