--- a/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
+++ b/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
@@ -52,7 +52,7 @@
      * engine is excluded afterwards.
      */
     @DataProvider
-    public Object[][] orders() {
+    public Object[][] commands() {
         return new Object[][] {
             {command(true, 10), command(false, 20), true, false},
             {command(true, 10), command(false, 10), false, true},
@@ -62,7 +62,7 @@
         };
     }
 
-    @Test(dataProvider = "orders")
+    @Test(dataProvider = "commands")
     public void laterCommandIsInEffect(
             MaintenanceCommand first, MaintenanceCommand second, boolean changes, boolean excluded) {
         HotRestartPolicy policy = new HotRestartPolicy();
