--- a/src/test/java/lineward/lifecycle/ProcessStateTest.java
+++ b/src/test/java/lineward/lifecycle/ProcessStateTest.java
@@ -63,7 +63,7 @@
     }
 
     @Test
-    public void theTablesNameEveryState() {
+    public void tablesContainEveryState() {
         assertEquals(transitions().length, ProcessState.values().length);
         assertEquals(properties().length, ProcessState.values().length);
     }
