--- a/src/test/java/lineward/operations/AdminServerTest.java
+++ b/src/test/java/lineward/operations/AdminServerTest.java
@@ -24,13 +24,13 @@
  */
 public class AdminServerTest {
     private TestingPlatform platform;
-    private AdminClient operator;
+    private AdminClient adminClient;
 
     @BeforeClass
     public void start() throws IOException {
         platform = new TestingPlatform(Map.of());
-        operator = new AdminClient(platform.program());
-        Program.await("the program is ready", operator::isReady);
+        adminClient = new AdminClient(platform.program());
+        Program.await("the program is ready", adminClient::isReady);
     }
 
     @AfterClass(alwaysRun = true)
@@ -67,12 +67,12 @@
     @Test(dataProvider = "requests")
     public void eachRequestGetsItsResponseInTime(String bytes, int status) throws IOException {
         long startNanos = System.nanoTime();
-        assertEquals(operator.sendRaw(bytes).status(), status);
+        assertEquals(adminClient.sendRaw(bytes).status(), status);
         assertTrue(AdminClient.millisSince(startNanos) < 2000, "no response or close within 2 s");
     }
 
     @Test
-    public void aRequestInTwoPiecesGetsItsResponse() throws IOException {
+    public void requestInTwoPartsGetsItsResponse() throws IOException {
         byte[] request = "POST /ops/query-engines/down HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-9"
                 .getBytes(StandardCharsets.US_ASCII);
         for (int firstBytes = 1; firstBytes < request.length; firstBytes++) {
@@ -95,7 +95,7 @@
                 silent.add(connect());
             }
             long startNanos = System.nanoTime();
-            assertTrue(operator.isReady());
+            assertTrue(adminClient.isReady());
             assertTrue(AdminClient.millisSince(startNanos) < 1000);
         } finally {
             for (Socket socket : silent) {
