--- a/src/test/java/lineward/telemetry/TelemetryTest.java
+++ b/src/test/java/lineward/telemetry/TelemetryTest.java
@@ -26,14 +26,14 @@
     private final List<Span> spans = new CopyOnWriteArrayList<>();
     private final List<String> metrics = new CopyOnWriteArrayList<>();
 
-    private HttpServer collector(CountDownLatch release) throws IOException {
+    private HttpServer startCollector(CountDownLatch responsesAllowed) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.setExecutor(Executors.newCachedThreadPool());
         server.createContext("/v1/traces", exchange -> {
             ExportTraceServiceRequest.parseFrom(exchange.getRequestBody())
                     .getResourceSpansList()
                     .forEach(r -> r.getScopeSpansList().forEach(s -> spans.addAll(s.getSpansList())));
-            awaitQuietly(release);
+            awaitQuietly(responsesAllowed);
             exchange.sendResponseHeaders(200, -1);
             exchange.close();
         });
@@ -55,7 +55,7 @@
         }
     }
 
-    private static Map<String, String> variables(HttpServer collector) {
+    private static Map<String, String> environment(HttpServer collector) {
         return Map.of(
                 "OTEL_EXPORTER_OTLP_ENDPOINT",
                 "http://127.0.0.1:" + collector.getAddress().getPort(),
@@ -79,11 +79,11 @@
 
     @Test
     public void requestsAndAttemptsAreExportedAsSpansAndMetrics() throws IOException {
-        HttpServer collector = collector(new CountDownLatch(0));
+        HttpServer collector = startCollector(new CountDownLatch(0));
         // Discards what the program of another test has exported late.
         spans.clear();
         metrics.clear();
-        try (TestingPlatform platform = new TestingPlatform(variables(collector))) {
+        try (TestingPlatform platform = new TestingPlatform(environment(collector))) {
             platform.sendServedAndOneRejected(1);
             Program.await("three spans", () -> spans.size() >= 3);
             Span attempt = spans.stream()
@@ -110,17 +110,17 @@
     /** Requests must not wait for a collector that accepts connections but never responds. */
     @Test
     public void anUnresponsiveCollectorDelaysNoRequestAndSpansAreDropped() throws IOException {
-        CountDownLatch release = new CountDownLatch(1);
-        HttpServer collector = collector(release);
+        CountDownLatch responsesAllowed = new CountDownLatch(1);
+        HttpServer collector = startCollector(responsesAllowed);
         spans.clear();
-        try (TestingPlatform platform = new TestingPlatform(variables(collector))) {
-            long start = System.nanoTime();
+        try (TestingPlatform platform = new TestingPlatform(environment(collector))) {
+            long startNanos = System.nanoTime();
             platform.sendServedAndOneRejected(200);
-            assertTrue((System.nanoTime() - start) / 1e9 < 10, "200 requests took 10 s or longer");
+            assertTrue((System.nanoTime() - startNanos) / 1e9 < 10, "200 requests took 10 s or longer");
             Program.await("the first batch", () -> !spans.isEmpty());
             assertTrue(spans.size() <= 16, spans.size() + " spans, with a queue of 8 and a batch of 8");
         } finally {
-            release.countDown();
+            responsesAllowed.countDown();
             collector.stop(0);
         }
     }
