--- a/src/test/java/lineward/telemetry/OutcomeAttributeTest.java
+++ b/src/test/java/lineward/telemetry/OutcomeAttributeTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    public void theTablesNameEveryConstant() {
+    public void tablesContainEveryConstant() {
         assertEquals(attemptOutcomes().length, AttemptOutcome.values().length);
         assertEquals(requestEndings().length, Tracer.Ending.values().length);
     }
