--- a/src/test/java/lineward/app/ConfigExceptionTest.java
+++ b/src/test/java/lineward/app/ConfigExceptionTest.java
@@ -73,7 +73,7 @@
     }
 
     @Test(dataProvider = "invalidPlatformValues")
-    public void namesPlatformValue(String json, String key, String found, String allowed) throws Exception {
+    public void platformValueIsNamed(String json, String key, String found, String allowed) throws Exception {
         Files.writeString(file, "{\"settings\":{}," + json + "}");
         PlatformConfigFile platformFile = new PlatformConfigFile(file.toString());
         ConfigException error = expectThrows(ConfigException.class, platformFile::read);
