--- a/src/main/java/lineward/app/FrontEnd.java
+++ b/src/main/java/lineward/app/FrontEnd.java
@@ -74,7 +74,7 @@
     private void start() {
         List<ProtocolServer> servers = context.protocolServers();
         Ticker ticker = context.ticker();
-        context.runOnEventLoop(lifecycle::joinHotRestart);
+        context.runOnEventLoop(lifecycle::startStateExchange);
         ticker.every(Ticker.TICK_MS, () -> servers.forEach(ProtocolServer::tick));
         ticker.every(CLIENT_CHECK_PERIOD_MS, () -> servers.forEach(ProtocolServer::runPeriodicTasks));
         ticker.every(IDLE_CHECK_PERIOD_MS, () -> servers.forEach(ProtocolServer::closeIdleEngineConnections));
@@ -87,7 +87,7 @@
         if (servers.isEmpty()) {
             throw ConfigException.unusable("nothing to serve: the MySQL file has no listen address");
         }
-        context.runOnEventLoop(lifecycle::serve);
+        context.runOnEventLoop(lifecycle::startServing);
     }
 
     /** Shuts down gracefully and ends the process with status 0, instead of the one that SIGTERM causes. */
--- a/src/main/java/lineward/lifecycle/HotRestart.java
+++ b/src/main/java/lineward/lifecycle/HotRestart.java
@@ -51,7 +51,7 @@
     private final DoubleSupplier clock;
     private final Listener listener;
     private boolean failureLogged;
-    private boolean left;
+    private boolean stopped;
 
     /**
      * Prepares the exchange without reading or writing anything.
@@ -91,14 +91,14 @@
 
     /** Writes this process's file; the time in the file is the heartbeat of this process. */
     public void writeState() {
-        if (files == null || left) {
+        if (files == null || stopped) {
             return;
         }
         try {
             files.write(policy.snapshot(clock.getAsDouble()));
             failureLogged = false;
         } catch (IOException e) {
-            logFirstFailure(Operation.WRITE, files.own(), e);
+            logFirstFailure(Operation.WRITE, files.ownFile(), e);
         }
     }
 
@@ -110,7 +110,7 @@
         int runningPeers = 0;
         try {
             for (Path file : files.listPeers()) {
-                runningPeers += isRunningAfterReading(file) ? 1 : 0;
+                runningPeers += readPeer(file) ? 1 : 0;
             }
         } catch (IOException e) {
             logFirstFailure(Operation.LIST, files.directory(), e);
@@ -125,7 +125,7 @@
      * Applies the commands in a file, or deletes the file if it has expired. Returns whether the process that
      * wrote it is running.
      */
-    private boolean isRunningAfterReading(Path file) {
+    private boolean readPeer(Path file) {
         try {
             PeerState peer = files.read(file);
             HotRestartPolicy.PeerStatus status = policy.statusOf(peer, clock.getAsDouble());
@@ -149,10 +149,10 @@
      * Ends the exchange at the end of this process: deletes its file, which the process that takes over has
      * read by then, and prevents further writes.
      */
-    public void leave() {
-        left = true;
+    public void stop() {
+        stopped = true;
         if (files != null) {
-            files.deleteOwn();
+            files.deleteOwnFile();
         }
     }
 
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -20,11 +20,11 @@
     /**
      * How this process shuts down after SIGTERM.
      *
-     * @param inherited whether other processes accept on the clients' socket, so that this one
+     * @param isListenerInherited whether other processes accept on the clients' socket, so that this one
      *     stops accepting at once
      * @param shutdownDeadlineMs time after SIGTERM at which open requests are failed
      */
-    public record ShutdownOptions(boolean inherited, int shutdownDeadlineMs) {}
+    public record ShutdownOptions(boolean isListenerInherited, int shutdownDeadlineMs) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(Lifecycle.class);
     /**
@@ -45,8 +45,8 @@
     private final List<ProtocolServer> servers;
     private final Metrics metrics;
     private final HotRestart hotRestart;
-    private final ShutdownOptions shutdown;
-    private final CountDownLatch drained = new CountDownLatch(1);
+    private final ShutdownOptions options;
+    private final CountDownLatch drainedLatch = new CountDownLatch(1);
     private ProcessState state = ProcessState.STARTING;
     /** Set at the start of each drain or shutdown; not read in other states. */
     private long drainStartNanos;
@@ -54,8 +54,8 @@
     /**
      * Creates the lifecycle of a process that is starting.
      *
-     * @param servers the servers of all protocols; more may be added to the list until {@link #serve}
-     * @param shutdown how this process shuts down
+     * @param servers the servers of all protocols; more may be added to the list until {@link #startServing}
+     * @param options how this process shuts down
      */
     public Lifecycle(
             EventLoop loop,
@@ -63,20 +63,20 @@
             List<ProtocolServer> servers,
             Metrics metrics,
             HotRestart hotRestart,
-            ShutdownOptions shutdown) {
+            ShutdownOptions options) {
         this.loop = loop;
         this.ticker = ticker;
         this.servers = servers;
         this.metrics = metrics;
         this.hotRestart = hotRestart;
-        this.shutdown = shutdown;
+        this.options = options;
     }
 
     /**
      * Starts the exchange of state with the other processes of this front end: reads their files and writes
      * the file of this process, now and periodically.
      */
-    public void joinHotRestart() {
+    public void startStateExchange() {
         hotRestart.readPeers();
         hotRestart.writeState();
         ticker.every(PEER_POLL_MS, hotRestart::readPeers);
@@ -87,7 +87,7 @@
      * Called once all protocols listen: makes this process ready, unless an operator has started a drain, and
      * starts the periodic close of drained connections.
      */
-    public void serve() {
+    public void startServing() {
         state = state.afterListening();
         ticker.every(Ticker.TICK_MS, this::closeDrainedConnections);
     }
@@ -103,12 +103,12 @@
      */
     @Override
     public boolean setMaintenance(String engine, boolean excluded) {
-        boolean listed =
+        boolean isKnown =
                 servers.stream().anyMatch(server -> server.coordinator().hasEngine(engine));
-        if (listed && excluded != hotRestart.isExcluded(engine)) {
+        if (isKnown && excluded != hotRestart.isExcluded(engine)) {
             hotRestart.setMaintenance(engine, excluded);
         }
-        return listed;
+        return isKnown;
     }
 
     @Override
@@ -145,7 +145,7 @@
     private void closeDrainedConnections() {
         if (state.isDraining()) {
             closeDrainedConnections(DrainSchedule.OPERATOR_DRAIN);
-        } else if (state.isTerminating() && shutdown.inherited()) {
+        } else if (state.isTerminating() && options.isListenerInherited()) {
             closeDrainedConnections(DrainSchedule.HOT_RESTART);
         }
     }
@@ -166,30 +166,30 @@
      * returns once every response has been written. Blocks; called once, on the thread of the shutdown hook.
      */
     public void shutdownGracefully() {
-        LOG.info("graceful shutdown started: signal=SIGTERM deadlineMs={}", shutdown.shutdownDeadlineMs());
+        LOG.info("graceful shutdown started: signal=SIGTERM deadlineMs={}", options.shutdownDeadlineMs());
         loop.execute(this::beginShutdown);
         try {
-            drained.await();
+            drainedLatch.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        loop.submit(hotRestart::leave).syncUninterruptibly();
+        loop.submit(hotRestart::stop).syncUninterruptibly();
         LOG.info("graceful shutdown complete: openRequests=0");
     }
 
     private void beginShutdown() {
         state = state.afterTermination();
         drainStartNanos = System.nanoTime();
-        servers.forEach(server -> server.setShutdownDeadline(shutdown.shutdownDeadlineMs()));
-        if (shutdown.inherited()) {
+        servers.forEach(server -> server.setShutdownDeadline(options.shutdownDeadlineMs()));
+        if (options.isListenerInherited()) {
             servers.forEach(ProtocolServer::stopListening);
         } else {
             setAdmission(ServerAdmissionPolicy.Phase.DRAINING);
         }
         schedule(
-                () -> ticker.every(Ticker.TICK_MS, this::completeShutdown),
-                shutdown.inherited() ? 0 : REQUEST_ARRIVAL_GRACE_MS);
-        schedule(this::failOpenRequests, shutdown.shutdownDeadlineMs());
+                () -> ticker.every(Ticker.TICK_MS, this::advanceShutdown),
+                options.isListenerInherited() ? 0 : REQUEST_ARRIVAL_GRACE_MS);
+        schedule(this::failOpenRequests, options.shutdownDeadlineMs());
     }
 
     private void schedule(Runnable task, int delayMs) {
@@ -213,13 +213,13 @@
         servers.forEach(ProtocolServer::failOpenRequests);
     }
 
-    private void completeShutdown() {
-        if (!shutdown.inherited()) {
+    private void advanceShutdown() {
+        if (!options.isListenerInherited()) {
             servers.forEach(ProtocolServer::stopListening);
             servers.forEach(server -> server.closeIdleClients(1));
         }
         if (servers.stream().allMatch(ProtocolServer::isDrained)) {
-            drained.countDown();
+            drainedLatch.countDown();
         }
     }
 }
