--- a/src/main/java/lineward/app/GossipWiring.java
+++ b/src/main/java/lineward/app/GossipWiring.java
@@ -32,7 +32,7 @@
         if (gossip == null) {
             return payload -> {};
         }
-        GossipSocket socket = new GossipSocket(gossip.peers(), gossip.all(), (from, payload) -> {
+        GossipSocket socket = new GossipSocket(gossip.peers(), gossip.group(), (from, payload) -> {
             coordinator.gossipReceived(from, payload);
             afterEachMessage.run();
         });
--- a/src/main/java/lineward/app/PlatformConfig.java
+++ b/src/main/java/lineward/app/PlatformConfig.java
@@ -39,9 +39,9 @@
      *
      * @param listen address on which messages from the others arrive
      * @param peers number of each front end of the tier, by the address from which it sends
-     * @param all broadcast address, which reaches all others
+     * @param group broadcast address, which reaches all others
      */
-    record Gossip(InetSocketAddress listen, Map<InetSocketAddress, Integer> peers, InetSocketAddress all) {}
+    record Gossip(InetSocketAddress listen, Map<InetSocketAddress, Integer> peers, InetSocketAddress group) {}
 
     /** The resources that the process may use: memory in megabytes and open file descriptors. */
     record Resources(int memoryMb, int descriptors) {}
