--- a/src/main/java/lineward/app/LifecycleWiring.java
+++ b/src/main/java/lineward/app/LifecycleWiring.java
@@ -9,14 +9,11 @@
 /** Wires graceful shutdown and hot restart. */
 final class LifecycleWiring {
     /**
-     * The longest class deadline counts as at most this at a restart; the platform sends SIGKILL 0.7 s after
-     * it.
+     * Maximum time that a restart allows for the longest class deadline, counted from SIGTERM; the platform
+     * sends SIGKILL 0.7 s after this time.
      */
     static final int MAX_RESTART_DEADLINE_MS = 3000;
-    /**
-     * The longest class deadline counts as at most this at a hot restart, where another process accepts on
-     * the socket.
-     */
+    /** The same maximum for a hot restart, where another process accepts on the socket. */
     private static final int MAX_HOT_RESTART_DEADLINE_MS = 5000;
     /** Open requests are failed this long after the longest class deadline, 0.4 s before SIGKILL. */
     private static final int SHUTDOWN_GRACE_MS = 300;
--- a/src/main/java/lineward/app/Main.java
+++ b/src/main/java/lineward/app/Main.java
@@ -21,7 +21,7 @@
             Main.Mysql.class,
             Main.Adapter.class,
             Main.Rehearse.class,
-            // The subcommands are methods of this class.
+            // Declares its own subcommands (ls, verify, drop) as methods.
             SpoolCommand.class
         })
 public final class Main implements Runnable {
@@ -57,7 +57,7 @@
 
     /**
      * Returns whether this is one of the commands that the platform runs. They have no options and bypass
-     * picocli, which costs 9 MB and delays a start on a fraction of a core.
+     * picocli, which costs 9 MB and makes the start slower if the process has only a fraction of a core.
      */
     private static boolean isPlatformCommand(String[] args) {
         return switch (args.length) {
--- a/src/main/java/lineward/core/TableGroups.java
+++ b/src/main/java/lineward/core/TableGroups.java
@@ -6,8 +6,8 @@
 /** Determines the table group of an SQL statement from the number at the end of a schema name. */
 public final class TableGroups {
     /**
-     * Tokens after which a qualified name is taken for a table. A qualified column after a comma is taken for
-     * one, too.
+     * Tokens after which a qualified name is taken for a table. This includes the comma, so a qualified
+     * column that follows a comma is taken for a table as well.
      */
     private static final Set<String> TOKENS_BEFORE_TABLE_REFERENCE =
             Set.of("from", "join", "into", "update", "table", ",");
--- a/src/main/java/lineward/discovery/PollConnection.java
+++ b/src/main/java/lineward/discovery/PollConnection.java
@@ -29,8 +29,9 @@
         }
 
         /**
-         * Returns the states to which a transition is allowed. {@link #POLLING} repeats if the next poll
-         * follows a response at once, {@link #PAUSED} if an unsolicited response is received.
+         * Returns the states to which a transition is allowed. {@link #POLLING} may follow itself, as the
+         * next poll may be sent as soon as a response is received. {@link #PAUSED} may follow itself, as the
+         * service may send a response without a poll.
          */
         Set<State> successors() {
             return switch (this) {
--- a/src/main/java/lineward/discovery/PollStep.java
+++ b/src/main/java/lineward/discovery/PollStep.java
@@ -8,13 +8,10 @@
 
     /** Performs steps; has one method for each type of step. */
     interface Handler {
-        /** Opens a connection. */
         void connect(Connect step);
 
-        /** Sends a poll. */
         void sendPoll(SendPoll step);
 
-        /** Closes a connection. */
         void close(Close step);
 
         /** Reads the configuration file. */
@@ -63,7 +60,7 @@
      * Logs a warning that no valid response was received for some time.
      *
      * @param lastResponseAgeMs time since the last valid response, or since the start if there was none
-     * @param lastFault the most recent fault
+     * @param lastFault the most recent fault, or {@link PollFault#NO_RESPONSE} if there was none
      */
     record WarnNoResponse(String address, double lastResponseAgeMs, PollFault lastFault) implements PollStep {
         @Override
--- a/src/main/java/lineward/frontend/ClientRegistry.java
+++ b/src/main/java/lineward/frontend/ClientRegistry.java
@@ -36,7 +36,7 @@
      * @param capacity maximum number of connections that are not closing
      * @param monotonicNanoClock time in nanoseconds, like {@link System#nanoTime}
      * @param closer closes a connection immediately
-     * @param gracefulCloser closes a connection unless it sends a request first
+     * @param gracefulCloser closes a connection, unless a request arrives on it before the close
      */
     public ClientRegistry(
             int capacity, LongSupplier monotonicNanoClock, Consumer<C> closer, Consumer<C> gracefulCloser) {
@@ -80,7 +80,7 @@
         closing.remove(client);
     }
 
-    /** Closes a connection that awaits no response, unless it sends a request first. */
+    /** Closes a connection that awaits no response, unless a request arrives on it before the close. */
     public void closeGracefully(C client) {
         changeState(client, closing);
         gracefulCloser.accept(client);
--- a/src/main/java/lineward/lifecycle/HotRestart.java
+++ b/src/main/java/lineward/lifecycle/HotRestart.java
@@ -18,7 +18,7 @@
     /** Receives the changes that other parts of this process must apply; called on the event loop. */
     public interface Listener {
         /**
-         * An engine has been excluded from requests, or released.
+         * An engine has been excluded from requests, or its exclusion has ended.
          *
          * @param excluded whether the engine gets no requests from now on
          * @param sinceMs when the operator gave the command, in Unix milliseconds
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -171,8 +171,8 @@
     }
 
     /**
-     * Records that the query or the stream of the current command has ended. Processes the queued packets if
-     * neither is left.
+     * Records that the query or the stream of the current command has ended. Once both have ended, the queued
+     * packets are processed.
      */
     void queryOrStreamEnded(SessionState.Event event) {
         transition(event);
--- a/src/main/java/lineward/mysql/client/SpooledResultSender.java
+++ b/src/main/java/lineward/mysql/client/SpooledResultSender.java
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Answers a statement with a key from the spool. If the key has no result, the statement must be
-     * executed, unless it requests a page: pages are sent from complete results only, so that the answer is
-     * an error. It is also an error if the result belongs to another statement.
+     * Answers a statement that names a spool key with the result stored under that key. If there is none, the
+     * statement must be executed, unless it requests a page: pages are sent from complete results only, so
+     * the reply is an error. The reply is also an error if the result belongs to another statement.
      *
      * @param digest digest of the statement and its arguments
      * @param cursorStatement the statement whose cursor is opened; null if all rows are sent in one reply
--- a/src/main/java/lineward/mysql/session/PreparedStatements.java
+++ b/src/main/java/lineward/mysql/session/PreparedStatements.java
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Closes all statements. */
+    /** Closes all statements with their cursors, and releases the capacity reserved for them. */
     public void closeAll() {
         statementsById.values().forEach(this::close);
         statementsById.clear();
--- a/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
@@ -26,12 +26,12 @@
         this.maxStatementBytes = maxStatementBytes;
     }
 
-    /** Returns the phase of the server. */
+    /** Returns the current phase; OPEN unless {@link #setPhase} has changed it. */
     public Phase phase() {
         return phase;
     }
 
-    /** Sets the phase of the server. */
+    /** Changes the phase. Any phase may follow any other; an ended drain, for example, returns to OPEN. */
     public void setPhase(Phase next) {
         phase = next;
     }
--- a/src/main/java/lineward/spool/ResultFile.java
+++ b/src/main/java/lineward/spool/ResultFile.java
@@ -33,7 +33,10 @@
         return new ResultFile(spool, resultId, new SegmentStore.Handle(segment), ResultFileState.SEALED);
     }
 
-    /** Writes a block, updates its storage when the write has ended and then runs {@code onEnded}. */
+    /**
+     * Writes a block. Once the write has ended, records whether the block is on disk or, after a failure,
+     * still in memory, and then runs {@code onEnded}.
+     */
     void write(Block block, Runnable onEnded) {
         state = state.writeBlock();
         block.writeStarted();
--- a/src/main/java/lineward/telemetry/OtlpTracer.java
+++ b/src/main/java/lineward/telemetry/OtlpTracer.java
@@ -18,8 +18,8 @@
 import lineward.scheduling.AttemptOutcome;
 
 /**
- * Creates a span for each request with child spans for its attempts, counts both by class and outcome, and
- * measures the durations of requests. Called on the event loop.
+ * Creates a span for each request with child spans for its attempts, counts requests and attempts by class
+ * and outcome, and measures the durations of requests. Called on the event loop.
  *
  * @param <X> the protocol's representation of a request
  */
--- a/src/main/java/lineward/thrift/ThriftWriter.java
+++ b/src/main/java/lineward/thrift/ThriftWriter.java
@@ -27,7 +27,7 @@
         return framed(frame);
     }
 
-    /** Returns a request in the encoding of a client, for the warm-up. */
+    /** Returns a request, encoded as a client would send it, for the warm-up. */
     static ByteBuf invocation(
             ByteBufAllocator alloc, int sequenceNumber, Map<CallField, String> fields, String statement) {
         Map<String, String> wireFields = new HashMap<>();
