--- a/src/test/java/lineward/scheduling/SpeculationTest.java
+++ b/src/test/java/lineward/scheduling/SpeculationTest.java
@@ -14,9 +14,9 @@
 public class SpeculationTest {
 
     /**
-     * Of 100 runs, 80 take about 1 and 20 take more than 2. If the latter are censored there, because they
-     * were cancelled, the curve must still show that a fifth of the runs take longer than 1. It would not if
-     * censored runs were dropped.
+     * Run times are relative to the usual one. Of 100 runs, 80 complete at 1.05, and 20 are cancelled at 2.1,
+     * so that their run times are censored. The curve must still show that a fifth of the runs take longer
+     * than 1, which it would not if censored runs were dropped.
      */
     @Test
     public void censoredRunsKeepTheTail() {
@@ -93,10 +93,11 @@
         for (int i = 0; i < 40 && scheduler.allCancels().isEmpty(); i++) {
             scheduler.advance(25);
         }
-        // In units of the usual run time, and with a mean m of relaunches, the expected load of a timeout t
-        // past 1 is 1 + 0.1 (t - 1) + 0.1 m, which rises with t; below 1, nearly all runs are relaunched. So
-        // the timeout is the upper edge of the bin of 1, at most 2^0.2 x 200 ms. The cancellation follows at
-        // the next sweep.
+        // Run times are relative to the usual one; m is the mean run time of relaunches. With a timeout t
+        // above 1, one run in ten is cancelled at t and relaunched, so the expected load is 1 + 0.1 (t - 1) +
+        // 0.1 m, which rises with t. With a timeout below 1, nearly all runs are relaunched. The least load
+        // is at the upper edge of the bin that contains 1, so the timeout is at most 2^0.2 x 200 ms. The
+        // cancellation follows at the next sweep.
         assertThat(scheduler.nowMs - startedMs).isBetween(200.0, 275.0);
         assertThat(scheduler.allCancels()).hasSize(1);
         assertThat(scheduler.allStarts()).isEmpty();
@@ -185,8 +186,8 @@
     }
 
     /**
-     * Progress reports whose ratio does not rise show that the engine is alive, so it is not ejected, but the
-     * relaunch would never end.
+     * Progress reports show that the engine is alive, so it is not ejected. If the reported ratio does not
+     * rise, the relaunch would never end, so it must be cancelled.
      */
     @Test
     public void relaunchWithoutProgressIsCancelled() {
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -47,8 +47,9 @@
     }
 
     /**
-     * Columns: whether engines support grants, what they do if memory is short, and in MB the memory of the
-     * engine, the estimate of the request, the expected grant and the memory expected to be counted.
+     * Columns: whether engines support grants and what they do if memory is short; in MB, the memory of the
+     * engine, the estimate of the request, the grant that must be sent, and the memory that other policies
+     * must count as granted.
      */
     @DataProvider
     public Object[][] grants() {
@@ -82,8 +83,8 @@
     }
 
     /**
-     * Columns: mean work of the class in ms, age in ms of a request of 200 ms, whether it is relaunched,
-     * whether it is a load, expected priority.
+     * The estimated work of the request is 200 ms. Columns: mean work of the class in ms, age of the request
+     * in ms, whether it is relaunched, whether it loads a table group, expected priority.
      */
     @DataProvider
     public Object[][] priorities() {
--- a/src/test/java/lineward/spool/SpoolTest.java
+++ b/src/test/java/lineward/spool/SpoolTest.java
@@ -185,8 +185,8 @@
     }
 
     /**
-     * Writes fail, as on a full or lost disk, because the file has been deleted: the blocks in memory stay
-     * readable, and backpressure stops the reads from the engine.
+     * Deletes the file so that writes fail, as they do on a full or failed disk. The blocks in memory must
+     * stay readable, and backpressure must stop the reads from the engine.
      */
     @Test
     public void resultStaysInMemoryWhenWritesFail() throws IOException, InterruptedException {
@@ -220,8 +220,8 @@
                 }
                 readBytes += chunk.bytes().length;
             }
-            // The block that was on disk is lost with the file; the blocks before it have been read.
-            assertTrue(readBytes >= row.length, readBytes + " bytes");
+            // The block written before the deletion is lost; the blocks that precede it are in memory.
+            assertTrue(readBytes >= row.length, "expected at least one row; bytes read: " + readBytes);
             result.release();
             assertEquals(spool.statistics().memoryBytes(), 0);
         }
