--- a/src/main/java/lineward/mysql/MysqlServer.java
+++ b/src/main/java/lineward/mysql/MysqlServer.java
@@ -147,7 +147,7 @@
      */
     @Override
     public void setAdmissionPhase(ServerAdmissionPolicy.Phase phase) {
-        if (admission.acceptsClients() && phase != ServerAdmissionPolicy.Phase.OPEN) {
+        if (admission.isRecommendedToClients() && phase != ServerAdmissionPolicy.Phase.OPEN) {
             shutdownStartedNanos = System.nanoTime();
         }
         admission.setPhase(phase);
--- a/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
+++ b/src/main/java/lineward/scheduling/decision/ServerAdmissionPolicy.java
@@ -37,7 +37,7 @@
     }
 
     /** Returns whether clients that can choose among front ends should use this one. */
-    public boolean acceptsClients() {
+    public boolean isRecommendedToClients() {
         return phase == Phase.OPEN;
     }
 
--- a/src/main/java/lineward/thrift/ClientHandler.java
+++ b/src/main/java/lineward/thrift/ClientHandler.java
@@ -86,7 +86,7 @@
             case ThriftProtocol.INVOKE -> invoke(sequenceNumber, ThriftReader.readInvocation(frame));
             case ThriftProtocol.PING -> {
                 becomeIdleIfNoCallIsOpen();
-                send(ThriftWriter.pong(channel.alloc(), sequenceNumber, calls.acceptsClients()));
+                send(ThriftWriter.pong(channel.alloc(), sequenceNumber, calls.isRecommendedToClients()));
             }
             default -> {
                 becomeIdleIfNoCallIsOpen();
--- a/src/main/java/lineward/thrift/OpenCalls.java
+++ b/src/main/java/lineward/thrift/OpenCalls.java
@@ -34,8 +34,8 @@
     }
 
     /** Returns whether clients that can choose among front ends should use this one. */
-    boolean acceptsClients() {
-        return admission.acceptsClients();
+    boolean isRecommendedToClients() {
+        return admission.isRecommendedToClients();
     }
 
     /**
--- a/src/main/java/lineward/thrift/ThriftWriter.java
+++ b/src/main/java/lineward/thrift/ThriftWriter.java
@@ -40,10 +40,10 @@
     }
 
     /** Returns the response to a ping, which states whether clients should use this front end. */
-    static ByteBuf pong(ByteBufAllocator alloc, int sequenceNumber, boolean acceptsClients) {
+    static ByteBuf pong(ByteBufAllocator alloc, int sequenceNumber, boolean isRecommendedToClients) {
         ByteBuf buffer = beginSuccess(alloc, ThriftProtocol.PING, sequenceNumber);
         buffer.writeInt(0);
-        return framed(endSuccess(buffer, acceptsClients));
+        return framed(endSuccess(buffer, isRecommendedToClients));
     }
 
     /**
--- a/src/test/java/lineward/scheduling/decision/ServerAdmissionPolicyTest.java
+++ b/src/test/java/lineward/scheduling/decision/ServerAdmissionPolicyTest.java
@@ -23,7 +23,7 @@
         assertThat(policy.phase()).isEqualTo(OPEN);
         policy.setPhase(phase);
         assertThat(policy.phase()).isEqualTo(phase);
-        assertThat(policy.acceptsClients()).isEqualTo(acceptsClients);
+        assertThat(policy.isRecommendedToClients()).isEqualTo(acceptsClients);
         assertThat(policy.admitsRequests()).isEqualTo(admits);
         assertThat(policy.mayAdmit(1)).isEqualTo(admits);
     }
