--- a/src/main/java/lineward/lifecycle/HotRestart.java
+++ b/src/main/java/lineward/lifecycle/HotRestart.java
@@ -134,7 +134,7 @@
                 return false;
             }
             for (MaintenanceCommand command : peer.commands()) {
-                if (policy.isCredible(command, clock.getAsDouble())) {
+                if (policy.hasPlausibleTime(command, clock.getAsDouble())) {
                     apply(command);
                 }
             }
--- a/src/main/java/lineward/lifecycle/HotRestartPolicy.java
+++ b/src/main/java/lineward/lifecycle/HotRestartPolicy.java
@@ -57,7 +57,7 @@
      * Returns whether the time of another process's command is plausible. A command with a time in the future
      * would override later ones.
      */
-    boolean isCredible(MaintenanceCommand command, double nowMs) {
+    boolean hasPlausibleTime(MaintenanceCommand command, double nowMs) {
         return command.sinceMs() < nowMs + MAX_CLOCK_SKEW_MS;
     }
 
--- a/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
+++ b/src/test/java/lineward/lifecycle/HotRestartPolicyTest.java
@@ -74,8 +74,8 @@
     @Test
     public void commandFromTheFutureIsNotCredible() {
         HotRestartPolicy policy = new HotRestartPolicy();
-        assertTrue(policy.isCredible(command(true, NOW_MS + 999), NOW_MS));
-        assertFalse(policy.isCredible(command(true, NOW_MS + 1_000), NOW_MS));
+        assertTrue(policy.hasPlausibleTime(command(true, NOW_MS + 999), NOW_MS));
+        assertFalse(policy.hasPlausibleTime(command(true, NOW_MS + 1_000), NOW_MS));
     }
 
     @Test
