--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -135,12 +135,12 @@
     @Test(dataProvider = "needs")
     public void learnsTheGrantFactor(double before, double need, double afterNeed, double afterSpill) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
-        RequestClassState type = policies.context.requestClass(0);
-        type.setGrantFactor(before);
-        policies.resources.recordNeed(type, need);
-        assertThat(type.grantFactor()).isCloseTo(afterNeed, within(TOLERANCE));
-        type.setGrantFactor(before);
-        policies.resources.recordSpill(type);
-        assertThat(type.grantFactor()).isCloseTo(afterSpill, within(TOLERANCE));
+        RequestClassState requestClass = policies.context.requestClass(0);
+        requestClass.setGrantFactor(before);
+        policies.resources.recordNeed(requestClass, need);
+        assertThat(requestClass.grantFactor()).isCloseTo(afterNeed, within(TOLERANCE));
+        requestClass.setGrantFactor(before);
+        policies.resources.recordSpill(requestClass);
+        assertThat(requestClass.grantFactor()).isCloseTo(afterSpill, within(TOLERANCE));
     }
 }
--- a/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
+++ b/src/test/java/lineward/scheduling/decision/SpeculativeTimeoutTest.java
@@ -24,8 +24,8 @@
 
     private static RequestClassState classWith(int usualRuns, int slowRuns, double slowRatio) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
-        RequestClassState type = policies.context.requestClass(0);
-        ServiceTimeModel model = type.serviceTimeModel();
+        RequestClassState requestClass = policies.context.requestClass(0);
+        ServiceTimeModel model = requestClass.serviceTimeModel();
         for (int run = 0; run < usualRuns; run++) {
             model.updateTypicalRatio(1);
             model.addFirstRun(USUAL_RATIO, true);
@@ -34,7 +34,7 @@
             model.addFirstRun(slowRatio, true);
         }
         model.recompute(0, List.of());
-        return type;
+        return requestClass;
     }
 
     /** Columns: number of usual runs, number of slow runs, run time of a slow run, expected timeout. */
@@ -54,8 +54,8 @@
 
     @Test(dataProvider = "runs")
     public void timeoutCostsTheLeastLoad(int usualRuns, int slowRuns, double slowRatio, double expected) {
-        RequestClassState type = classWith(usualRuns, slowRuns, slowRatio);
-        OptionalDouble ratio = SpeculativeTimeout.timeoutRatio(type, 0);
+        RequestClassState requestClass = classWith(usualRuns, slowRuns, slowRatio);
+        OptionalDouble ratio = SpeculativeTimeout.timeoutRatio(requestClass, 0);
         if (expected == NO_TIMEOUT) {
             assertThat(ratio).isEmpty();
         } else {
@@ -74,10 +74,10 @@
 
     @Test(dataProvider = "relaunches")
     public void cancelsNothingWhereRelaunchesAreSlow(double relaunchRatio, boolean saves) {
-        RequestClassState type = classWith(90, 10, 10);
+        RequestClassState requestClass = classWith(90, 10, 10);
         for (int run = 0; run < 5; run++) {
-            type.serviceTimeModel().addRelaunch(relaunchRatio, 0);
+            requestClass.serviceTimeModel().addRelaunch(relaunchRatio, 0);
         }
-        assertThat(SpeculativeTimeout.timeoutRatio(type, 0).isPresent()).isEqualTo(saves);
+        assertThat(SpeculativeTimeout.timeoutRatio(requestClass, 0).isPresent()).isEqualTo(saves);
     }
 }
