--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -64,7 +64,7 @@
     }
 
     @Test(dataProvider = "grants")
-    public void grantsTheNeedWithinTheLimitOfTheEngine(
+    public void grantsExpectedMemoryUpToTheEngineLimit(
             boolean grants,
             MemoryShortageHandling shortage,
             double engineMb,
