--- a/src/test/java/lineward/scheduling/SpeculationTest.java
+++ b/src/test/java/lineward/scheduling/SpeculationTest.java
@@ -19,7 +19,7 @@
      * than 1, which it would not if censored runs were dropped.
      */
     @Test
-    public void censoredRunsKeepTheTail() {
+    public void curveIncludesCensoredRuns() {
         SurvivalCurve censored = new SurvivalCurve(100, -4, 5);
         SurvivalCurve dropped = new SurvivalCurve(100, -4, 5);
         SurvivalCurve completed = new SurvivalCurve(100, -4, 5);
