--- a/src/test/java/lineward/scheduling/SpeculationTest.java
+++ b/src/test/java/lineward/scheduling/SpeculationTest.java
@@ -109,7 +109,7 @@
     }
 
     @Test
-    public void answerThatArrivesBeforeTheCancelIsFinal() {
+    public void answerAfterTheCancelIsFinal() {
         TestingScheduler scheduler = schedulerAfterRuns(12);
         scheduler.requestArrives(1000, 0).advance(1500);
         assertThat(scheduler.lastCancels()).hasSize(1);
@@ -171,7 +171,7 @@
 
     /** A run whose answer has no value any more would use capacity that other requests need. */
     @Test
-    public void runWithoutOverdueValueIsGivenUp() {
+    public void runWhoseLateAnswerHasNoValueIsGivenUp() {
         SchedulerSettings settings = settings(lookupClass(), loadClass());
         TestingScheduler scheduler = new TestingScheduler(settings).listEngines(1);
         scheduler.requestArrives(1, 0).requestArrives(2, 1, 3, 200, 20000).advance(1300);
