--- a/src/main/java/lineward/discovery/PollConnection.java
+++ b/src/main/java/lineward/discovery/PollConnection.java
@@ -69,7 +69,7 @@
     }
 
     /** Records that a poll is sent. */
-    void poll(double nowMs) {
+    void recordPoll(double nowMs) {
         transitionTo(State.POLLING);
         waitingSinceMs = nowMs;
     }
--- a/src/main/java/lineward/discovery/PollPolicy.java
+++ b/src/main/java/lineward/discovery/PollPolicy.java
@@ -179,7 +179,7 @@
     }
 
     private static void poll(PollConnection connection, double nowMs, List<PollStep> steps) {
-        connection.poll(nowMs);
+        connection.recordPoll(nowMs);
         steps.add(new PollStep.SendPoll(connection.number()));
     }
 
--- a/src/test/java/lineward/discovery/PollConnectionTest.java
+++ b/src/test/java/lineward/discovery/PollConnectionTest.java
@@ -17,7 +17,7 @@
 
         void applyTo(PollConnection connection) {
             switch (this) {
-                case POLL -> connection.poll(100);
+                case POLL -> connection.recordPoll(100);
                 case PAUSE -> connection.pause(200);
             }
         }
@@ -26,7 +26,7 @@
     private static PollConnection connectionIn(State state) {
         PollConnection connection = new PollConnection(1, 0);
         if (state != State.CONNECTING) {
-            connection.poll(0);
+            connection.recordPoll(0);
         }
         if (state == State.PAUSED) {
             connection.pause(50);
