--- a/src/main/java/lineward/mysql/client/ClientReplyWriter.java
+++ b/src/main/java/lineward/mysql/client/ClientReplyWriter.java
@@ -46,7 +46,7 @@
     }
 
     /** Declares that the next packet answers no packet of the client, so that its sequence number is 0. */
-    void beginUnsolicited() {
+    void beginUnsolicitedReply() {
         requestSequence = NO_REQUEST_SEQUENCE;
     }
 
--- a/src/main/java/lineward/mysql/client/ClientSession.java
+++ b/src/main/java/lineward/mysql/client/ClientSession.java
@@ -88,7 +88,7 @@
     /** Disconnects the client with an error if it is idle apart from open cursors. */
     void closeForShutdown() {
         if (isBetweenCommands()) {
-            replies.beginUnsolicited();
+            replies.beginUnsolicitedReply();
             closeWithError(SqlError.shuttingDown());
         }
     }
@@ -103,7 +103,7 @@
         if (context.clients().add(this)) {
             replies.send(Handshake.greeting(ctx.alloc(), clientNumber, login.nonce()));
         } else {
-            replies.beginUnsolicited();
+            replies.beginUnsolicitedReply();
             closeWithError(SqlError.tooManyConnections());
         }
     }
