--- a/src/main/java/lineward/mysql/client/Query.java
+++ b/src/main/java/lineward/mysql/client/Query.java
@@ -125,11 +125,11 @@
     /**
      * Starts sending the spooled result of the current attempt, which may be incomplete.
      *
-     * @param accepted whether the coordinator still waits for the attempt; otherwise nothing is sent
+     * @param isAwaited whether the coordinator still waits for the attempt; otherwise nothing is sent
      */
-    void startResponse(boolean accepted) {
-        responseStarted = accepted;
-        if (accepted) {
+    void startResponse(boolean isAwaited) {
+        responseStarted = isAwaited;
+        if (isAwaited) {
             runner.responseStarted(this);
         }
     }
