--- a/src/main/java/lineward/app/LifecycleWiring.java
+++ b/src/main/java/lineward/app/LifecycleWiring.java
@@ -26,10 +26,10 @@
      * The properties of this process that its lifecycle depends on.
      *
      * @param name name of the front end, the same in all of its processes
-     * @param isListenerInherited whether other processes accept on the clients' socket
+     * @param isListenerShared whether other processes accept on the clients' socket
      * @param longestDeadlineMs longest deadline of the classes of requests
      */
-    record ProcessProperties(String name, boolean isListenerInherited, double longestDeadlineMs) {
+    record ProcessProperties(String name, boolean isListenerShared, double longestDeadlineMs) {
         /** Returns the properties of a process that serves MySQL clients only. */
         static ProcessProperties mysqlOnly() {
             return new ProcessProperties(MYSQL_ONLY_NAME, false, MAX_RESTART_DEADLINE_MS);
@@ -37,7 +37,7 @@
 
         /** Returns the time after SIGTERM at which open requests are failed. */
         int shutdownDeadlineMs() {
-            int maxDeadlineMs = isListenerInherited ? MAX_HOT_RESTART_DEADLINE_MS : MAX_RESTART_DEADLINE_MS;
+            int maxDeadlineMs = isListenerShared ? MAX_HOT_RESTART_DEADLINE_MS : MAX_RESTART_DEADLINE_MS;
             return (int) Math.min(longestDeadlineMs, maxDeadlineMs) + SHUTDOWN_GRACE_MS;
         }
     }
@@ -57,7 +57,7 @@
                 servers,
                 context.metrics(),
                 hotRestart,
-                new Lifecycle.ShutdownOptions(process.isListenerInherited(), process.shutdownDeadlineMs()));
+                new Lifecycle.ShutdownOptions(process.isListenerShared(), process.shutdownDeadlineMs()));
     }
 
     /** Applies changes of engines' maintenance and of the quota to all protocol servers. */
--- a/src/main/java/lineward/lifecycle/Lifecycle.java
+++ b/src/main/java/lineward/lifecycle/Lifecycle.java
@@ -20,11 +20,11 @@
     /**
      * How this process shuts down after SIGTERM.
      *
-     * @param isListenerInherited whether other processes accept on the clients' socket, so that this one
+     * @param isListenerShared whether other processes accept on the clients' socket, so that this one
      *     stops accepting at once
      * @param shutdownDeadlineMs time after SIGTERM at which open requests are failed
      */
-    public record ShutdownOptions(boolean isListenerInherited, int shutdownDeadlineMs) {}
+    public record ShutdownOptions(boolean isListenerShared, int shutdownDeadlineMs) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(Lifecycle.class);
     /**
@@ -145,7 +145,7 @@
     private void closeDrainedConnections() {
         if (state.isDraining()) {
             closeDrainedConnections(DrainSchedule.OPERATOR_DRAIN);
-        } else if (state.isTerminating() && options.isListenerInherited()) {
+        } else if (state.isTerminating() && options.isListenerShared()) {
             closeDrainedConnections(DrainSchedule.HOT_RESTART);
         }
     }
@@ -181,14 +181,14 @@
         state = state.afterTermination();
         drainStartNanos = System.nanoTime();
         servers.forEach(server -> server.setShutdownDeadline(options.shutdownDeadlineMs()));
-        if (options.isListenerInherited()) {
+        if (options.isListenerShared()) {
             servers.forEach(ProtocolServer::stopListening);
         } else {
             setAdmission(ServerAdmissionPolicy.Phase.DRAINING);
         }
         schedule(
                 () -> ticker.every(Ticker.TICK_MS, this::advanceShutdown),
-                options.isListenerInherited() ? 0 : REQUEST_ARRIVAL_GRACE_MS);
+                options.isListenerShared() ? 0 : REQUEST_ARRIVAL_GRACE_MS);
         schedule(this::failOpenRequests, options.shutdownDeadlineMs());
     }
 
@@ -214,7 +214,7 @@
     }
 
     private void advanceShutdown() {
-        if (!options.isListenerInherited()) {
+        if (!options.isListenerShared()) {
             servers.forEach(ProtocolServer::stopListening);
             servers.forEach(server -> server.closeIdleClients(1));
         }
