--- a/src/main/java/lineward/frontend/ClientRegistry.java
+++ b/src/main/java/lineward/frontend/ClientRegistry.java
@@ -73,7 +73,7 @@
     }
 
     /** Removes a connection that was closed. */
-    public void disconnected(C client) {
+    public void remove(C client) {
         silent.remove(client);
         awaitingResponse.remove(client);
         idle.remove(client);
@@ -120,7 +120,7 @@
     }
 
     private void changeState(C client, Map<C, Long> state) {
-        disconnected(client);
+        remove(client);
         state.put(client, nanoClock.getAsLong());
     }
 
@@ -129,7 +129,7 @@
     }
 
     private void close(C client) {
-        disconnected(client);
+        remove(client);
         closer.accept(client);
     }
 }
--- a/src/main/java/lineward/operations/AdminHandler.java
+++ b/src/main/java/lineward/operations/AdminHandler.java
@@ -40,7 +40,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        clients.disconnected(ctx.channel());
+        clients.remove(ctx.channel());
     }
 
     /**
--- a/src/main/java/lineward/thrift/ClientHandler.java
+++ b/src/main/java/lineward/thrift/ClientHandler.java
@@ -216,7 +216,7 @@
     /** Cancels the open calls of the disconnected client. */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        clients.disconnected(this);
+        clients.remove(this);
         new ArrayList<>(callsBySequenceNumber.values()).forEach(calls::cancel);
         callsBySequenceNumber.clear();
     }
--- a/src/test/java/lineward/frontend/ClientRegistryTest.java
+++ b/src/test/java/lineward/frontend/ClientRegistryTest.java
@@ -39,7 +39,7 @@
         assertEquals(closing, List.of("second", "third"));
         assertEquals(registry.openClientConnections(), List.of("awaiting"));
         assertEquals(registry.size(), 3, "closing connections count until they are disconnected");
-        registry.disconnected("second");
+        registry.remove("second");
         registry.markAwaitingResponse("third");
         assertEquals(
                 registry.openClientConnections(),
