--- a/src/main/java/lineward/frontend/ClientRegistry.java
+++ b/src/main/java/lineward/frontend/ClientRegistry.java
@@ -36,7 +36,7 @@
      * @param capacity maximum number of connections that are not closing
      * @param monotonicNanoClock time in nanoseconds, like {@link System#nanoTime}
      * @param closer closes a connection immediately
-     * @param gracefulCloser closes a connection unless it sends a request first
+     * @param gracefulCloser closes a connection, unless a request arrives on it before the close
      */
     public ClientRegistry(
             int capacity, LongSupplier monotonicNanoClock, Consumer<C> closer, Consumer<C> gracefulCloser) {
@@ -73,14 +73,14 @@
     }
 
     /** Removes a connection that was closed. */
-    public void disconnected(C client) {
+    public void remove(C client) {
         silent.remove(client);
         awaitingResponse.remove(client);
         idle.remove(client);
         closing.remove(client);
     }
 
-    /** Closes a connection that awaits no response, unless it sends a request first. */
+    /** Closes a connection that awaits no response, unless a request arrives on it before the close. */
     public void closeGracefully(C client) {
         changeState(client, closing);
         gracefulCloser.accept(client);
@@ -120,7 +120,7 @@
     }
 
     private void changeState(C client, Map<C, Long> state) {
-        disconnected(client);
+        remove(client);
         state.put(client, nanoClock.getAsLong());
     }
 
@@ -129,7 +129,7 @@
     }
 
     private void close(C client) {
-        disconnected(client);
+        remove(client);
         closer.accept(client);
     }
 }
--- a/src/main/java/lineward/thrift/ThriftWriter.java
+++ b/src/main/java/lineward/thrift/ThriftWriter.java
@@ -27,7 +27,7 @@
         return framed(frame);
     }
 
-    /** Returns a request in the encoding of a client, for the warm-up. */
+    /** Returns a request, encoded as a client would send it, for the warm-up. */
     static ByteBuf invocation(
             ByteBufAllocator alloc, int sequenceNumber, Map<CallField, String> fields, String statement) {
         Map<String, String> wireFields = new HashMap<>();
@@ -40,10 +40,10 @@
     }
 
     /** Returns the response to a ping, which states whether clients should use this front end. */
-    static ByteBuf pong(ByteBufAllocator alloc, int sequenceNumber, boolean acceptsClients) {
+    static ByteBuf pong(ByteBufAllocator alloc, int sequenceNumber, boolean isRecommendedToClients) {
         ByteBuf buffer = beginSuccess(alloc, ThriftProtocol.PING, sequenceNumber);
         buffer.writeInt(0);
-        return framed(endSuccess(buffer, acceptsClients));
+        return framed(endSuccess(buffer, isRecommendedToClients));
     }
 
     /**
--- a/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
+++ b/src/test/java/lineward/scheduling/decision/ResourceLimitsTest.java
@@ -47,8 +47,9 @@
     }
 
     /**
-     * Columns: whether engines support grants, what they do if memory is short, and in MB the memory of the
-     * engine, the estimate of the request, the expected grant and the memory expected to be counted.
+     * Columns: whether engines support grants and what they do if memory is short; in MB, the memory of the
+     * engine, the estimate of the request, the grant that must be sent, and the memory that other policies
+     * must count as granted.
      */
     @DataProvider
     public Object[][] grants() {
@@ -63,7 +64,7 @@
     }
 
     @Test(dataProvider = "grants")
-    public void grantsTheNeedWithinTheLimitOfTheEngine(
+    public void grantsExpectedMemoryUpToTheEngineLimit(
             boolean grants,
             MemoryShortageHandling shortage,
             double engineMb,
@@ -82,8 +83,8 @@
     }
 
     /**
-     * Columns: mean work of the class in ms, age in ms of a request of 200 ms, whether it is relaunched,
-     * whether it is a load, expected priority.
+     * The estimated work of the request is 200 ms. Columns: mean work of the class in ms, age of the request
+     * in ms, whether it is relaunched, whether it loads a table group, expected priority.
      */
     @DataProvider
     public Object[][] priorities() {
@@ -134,12 +135,12 @@
     @Test(dataProvider = "needs")
     public void learnsTheGrantFactor(double before, double need, double afterNeed, double afterSpill) {
         PolicyFixture policies = new PolicyFixture(new SettingsBuilder());
-        RequestClassState type = policies.context.requestClass(0);
-        type.setGrantFactor(before);
-        policies.resources.recordNeed(type, need);
-        assertThat(type.grantFactor()).isCloseTo(afterNeed, within(TOLERANCE));
-        type.setGrantFactor(before);
-        policies.resources.recordSpill(type);
-        assertThat(type.grantFactor()).isCloseTo(afterSpill, within(TOLERANCE));
+        RequestClassState requestClass = policies.context.requestClass(0);
+        requestClass.setGrantFactor(before);
+        policies.resources.recordNeed(requestClass, need);
+        assertThat(requestClass.grantFactor()).isCloseTo(afterNeed, within(TOLERANCE));
+        requestClass.setGrantFactor(before);
+        policies.resources.recordSpill(requestClass);
+        assertThat(requestClass.grantFactor()).isCloseTo(afterSpill, within(TOLERANCE));
     }
 }
